--- a/rowanshift/soak/load.py
+++ b/rowanshift/soak/load.py
@@ -164,6 +164,7 @@
             for name in ("op1", "op2")
         )
         self.acknowledged = self.sent = 0  # revisions
+        self.taken = 0  # configurations that were acknowledged
 
     async def first(self, within: float) -> bool:
         """Send the first configuration; whether it was acknowledged."""
@@ -204,6 +205,7 @@
         status = await self.operator.put_config(config_at(revision), self.acknowledged, within)
         if status == 200:
             self.acknowledged = revision
+            self.taken += 1
         return status
 
     async def _race(self) -> None:
--- a/rowanshift/soak/run.py
+++ b/rowanshift/soak/run.py
@@ -30,7 +30,11 @@
 LOOK = 0.05  # seconds
 LATE = 0.05  # seconds by which the soak's own process may be late without a record of it
 SERVE_ON = 1.5  # seconds of load once all is ready again
-OVERHEAD = START_WITHIN + RECOVER_WITHIN + READ_WITHIN + 2 * (GRACE + KILL_AFTER) + 30.0  # seconds beside the load
+LEAST_CHANGES = 6  # configurations that are acknowledged in a run, at least
+CHANGES_WITHIN = 15.0  # seconds beyond the plan's in which they are waited for
+OVERHEAD = (
+    CHANGES_WITHIN + START_WITHIN + RECOVER_WITHIN + READ_WITHIN + 2 * (GRACE + KILL_AFTER) + 30.0
+)  # seconds beside the load
 MOST_FACTS = 3_000_000
 TRAITS = Traits(slots=8, queue=8, kv_tokens=20_000, load=0.4, gap=0.01, prefill=0.00002)
 
@@ -168,10 +172,21 @@
                     for trouble in self.plan.troubles:
                         troubles.start_soon(self._befall, trouble)
                     await trio.sleep(self.plan.seconds)
+                await self._enough_changes()
                 changes.cancel_scope.cancel()
             await self._recover()
             await self._end_all()
 
+    async def _enough_changes(self) -> None:
+        """Waits until so many changes were acknowledged that the run says something of them, however busy the machine
+        is; it is a stall if they don't come."""
+        until = self.now() + CHANGES_WITHIN
+        while self.changes.taken < LEAST_CHANGES:
+            if self.now() > until:
+                self._stalled(f"{self.changes.taken} changes acknowledged {CHANGES_WITHIN:g} s after the troubles")
+                return
+            await trio.sleep(LOOK)
+
     async def _ask(self) -> None:
         """Clients, until no router runs any more."""
         with self.asking:
