--- a/rowanshift/capacity/hollow.py
+++ b/rowanshift/capacity/hollow.py
@@ -20,7 +20,7 @@
 from rowanshift.dataplane.control_client import HOLD, ControlClient
 from rowanshift.net.ring import Ring
 from rowanshift.net.transport import Address, Stream, connect, receive, send_all
-from rowanshift.node_settings import node_settings_of
+from rowanshift.node_settings import Bounds, node_settings_of
 from rowanshift.wire.codec import Frames
 from rowanshift.wire.delivery import CODEC, Poll, Update
 
@@ -355,4 +355,4 @@
 
 def real_channel(host: Loopback, address: Address) -> ControlClient:
     """A router's whole knowledge: the real channel, which reads the configuration and lays the rings."""
-    return ControlClient(host, MACHINE, address[1], lambda: [address], 8.0, 2.0, random.Random(1), lambda engine: None)
+    return ControlClient(host, MACHINE, address[1], lambda: [address], Bounds(), random.Random(1), lambda engine: None)
--- a/rowanshift/dataplane/control_client.py
+++ b/rowanshift/dataplane/control_client.py
@@ -20,6 +20,7 @@
 from rowanshift.kv_index.index import unpacked
 from rowanshift.net.links import Caller, LinkFailed
 from rowanshift.net.transport import Address, Host
+from rowanshift.node_settings import Bounds
 from rowanshift.wire.delivery import CODEC, DRAINING, LOADING, Elsewhere, Poll, Row, Update
 from rowanshift.wire.machines import ip_of, machine_of
 
@@ -32,6 +33,7 @@
 START_WITHIN, START_PART = 2.5, 0.5  # seconds, and of what the client has left, for a first configuration
 REFUSE_PART = 0.75  # of the bound for configurations: the age of what is known up to which a client is refused by it
 VERSION_EARLY = 2.0  # seconds before its bound, from which only a named version is used
+OLD_AT_START = 0.5  # part of ``contactMs`` for which a router that starts uses servers with older weights
 NO_VERSION = (0, 0)
 
 
@@ -61,14 +63,13 @@
         machine: int,
         port: int,
         seeds: Callable[[], Iterable[Address]],
-        version_within: float,
-        apply_within: float,
+        bounds: Bounds,
         chance: random.Random,
         gone: Callable[[Endpoint], None],
     ) -> None:
-        """``version_within`` and ``apply_within``: seconds until a named version, a configuration must be in use."""
+        """``gone`` is told of each server that is to get no more requests."""
         self.host, self.machine, self.port, self.seeds = host, machine, port, seeds
-        self.version_within, self.chance, self.gone = version_within, chance, gone
+        self.bounds, self.chance, self.gone = bounds, chance, gone
         self.started = chance.getrandbits(63)
         self.routing_table, self.servers = RoutingTable(), Endpoints(chance)
         self.state_version, self.fingerprint = NO_VERSION, 0  # of the control state
@@ -76,10 +77,10 @@
         self.machines: tuple[int, ...] = ()  # the members
         self.met: Callable[[tuple[int, ...]], None] = lambda machines: None
         self.stored: set[int] = set()  # fingerprints of parts that a store keeps
-        self.named_at: dict[str, float] = {}  # trio's time at which a model's named version was heard of
+        self.named_until: dict[str, float] = {}  # trio's time until which servers with older weights may be used
         self.members = 0
         self.core: tuple[int, ...] = ()
-        self.freshness = Freshness(0.0, REFUSE_PART * apply_within)
+        self.freshness = Freshness(0.0, REFUSE_PART * bounds.config_apply_ms / 1000, bounds.revoke_within)
         self.search = PrimarySearch(chance.random)
         self.failures = 0  # polls without an answer in a row
         self.held = trio.CancelScope()  # around the poll that is held
@@ -89,10 +90,23 @@
 
     def version(self, model: str, now: float) -> int:
         """The least version of its weights that a server must have: the named one, once its time comes near."""
-        if now < self.named_at.get(model, 0.0) + max(0.5, self.version_within - VERSION_EARLY):
+        if now < self.named_until.get(model, 0.0):
             return 0
         return self.routing_table.versions.get(model, 0)
 
+    def _note_versions(self, versions: dict[str, int], now: float) -> None:
+        """Takes down until when older weights than the newly named ones may be used.
+
+        What a router hears as it starts may have been named long ago, and such times add up over the day: it uses
+        older weights only for a part of the time in which it is not yet in touch.
+        """
+        within = max(0.5, self.bounds.version_ms / 1000 - VERSION_EARLY)
+        if not self.routing_table.revision:
+            within = min(within, OLD_AT_START * self.bounds.contact_ms / 1000)
+        for model, version in versions.items():
+            if version > self.routing_table.versions.get(model, 0):
+                self.named_until[model] = now + within
+
     async def fresh(self, left: float) -> None:
         """Waits while what is known may be old, or nothing is known yet; ``left`` is what the client has."""
         if not self.freshness.in_doubt:
@@ -112,6 +126,10 @@
         """Whether what is known is recent enough for a refusal that is final for the client."""
         return self.freshness.may_refuse(trio.current_time())
 
+    def may_admit_key(self, came_at: float) -> bool:
+        """Whether what is known is recent enough to let a request in by its key that came at that time."""
+        return self.freshness.may_admit_key(came_at)
+
     async def confirmed(self, within: float) -> bool:
         """Waits, so many seconds at most, until what is known is recent enough to refuse by; whether it is."""
         until = trio.current_time() + within
@@ -121,6 +139,8 @@
 
     def ready(self) -> bool:
         """Whether requests can be served by what is known."""
+        if self.routing_table.all_keyed and not self.may_admit_key(trio.current_time()):
+            return False
         return bool(self.routing_table.revision and self.servers.engines and not self.freshness.in_doubt)
 
     def doubt(self) -> None:
@@ -242,10 +262,7 @@
         except (BadControlState, zlib.error) as error:
             logger.error("event=bad_state version={} why={!r}", update.version, str(error))
             return False
-        now = trio.current_time()
-        for model, version in table.versions.items():
-            if version > self.routing_table.versions.get(model, 0):
-                self.named_at[model] = now
+        self._note_versions(table.versions, trio.current_time())
         if table.revision != self.routing_table.revision:
             routes = sum(map(len, table.routes.values()))
             logger.info("event=config revision={} routes={}", table.revision, routes)
--- a/rowanshift/dataplane/forwarder.py
+++ b/rowanshift/dataplane/forwarder.py
@@ -26,6 +26,7 @@
 T = TypeVar("T")
 
 LEAVING = "this router is leaving"  # what a client is told that is sent elsewhere
+KEYS_AGAIN = 0.3  # seconds until a client may come again that was refused for want of recent keys
 UNSENT_MOST = 4  # servers that could not be reached, for one request
 HOLD_PART, HOLD_MOST = 0.2, 0.3  # of the aim, and seconds, that a request waits for a server to be there
 LOAD_HOLD, LOAD_PART = 2.0, 0.4  # seconds, and of what is left, where servers take new weights
@@ -67,6 +68,9 @@
     def may_refuse(self) -> bool:
         """Whether a client may be refused for good by what is known."""
 
+    def may_admit_key(self, came_at: float) -> bool:
+        """Whether a request that came at that time may be let in by its key."""
+
     async def changed(self, within: float) -> None:
         """Wait until something was learnt, so many seconds at most."""
 
@@ -101,6 +105,8 @@
             tenant = routing_table.tenants.get(request.key) if request.key is not None else None
             if tenant is None and not route.public:
                 raise Refusal(401, "the key is not known")
+            if not route.public and not self.state.may_admit_key(request.came_at):
+                raise Refusal(503, "the keys in force could not be confirmed", KEYS_AGAIN)
         return route, tenant
 
     def refuse_if_leaving(self, request: Request, out: Out) -> None:
--- a/rowanshift/dataplane/routing_table.py
+++ b/rowanshift/dataplane/routing_table.py
@@ -83,6 +83,7 @@
     largest_body: int = 4 << 20  # bytes
     header_within: float = 3.0  # seconds
     idle_for: float = 15.0  # seconds
+    all_keyed: bool = False  # whether no request is served without a key
 
     def match(self, host: bytes, path: bytes) -> Route | None:
         """The route of a host and path with the longest prefix, None if there is none."""
@@ -121,6 +122,8 @@
         raise BadControlState(repr(error)) from error
     for routes in routing_table.routes.values():
         routes.sort(key=lambda route: -len(route.prefix))
+    public = any(route.public for routes in routing_table.routes.values() for route in routes)
+    routing_table.all_keyed = tenants is not None and not public
     return routing_table
 
 
--- a/rowanshift/dataplane/service.py
+++ b/rowanshift/dataplane/service.py
@@ -135,8 +135,7 @@
                     machine_of(boot.ip),
                     boot.inner[1],
                     self.seeds,
-                    boot.bounds.version_ms / 1000,
-                    boot.bounds.config_apply_ms / 1000,
+                    boot.bounds,
                     self.chance,
                     self.back.leave,
                 )
--- a/rowanshift/invariants/breaches.py
+++ b/rowanshift/invariants/breaches.py
@@ -33,6 +33,7 @@
     config_apply: float = 2.0
     drain: float = 3.0
     version: float = 8.0
+    version_all: float = 0.0  # that calm stretches with older weights may add up to; 0: no such bound
     lease: float = 3.0
     isolated: frozenset[str] | None = None  # tenants; none: as the configurations that were sent say
     retry_ratio: float = 0.2  # repeats a request
@@ -40,6 +41,7 @@
     retry_window: float = 10.0
     thaw: float = 0.3  # in which orders sent before a standstill or a cut arrive
     revert_slack: float = 0.25
+    revoke: float | None = None  # for which any machine may use a key that was taken away; None: no such bound
     loss_slack: float = 0.2
     grace: float = 8.0
 
--- a/rowanshift/invariants/configuration_rules.py
+++ b/rowanshift/invariants/configuration_rules.py
@@ -123,6 +123,27 @@
     return broken + _applied(facts, configs, asked, apply)
 
 
+def revoked(facts: Facts, within: float | None) -> list[Breach]:
+    """CONFIG: a request runs by a key that was taken away, though it was sent more than ``within`` seconds after that
+    was acknowledged. It holds for every machine, in touch or not; with ``None`` there is no such rule."""
+    if within is None:
+        return []
+    configs, asked, broken = Configs.among(facts), by_id(facts, Asked), []
+    for run in of_kind(facts, Began):
+        if (ours := asked.get(run.id, [None])[0]) is None:
+            continue
+        rule = configs.may_rule(ours.at - within, run.at)
+        if rule and all(_takes_key_away(one.config, run.host, run.target, ours.key) for one in rule):
+            why = f"its key was taken away over {within:g} s before it was sent at {ours.at:.3f} s"
+            broken.append(Breach("CONFIG", run.at, (run.id, run.instance), why))
+    return broken
+
+
+def _takes_key_away(config: dict[str, Any], host: str, target: str, key: str) -> bool:
+    route = route_of(config, host, target)
+    return not (route and route.get("public")) and tenant_of(config, key) is None
+
+
 def _applied(facts: Facts, configs: Configs, asked: dict[str, list[Asked]], apply: float) -> list[Breach]:
     broken: list[Breach] = []
     for run in of_kind(facts, Began) if configs.sent else ():
--- a/rowanshift/invariants/server_rules.py
+++ b/rowanshift/invariants/server_rules.py
@@ -1,7 +1,7 @@
 """Checks at the model servers: what cache a run used (STALE, WALL), under which version it ran (VERSION), who
 gave orders (ONE), and what reached a server that leaves (DRAIN)."""
 
-from collections.abc import Collection
+from collections.abc import Callable, Collection, Sequence
 from dataclasses import dataclass
 
 from rowanshift.invariants.breaches import Breach, Facts, by, of_kind
@@ -17,6 +17,8 @@
     VersionNamed,
 )
 
+LEAST_STRETCH = 2.0  # seconds; shorter calm stretches don't count for ``version_sums``
+
 
 def stale(facts: Facts) -> list[Breach]:
     """STALE: a run on cache that was made under another version."""
@@ -50,6 +52,23 @@
 
 def version(facts: Facts, within: float) -> list[Breach]:
     """VERSION: a run's first token under an older version, ``within`` seconds after a newer one was named."""
+    return _outdated(facts, lambda named_at, at: at - named_at > within)
+
+
+def version_sums(facts: Facts, total: float, calm: Sequence[tuple[float, float]]) -> list[Breach]:
+    """VERSION: the same once the ``calm`` stretches since then, those of ``LEAST_STRETCH`` or more, add up to over
+    ``total`` seconds; with 0 there is no such rule."""
+
+    def over(named_at: float, at: float) -> bool:
+        stretches = [min(until, at) - max(since, named_at) for since, until in calm]
+        return sum(stretch for stretch in stretches if stretch >= LEAST_STRETCH) > total
+
+    return _outdated(facts, over) if total else []
+
+
+def _outdated(facts: Facts, over: Callable[[float, float], bool]) -> list[Breach]:
+    """Runs on older weights than the newest named, where ``over`` tells by when that was and when they began that it
+    was too long ago."""
     named, seen, broken = of_kind(facts, VersionNamed), set(), []
     runs = [(made.at, made.run, made.id, made.model, made.revision) for made in of_kind(facts, Made)]
     started = {run for _, run, *_ in runs}
@@ -63,7 +82,7 @@
             continue
         seen.add(run)
         newest = max(
-            (name for name in named if name.model == model and name.at + within < at),
+            (name for name in named if name.model == model and name.at < at and over(name.at, at)),
             key=lambda name: name.revision,
             default=None,
         )
--- a/rowanshift/invariants/system.py
+++ b/rowanshift/invariants/system.py
@@ -19,7 +19,16 @@
     by_id,
     of_kind,
 )
-from rowanshift.invariants.configuration_rules import DENIALS, Configs, config, route, route_of, services_of, tenant_of
+from rowanshift.invariants.configuration_rules import (
+    DENIALS,
+    Configs,
+    config,
+    revoked,
+    route,
+    route_of,
+    services_of,
+    tenant_of,
+)
 from rowanshift.invariants.ending_rules import ended
 from rowanshift.invariants.facts import (
     Answered,
@@ -56,7 +65,7 @@
 from rowanshift.invariants.regression_rules import regressed
 from rowanshift.invariants.request_rules import PROMISES, mixed, order, refused, twice, unasked
 from rowanshift.invariants.retry_rules import budget
-from rowanshift.invariants.server_rules import drain, one, stale, version, wall
+from rowanshift.invariants.server_rules import drain, one, stale, version, version_sums, wall
 
 __all__ = [
     "DEFAULT_BOUNDS",
@@ -113,6 +122,7 @@
     "refused",
     "refused_again",
     "regressed",
+    "revoked",
     "route",
     "route_of",
     "services_of",
@@ -121,6 +131,7 @@
     "twice",
     "unasked",
     "version",
+    "version_sums",
     "wall",
 ]
 
@@ -135,6 +146,7 @@
         *order(facts),
         *route(facts),
         *config(facts, bounds.config_apply),
+        *revoked(facts, bounds.revoke),
         *stale(facts),
         *wall(facts, bounds.isolated),
         *version(facts, bounds.version),
--- a/rowanshift/node_settings.py
+++ b/rowanshift/node_settings.py
@@ -43,8 +43,16 @@
     retry_budget_slack: float = 10
     lease_ms: float = 3000
     version_ms: float = 8000
+    version_all_ms: float = 0  # 0: only single stretches count
+    revoke_strict: bool = False
+    revoke_ms: float = 5000
     address_reuse_s: float = 2
 
+    @property
+    def revoke_within(self) -> float | None:
+        """Seconds for which any machine may use a key that was taken away; ``None`` where that has no bound."""
+        return self.revoke_ms / 1000 if self.revoke_strict else None
+
 
 class CloudApi(msgspec.Struct, rename="camel", frozen=True):
     address: str
--- a/rowanshift/simulation/fleet.py
+++ b/rowanshift/simulation/fleet.py
@@ -8,6 +8,7 @@
 
 import random
 from collections.abc import Awaitable, Callable
+from dataclasses import replace
 from typing import Any, TypeVar
 
 import trio
@@ -39,6 +40,7 @@
     READY,
     REPEATED,
     RESUMED,
+    RULES,
     SERVED,
     SERVICE,
     START_APART,
@@ -68,7 +70,8 @@
 
 
 class Fleet(FleetLoad):
-    """``f`` core machines may be lost at once. Zones are sites of the network; clients have their own."""
+    """``f`` core machines may be lost at once. ``revoke``: seconds for which any machine may use a key that was
+    taken away; 0: there is no such bound. Zones are sites of the network; clients have their own."""
 
     def __init__(
         self,
@@ -80,9 +83,12 @@
         servers: int = 3,
         f: int = 1,
         zones: int = 3,
+        revoke: float = 0.0,
         **traits: Any,
     ) -> None:
         self.nursery, self.clock, self.seed, self.f, self.zones = nursery, clock, seed, f, zones
+        self.bounds = BOUNDS | {"revokeStrict": revoke > 0, "revokeMs": 1000 * revoke}
+        self.rules = replace(RULES, revoke=revoke or None)
         self.chance = random.Random(f"{seed}/fleet")
         self.network = Network(clock, seed, Paths(within=0.0004, across=0.003, jitter=0.2, partial=0.02))
         self.facts: list[Fact] = []
@@ -156,7 +162,7 @@
                 "bootstrap": True,
                 "dataDir": "/data" if core else None,
                 "faultTolerance": {"machines": self.f},
-                "bounds": BOUNDS,
+                "bounds": self.bounds,
                 "cloudApi": {"address": f"{self.platform.address}:{LISTED}", "ratePerS": 40, "maxLagMs": 800},
             },
         )
@@ -225,7 +231,7 @@
 
     def breaches(self) -> list[Breach]:
         """The rules that were broken, but for what troubles excuse."""
-        return breaches(self.facts, self._names(), Excuses(self.troubles, self.f))
+        return breaches(self.facts, self._names(), Excuses(self.troubles, self.f), self.rules)
 
     def violations(self) -> list[Breach]:
         """Requests and calls that did not end as they must, by the count of the machines that had read them, but for
--- a/rowanshift/simulation/fleet_excuses.py
+++ b/rowanshift/simulation/fleet_excuses.py
@@ -7,12 +7,13 @@
 from dataclasses import dataclass
 
 from rowanshift.invariants import system as rules
-from rowanshift.invariants.breaches import Breach
+from rowanshift.invariants.breaches import Bounds, Breach
 from rowanshift.invariants.facts import Asked, Fact
 from rowanshift.simulation.fleet_machines import Trouble
 from rowanshift.simulation.fleet_settings import APPLY, CONTACT, DRAIN, RULES, SKEW, VERSION
 
 SPANS = {"CONFIG": APPLY, "VERSION": VERSION, "DRAIN": DRAIN}  # of the rules with a time bound
+CUT = "is cut off"
 PLANNED = frozenset(["told to stop", "leaves", "started"])  # troubles that are planned work
 
 Excuse = Callable[[str, float, float], bool]  # of a router, within a span of time
@@ -44,6 +45,20 @@
         """Whether the router met unplanned trouble within this or ``CONTACT`` before."""
         return any(trouble.machine == router and trouble.what not in PLANNED for trouble in self._met(since, until))
 
+    def calm(self, until: float) -> list[tuple[float, float]]:
+        """The stretches, up to a time, in which the core was stable and no link in trouble."""
+        rough = sorted(
+            (trouble.since, trouble.until + CONTACT)
+            for trouble in self.troubles
+            if (trouble.core and trouble.unsettles) or trouble.what == CUT
+        )
+        calm, since = [], 0.0
+        for begins, ends in rough:
+            if begins > since:
+                calm.append((since, min(begins, until)))
+            since = max(since, ends)
+        return [*calm, (since, until)] if since < until else calm
+
     def _met(self, since: float, until: float) -> Iterable[Trouble]:
         return (trouble for trouble in self.troubles if trouble.since <= until and trouble.until >= since - CONTACT)
 
@@ -56,7 +71,7 @@
     )
 
 
-def breaches(facts: list[Fact], machines: dict[str, str], excuses: Excuses) -> list[Breach]:
+def breaches(facts: list[Fact], machines: dict[str, str], excuses: Excuses, bounds: Bounds = RULES) -> list[Breach]:
     """The rules that were broken, in the order of the times; ``machines`` are names by the address that clients or
     operators ask. Those with a time bound count only for machines in touch; while the core is unsettled, and most of it
     there, the bound of a configuration is ``SKEW`` longer. A loss counts where no unplanned trouble befell its
@@ -77,7 +92,7 @@
 
     found = [
         breach
-        for breach in rules.check(facts, RULES, troubles_of(machines, excuses))
+        for breach in rules.check(facts, bounds, troubles_of(machines, excuses))
         if not excused(breach, excuses.out_of_touch) and not lost_to_trouble(breach)
     ]
     found += [
@@ -85,4 +100,10 @@
         for breach in rules.config(facts, APPLY + SKEW)
         if not excused(breach, excuses.adrift, SKEW) and breach not in found
     ]
+    calm = excuses.calm(max((fact.at for fact in facts), default=0.0))
+    found += [
+        breach
+        for breach in rules.version_sums(facts, bounds.version_all, calm)
+        if not excused(breach, excuses.out_of_touch, -SPANS[breach.rule])
+    ]
     return sorted(found, key=lambda breach: breach.at)
--- a/rowanshift/simulation/fleet_settings.py
+++ b/rowanshift/simulation/fleet_settings.py
@@ -30,12 +30,15 @@
     "retryBudgetSlack": 50,
     "leaseMs": 3000,
     "versionMs": 8000,
+    "versionAllMs": 11000,
 }
 CONTACT, APPLY, DRAIN, LEASE, VERSION = 3.0, 2.0, 3.0, 3.0, 8.0  # seconds
+VERSION_ALL = 11.0  # seconds
 RULES = Bounds(
     config_apply=APPLY,
     drain=DRAIN,
     version=VERSION,
+    version_all=VERSION_ALL,
     lease=LEASE,
     retry_ratio=BOUNDS["retryBudgetRatio"],
     retry_slack=BOUNDS["retryBudgetSlack"],
--- a/tests/test_control_client.py
+++ b/tests/test_control_client.py
@@ -11,7 +11,9 @@
 from rowanshift.dataplane import control_client
 from rowanshift.dataplane.freshness import Freshness
 from rowanshift.dataplane.primary_search import SUSPECT_FOR, PrimarySearch
+from rowanshift.dataplane.routing_table import RoutingTable
 from rowanshift.invariants.system import Answered
+from rowanshift.node_settings import Bounds
 from rowanshift.simulation.fleet import ONCE, Fleet, Unit, config_of, play
 from rowanshift.wire.delivery import Poll, Update
 
@@ -251,5 +253,65 @@
         return seen
 
 
+class NamedVersions(unittest.TestCase):
+    """From when on only servers with the named version are used, and what a restart makes of that."""
+
+    def client(self, **bounds: float) -> control_client.ControlClient:
+        return control_client.ControlClient(
+            mock.Mock(), 1, 1, list, Bounds(version_ms=15_000, contact_ms=4000, **bounds), random.Random(1), mock.Mock()
+        )
+
+    def test_shortly_before_the_bound(self) -> None:
+        client = self.client()
+        client.routing_table = RoutingTable(revision=1)
+        client._note_versions({"m": 2}, 100.0)
+        client.routing_table.versions = {"m": 2}
+        self.assertEqual([client.version("m", at) for at in (112.9, 113.1)], [0, 2])
+
+    def test_heard_of_at_the_start(self) -> None:
+        """Else each restart would begin the 15 s anew, which add up to more than ``versionAllMs``."""
+        client = self.client()
+        client._note_versions({"m": 2}, 100.0)
+        client.routing_table = RoutingTable(revision=1, versions={"m": 2})
+        self.assertEqual([client.version("m", at) for at in (101.9, 102.1)], [0, 2])
+        client._note_versions({"m": 3}, 200.0)
+        self.assertEqual(client.version("m", 212.0), 0)
+
+    def test_a_shorter_bound_counts(self) -> None:
+        client = self.client()
+        client.bounds = Bounds(version_ms=3000, contact_ms=4000)
+        client._note_versions({"m": 2}, 100.0)
+        client.routing_table = RoutingTable(revision=1, versions={"m": 2})
+        self.assertEqual([client.version("m", at) for at in (100.9, 101.1)], [0, 2])
+
+    def restarted(self, seed: str) -> list:
+        """The breaches where servers that load for good stay behind, and the router is restarted again and again."""
+
+        async def main(fleet: Fleet) -> None:
+            await fleet.start()
+            fleet.client("one", ONCE, "key-1", pause=0.1)
+            for server in fleet.servers:
+                server.traits.load = 1000.0
+            fleet.servers[0].traits.load = 0.1
+            await fleet.name_version(2)
+            for _ in range(5):
+                await trio.sleep(5.0)
+                for unit in fleet.routers:
+                    fleet.kill(unit)
+                    fleet.back(unit)
+
+        return play(main, seed, routers=1)[1].breaches()
+
+    def test_restarts_do_not_add_up(self) -> None:
+        self.assertEqual(self.restarted("adds up"), [])
+
+    def test_restarts_that_add_up_are_found(self) -> None:
+        def anew(client: control_client.ControlClient, versions: dict[str, int], now: float) -> None:
+            client.named_until = dict.fromkeys(versions, now + client.bounds.version_ms / 1000)
+
+        with mock.patch.object(control_client.ControlClient, "_note_versions", anew):
+            self.assertIn("VERSION", {breach.rule for breach in self.restarted("adds up")})
+
+
 if __name__ == "__main__":
     unittest.main()
