--- a/rowanshift/dataplane/forwarder.py
+++ b/rowanshift/dataplane/forwarder.py
@@ -12,7 +12,7 @@
 from rowanshift.dataplane.endpoints import Endpoint, Endpoints
 from rowanshift.dataplane.forwarding import COME_AGAIN, LEAST_LEFT, Counts, Forwarding
 from rowanshift.dataplane.kv_moves import KvMoves
-from rowanshift.dataplane.load_index import LoadIndex
+from rowanshift.dataplane.load_index import DatagramKind, LoadIndex
 from rowanshift.dataplane.request_endings import RequestEnding
 from rowanshift.dataplane.requests import Request, priority_of, written
 from rowanshift.dataplane.retry_decision import Decision, Ending, Told, decide
@@ -45,6 +45,20 @@
 }
 
 
+VERDICT_OF = {  # what the ending of an attempt says of its server; all others say nothing
+    Ending.SUCCESS: DatagramKind.DONE,
+    Ending.NOT_WRITTEN: DatagramKind.FAILED,
+    Ending.NO_ANSWER: DatagramKind.FAILED,
+    Ending.GARBLED: DatagramKind.FAILED,
+    Ending.SERVER_ERROR: DatagramKind.FAILED,
+    Ending.TIMED_OUT: DatagramKind.FAILED,
+    Ending.MISMATCHED: DatagramKind.FAILED,
+    Ending.UNPROVEN_PROMISE: DatagramKind.FAILED,
+    Ending.LAST_SERVER_ERROR: DatagramKind.FAILED,
+    Ending.SILENT: DatagramKind.FAILED,
+}
+
+
 class Moved(Exception):
     """What was decided no longer holds; nothing was sent."""
 
@@ -235,7 +249,7 @@
         """The server picked, or another that serves as well and has far less to read, over all routers."""
         request, now = forwarding.request, trio.current_time()
         others = pool.others(forwarding.mark, now, request.model, first, forwarding.excluded)
-        if not request.parts or not others:
+        if not others:
             return first
         waiting = await self.loads.ask([first.id, *(endpoint.id for endpoint in others)])
         shared = sum(size for _, size in request.parts[:-1])
@@ -258,6 +272,7 @@
         self.counts.repeats += forwarding.arrived
         endpoint.sent(trio.current_time())
         load = await self.loads.add(endpoint.id, max(1, request.tokens[0]))
+        verdict = DatagramKind.DROPPED
         link, forwarding.spare = forwarding.spare, None
         try:
             link = link or await self._connected(endpoint, forwarding.until)
@@ -266,14 +281,18 @@
                 raise Moved
             await self.upstream.send(link, data, forwarding.until)
             request.tried.append(endpoint.id)
-            return await self._take(forwarding, link, load)
+            ending = await self._take(forwarding, link, load)
+            verdict = VERDICT_OF.get(ending, DatagramKind.DROPPED)
+            return ending
         except SendFailed as failure:
-            return self._ending_of(forwarding, endpoint, link, failure)
+            ending = self._ending_of(forwarding, endpoint, link, failure)
+            verdict = VERDICT_OF.get(ending, DatagramKind.DROPPED)
+            return ending
         finally:
             if link is not None and not link.pooled:
                 self.upstream.close(link)
             endpoint.ended()
-            await self.loads.done(load)
+            await self.loads.ended(load, verdict)
 
     async def _connected(self, endpoint: Endpoint, until: float) -> Link:
         """An idle connection or a new one; ``SendFailed`` if none comes up."""
@@ -388,9 +407,9 @@
         message = await self._patiently(
             forwarding, link, lambda: self.upstream.head(link, forwarding.request.id, forwarding.until, look)
         )
-        await self.loads.done(load)
         endpoint.heard(trio.current_time())
         if 200 <= message.status < 300 and message.flow is not None:
+            await self.loads.ended(load, DatagramKind.DONE)
             await self._stream(forwarding, link, look)
             ending = Ending.SUCCESS if link.connection.clean() else Ending.SURPLUS
             self._release(link, decide(forwarding.kind, ending))
--- a/rowanshift/dataplane/load_index.py
+++ b/rowanshift/dataplane/load_index.py
@@ -1,21 +1,25 @@
-"""How much each server still has to read, summed over all routers, by datagrams.
+"""How much each server still has to read, and whether it answers, by what all routers tell: by datagrams.
 
 Each server has one router that keeps its sum: the holder of its id by rendezvous hashing over the members.
-Others tell it what they send there and when its first event came, and ask before they send. All of it are
-hints: a datagram that is lost, late or foreign makes a choice worse and breaks nothing. Nothing is kept for
-longer than ``KEPT``.
+Others tell it what they send there and how that ended, and ask before they send. Where too many requests end badly
+(``server_progress``) its answer is ``AVOIDED`` tokens higher, so that another server is taken. All of it are hints:
+a datagram that is lost, late or foreign makes a choice worse and breaks nothing. Nothing is kept for longer than
+``KEPT``.
 """
 
-from collections import OrderedDict
+from collections import OrderedDict, deque
 from collections.abc import Sequence
 from contextlib import suppress
+from enum import IntEnum
 from functools import lru_cache
 from itertools import count
 from struct import Struct
+from typing import NamedTuple
 
 import trio
 from loguru import logger
 
+from rowanshift.dataplane.server_progress import ServerProgress
 from rowanshift.net.transport import Address, Host, Port
 from rowanshift.ownership import holder
 from rowanshift.policy.ring import stable
@@ -23,43 +27,108 @@
 
 RECORD = Struct(">2sBBIQI")  # magic, format, kind, call, server's mark, tokens
 MAGIC, FORMAT = b"RL", 1
-ASK, TOLD, ADD, DONE = range(4)
+AVOIDED = 1_000_000  # tokens that are added to the sum of a server that fails its requests
+
+
+class DatagramKind(IntEnum):
+    """What a datagram says; kinds that a router does not know are left."""
+
+    ASK = 0  # how much do these servers still have to read? ``tokens`` is 1 for the one that is wanted
+    TOLD = 1  # the answer to it
+    ADD = 2  # a request went to a server, with so many tokens to read
+    DONE = 3  # its first bytes came
+    FAILED = 4  # it got no answer, or a failure of the server
+    DROPPED = 5  # it ended in a way that says nothing of the server
+
+
+VERDICTS = (DatagramKind.DONE, DatagramKind.FAILED, DatagramKind.DROPPED)
 ASK_WITHIN = 0.006  # seconds that an answer is waited for
 KEPT = 4.0  # seconds that what was told of a request counts, if nothing is heard of its end
 MOST_KEPT = 20_000  # requests that one router keeps of others; the oldest goes
 MOST_TOKENS = 0xFFFFFFFF
 
 
+Call = tuple[Address, int]  # of a router, and its number there
+
+
+class OpenRequest(NamedTuple):
+    """A request that a server has not answered yet. Times are trio's, in seconds."""
+
+    server: int  # its mark
+    tokens: int
+    since: float
+
+
 class Sums:
     """What was told of each server. No I/O."""
 
     def __init__(self) -> None:
-        self.open: OrderedDict[tuple[Address, int], tuple[int, int, float]] = OrderedDict()
+        self.open: OrderedDict[Call, OpenRequest] = OrderedDict()
         self.tokens: dict[int, int] = {}  # by the server's mark
+        self.progress = ServerProgress()
+        self.in_time: deque[tuple[Call, OpenRequest]] = deque()  # the oldest first; those that ended among them
+        self.overdue: set[Call] = set()
 
     def add(self, who: Address, call: int, server: int, tokens: int, now: float) -> None:
         """A request with so many tokens to read went to a server."""
         self.done(who, call)
-        while self.open and (len(self.open) >= MOST_KEPT or next(iter(self.open.values()))[2] < now):
+        while len(self.open) >= MOST_KEPT:
             self.done(*next(iter(self.open)))
-        self.open[who, call] = server, tokens, now + KEPT
+        self._forget_old(now)
+        self.open[who, call] = request = OpenRequest(server, tokens, now)
+        self.in_time.append(((who, call), request))
         self.tokens[server] = self.tokens.get(server, 0) + tokens
 
-    def done(self, who: Address, call: int) -> None:
-        """It is read, or over."""
-        if (was := self.open.pop((who, call), None)) is not None:
-            left = self.tokens.get(was[0], 0) - was[1]
-            if left > 0:
-                self.tokens[was[0]] = left
-            else:
-                self.tokens.pop(was[0], None)
+    def done(self, who: Address, call: int) -> OpenRequest | None:
+        """It is read, or over; what it was."""
+        if (was := self.open.pop((who, call), None)) is None:
+            return None
+        self.overdue.discard((who, call))
+        left = self.tokens.get(was.server, 0) - was.tokens
+        if left > 0:
+            self.tokens[was.server] = left
+        else:
+            self.tokens.pop(was.server, None)
+        return was
+
+    def ended(self, who: Address, call: int, verdict: DatagramKind, now: float) -> None:
+        """It is read, or over, and what that says of its server."""
+        self._note_overdue(now)
+        known_late = (who, call) in self.overdue
+        was = self.done(who, call)
+        if was is None or known_late:
+            return
+        if verdict is DatagramKind.DONE:
+            self.progress.ended_well(was.server, was.tokens, now - was.since, now)
+        elif verdict is DatagramKind.FAILED:
+            self.progress.ended_badly(was.server, now)
 
     def of(self, server: int, now: float) -> int:
         """Tokens that a server still has to read."""
-        while self.open and next(iter(self.open.values()))[2] < now:
-            self.done(*next(iter(self.open)))
+        self._forget_old(now)
         return self.tokens.get(server, 0)
 
+    def told(self, server: int, now: float, wanted: bool) -> int:
+        """The same, and ``AVOIDED`` more where the server fails its requests; ``wanted``: the asker would send one
+        there."""
+        self._note_overdue(now)
+        return self.of(server, now) + AVOIDED * self.progress.avoids(server, now, wanted)
+
+    def _forget_old(self, now: float) -> None:
+        while self.open and next(iter(self.open.values())).since + KEPT < now:
+            self.done(*next(iter(self.open)))
+
+    def _note_overdue(self, now: float) -> None:
+        """Count requests whose first bytes should have come; those behind one with a longer prompt wait for it."""
+        while self.in_time:
+            call, request = self.in_time[0]
+            if self.open.get(call) is request:
+                if now < request.since + self.progress.due_within(request.tokens):
+                    return
+                self.overdue.add(call)
+                self.progress.ended_badly(request.server, now)
+            self.in_time.popleft()
+
 
 class LoadIndex:
     """Tokens to read at each server, summed over all routers, each server's sum kept by one owner."""
@@ -97,19 +166,21 @@
             if magic != MAGIC or form != FORMAT:
                 continue
             now = trio.current_time()
-            if kind == ASK:
-                await self._send(sender, TOLD, call, server, self.sums.of(server, now))
-            elif kind == ADD:
+            if kind == DatagramKind.ASK:
+                await self._send(
+                    sender, DatagramKind.TOLD, call, server, self.sums.told(server, now, wanted=tokens == 1)
+                )
+            elif kind == DatagramKind.ADD:
                 self.sums.add(sender, call, server, tokens, now)
-            elif kind == DONE:
-                self.sums.done(sender, call)
-            elif kind == TOLD and (wait := self.waits.get(call)) is not None:
+            elif kind in VERDICTS:
+                self.sums.ended(sender, call, DatagramKind(kind), now)
+            elif kind == DatagramKind.TOLD and (wait := self.waits.get(call)) is not None:
                 wait[0][server] = tokens
                 wait[1].discard(server)
                 if not wait[1]:
                     wait[2].set()
 
-    async def _send(self, to: Address, kind: int, call: int, server: int, tokens: int) -> None:
+    async def _send(self, to: Address, kind: DatagramKind, call: int, server: int, tokens: int) -> None:
         with suppress(OSError):
             await self.port.send(RECORD.pack(MAGIC, FORMAT, kind, call, server, min(tokens, MOST_TOKENS)), to)
 
@@ -121,7 +192,7 @@
     # calls ------------------------------------------------
 
     async def ask(self, servers: Sequence[str]) -> dict[str, int]:
-        """The sums of these servers, as far as they are known within ``ASK_WITHIN``."""
+        """The sums of these servers, the first of which is wanted, as far as they are known within ``ASK_WITHIN``."""
         if not self.peers or self.port is None:
             return {}
         now, told = trio.current_time(), {}
@@ -130,10 +201,10 @@
         call = next(self.calls) & 0x7FFFFFFF
         for mark, server in marks.items():
             if (place := self._place(server)) is None:
-                told[mark] = self.sums.of(mark, now)
+                told[mark] = self.sums.told(mark, now, wanted=server == servers[0])
             else:
                 waited.add(mark)
-                await self._send(place, ASK, call, mark, 0)
+                await self._send(place, DatagramKind.ASK, call, mark, int(server == servers[0]))
         if waited:
             wait = self.waits[call] = told, waited, trio.Event()
             try:
@@ -145,23 +216,23 @@
         return {marks[mark]: tokens for mark, tokens in told.items() if mark in marks}
 
     async def add(self, server: str, tokens: int) -> tuple[str, int]:
-        """Tells of a request that is being sent; what is to be given to ``done``."""
+        """Tells of a request that is being sent; what is to be given to ``ended``."""
         call = next(self.calls) & 0x7FFFFFFF
         if self.peers and self.port is not None:
             mark = self.mark(server)
             if (place := self._place(server)) is None:
                 self.sums.add(self.address, call, mark, tokens, trio.current_time())
             else:
-                await self._send(place, ADD, call, mark, tokens)
+                await self._send(place, DatagramKind.ADD, call, mark, tokens)
         return server, call
 
-    async def done(self, told: tuple[str, int]) -> None:
-        """Tells that a request was read, or has ended."""
+    async def ended(self, told: tuple[str, int], verdict: DatagramKind) -> None:
+        """Tells that a request was read, or has ended, and what that says of its server; only the first counts."""
         server, call = told
         if self.port is None:
             return
         if not self.peers or (place := self._place(server)) is None:
-            self.sums.done(self.address, call)
+            self.sums.ended(self.address, call, verdict, trio.current_time())
         else:
             with trio.CancelScope(shield=True):
-                await self._send(place, DONE, call, self.mark(server), 0)
+                await self._send(place, verdict, call, self.mark(server), 0)
