--- a/rowanshift/dataplane/forwarder.py
+++ b/rowanshift/dataplane/forwarder.py
@@ -11,7 +11,7 @@
 from rowanshift.dataplane.drain import Drain
 from rowanshift.dataplane.endpoints import Endpoint, Endpoints
 from rowanshift.dataplane.forwarding import COME_AGAIN, LEAST_LEFT, Counts, Forwarding
-from rowanshift.dataplane.kv_moves import KvMoves
+from rowanshift.dataplane.kv_moves import KvMoves, source_of
 from rowanshift.dataplane.load_index import DatagramKind, LoadIndex
 from rowanshift.dataplane.request_endings import RequestEnding
 from rowanshift.dataplane.requests import Request, priority_of, written
@@ -20,7 +20,7 @@
 from rowanshift.dataplane.upstream import LOOK, Link, Outcome, SendFailed, Upstream
 from rowanshift.net.connection import Message
 from rowanshift.net.flow import LAST_CHUNK
-from rowanshift.policy.placement import Pool, back_off, is_open, lighter
+from rowanshift.policy.placement import Pool, back_off, lighter
 from rowanshift.retry_budget import RetryBudget
 
 T = TypeVar("T")
@@ -252,8 +252,7 @@
         if not others:
             return first
         waiting = await self.loads.ask([first.id, *(endpoint.id for endpoint in others)])
-        shared = sum(size for _, size in request.parts[:-1])
-        return lighter(first, others, waiting, shared)
+        return lighter(first, others, waiting, request.shared)
 
     def _unreached(self, forwarding: Forwarding, endpoint: Endpoint) -> None:
         """A request was not written whole; ``Refusal`` if that was so at too many servers."""
@@ -301,10 +300,8 @@
     def _written(self, forwarding: Forwarding, endpoint: Endpoint, version: int) -> bytes:
         """The request as it goes to a server."""
         request, tenant, now = forwarding.request, forwarding.tenant, trio.current_time()
-        home = self.state.servers.pool(forwarding.service).home(forwarding.mark)
-        near = None
-        if home is not None and home is not endpoint and is_open(home, now):
-            near = home if home.versions.get(request.model, 0) == version else None
+        pool = self.state.servers.pool(forwarding.service)
+        near = source_of(pool, request, forwarding.mark, version, endpoint, now)
         fetch, save = self.moves.choose(request, tenant, version, near, now)
         return written(
             request,
--- a/rowanshift/dataplane/kv_moves.py
+++ b/rowanshift/dataplane/kv_moves.py
@@ -7,11 +7,29 @@
 from rowanshift.dataplane.requests import Request, salt_of
 from rowanshift.dataplane.routing_table import RoutingTable, Tenant
 from rowanshift.kv_index.index import mark_of, store_for, there
+from rowanshift.policy.placement import Pool, is_open
 
 LEAST_MOVED = 64  # tokens in common that are worth a move
+LEAST_SOUGHT = 1000  # tokens in common that the home of a prompt seeks at its successors
+SOURCES = 3  # servers on the ring walk, the home first, that shared parts are sought at
 SAVED_FOR, MOST_SAVED = 8.0, 4096  # seconds in which a part is not given to a store again; parts remembered
 
 
+def source_of(pool: Pool, request: Request, mark: int, version: int, endpoint: Endpoint, now: float) -> Endpoint | None:
+    """The server that may keep the shared parts of a request that goes to ``endpoint``: the first other one on the ring
+    walk that takes requests and has the same weights.
+
+    The home itself may lack them, as after its weights were loaded; then its successors may have them, which took its
+    requests meanwhile. That is asked only for so many tokens that a vain question costs less than reading them.
+    """
+    if endpoint is pool.home(mark) and request.shared < LEAST_SOUGHT:
+        return None
+    for other in pool.ring.walk(mark, SOURCES):
+        if other is not endpoint and is_open(other, now) and other.versions.get(request.model, 0) == version:
+            return other
+    return None
+
+
 class Stores(Protocol):
     """What is known of stores."""
 
@@ -38,7 +56,7 @@
         stored = self.state.stored
         stores = [service.store for service in self.state.routing_table.services.values() if service.store]
         store = store_for((at for at in stores if there(at) in stored), shared[-1][0].decode("latin-1"))
-        if store is None or sum(size for _, size in shared) < LEAST_MOVED:
+        if store is None or request.shared < LEAST_MOVED:
             return near, None
         address, salt = store.encode(), salt_of(tenant, version).decode("latin-1")
         marks = [mark_of(store, request.model, salt, id.decode("latin-1")) for id, _ in shared]
--- a/rowanshift/dataplane/requests.py
+++ b/rowanshift/dataplane/requests.py
@@ -43,6 +43,11 @@
     after: bytes | None  # the last event that the client has
     tried: list[str] = field(default_factory=list)  # servers it was sent to
 
+    @property
+    def shared(self) -> int:
+        """Tokens of the parts that other requests may share: all but the last part."""
+        return sum(size for _, size in self.parts[:-1])
+
     @property
     def prefix(self) -> bytes:
         """The last part that is shared, or the only one."""
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -4,8 +4,10 @@
 import unittest
 from collections import Counter
 from itertools import count
+from unittest import mock
 
 from rowanshift.dataplane.endpoints import Endpoint, Endpoints
+from rowanshift.dataplane.kv_moves import LEAST_SOUGHT, source_of
 from rowanshift.policy.hotness import EVIDENCE, HOT_EPOCHS, LEASE
 from rowanshift.policy.placement import (
     BACK_OFF,
@@ -300,6 +302,29 @@
         self.assertEqual(others(), [self.walk[1]])
 
 
+class Sources(Case):
+    """Where a server may take the shared parts of a prompt from."""
+
+    def source(self, endpoint, shared=LEAST_SOUGHT, version=1):
+        request = mock.Mock(model=MODEL, shared=shared)
+        return source_of(self.pool, request, self.mark, version, endpoint, 0.0)
+
+    def test_the_home_for_any_other(self):
+        self.assertEqual([self.source(other, 10) for other in self.walk[1:]], [self.walk[0]] * 5)
+
+    def test_the_next_for_the_home(self):
+        self.assertIs(self.source(self.walk[0]), self.walk[1])
+        self.assertIsNone(self.source(self.walk[0], LEAST_SOUGHT - 1))
+
+    def test_one_that_takes_no_requests_or_has_other_weights_is_left_out(self):
+        self.walk[1].loading = True
+        self.assertIs(self.source(self.walk[0]), self.walk[2])
+        self.walk[0].versions = {MODEL: 2}
+        self.assertIs(self.source(self.walk[1]), self.walk[2])
+        self.walk[2].draining = True
+        self.assertIsNone(self.source(self.walk[1]))  # the fourth is not asked
+
+
 class Updates(Case):
     def given(self, *engines):
         return self.engines.update([engine(n) for n in range(1, 6)] + list(engines))
