--- a/rowanshift/controlplane/server_registry.py
+++ b/rowanshift/controlplane/server_registry.py
@@ -4,11 +4,14 @@
 """
 
 from dataclasses import dataclass, field
+from math import ceil
 from typing import Any
 
 from rowanshift.wire.delivery import DRAINING, LOADING, UP, Row
 
 AT_ONCE = 0.4  # part of a service's servers that may load at once, one at least
+FIRST_LOAD = 1.5  # seconds that a load is taken to need, with all around it, until one has told
+SMOOTHING = 0.3  # part of the time of loads that a new one makes up
 MOST_TEXT, MOST_NUMBER = 1024, 1 << 53  # characters of a name; what numbers stay under
 AGAIN = 0.6  # seconds until a server whose order failed is looked at again
 
@@ -31,6 +34,7 @@
     loading: bool = False
     not_before: float = 0.0  # when it may be ordered again
     failures: int = 0  # of loads
+    began_at: float = 0.0  # when it was last ordered to load
 
     def row(self) -> Row:
         """The server as routers are told of it."""
@@ -67,6 +71,9 @@
 
     servers: dict[str, Known] = field(default_factory=dict)
     serial: int = 0  # of its changes; 0: the list was not read yet
+    roll_out_within: float = 0.0  # seconds in which all servers should have a named version; 0: as soon as may be
+    load_takes: float = FIRST_LOAD  # seconds, smoothed
+    named_at: dict[tuple[str, int], float] = field(default_factory=dict)  # when a model's version was first met here
 
     def take(self, entries: list[Known]) -> bool:
         """Takes a whole list in; whether anything changed."""
@@ -76,7 +83,7 @@
             known = self.servers.get(entry.id)
             if known is not None:
                 entry.loading, entry.not_before = known.loading, known.not_before
-                entry.failures = known.failures
+                entry.failures, entry.began_at = known.failures, known.began_at
                 for model, version in known.versions.items():
                     entry.versions[model] = max(version, entry.versions.get(model, 0))
             made[entry.id] = entry
@@ -102,18 +109,32 @@
                     if known.versions[model] < version and not known.loading and known.not_before <= now
                 ]
                 loading = sum(known.loading for known in fellows)
-                if behind and loading < max(1, int(AT_ONCE * len(fellows))):
+                begun = any(known.versions[model] >= version for known in fellows)
+                self.named_at.setdefault((model, version), float("-inf") if begun else now)
+                if behind and loading < self.at_once(model, version, len(behind), len(fellows), now):
                     return min(behind, key=lambda known: (known.failures, known.id)), model, version
         return None
 
-    def begin(self, known: Known) -> None:
+    def at_once(self, model: str, version: int, behind: int, fellows: int, now: float) -> int:
+        """How many of a service's servers may load at once: as few as bring those behind to the version in time, since
+        each of them leaves its requests, and what it keeps, to the others. A roll-out that was begun by another primary
+        may be late already: it goes on as fast as may be."""
+        most = max(1, int(AT_ONCE * fellows))
+        left = self.named_at[model, version] + self.roll_out_within - now
+        if left <= self.load_takes:
+            return most
+        return min(most, ceil(behind * self.load_takes / left))
+
+    def begin(self, known: Known, now: float) -> None:
         """A server is given an order to load: it gets no requests meanwhile."""
-        known.loading = True
+        known.loading, known.began_at = True, now
         self.serial += 1
 
-    def loaded(self, id: str, model: str, version: int) -> None:
+    def loaded(self, id: str, model: str, version: int, now: float) -> None:
         """The server has the version now."""
         if (known := self.servers.get(id)) is not None:
+            if known.loading:
+                self.load_takes += SMOOTHING * (now - known.began_at - self.load_takes)
             known.versions[model] = max(version, known.versions.get(model, 0))
             known.loading, known.failures = False, 0
             self.serial += 1
--- a/rowanshift/controlplane/service.py
+++ b/rowanshift/controlplane/service.py
@@ -381,7 +381,14 @@
                     host, self.machine, boot.inner[1], replica, store, nursery, self._became, self.refresh
                 )
                 self.tasks = SingletonTasks(
-                    host, memory, self.replica_host, boot.cloud, boot.name, self.named, self._tell
+                    host,
+                    memory,
+                    self.replica_host,
+                    boot.cloud,
+                    boot.name,
+                    self.named,
+                    self._tell,
+                    boot.bounds.version_ms / 1000,
                 )
                 control = boot.want("controlPlane")
                 calls = CallServer(
--- a/rowanshift/controlplane/singleton_tasks.py
+++ b/rowanshift/controlplane/singleton_tasks.py
@@ -20,6 +20,7 @@
 LIST_EVERY = 0.8  # seconds between readings of the list
 LIST_WITHIN = 1.0  # seconds for a page
 MOST_PAGES = 400
+ROLL_OUT_PART = 0.6  # of ``versionMs``, in which all servers should have a version that was named
 FEW = 2  # streams at a server that are waited for
 LEFT_ALONE = 0.15  # seconds between looks whether the streams that run at a server to be loaded have ended
 DRAIN_WITHIN = 0.6  # seconds that they are waited for; then they pause while it loads
@@ -47,17 +48,20 @@
         name: str,
         named: Callable[[], dict[str, int]],
         changed: Callable[[], None],
+        version_within: float,
     ) -> None:
+        """``version_within``: seconds in which servers must have a version that was named."""
+        self.roll_out_within = ROLL_OUT_PART * version_within
         self.host, self.memory, self.replica_host, self.cloud, self.name = host, memory, node, cloud, name
         self.named, self.changed = named, changed
-        self.registry, self.stock = ServerRegistry(), KvIndex()
+        self.registry, self.stock = ServerRegistry(roll_out_within=self.roll_out_within), KvIndex()
         self.sources: dict[Address, Source] = {}
         self.calls = 0
         self.orders = 0
 
     def forget(self) -> None:
         """Another machine is primary, or this one has just become it: the list is read anew."""
-        self.registry, self.stock = ServerRegistry(), KvIndex()
+        self.registry, self.stock = ServerRegistry(roll_out_within=self.roll_out_within), KvIndex()
 
     # the list ---------------------------------------------
 
@@ -150,7 +154,7 @@
             if self._may_order():
                 due = self.registry.next_load(self.named(), trio.current_time())
                 if due is not None:
-                    self.registry.begin(due[0])
+                    self.registry.begin(due[0], trio.current_time())
                     self.changed()
                     nursery.start_soon(self._load, self.registry, *due)
                     continue
@@ -166,7 +170,7 @@
             logger.info("event=order_failed server={} why={!r}", known.id, str(error))
         if registry is self.registry:
             if well:
-                registry.loaded(known.id, model, version)
+                registry.loaded(known.id, model, version, trio.current_time())
                 logger.info("event=loaded server={} model={} version={}", known.id, model, version)
             else:
                 registry.failed(known.id, trio.current_time())
--- a/tests/test_server_registry.py
+++ b/tests/test_server_registry.py
@@ -143,8 +143,8 @@
         made = registry(known("a", 3))
         self.assertFalse(made.take([known("a", 2)]))
         self.assertEqual(made.servers["a"].versions, {"m": 3})
-        made.loaded("a", "m", 5)
-        made.loaded("a", "m", 4)
+        made.loaded("a", "m", 5, 0.0)
+        made.loaded("a", "m", 4, 0.0)
         made.take([known("a", 3)])
         self.assertEqual(made.servers["a"].versions, {"m": 5})
         made.take([known("b", 1)])  # the next one begins as it says
@@ -159,7 +159,7 @@
             if chance.random() < 0.5:
                 made.take([known(each, chance.randrange(50)) for each in "abc"])
             else:
-                made.loaded(id, "m", version)
+                made.loaded(id, "m", version, 0.0)
             for each, server in made.servers.items():
                 self.assertGreaterEqual(server.versions["m"], best.get(each, 0))
                 best[each] = server.versions["m"]
@@ -173,7 +173,7 @@
 
     def test_what_a_load_left_outlives_a_list(self):
         made = registry(known("a"))
-        made.begin(made.servers["a"])
+        made.begin(made.servers["a"], 0.0)
         made.take([known("a")])
         self.assertTrue(made.servers["a"].loading)
         made.failed("a", 10.0)
@@ -184,7 +184,7 @@
     def test_ends_of_loads_of_servers_that_are_gone(self):
         made = registry(known("a"))
         made.failed("gone", 1.0)
-        made.loaded("gone", "m", 2)
+        made.loaded("gone", "m", 2, 0.0)
         self.assertEqual((made.serial, set(made.servers)), (1, {"a"}))
 
 
@@ -193,7 +193,7 @@
         ids = []
         while (order := made.next_load({"m": version}, now)) is not None:
             self.assertEqual(order[1:], ("m", version))
-            made.begin(order[0])
+            made.begin(order[0], 0.0)
             ids.append(order[0].id)
         return ids
 
@@ -202,6 +202,42 @@
             made = registry(*(known(f"i{n:02}") for n in range(count)))
             self.assertEqual(len(self.begun(made)), max(1, int(AT_ONCE * count)))
 
+    def rolled_out(self, count, takes, within, ends_at=1000.0):
+        """The most that loaded at once, and when the last had loaded, where each load takes so long."""
+        made = registry(*(known(f"i{n:02}") for n in range(count)))
+        made.roll_out_within = within
+        ends, most, now = {}, 0, 0.0
+        while any(server.versions["m"] < 2 for server in made.servers.values()):
+            while (order := made.next_load({"m": 2}, now)) is not None:
+                made.begin(order[0], now)
+                ends[order[0].id] = now + takes
+            most = max(most, len(ends))
+            now = min(ends.values())
+            for id in [id for id, at in ends.items() if at <= now]:
+                made.loaded(id, "m", 2, now)
+                del ends[id]
+        return most, now
+
+    def test_as_few_at_once_as_end_in_time(self):
+        for count, takes, within, fewer_than in (
+            (23, 1.5, 9.0, 7),
+            (70, 1.2, 6.0, 22),
+            (5, 1.0, 4.8, 3),
+            (23, 0.5, 9.0, 5),
+        ):
+            most, at = self.rolled_out(count, takes, within)
+            self.assertLess(most, fewer_than)
+            self.assertLessEqual(at, within + takes)
+
+    def test_loads_that_take_longer_than_there_is_time(self):
+        most, _ = self.rolled_out(20, 30.0, 9.0)
+        self.assertEqual(most, int(AT_ONCE * 20))
+
+    def test_a_roll_out_that_another_primary_began_goes_on_as_fast_as_may_be(self):
+        made = registry(known("a", 2), *(known(f"i{n:02}") for n in range(19)))
+        made.roll_out_within = 1000.0
+        self.assertEqual(len(self.begun(made)), int(AT_ONCE * 20))
+
     def test_each_service_has_its_own_part(self):
         made = registry(*(known(f"{service}{n}", service=service) for service in "st" for n in range(5)))
         self.assertEqual(sorted(self.begun(made)), ["s0", "s1", "t0", "t1"])
@@ -212,7 +248,7 @@
             rounds += 1
             self.assertLessEqual(len(ids), int(AT_ONCE * 17))
             for id in ids:
-                made.loaded(id, "m", 2)
+                made.loaded(id, "m", 2, 0.0)
         self.assertEqual({server.versions["m"] for server in made.servers.values()}, {2})
         self.assertEqual(rounds, 3)
 
@@ -239,13 +275,13 @@
         order = []
         while (found := made.next_load({"m": 2}, 100.0)) is not None:
             order.append(found[0].id)
-            made.begin(found[0])
-            made.loaded(found[0].id, "m", 2)
+            made.begin(found[0], 0.0)
+            made.loaded(found[0].id, "m", 2, 0.0)
         self.assertEqual(order, ["c", "b", "a"])
 
     def test_not_before_its_time(self):
         made = registry(known("a"))
-        made.begin(made.servers["a"])
+        made.begin(made.servers["a"], 0.0)
         made.failed("a", 5.0)
         self.assertIsNone(made.next_load({"m": 2}, 5.0))
         self.assertIsNone(made.next_load({"m": 2}, 5.0 + AGAIN - 0.01))
