--- a/benchmarks/proxy.py
+++ b/benchmarks/proxy.py
@@ -28,6 +28,7 @@
 ROUNDS, REQUESTS = 5, 4000
 CONNECTIONS = (1, 16, 64, 256)
 ANSWER = b"HTTP/1.1 200 OK\r\nX-Found: hit\r\nContent-Length: 100\r\n\r\n" + b"x" * 100
+PATIENCE_MS = 60_000  # for an answer, however busy the machine is
 LEAST = 0.99  # of the requests that must be served for a figure to count
 
 
@@ -106,7 +107,7 @@
             for i in range(count):
                 await stream.send_all(
                     f"GET /read/k{(n * 7 + i) % 500} HTTP/1.1\r\nHost: a\r\nX-Txn: {tag}-{n}-{i}\r\n"
-                    "X-Org: demo\r\nX-Remaining-Ms: 2000\r\n\r\n".encode()
+                    f"X-Org: demo\r\nX-Remaining-Ms: {PATIENCE_MS}\r\n\r\n".encode()
                 )
                 counter = Counter()
                 parser = httptools.HttpResponseParser(counter)
@@ -179,6 +180,8 @@
         raw = json.loads((HERE / "examples/config.json").read_text())
         raw["settings"]["tenants"][0]["quota_rps"] = 1e6
         raw["limits"]["sockets"] = 16_384  # else idle clients beyond an eighth are closed with their answers
+        for category in raw["settings"]["categories"]:  # processor time is measured: nothing is given up for being late
+            category["due_time_us"] = category["expiry_us"] = PATIENCE_MS * 1000
         targets: dict[str, tuple[int, int]] = {}
         for name, tree in trees.items():
             port = free_port()
