--- a/rowanshift/dataplane/load_index.py
+++ b/rowanshift/dataplane/load_index.py
@@ -67,7 +67,7 @@
         self.tokens: dict[int, int] = {}  # by the server's mark
         self.progress = ServerProgress()
         self.in_time: deque[tuple[Call, OpenRequest]] = deque()  # the oldest first; those that ended among them
-        self.overdue: set[Call] = set()
+        self.overdue: dict[Call, bool] = {}  # open requests, and whether they counted as badly ended
 
     def add(self, who: Address, call: int, server: int, tokens: int, now: float) -> None:
         """A request with so many tokens to read went to a server."""
@@ -83,7 +83,7 @@
         """It is read, or over; what it was."""
         if (was := self.open.pop((who, call), None)) is None:
             return None
-        self.overdue.discard((who, call))
+        self.overdue.pop((who, call), None)
         left = self.tokens.get(was.server, 0) - was.tokens
         if left > 0:
             self.tokens[was.server] = left
@@ -94,13 +94,14 @@
     def ended(self, who: Address, call: int, verdict: DatagramKind, now: float) -> None:
         """It is read, or over, and what that says of its server."""
         self._note_overdue(now)
-        known_late = (who, call) in self.overdue
-        was = self.done(who, call)
-        if was is None or known_late:
+        counted = self.overdue.get((who, call))
+        if (was := self.done(who, call)) is None:
             return
-        if verdict is DatagramKind.DONE:
+        if verdict is DatagramKind.DONE and counted is None:
             self.progress.ended_well(was.server, was.tokens, now - was.since, now)
-        elif verdict is DatagramKind.FAILED:
+        elif verdict is DatagramKind.DONE:
+            self.progress.answered_late(was.server, now)
+        elif verdict is DatagramKind.FAILED and not counted:
             self.progress.ended_badly(was.server, now)
 
     def of(self, server: int, now: float) -> int:
@@ -125,8 +126,7 @@
             if self.open.get(call) is request:
                 if now < request.since + self.progress.due_within(request.tokens):
                     return
-                self.overdue.add(call)
-                self.progress.ended_badly(request.server, now)
+                self.overdue[call] = self.progress.overdue(request.server, request.since, now)
             self.in_time.popleft()
 
 
--- a/rowanshift/dataplane/server_progress.py
+++ b/rowanshift/dataplane/server_progress.py
@@ -2,8 +2,9 @@
 
 One router sees too few requests to know that a server is silent before it has lost some of its own there; the owner of
 the server's sum (``load_index``) hears of all of them. A request counts as well ended once its first bytes came, and as
-badly ended where it failed or is overdue. Both counts halve each ``HALF_LIFE``, so that a server which gets no requests
-any more is tried again by itself; until then one request each ``PROBE_EVERY`` is let through to it.
+badly ended where it failed, or is overdue and the server has answered nothing since it was sent. Both counts halve each
+``HALF_LIFE``, so that a server which gets no requests any more is tried again by itself; until then one request each
+``PROBE_EVERY`` is let through to it.
 
 Times are in seconds. What is overdue is learnt: ``GRACE`` and ``PATIENCE`` times the usual time a token.
 """
@@ -29,6 +30,7 @@
     at: float
     good: float = 0.0
     bad: float = 0.0
+    answered_at: float = float("-inf")  # the first bytes of any answer
     probed_at: float = float("-inf")
 
     def age(self, now: float) -> None:
@@ -57,12 +59,25 @@
         """A request with so many tokens got its first bytes, in time."""
         if tokens >= LEAST_TOKENS:
             self.pace += SMOOTHING * (took / tokens - self.pace)
-        self._record(server, now).good += 1
+        record = self._record(server, now)
+        record.good, record.answered_at = record.good + 1, now
 
     def ended_badly(self, server: int, now: float) -> None:
-        """A request failed there, or is overdue."""
+        """A request failed there."""
         self._record(server, now).bad += 1
 
+    def overdue(self, server: int, since: float, now: float) -> bool:
+        """A request that was sent there at ``since`` is overdue; whether that counts as badly ended: a server that has
+        answered others meanwhile is slow, and not silent."""
+        record = self._record(server, now)
+        silent = record.answered_at < since
+        record.bad += silent
+        return silent
+
+    def answered_late(self, server: int, now: float) -> None:
+        """An answer came that was overdue."""
+        self._record(server, now).answered_at = now
+
     def avoids(self, server: int, now: float, wanted: bool) -> bool:
         """Whether requests should go elsewhere; ``wanted``: the asker would send one there, which may be a probe."""
         record = self.records.get(server)
