--- a/tests/test_fleet_faults.py
+++ b/tests/test_fleet_faults.py
@@ -36,17 +36,20 @@
 class Planted(unittest.TestCase):
     """A scenario finds nothing without its fault, and a breach of the rule, that says so, with it."""
 
-    def found(self, rule, why, scenario, *patches, **given):
+    def found(self, rule, why, scenario, *patches, seeds=("f",), **given):
+        """With each of the ``seeds`` nothing without the fault, and with one of them at least the breach with it."""
+
         async def main(fleet):
             fleet.server("other")
             await fleet.start()
             await scenario(fleet)
 
-        self.assertEqual([str(breach) for breach in play(main, **given)[1].breaches()], [])
+        for seed in seeds:
+            self.assertEqual([str(breach) for breach in play(main, seed, **given)[1].breaches()], [])
         for patch in patches:
             patch.start()
             self.addCleanup(patch.stop)
-        breaches = play(main, strict=False, **given)[1].breaches()
+        breaches = [breach for seed in seeds for breach in play(main, seed, strict=False, **given)[1].breaches()]
         said = [breach for breach in breaches if breach.rule == rule and why in breach.why]
         self.assertTrue(said, [str(breach) for breach in breaches])
 
@@ -179,6 +182,7 @@
             "after",
             scenario,
             timing(lease=1000.0, lapse=1000.0),
+            seeds=("f", "1", "2", "3", "4", "5"),  # the two holders must take turns at one server
             servers=6,
             load=2.0,
             fencing=False,
