--- a/rowanshift/dataplane/load_index.py
+++ b/rowanshift/dataplane/load_index.py
@@ -66,7 +66,8 @@
         self.open: OrderedDict[Call, OpenRequest] = OrderedDict()
         self.tokens: dict[int, int] = {}  # by the server's mark
         self.progress = ServerProgress()
-        self.in_time: deque[tuple[Call, OpenRequest]] = deque()  # the oldest first; those that ended among them
+        # the oldest first, also some that ended already; ``MOST_KEPT`` at most, beyond which one is never overdue
+        self.in_time: deque[tuple[Call, OpenRequest]] = deque()
         self.overdue: dict[Call, bool] = {}  # open requests, and whether they counted as badly ended
 
     def add(self, who: Address, call: int, server: int, tokens: int, now: float) -> None:
@@ -75,6 +76,9 @@
         while len(self.open) >= MOST_KEPT:
             self.done(*next(iter(self.open)))
         self._forget_old(now)
+        self._note_overdue(now)
+        while len(self.in_time) >= MOST_KEPT:
+            self.in_time.popleft()
         self.open[who, call] = request = OpenRequest(server, tokens, now)
         self.in_time.append(((who, call), request))
         self.tokens[server] = self.tokens.get(server, 0) + tokens
--- a/tests/test_load_index.py
+++ b/tests/test_load_index.py
@@ -130,6 +130,21 @@
             self.sums.ended(ONE, n, DatagramKind.FAILED, 1.0)
         self.assertEqual(self.sums.told(7, 1.0, False), AVOIDED)
 
+    def test_those_that_may_become_overdue_are_bounded(self):
+        self.sums.add(ONE, 0, 7, MOST_TOKENS, 0.0)  # due in a day: those behind it wait
+        waiting = []
+        for n in range(1, MOST_KEPT + 50):
+            self.sums.add(ONE, n, 7, 1, 0.1)
+            self.sums.done(ONE, n)
+            waiting.append(len(self.sums.in_time))
+        self.assertEqual(max(waiting), MOST_KEPT)
+
+    def test_one_that_is_never_due_holds_others_up_no_longer_than_it_is_kept(self):
+        self.sums.add(ONE, 0, 7, MOST_TOKENS, 0.0)
+        self.sums.add(ONE, 1, 8, 1, 0.1)
+        self.sums.add(OTHER, 0, 9, 1, 1.0 + KEPT)
+        self.assertEqual(len(self.sums.in_time), 1)
+
     def test_what_says_nothing_of_the_server(self):
         for n in range(9):
             self.sums.add(ONE, n, 7, 1, 0.0)
