--- a/tests/test_configuration_patch.py
+++ b/tests/test_configuration_patch.py
@@ -11,7 +11,7 @@
 
 from rowanshift.controlplane import api, control_state
 from rowanshift.controlplane.configuration import InvalidConfiguration, StaleMatch
-from rowanshift.controlplane.configuration_patch import NAMED_LISTS, patched
+from rowanshift.controlplane.configuration_patch import MOST_NAME, NAMED_LISTS, patched
 from rowanshift.controlplane.control_state import ControlState, patch_config, put_config, unpack
 from rowanshift.controlplane.order_history import OrderTooOld
 from rowanshift.invariants.facts import ConfigAnswered, ConfigRead, OrderReplied
@@ -172,6 +172,13 @@
                 patch(state, ({} if name == "no revision" else {"revision": 2}) | sent)
             self.assertIn(told, str(caught.exception))
 
+    def test_a_long_name_is_cut_in_the_reason(self) -> None:
+        name = "n" * (MOST_NAME + 1)
+        with self.assertRaises(InvalidConfiguration) as caught:
+            patch(state_of(), {"revision": 2, "upsert": {name: []}})
+        self.assertIn("." + name[:MOST_NAME] + ":", str(caught.exception))
+        self.assertNotIn(name, str(caught.exception))
+
     def test_what_is_no_json_object(self) -> None:
         for body in (b"", b"[]", b'{"revision":2', b"\xff"):
             with self.subTest(body=body), self.assertRaises(InvalidConfiguration):
--- a/tests/test_server_registry.py
+++ b/tests/test_server_registry.py
@@ -229,6 +229,10 @@
             self.assertLess(most, fewer_than)
             self.assertLessEqual(at, within + takes)
 
+    def test_without_a_bound_as_fast_as_may_be(self):
+        most, _ = self.rolled_out(20, 1.0, 0.0)
+        self.assertEqual(most, int(AT_ONCE * 20))
+
     def test_loads_that_take_longer_than_there_is_time(self):
         most, _ = self.rolled_out(20, 30.0, 9.0)
         self.assertEqual(most, int(AT_ONCE * 20))
