--- /dev/null
+++ b/rowanshift/admin/__init__.py
@@ -0,0 +1,1 @@
+"""Commands for operators: they ask a running system over HTTP, or read its files."""
--- a/rowanshift/staff.py
+++ b/rowanshift/admin/commands.py
@@ -15,11 +15,11 @@
 import trio
 
 from rowanshift.controlplane.settings_doubts import fault_tolerance_doubts
-from rowanshift.net.budget import Memory
-from rowanshift.net.calls import CallFailed, call
-from rowanshift.net.connection import Fields, Message
-from rowanshift.net.transport import SYSTEM, Address, Host
-from rowanshift.node_settings import NodeSettings, NodeSettingsError, address_of, load_node_settings
+from rowanshift.process.node_settings import NodeSettings, NodeSettingsError, address_of, load_node_settings
+from rowanshift.transport.calls import CallFailed, call
+from rowanshift.transport.http_connection import Fields, Message
+from rowanshift.transport.memory_budget import Memory
+from rowanshift.transport.runtime import SYSTEM, Address, Host
 from rowanshift.wire.delivery import DRAINING, LOADING
 from rowanshift.wire.machines import machine_of
 
--- a/rowanshift/adapter/__main__.py
+++ b/rowanshift/cacheproxy/adapter/__main__.py
@@ -2,7 +2,7 @@
 
 import sys
 
-from rowanshift.adapter.wire import WireError, serve
+from rowanshift.cacheproxy.adapter.wire import WireError, serve
 
 if __name__ == "__main__":
     try:
--- a/rowanshift/adapter/wire.py
+++ b/rowanshift/cacheproxy/adapter/wire.py
@@ -6,9 +6,9 @@
 
 import orjson
 
-from rowanshift.choice import Router
-from rowanshift.model import Entry, Results
-from rowanshift.settings import SettingsError, settings_of
+from rowanshift.cacheproxy.decision.router import Router
+from rowanshift.cacheproxy.model import Entry, Results
+from rowanshift.cacheproxy.settings import SettingsError, settings_of
 
 WRITE = 4  # bit of state_bits
 
--- a/rowanshift/net/clients.py
+++ b/rowanshift/cacheproxy/clients.py
@@ -12,15 +12,15 @@
 import trio
 from loguru import logger
 
-from rowanshift.net.budget import Budget, Memory
-from rowanshift.net.clock import Clock
-from rowanshift.net.config import Names
-from rowanshift.net.connection import BadMessage, Connection, Message
-from rowanshift.net.driver import WAY_BACK
-from rowanshift.net.exchange import Exchange, Reply
-from rowanshift.net.figures import Figures
-from rowanshift.net.flow import LAST_CHUNK, Flow, framed
-from rowanshift.net.transport import Listener, Nursery, Stream
+from rowanshift.cacheproxy.clock import Clock
+from rowanshift.cacheproxy.config import Names
+from rowanshift.cacheproxy.driver import WAY_BACK
+from rowanshift.cacheproxy.exchange import Exchange, Reply
+from rowanshift.cacheproxy.figures import Figures
+from rowanshift.transport.flow import LAST_CHUNK, Flow, framed
+from rowanshift.transport.http_connection import BadMessage, Connection, Message
+from rowanshift.transport.memory_budget import Budget, Memory
+from rowanshift.transport.runtime import Listener, Nursery, Stream
 
 READY = b"/-/ready"
 ABSOLUTE = re.compile(rb"https?://[^/?#]*", re.IGNORECASE)  # before the path, in the absolute form
--- a/rowanshift/net/clock.py
+++ b/rowanshift/cacheproxy/clock.py
@@ -2,7 +2,7 @@
 
 import trio
 
-from rowanshift.net.transport import SYSTEM, Host
+from rowanshift.transport.runtime import SYSTEM, Host
 
 
 class Clock:
--- a/rowanshift/net/config.py
+++ b/rowanshift/cacheproxy/config.py
@@ -8,8 +8,8 @@
 
 import orjson
 
-from rowanshift.model import Entry, Settings
-from rowanshift.settings import SettingsError, settings_of
+from rowanshift.cacheproxy.model import Entry, Settings
+from rowanshift.cacheproxy.settings import SettingsError, settings_of
 
 Address = tuple[str, int]
 HEALTH = {"active": "live", "leaving": "quiescing", "left": "dead"}
--- a/rowanshift/policy/limits.py
+++ b/rowanshift/cacheproxy/decision/limits.py
@@ -1,7 +1,7 @@
 """Health, and limits of hand-offs out: at a cache, at the origin and at all caches together. They adapt to
 answer times by additive increase and multiplicative decrease; under one they are chances."""
 
-from rowanshift.model import Cache, Entry, Results, Settings, Verdict
+from rowanshift.cacheproxy.model import Cache, Entry, Results, Settings, Verdict
 
 REGAIN = 1.2  # growth a second of a limit under one
 GOOD = 1.5  # growth of a limit under one by an answer in time, or by peers who see no crowd
--- a/rowanshift/choice.py
+++ b/rowanshift/cacheproxy/decision/router.py
@@ -1,5 +1,5 @@
-"""Every decision of rowanshift, with ``policy/``. A front makes one ``Router`` for each life of a router,
-calls its methods as things happen and carries out what ``drain`` returns. ``model.py`` is the interface.
+"""Every decision of rowanshift, with ``rowanshift/placement``. A front makes one ``Router`` for each life of a router,
+calls its methods as things happen and carries out what ``drain`` returns. ``cacheproxy/model.py`` is the interface.
 
 A work item (wi) passes the stages share, hotness, placement, pace and hand-off; what comes back of a hand-
 off (ho) passes them the other way. docs/design.md tells what departs from the design, and when."""
@@ -8,10 +8,10 @@
 from itertools import count
 from math import log, log2
 
-from rowanshift.model import Cache, Entry, Hot, Item, Learned, Results, Semantics, Settings, Tally, Verdict
-from rowanshift.policy.hotness import EPOCH, LEASE, TABLE
-from rowanshift.policy.ring import HashRing, stable
-from rowanshift.policy.shares import TELL, TICK, Shares
+from rowanshift.cacheproxy.decision.shares import TELL, TICK, Shares
+from rowanshift.cacheproxy.model import Cache, Entry, Hot, Item, Learned, Results, Semantics, Settings, Tally, Verdict
+from rowanshift.placement.hash_ring import HashRing, stable
+from rowanshift.placement.hot_keys import EPOCH, LEASE, TABLE
 
 POINTS, WALK = 64, 6  # ring points of a cache of mean heft; distinct caches kept of a key's ring walk
 HOLD = 0.2  # of the due time, that a wi is held for at most; less where few may miss it
--- a/rowanshift/policy/shares.py
+++ b/rowanshift/cacheproxy/decision/shares.py
@@ -2,9 +2,9 @@
 
 from collections import OrderedDict
 
-from rowanshift.model import Answer, Item, Semantics, Settings, Tally
-from rowanshift.policy.hotness import Hotness
-from rowanshift.policy.limits import GOOD, Limits
+from rowanshift.cacheproxy.decision.limits import GOOD, Limits
+from rowanshift.cacheproxy.model import Answer, Item, Semantics, Settings, Tally
+from rowanshift.placement.hot_keys import Hotness
 
 TELL, TICK = 1.0, 0.1  # seconds: a sum over routers, each; between looks at the shares
 DEEP = 0.25  # a limit that two slow answers leave; under it own answers are too rare to learn from
--- a/rowanshift/net/discovery.py
+++ b/rowanshift/cacheproxy/discovery.py
@@ -10,11 +10,11 @@
 import trio
 from loguru import logger
 
-from rowanshift.model import Entry
-from rowanshift.net.config import Address, Names, address_of, entry_of
-from rowanshift.net.membership import Membership
-from rowanshift.net.ring import Ring
-from rowanshift.net.transport import SYSTEM, Host, Stream, connect, receive, send_all
+from rowanshift.cacheproxy.config import Address, Names, address_of, entry_of
+from rowanshift.cacheproxy.membership import Membership
+from rowanshift.cacheproxy.model import Entry
+from rowanshift.transport.buffer import Ring
+from rowanshift.transport.runtime import SYSTEM, Host, Stream, connect, receive, send_all
 
 SILENCE = 3.0  # an empty line comes every 2 s
 LONGEST_LINE = 8 * 1024 * 1024
--- a/rowanshift/net/driver.py
+++ b/rowanshift/cacheproxy/driver.py
@@ -7,11 +7,11 @@
 import trio
 from loguru import logger
 
-from rowanshift.choice import Router
-from rowanshift.model import Answer, Entry, Learned, Settings, Verdict
-from rowanshift.net.clock import Clock
-from rowanshift.net.exchange import Exchange, HandOff, Reply
-from rowanshift.net.servers import Servers
+from rowanshift.cacheproxy.clock import Clock
+from rowanshift.cacheproxy.decision.router import Router
+from rowanshift.cacheproxy.exchange import Exchange, HandOff, Reply
+from rowanshift.cacheproxy.model import Answer, Entry, Learned, Settings, Verdict
+from rowanshift.cacheproxy.servers import Servers
 
 WAY_BACK = 0.01  # kept of a work item's time for the answer to reach the client
 STATUS = {Answer.DEFERRED: 503, Answer.WRITTEN_OFF: 502}
--- a/rowanshift/net/exchange.py
+++ b/rowanshift/cacheproxy/exchange.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from rowanshift.net.flow import Flow
+from rowanshift.transport.flow import Flow
 
 
 def nothing() -> None:
--- a/rowanshift/net/handover.py
+++ b/rowanshift/cacheproxy/handover.py
@@ -16,8 +16,8 @@
 import trio
 from loguru import logger
 
-from rowanshift.model import Learned
-from rowanshift.net.transport import Address, Host, Listener, Nursery, Port, Stream, accepted, send_all
+from rowanshift.cacheproxy.model import Learned
+from rowanshift.transport.runtime import Address, Host, Listener, Nursery, Port, Stream, accepted, send_all
 
 HEAD = "rowanshift 1"
 FILE = b"rowanshift out 1"
--- a/rowanshift/net/membership.py
+++ b/rowanshift/cacheproxy/membership.py
@@ -4,8 +4,8 @@
 from collections.abc import Callable, Iterable
 from typing import Protocol
 
-from rowanshift.model import Entry
-from rowanshift.net.transport import Address
+from rowanshift.cacheproxy.model import Entry
+from rowanshift.transport.runtime import Address
 
 MOST_OUT = 4096  # ids that may be out by hand at once
 
--- a/rowanshift/migrate.py
+++ b/rowanshift/cacheproxy/migrate.py
@@ -12,8 +12,8 @@
 
 import orjson
 
-from rowanshift.net.config import ConfigError, address_of, config_of
-from rowanshift.settings import NEW
+from rowanshift.cacheproxy.config import ConfigError, address_of, config_of
+from rowanshift.cacheproxy.settings import NEW
 
 LOOPBACK = "127."
 
--- a/rowanshift/net/peers.py
+++ b/rowanshift/cacheproxy/peers.py
@@ -5,7 +5,7 @@
 import trio
 from loguru import logger
 
-from rowanshift.net.transport import Address, Port
+from rowanshift.transport.runtime import Address, Port
 
 LARGEST = 256
 
--- a/rowanshift/net/servers.py
+++ b/rowanshift/cacheproxy/servers.py
@@ -9,13 +9,13 @@
 import trio
 from loguru import logger
 
-from rowanshift.model import Verdict
-from rowanshift.net.budget import Budget, Memory
-from rowanshift.net.clock import Clock
-from rowanshift.net.connection import BadMessage, Connection, Message
-from rowanshift.net.exchange import HandOff, Reply, nothing
-from rowanshift.net.flow import LAST_CHUNK, Flow, framed
-from rowanshift.net.transport import SYSTEM, Host, Nursery
+from rowanshift.cacheproxy.clock import Clock
+from rowanshift.cacheproxy.exchange import HandOff, Reply, nothing
+from rowanshift.cacheproxy.model import Verdict
+from rowanshift.transport.flow import LAST_CHUNK, Flow, framed
+from rowanshift.transport.http_connection import BadMessage, Connection, Message
+from rowanshift.transport.memory_budget import Budget, Memory
+from rowanshift.transport.runtime import SYSTEM, Host, Nursery
 
 REMARKS = {b"hit": 1, b"miss": 2, b"pending": 3}
 OVERTAKEN = 8  # later hand-offs to a server that came back tell that a connection fell silent
--- a/rowanshift/net/service.py
+++ b/rowanshift/cacheproxy/service.py
@@ -9,21 +9,21 @@
 import trio
 from loguru import logger
 
-from rowanshift.net.budget import Budget, Memory
-from rowanshift.net.clients import BACKLOG, Clients
-from rowanshift.net.clock import Clock
-from rowanshift.net.config import Config, ConfigError, changed, load
-from rowanshift.net.control import BACKLOG as CALLS
-from rowanshift.net.control import CALLERS, Control, Refused
-from rowanshift.net.discovery import Discovery
-from rowanshift.net.driver import Driver
-from rowanshift.net.figures import Figures
-from rowanshift.net.handover import Handover, Inherited
-from rowanshift.net.membership import MOST_OUT, Membership
-from rowanshift.net.peers import Peers
-from rowanshift.net.servers import Servers
-from rowanshift.net.signals import ReceivedSignal
-from rowanshift.net.transport import SYSTEM, Host, Listener, Nursery, Port
+from rowanshift.cacheproxy.clients import BACKLOG, Clients
+from rowanshift.cacheproxy.clock import Clock
+from rowanshift.cacheproxy.config import Config, ConfigError, changed, load
+from rowanshift.cacheproxy.control import BACKLOG as CALLS
+from rowanshift.cacheproxy.control import CALLERS, Control, Refused
+from rowanshift.cacheproxy.discovery import Discovery
+from rowanshift.cacheproxy.driver import Driver
+from rowanshift.cacheproxy.figures import Figures
+from rowanshift.cacheproxy.handover import Handover, Inherited
+from rowanshift.cacheproxy.membership import MOST_OUT, Membership
+from rowanshift.cacheproxy.peers import Peers
+from rowanshift.cacheproxy.servers import Servers
+from rowanshift.transport.memory_budget import Budget, Memory
+from rowanshift.transport.runtime import SYSTEM, Host, Listener, Nursery, Port
+from rowanshift.transport.signals import ReceivedSignal
 
 STALL = 0.25  # of the due time, that an answer may stand still halfway
 BEAT, STOOD_STILL = 0.5, 0.4  # seconds; the latter is told of
--- a/rowanshift/settings.py
+++ b/rowanshift/cacheproxy/settings.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from rowanshift.model import Category, Semantics, Settings
+from rowanshift.cacheproxy.model import Category, Semantics, Settings
 
 NEW: dict[str, bool | float] = {  # settings that files of the old shape lack, and what stands for them
     "limits.cancelling": True,
--- a/rowanshift/capacity/command.py
+++ b/rowanshift/capacity/command.py
@@ -17,7 +17,7 @@
 from rowanshift.capacity.roles import report
 from rowanshift.capacity.sizes import TARGET
 from rowanshift.capacity.sweep import Plan, Shape, check_steps
-from rowanshift.policy.placement import POINTS
+from rowanshift.placement.shadows import POINTS
 
 
 def numbers(text: str) -> list[int]:
--- a/rowanshift/capacity/hollow.py
+++ b/rowanshift/capacity/hollow.py
@@ -19,9 +19,9 @@
 from rowanshift.controlplane.service import ControlPlaneService
 from rowanshift.controlplane.singleton_tasks import LIST_EVERY
 from rowanshift.dataplane.control_client import HOLD, ControlClient
-from rowanshift.net.ring import Ring
-from rowanshift.net.transport import Address, Stream, connect, receive, send_all
-from rowanshift.node_settings import Bounds, node_settings_of
+from rowanshift.process.node_settings import Bounds, node_settings_of
+from rowanshift.transport.buffer import Ring
+from rowanshift.transport.runtime import Address, Stream, connect, receive, send_all
 from rowanshift.wire.codec import Frames
 from rowanshift.wire.delivery import CODEC, Poll, Update
 
--- a/rowanshift/capacity/meter.py
+++ b/rowanshift/capacity/meter.py
@@ -11,7 +11,7 @@
 import trio
 
 from rowanshift.capacity.errors import CapacityError
-from rowanshift.net.transport import Address, Listener, Socket, SocketListener, Stream, System, bound
+from rowanshift.transport.runtime import Address, Listener, Socket, SocketListener, Stream, System, bound
 
 PAGE = resource.getpagesize()  # bytes
 
--- a/rowanshift/capacity/takeover.py
+++ b/rowanshift/capacity/takeover.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from rowanshift.controlplane.replication import Committed, Replica, Save, Send
-from rowanshift.policy.ring import HashRing, stable
+from rowanshift.placement.hash_ring import HashRing, stable
 from rowanshift.wire.table import CODEC
 
 TICK = 0.05  # seconds
--- a/rowanshift/cli.py
+++ b/rowanshift/cli.py
@@ -13,8 +13,8 @@
 from rowanshift import __version__
 
 if TYPE_CHECKING:
-    from rowanshift.net.config import Config
-    from rowanshift.staff import Shown
+    from rowanshift.admin.commands import Shown
+    from rowanshift.cacheproxy.config import Config
 
 Command = Callable[[argparse.Namespace], int | None]
 UNUSABLE = 2  # exit status: an input that can't be used, as argparse has it
@@ -42,7 +42,7 @@
 
 
 def loaded(arguments: argparse.Namespace) -> "Config":
-    from rowanshift.net.config import ConfigError, load
+    from rowanshift.cacheproxy.config import ConfigError, load
 
     if arguments.config is None:
         arguments.parser.error("--config FILE is missing, and BALANCER_CONFIG names none")
@@ -76,9 +76,9 @@
     import trio
     from loguru import logger
 
-    from rowanshift.error_groups import first_of
-    from rowanshift.net.lines import Lines
-    from rowanshift.net.service import Service
+    from rowanshift.cacheproxy.service import Service
+    from rowanshift.process.error_groups import first_of
+    from rowanshift.process.log_rate_limit import Lines
 
     config = loaded(arguments)
     logger.remove()
@@ -107,7 +107,7 @@
 def check(arguments: argparse.Namespace) -> int:
     """Read a configuration, or the settings of a process of the whole system, and say what is in it."""
     if arguments.boot is not None:
-        from rowanshift import staff
+        from rowanshift.admin import commands as staff
 
         return show(staff.boot_check, arguments.boot)
     c = loaded(arguments)
@@ -127,7 +127,7 @@
 
 def migrate(arguments: argparse.Namespace) -> int:
     """Write the counterpart of a pool's configuration where each client has a router of its own."""
-    from rowanshift.migrate import Wanted, migrate
+    from rowanshift.cacheproxy.migrate import Wanted, migrate
 
     wanted = Wanted(arguments.listen, arguments.routers, arguments.ordinal, tuple(arguments.zone))
     return migrate(arguments.old, arguments.output, wanted, arguments.dry_run)
@@ -180,7 +180,7 @@
 
 def show(command: Callable[..., "Shown"], *given: object) -> int:
     """Runs a command for staff and prints what it has to say; its exit status."""
-    from rowanshift.staff import StaffError
+    from rowanshift.admin.commands import StaffError
 
     try:
         shown = command(*given)
@@ -194,7 +194,7 @@
     """What runs a command that asks a running system, with these arguments after the address."""
 
     def run(arguments: argparse.Namespace) -> int:
-        from rowanshift import staff
+        from rowanshift.admin import commands as staff
 
         if arguments.at is None:
             arguments.parser.error("--at IP:PORT is missing, and ROWANSHIFT_CONTROL names none")
@@ -225,14 +225,14 @@
 
 def config_check(arguments: argparse.Namespace) -> int:
     """Check a configuration as the control plane would, without one."""
-    from rowanshift import staff
+    from rowanshift.admin import commands as staff
 
     return show(staff.config_check, arguments.file)
 
 
 def store_check(arguments: argparse.Namespace) -> int:
     """Say what a core machine's disk holds; change nothing."""
-    from rowanshift import staff
+    from rowanshift.admin import commands as staff
 
     return show(staff.store_check, arguments.folder)
 
@@ -259,7 +259,7 @@
     """Run a role's service until SIGTERM. Signals are heeded before the settings are read and all else is imported."""
     heed_signals_early()
 
-    from rowanshift.node_settings import NodeSettingsError, load_node_settings
+    from rowanshift.process.node_settings import NodeSettingsError, load_node_settings
 
     try:
         boot = load_node_settings(arguments.boot)
--- a/rowanshift/controlplane/api.py
+++ b/rowanshift/controlplane/api.py
@@ -10,8 +10,8 @@
 from rowanshift.controlplane.order_history import OrderTooOld
 from rowanshift.controlplane.replica_host import NotConfirmed, NotPrimary, OutcomeUnknown, ReplicaHost
 from rowanshift.controlplane.replication import STATE_LIMIT, StateTooLarge
-from rowanshift.net.calls import Answer, said
-from rowanshift.net.connection import Message
+from rowanshift.transport.calls import Answer, said
+from rowanshift.transport.http_connection import Message
 from rowanshift.wire.machines import ip_of
 
 WITHIN = 2.5  # seconds for a change to be on all disks that are wanted
--- a/rowanshift/controlplane/change_loader.py
+++ b/rowanshift/controlplane/change_loader.py
@@ -9,7 +9,7 @@
 
 import trio
 
-from rowanshift.net.transport import Host
+from rowanshift.transport.runtime import Host
 
 MODULE = "rowanshift.controlplane.configuration_change"
 LOAD_AFTER = 1.0  # seconds after the start at which it is loaded if no change has asked for it
--- a/rowanshift/controlplane/replica_host.py
+++ b/rowanshift/controlplane/replica_host.py
@@ -28,8 +28,8 @@
     Store,
 )
 from rowanshift.controlplane.store import StoreError
-from rowanshift.net.links import MOST_QUEUED, STUCK, Inbox, LinkFailed, Sender
-from rowanshift.net.transport import Disk, Host, Nursery
+from rowanshift.transport.record_links import MOST_QUEUED, STUCK, Inbox, LinkFailed, Sender
+from rowanshift.transport.runtime import Disk, Host, Nursery
 from rowanshift.wire.codec import HEAD, BadRecord
 from rowanshift.wire.machines import ip_of
 from rowanshift.wire.table import CODEC, Hello
--- a/rowanshift/controlplane/server_registry.py
+++ b/rowanshift/controlplane/server_registry.py
@@ -8,8 +8,8 @@
 from math import ceil
 from typing import Any
 
-from rowanshift.version_names import VersionName, VersionNames
 from rowanshift.wire.delivery import DRAINING, LOADING, UP, NamedVersion, Row
+from rowanshift.wire.named_versions import VersionName, VersionNames
 
 AT_ONCE = 0.4  # part of a service's servers that may load at once, one at least
 FIRST_LOAD = 1.5  # seconds that a load is taken to need, with all around it, until one has told
--- a/rowanshift/controlplane/service.py
+++ b/rowanshift/controlplane/service.py
@@ -20,16 +20,15 @@
 from rowanshift.controlplane.singleton_tasks import SingletonTasks
 from rowanshift.controlplane.store import DamagedRecord, NewerFormat, StoreError
 from rowanshift.dataplane.routing_table import routing_table_of
-from rowanshift.error_groups import first_of
 from rowanshift.kv_index.index import packed
-from rowanshift.logs import log_to_stderr
-from rowanshift.net.budget import Memory
-from rowanshift.net.calls import CallEndings, CallServer
-from rowanshift.net.links import Inbox, LinkFailed
-from rowanshift.net.signals import ReceivedSignal
-from rowanshift.net.transport import SYSTEM, Disk, Host, Listener, Stream, send_all
-from rowanshift.node_settings import NodeSettings, NodeSettingsError, load_node_settings
-from rowanshift.version_names import age_ms
+from rowanshift.process.error_groups import first_of
+from rowanshift.process.logs import log_to_stderr
+from rowanshift.process.node_settings import NodeSettings, NodeSettingsError, load_node_settings
+from rowanshift.transport.calls import CallEndings, CallServer
+from rowanshift.transport.memory_budget import Memory
+from rowanshift.transport.record_links import Inbox, LinkFailed
+from rowanshift.transport.runtime import SYSTEM, Disk, Host, Listener, Stream, send_all
+from rowanshift.transport.signals import ReceivedSignal
 from rowanshift.wire.codec import BadRecord
 from rowanshift.wire.delivery import (
     Elsewhere,
@@ -42,6 +41,7 @@
     UpdateOfFormat1,
 )
 from rowanshift.wire.machines import ip_of, machine_of
+from rowanshift.wire.named_versions import age_ms
 from rowanshift.wire.table import CODEC, Hello
 
 HOLD = 1.0  # seconds that a poll is held at most
--- a/rowanshift/controlplane/settings_doubts.py
+++ b/rowanshift/controlplane/settings_doubts.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterator
 
 from rowanshift.controlplane.replication.fault_domains import FaultTolerance, bearable
-from rowanshift.node_settings import File
+from rowanshift.process.node_settings import File
 
 
 def fault_tolerance_doubts(file: File) -> Iterator[str]:
--- a/rowanshift/controlplane/singleton_tasks.py
+++ b/rowanshift/controlplane/singleton_tasks.py
@@ -13,9 +13,9 @@
 from rowanshift.controlplane.replica_host import ReplicaHost
 from rowanshift.controlplane.server_registry import BadList, Known, ServerRegistry, known_of
 from rowanshift.kv_index.index import BadEvents, KvIndex, Source
-from rowanshift.net.budget import Memory
-from rowanshift.net.calls import CallFailed, Line, call
-from rowanshift.net.transport import Address, Host, Nursery
+from rowanshift.transport.calls import CallFailed, Line, call
+from rowanshift.transport.memory_budget import Memory
+from rowanshift.transport.runtime import Address, Host, Nursery
 
 LIST_EVERY = 0.8  # seconds between readings of the list
 LIST_WITHIN = 1.0  # seconds for a page
--- a/rowanshift/dataplane/client_answer.py
+++ b/rowanshift/dataplane/client_answer.py
@@ -5,8 +5,8 @@
 import trio
 
 from rowanshift.dataplane.request_endings import RequestEnding
-from rowanshift.net.calls import REASONS, said
-from rowanshift.net.connection import NO_BODY, Connection, Message
+from rowanshift.transport.calls import REASONS, said
+from rowanshift.transport.http_connection import NO_BODY, Connection, Message
 
 TAKE_WITHIN = 10.0  # seconds in which a client takes some of its answer
 
--- a/rowanshift/dataplane/control_client.py
+++ b/rowanshift/dataplane/control_client.py
@@ -18,12 +18,12 @@
 from rowanshift.dataplane.primary_search import PrimarySearch
 from rowanshift.dataplane.routing_table import BadControlState, RoutingTable, routing_table_of
 from rowanshift.kv_index.index import unpacked
-from rowanshift.net.links import Caller, LinkFailed
-from rowanshift.net.transport import Address, Host
-from rowanshift.node_settings import Bounds
-from rowanshift.version_names import VersionName, VersionNames, age_ms
+from rowanshift.process.node_settings import Bounds
+from rowanshift.transport.record_links import Caller, LinkFailed
+from rowanshift.transport.runtime import Address, Host
 from rowanshift.wire.delivery import CODEC, DRAINING, LOADING, Elsewhere, NamedVersion, Poll, Row, Update
 from rowanshift.wire.machines import ip_of, machine_of
+from rowanshift.wire.named_versions import VersionName, VersionNames, age_ms
 
 HOLD = 0.5  # seconds that the primary may hold a poll: what is known is no older than two of these
 ANSWER_WITHIN = 0.3  # seconds beyond that for its answer; then others are asked for the primary
--- a/rowanshift/dataplane/endpoints.py
+++ b/rowanshift/dataplane/endpoints.py
@@ -3,7 +3,7 @@
 import random
 from dataclasses import dataclass
 
-from rowanshift.policy.placement import Pool
+from rowanshift.placement.shadows import Pool
 
 
 @dataclass(slots=True, eq=False)
--- a/rowanshift/dataplane/forwarder.py
+++ b/rowanshift/dataplane/forwarder.py
@@ -15,13 +15,13 @@
 from rowanshift.dataplane.load_index import DatagramKind, LoadIndex
 from rowanshift.dataplane.request_endings import RequestEnding
 from rowanshift.dataplane.requests import Request, priority_of, written
+from rowanshift.dataplane.retry_budget import RetryBudget
 from rowanshift.dataplane.retry_decision import Decision, Ending, Told, decide
 from rowanshift.dataplane.routing_table import Route, RoutingTable, Tenant
 from rowanshift.dataplane.upstream import LOOK, Link, Outcome, SendFailed, Upstream
-from rowanshift.net.connection import Message
-from rowanshift.net.flow import LAST_CHUNK
-from rowanshift.policy.placement import Pool, back_off, lighter
-from rowanshift.retry_budget import RetryBudget
+from rowanshift.placement.shadows import Pool, back_off, lighter
+from rowanshift.transport.flow import LAST_CHUNK
+from rowanshift.transport.http_connection import Message
 
 T = TypeVar("T")
 
--- a/rowanshift/dataplane/forwarding.py
+++ b/rowanshift/dataplane/forwarding.py
@@ -9,7 +9,7 @@
 from rowanshift.dataplane.retry_decision import Decision, Ending, Kind, Progress, Told, kind_of
 from rowanshift.dataplane.routing_table import Route, Tenant
 from rowanshift.dataplane.upstream import Link
-from rowanshift.policy.placement import mark_of
+from rowanshift.placement.shadows import mark_of
 
 LEAST_LEFT = 0.02  # seconds under which nothing is sent to a server
 COME_AGAIN = 0.1  # seconds until a client that was refused may come again
--- a/rowanshift/dataplane/frontend.py
+++ b/rowanshift/dataplane/frontend.py
@@ -14,12 +14,12 @@
 from rowanshift.dataplane.load_index import LoadIndex
 from rowanshift.dataplane.request_endings import EndedRequest, RequestEnding, RequestEndings
 from rowanshift.dataplane.requests import Request, request_of
+from rowanshift.dataplane.retry_budget import RetryBudget
 from rowanshift.dataplane.retry_decision import PROMISES
 from rowanshift.dataplane.upstream import Upstream
-from rowanshift.net.budget import Budget, Memory
-from rowanshift.net.connection import BadMessage, Connection, Message
-from rowanshift.net.transport import Listener, Nursery, Stream
-from rowanshift.retry_budget import RetryBudget
+from rowanshift.transport.http_connection import BadMessage, Connection, Message
+from rowanshift.transport.memory_budget import Budget, Memory
+from rowanshift.transport.runtime import Listener, Nursery, Stream
 
 BACKLOG, AT_ONCE = 1024, 16
 BODY_WITHIN = 10.0  # seconds for a body to come
--- a/rowanshift/dataplane/kv_moves.py
+++ b/rowanshift/dataplane/kv_moves.py
@@ -7,7 +7,7 @@
 from rowanshift.dataplane.requests import Request, salt_of
 from rowanshift.dataplane.routing_table import RoutingTable, Tenant
 from rowanshift.kv_index.index import mark_of, store_for, there
-from rowanshift.policy.placement import Pool, is_open
+from rowanshift.placement.shadows import Pool, is_open
 
 LEAST_MOVED = 64  # tokens in common that are worth a move
 LEAST_SOUGHT = 1000  # tokens in common that the home of a prompt seeks at its successors
--- a/rowanshift/dataplane/load_index.py
+++ b/rowanshift/dataplane/load_index.py
@@ -19,10 +19,10 @@
 import trio
 from loguru import logger
 
+from rowanshift.dataplane.ownership import holder
 from rowanshift.dataplane.server_progress import ServerProgress
-from rowanshift.net.transport import Address, Host, Port
-from rowanshift.ownership import holder
-from rowanshift.policy.ring import stable
+from rowanshift.placement.hash_ring import stable
+from rowanshift.transport.runtime import Address, Host, Port
 from rowanshift.wire.machines import ip_of
 
 RECORD = Struct(">2sBBIQI")  # magic, format, kind, call, server's mark, tokens
--- a/rowanshift/ownership.py
+++ b/rowanshift/dataplane/ownership.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterable
 
-from rowanshift.policy.ring import stable
+from rowanshift.placement.hash_ring import stable
 
 
 def holder(key: str, members: Iterable[int]) -> int | None:
--- a/rowanshift/dataplane/requests.py
+++ b/rowanshift/dataplane/requests.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 
 from rowanshift.dataplane.routing_table import Route, Tenant
-from rowanshift.net.connection import BadMessage, Fields, Message
+from rowanshift.transport.http_connection import BadMessage, Fields, Message
 
 OURS = frozenset(
     [
--- a/rowanshift/dataplane/service.py
+++ b/rowanshift/dataplane/service.py
@@ -12,16 +12,16 @@
 from rowanshift.dataplane.frontend import BACKLOG, Frontend, log_ending
 from rowanshift.dataplane.load_index import LoadIndex
 from rowanshift.dataplane.request_endings import RequestEndings
+from rowanshift.dataplane.retry_budget import RetryBudget
 from rowanshift.dataplane.upstream import Upstream
-from rowanshift.error_groups import first_of
-from rowanshift.logs import log_to_stderr
-from rowanshift.net.budget import Budget, Memory
-from rowanshift.net.calls import Answer, CallServer
-from rowanshift.net.connection import Message
-from rowanshift.net.signals import ReceivedSignal
-from rowanshift.net.transport import SYSTEM, Host
-from rowanshift.node_settings import NodeSettings, NodeSettingsError, load_node_settings
-from rowanshift.retry_budget import RetryBudget
+from rowanshift.process.error_groups import first_of
+from rowanshift.process.logs import log_to_stderr
+from rowanshift.process.node_settings import NodeSettings, NodeSettingsError, load_node_settings
+from rowanshift.transport.calls import Answer, CallServer
+from rowanshift.transport.http_connection import Message
+from rowanshift.transport.memory_budget import Budget, Memory
+from rowanshift.transport.runtime import SYSTEM, Host
+from rowanshift.transport.signals import ReceivedSignal
 from rowanshift.wire.machines import machine_of
 
 BEAT, STOOD_STILL = 0.25, 0.5  # seconds
--- a/rowanshift/dataplane/upstream.py
+++ b/rowanshift/dataplane/upstream.py
@@ -9,9 +9,9 @@
 import trio
 
 from rowanshift.dataplane.endpoints import Endpoint
-from rowanshift.net.budget import Budget, Memory
-from rowanshift.net.connection import BadMessage, Connection, Message
-from rowanshift.net.transport import Host
+from rowanshift.transport.http_connection import BadMessage, Connection, Message
+from rowanshift.transport.memory_budget import Budget, Memory
+from rowanshift.transport.runtime import Host
 
 DIAL_WITHIN = 0.6  # seconds
 IDLE_FOR = 4.0  # seconds that a connection is kept where the server names no time
--- a/rowanshift/emulation/cluster.py
+++ b/rowanshift/emulation/cluster.py
@@ -26,10 +26,10 @@
 from rowanshift.emulation.model_server import ModelServer, Registry
 from rowanshift.emulation.platform import PlatformList
 from rowanshift.emulation.system_clients import Operator, StreamReader, Try
-from rowanshift.error_groups import first_of
-from rowanshift.logs import log_to_stderr
-from rowanshift.net.transport import Address, Listener, Stream, System, connect, send_all
-from rowanshift.node_settings import load_node_settings
+from rowanshift.process.error_groups import first_of
+from rowanshift.process.logs import log_to_stderr
+from rowanshift.process.node_settings import load_node_settings
+from rowanshift.transport.runtime import Address, Listener, Stream, System, connect, send_all
 from rowanshift.wire.machines import ip_of
 
 NET = "127.0.0."  # the addresses' beginning
--- a/rowanshift/emulation/demo.py
+++ b/rowanshift/emulation/demo.py
@@ -10,16 +10,16 @@
 import httptools
 import trio
 
+from rowanshift.cacheproxy.config import ConfigError, load
+from rowanshift.cacheproxy.service import Phase, Service
 from rowanshift.emulation.discovery import Agent, row_of
 from rowanshift.emulation.http import Ledger, field_of
 from rowanshift.emulation.servers import Cache, Kind, Origin
-from rowanshift.error_groups import first_of
 from rowanshift.invariants.events import Events
-from rowanshift.net.budget import Memory
-from rowanshift.net.config import ConfigError, load
-from rowanshift.net.connection import Connection, Message
-from rowanshift.net.service import Phase, Service
-from rowanshift.net.transport import SYSTEM, Address, connect, send_all
+from rowanshift.process.error_groups import first_of
+from rowanshift.transport.http_connection import Connection, Message
+from rowanshift.transport.memory_budget import Memory
+from rowanshift.transport.runtime import SYSTEM, Address, connect, send_all
 
 CACHES, ORIGIN = (9001, 9002, 9003), 9000
 KEYS = ("hello", "hello", "perfume", "hello", "perfume", "lamp")
--- a/rowanshift/emulation/discovery.py
+++ b/rowanshift/emulation/discovery.py
@@ -8,8 +8,8 @@
 
 from rowanshift.emulation.http import HttpServer, deserted
 from rowanshift.invariants.events import Events
-from rowanshift.net.connection import Connection, Message
-from rowanshift.net.transport import Address, Host
+from rowanshift.transport.http_connection import Connection, Message
+from rowanshift.transport.runtime import Address, Host
 
 EMPTY_LINE_EVERY = 2.0
 TICK = 0.25
--- a/rowanshift/emulation/http.py
+++ b/rowanshift/emulation/http.py
@@ -8,9 +8,9 @@
 import trio
 
 from rowanshift.invariants.events import Events
-from rowanshift.net.budget import Memory
-from rowanshift.net.connection import BadMessage, Connection, Message
-from rowanshift.net.transport import Address, Host, Stream, accepted
+from rowanshift.transport.http_connection import BadMessage, Connection, Message
+from rowanshift.transport.memory_budget import Memory
+from rowanshift.transport.runtime import Address, Host, Stream, accepted
 
 BACKLOG = 512
 REMEMBERED = 20_000  # hand-offs and misses that the stand-ins know of at once
--- a/rowanshift/emulation/model_server.py
+++ b/rowanshift/emulation/model_server.py
@@ -29,9 +29,9 @@
     Reached,
     digest_of,
 )
-from rowanshift.net.connection import Connection, Message
-from rowanshift.net.flow import LAST_CHUNK, framed
-from rowanshift.net.transport import Address, Host, Nursery, Stream
+from rowanshift.transport.flow import LAST_CHUNK, framed
+from rowanshift.transport.http_connection import Connection, Message
+from rowanshift.transport.runtime import Address, Host, Nursery, Stream
 
 JSON = b"Content-Type: application/json"
 NOT_EXECUTED = b"Not-Executed: 1"
--- a/rowanshift/emulation/platform.py
+++ b/rowanshift/emulation/platform.py
@@ -10,8 +10,8 @@
 from rowanshift.emulation.model_server import ModelServer, query_of
 from rowanshift.invariants.events import Events
 from rowanshift.invariants.system import Fact, Listed, Listing
-from rowanshift.net.connection import Connection, Message
-from rowanshift.net.transport import Address, Host
+from rowanshift.transport.http_connection import Connection, Message
+from rowanshift.transport.runtime import Address, Host
 
 JSON = b"Content-Type: application/json"
 
--- a/rowanshift/emulation/system_clients.py
+++ b/rowanshift/emulation/system_clients.py
@@ -25,9 +25,9 @@
     Surplus,
     VersionNamed,
 )
-from rowanshift.net.budget import Memory
-from rowanshift.net.connection import BadMessage, Connection, Message
-from rowanshift.net.transport import Address, Host, Stream, connect, send_all
+from rowanshift.transport.http_connection import BadMessage, Connection, Message
+from rowanshift.transport.memory_budget import Memory
+from rowanshift.transport.runtime import Address, Host, Stream, connect, send_all
 
 DIAL_WITHIN = 1.0
 PROMISES = (408, 421, 429, 503)
--- a/rowanshift/invariants/checks.py
+++ b/rowanshift/invariants/checks.py
@@ -10,8 +10,8 @@
 from heapq import heappop, heappush
 from typing import Any
 
+from rowanshift.cacheproxy.model import Category, Semantics
 from rowanshift.invariants.events import Fact
-from rowanshift.model import Category, Semantics
 
 SLACK = 0.05  # seconds
 AFTER_STANDSTILL = 0.1  # to catch up with what passed meanwhile
--- a/rowanshift/kv_index/index.py
+++ b/rowanshift/kv_index/index.py
@@ -10,7 +10,7 @@
 from struct import pack, unpack
 from typing import Any
 
-from rowanshift.policy.ring import stable
+from rowanshift.placement.hash_ring import stable
 
 MOST_PARTS = 100_000  # of one source; what was told of longest ago goes
 MOST_CHANGES = 4_096  # kept for those who ask with what they have; others get the whole
--- a/rowanshift/policy/hotness.py
+++ b/rowanshift/placement/hot_keys.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Mapping
 
-from rowanshift.model import Hot
+from rowanshift.cacheproxy.model import Hot
 
 EPOCH, LEASE, HOT_EPOCHS = 1.0, 5.0, 4  # seconds, seconds, epochs
 TABLE = 512  # keys scored at once
--- a/rowanshift/policy/placement.py
+++ b/rowanshift/placement/shadows.py
@@ -1,8 +1,8 @@
 """Where a request for a model server goes: the ring home of its prefix, a leased shadow while that is hot,
 or the next on the ring walk while the home is out or holds well over the mean. No I/O, no clock; seconds."""
 
-from rowanshift.policy.hotness import Hotness
-from rowanshift.policy.ring import HashRing, stable
+from rowanshift.placement.hash_ring import HashRing, stable
+from rowanshift.placement.hot_keys import Hotness
 
 POINTS = 128  # on the ring for a server
 WALK = 8  # servers looked at for a prefix
--- a/rowanshift/logs.py
+++ b/rowanshift/process/logs.py
@@ -4,7 +4,7 @@
 
 from loguru import logger
 
-from rowanshift.net.lines import Lines
+from rowanshift.process.log_rate_limit import Lines
 
 
 def log_to_stderr(level: str) -> None:
--- a/rowanshift/simulation/command.py
+++ b/rowanshift/simulation/command.py
@@ -14,13 +14,13 @@
 import orjson
 from rich.progress import Progress
 
-from rowanshift.core_scenario import is_core, load_core
 from rowanshift.invariants.checks import Broken
 from rowanshift.invariants.events import Fact, named
-from rowanshift.scenario import Scenario, ScenarioError, dump, load
 from rowanshift.simulation.core_command import play_many, play_one
 from rowanshift.simulation.core_draw import core_scenario
+from rowanshift.simulation.core_scenario import is_core, load_core
 from rowanshift.simulation.draw import SIZES, scenario
+from rowanshift.simulation.scenario import Scenario, ScenarioError, dump, load
 from rowanshift.simulation.shrink import Shrinker
 from rowanshift.simulation.worker_pool import worker_pool
 from rowanshift.simulation.world import World
--- a/rowanshift/simulation/core_command.py
+++ b/rowanshift/simulation/core_command.py
@@ -11,10 +11,10 @@
 import orjson
 from loguru import logger
 
-from rowanshift.core_scenario import CoreScenario, names_of
 from rowanshift.invariants.facts import Fact
 from rowanshift.simulation.core_draw import core_scenario
 from rowanshift.simulation.core_play import CoreRun, play_core
+from rowanshift.simulation.core_scenario import CoreScenario, names_of
 from rowanshift.simulation.worker_pool import worker_pool
 
 MOST_SHOWN = 5  # things that went wrong, of one run
--- a/rowanshift/simulation/core_draw.py
+++ b/rowanshift/simulation/core_draw.py
@@ -9,7 +9,14 @@
 import random
 from dataclasses import dataclass
 
-from rowanshift.core_scenario import TRIGGERED_WITHIN_S, CoreExpect, CoreFleet, CoreLoad, CoreScenario, CoreTrouble
+from rowanshift.simulation.core_scenario import (
+    TRIGGERED_WITHIN_S,
+    CoreExpect,
+    CoreFleet,
+    CoreLoad,
+    CoreScenario,
+    CoreTrouble,
+)
 
 SIZES = (
     CoreFleet(),
--- a/rowanshift/simulation/core_play.py
+++ b/rowanshift/simulation/core_play.py
@@ -13,9 +13,9 @@
 
 import trio
 
-from rowanshift.core_scenario import TRIGGERED_WITHIN_S, CoreScenario, CoreTrouble, names_of
 from rowanshift.invariants.breaches import Breach
 from rowanshift.invariants.facts import ConfigAnswered, ConfigSent, Fact, PrimaryBecame, VersionNamed
+from rowanshift.simulation.core_scenario import TRIGGERED_WITHIN_S, CoreScenario, CoreTrouble, names_of
 from rowanshift.simulation.fleet import Fleet, config_of, play, routes_of
 from rowanshift.simulation.fleet_machines import Unit
 from rowanshift.simulation.fleet_settings import KEYS
--- a/rowanshift/core_scenario.py
+++ b/rowanshift/simulation/core_scenario.py
@@ -12,7 +12,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from rowanshift.scenario import Part, Positive, ScenarioError, Seconds
+from rowanshift.simulation.scenario import Part, Positive, ScenarioError, Seconds
 
 KIND = "core"
 LONGEST_S = 600.0  # seconds that a scenario may last
--- a/rowanshift/simulation/draw.py
+++ b/rowanshift/simulation/draw.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from rowanshift.scenario import CATEGORIES, CategoryRow, Fleet, Links, Scenario, Trouble, Work
+from rowanshift.simulation.scenario import CATEGORIES, CategoryRow, Fleet, Links, Scenario, Trouble, Work
 
 SIZES = {"small": (3, 10, 100.0, 30.0), "grown": (60, 40, 1500.0, 30.0)}  # routers, caches, rate, seconds
 FETCHES = 0.3  # of the work, with writes, that goes to the origin while all is well
--- a/rowanshift/simulation/fleet.py
+++ b/rowanshift/simulation/fleet.py
@@ -19,8 +19,6 @@
 from rowanshift.invariants import system as rules
 from rowanshift.invariants.breaches import Breach
 from rowanshift.invariants.facts import Fact
-from rowanshift.net.budget import Memory
-from rowanshift.net.calls import CallFailed, call
 from rowanshift.simulation.clock import Determined, VirtualClock
 from rowanshift.simulation.fleet_excuses import Excuses, breaches, troubles_of
 from rowanshift.simulation.fleet_load import FleetLoad
@@ -50,6 +48,8 @@
 )
 from rowanshift.simulation.machine import Machine
 from rowanshift.simulation.network import Network, Paths
+from rowanshift.transport.calls import CallFailed, call
+from rowanshift.transport.memory_budget import Memory
 
 T = TypeVar("T")
 
--- a/rowanshift/simulation/fleet_load.py
+++ b/rowanshift/simulation/fleet_load.py
@@ -10,7 +10,6 @@
 
 from rowanshift.emulation.system_clients import Operator, Patron, Work
 from rowanshift.invariants.facts import Answered, Asked, ConfigAnswered, ConfigRead, ConfigSent, Lost
-from rowanshift.net.transport import Address
 from rowanshift.simulation.fleet_settings import (
     CATALOGUES,
     HOST,
@@ -25,6 +24,7 @@
 )
 from rowanshift.simulation.fleet_troubles import FleetTroubles
 from rowanshift.simulation.machine import Machine
+from rowanshift.transport.runtime import Address
 
 
 class FleetLoad(FleetTroubles):
--- a/rowanshift/simulation/fleet_machines.py
+++ b/rowanshift/simulation/fleet_machines.py
@@ -15,11 +15,11 @@
 from rowanshift.dataplane.service import DataPlaneService
 from rowanshift.emulation.platform import PlatformList
 from rowanshift.invariants.facts import CallCut, Fact, PrimaryBecame, RequestCut, RouterStarted
-from rowanshift.net.calls import CutCall
-from rowanshift.node_settings import NodeSettings, node_settings_of
+from rowanshift.process.node_settings import NodeSettings, node_settings_of
 from rowanshift.simulation.fleet_settings import AGAIN, CONTROL, FRONT
 from rowanshift.simulation.machine import Machine
 from rowanshift.simulation.network import Network
+from rowanshift.transport.calls import CutCall
 from rowanshift.wire.machines import machine_of
 
 
--- a/rowanshift/simulation/machine.py
+++ b/rowanshift/simulation/machine.py
@@ -1,4 +1,4 @@
-"""A machine of the virtual network: what ``net/transport.py`` asks of a host, and what can befall one.
+"""A machine of the virtual network: what ``transport/runtime.py`` asks of a host, and what can befall one.
 
 A process on it is driven through ``driven``, which sees each wait of each of its tasks. While the machine
 stands still, nothing that ends a wait reaches a task: what the network brings stays in buffers, as a kernel
@@ -19,9 +19,9 @@
 import trio
 from trio.lowlevel import Abort
 
-from rowanshift.net.signals import ReceivedSignal
-from rowanshift.net.transport import Address, Listener, Port, Stream
 from rowanshift.simulation.disk import VirtualDisk
+from rowanshift.transport.runtime import Address, Listener, Port, Stream
+from rowanshift.transport.signals import ReceivedSignal
 
 if TYPE_CHECKING:
     from rowanshift.simulation.network import Network
--- a/rowanshift/simulation/shrink.py
+++ b/rowanshift/simulation/shrink.py
@@ -5,7 +5,7 @@
 
 from msgspec.structs import replace
 
-from rowanshift.scenario import Scenario, Trouble
+from rowanshift.simulation.scenario import Scenario, Trouble
 
 MOST_TRIES = 200
 PADDING = 4.0  # seconds that are kept after the last trouble begins
--- a/rowanshift/simulation/world.py
+++ b/rowanshift/simulation/world.py
@@ -15,21 +15,21 @@
 import trio
 from loguru import logger
 
-from rowanshift.choice import Router
+from rowanshift.cacheproxy.config import config_of, entry_of
+from rowanshift.cacheproxy.decision.router import Router
+from rowanshift.cacheproxy.service import Phase, Service
+from rowanshift.cacheproxy.settings import settings_of
 from rowanshift.emulation.clients import Asked, Crowd, Door, Habits
 from rowanshift.emulation.discovery import Agent, row_of
 from rowanshift.emulation.http import Ledger
 from rowanshift.emulation.servers import Cache, Kind, Origin, Server, Spoiling
 from rowanshift.invariants.checks import Broken, Rules, Terms
 from rowanshift.invariants.events import Events, Fact
-from rowanshift.net.config import config_of, entry_of
-from rowanshift.net.service import Phase, Service
-from rowanshift.policy.ring import stable
-from rowanshift.scenario import Scenario, Trouble
-from rowanshift.settings import settings_of
+from rowanshift.placement.hash_ring import stable
 from rowanshift.simulation.clock import Determined, VirtualClock
 from rowanshift.simulation.machine import Machine
 from rowanshift.simulation.network import EPOCH, Network, Paths
+from rowanshift.simulation.scenario import Scenario, Trouble
 
 PORT, PEERS, AGENT = 8080, 9100, 9500
 NOTICED = 1.5, 3.4  # seconds until clients know that a router died
--- a/rowanshift/soak/command.py
+++ b/rowanshift/soak/command.py
@@ -14,9 +14,9 @@
 
 import trio
 
-from rowanshift.error_groups import first_of
 from rowanshift.invariants.breaches import Breach, Facts, of_kind
 from rowanshift.invariants.facts import Answered, Asked, ConfigAnswered, ConfigSent
+from rowanshift.process.error_groups import first_of
 from rowanshift.soak import checker, plan, records
 from rowanshift.soak.plan import BadPlan, Plan
 from rowanshift.soak.processes import LogTooLarge
--- a/rowanshift/soak/layout.py
+++ b/rowanshift/soak/layout.py
@@ -13,7 +13,6 @@
 
 import orjson
 
-from rowanshift.net.transport import Address, Host
 from rowanshift.simulation.fleet_settings import BOUNDS
 from rowanshift.soak.plan import (
     CLIENTS,
@@ -28,6 +27,7 @@
     server_name,
 )
 from rowanshift.soak.relay import DatagramRelay, Relay
+from rowanshift.transport.runtime import Address, Host
 
 FIRST_CORE, FIRST_ROUTER, FIRST_SERVER, PLATFORM_NUMBER = 1, 11, 81, 91  # last numbers of the addresses
 INTERNAL, CONTROL = 7400, 8500  # ports; a machine's own is so much above as its last number
--- a/rowanshift/soak/load.py
+++ b/rowanshift/soak/load.py
@@ -10,9 +10,6 @@
 from rowanshift.emulation.model_server import Registry
 from rowanshift.emulation.system_clients import Operator, Patron, Work
 from rowanshift.invariants.facts import ConfigAnswered, ConfigRead, ConfigSent, Fact
-from rowanshift.net.budget import Memory
-from rowanshift.net.calls import CallFailed, call
-from rowanshift.net.transport import Address, Host
 from rowanshift.simulation.fleet_settings import (
     CATALOGUES,
     HOST,
@@ -27,6 +24,9 @@
 )
 from rowanshift.soak.layout import Layout
 from rowanshift.soak.plan import Plan
+from rowanshift.transport.calls import CallFailed, call
+from rowanshift.transport.memory_budget import Memory
+from rowanshift.transport.runtime import Address, Host
 
 OTHER = "other"  # the second service
 PROBE, MISSES = 0.5, 4  # seconds between looks whether a router is ready, and failures until clients leave it
--- a/rowanshift/soak/relay.py
+++ b/rowanshift/soak/relay.py
@@ -13,8 +13,8 @@
 
 import trio
 
-from rowanshift.net.transport import Address, Host, Stream, accepted, connect, send_all
 from rowanshift.soak.plan import Direction
+from rowanshift.transport.runtime import Address, Host, Stream, accepted, connect, send_all
 
 BACKLOG = 128
 MOST_CONNECTIONS = 512  # of a relay at once; more are reset
--- a/rowanshift/net/calls.py
+++ b/rowanshift/transport/calls.py
@@ -12,9 +12,9 @@
 import trio
 from loguru import logger
 
-from rowanshift.net.budget import Memory
-from rowanshift.net.connection import BadMessage, Connection, Fields, Message
-from rowanshift.net.transport import Address, Host, Listener, Nursery, Stream, connect, send_all
+from rowanshift.transport.http_connection import BadMessage, Connection, Fields, Message
+from rowanshift.transport.memory_budget import Memory
+from rowanshift.transport.runtime import Address, Host, Listener, Nursery, Stream, connect, send_all
 
 REASONS = {status.value: status.phrase.encode() for status in HTTPStatus}
 CALLERS = 256  # connections at once; more are closed
--- a/rowanshift/net/flow.py
+++ b/rowanshift/transport/flow.py
@@ -5,7 +5,7 @@
 
 import trio
 
-from rowanshift.net.budget import Memory
+from rowanshift.transport.memory_budget import Memory
 
 HIGH, LOW = 256 * 1024, 64 * 1024  # bytes held, at which the source waits and goes on
 SHORT = 32 * 1024  # the upper mark while memory for bodies is short: one read
--- a/rowanshift/net/connection.py
+++ b/rowanshift/transport/http_connection.py
@@ -6,10 +6,10 @@
 
 import httptools
 
-from rowanshift.net.budget import Memory
-from rowanshift.net.flow import Flow
-from rowanshift.net.ring import Ring
-from rowanshift.net.transport import Stream
+from rowanshift.transport.buffer import Ring
+from rowanshift.transport.flow import Flow
+from rowanshift.transport.memory_budget import Memory
+from rowanshift.transport.runtime import Stream
 
 LARGEST_HEAD = 16 * 1024
 WHOLE = 64 * 1024  # bytes of a body that is read whole, so that it can go again; longer ones flow
--- a/rowanshift/net/links.py
+++ b/rowanshift/transport/record_links.py
@@ -7,8 +7,8 @@
 import trio
 from loguru import logger
 
-from rowanshift.net.ring import Ring
-from rowanshift.net.transport import Address, Host, Stream, connect, receive, send_all
+from rowanshift.transport.buffer import Ring
+from rowanshift.transport.runtime import Address, Host, Stream, connect, receive, send_all
 from rowanshift.wire.codec import BadRecord, Codec, Frames
 
 DIAL_WITHIN = 0.4  # seconds
--- a/rowanshift/net/transport.py
+++ b/rowanshift/transport/runtime.py
@@ -23,8 +23,8 @@
 
 import trio
 
-from rowanshift.net.ring import Ring
-from rowanshift.net.signals import ReceivedSignal, received_signals
+from rowanshift.transport.buffer import Ring
+from rowanshift.transport.signals import ReceivedSignal, received_signals
 
 Address = tuple[str, int]
 
--- a/tests/exchange_rig.py
+++ b/tests/exchange_rig.py
@@ -21,11 +21,11 @@
 from rowanshift.dataplane.load_index import DatagramKind
 from rowanshift.dataplane.routing_table import RoutingTable, routing_table_of
 from rowanshift.dataplane.upstream import Upstream
-from rowanshift.net.budget import Budget, Memory
-from rowanshift.net.transport import connect, send_all
 from rowanshift.simulation.clock import Determined, VirtualClock
 from rowanshift.simulation.machine import Machine
 from rowanshift.simulation.network import End, Network, Paths
+from rowanshift.transport.memory_budget import Budget, Memory
+from rowanshift.transport.runtime import connect, send_all
 
 FRONT, SERVED = 8080, 9000  # ports
 EVENTS = 3  # of a whole stream
--- a/tests/faults.py
+++ b/tests/faults.py
@@ -1,11 +1,11 @@
 """Faults that tests plant in the router, to see that the rules find them. Each takes a ``MonkeyPatch``."""
 
-from rowanshift import choice
-from rowanshift.choice import Router
-from rowanshift.model import Answer, Semantics, Verdict
-from rowanshift.net import clients, config, discovery, driver, servers, service
-from rowanshift.net.connection import Connection
-from rowanshift.net.exchange import HandOff, Reply
+from rowanshift.cacheproxy import clients, config, discovery, driver, servers, service
+from rowanshift.cacheproxy.decision import router as choice
+from rowanshift.cacheproxy.decision.router import Router
+from rowanshift.cacheproxy.exchange import HandOff, Reply
+from rowanshift.cacheproxy.model import Answer, Semantics, Verdict
+from rowanshift.transport.http_connection import Connection
 
 
 def answers_twice(patch):
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -4,9 +4,9 @@
 from contextlib import redirect_stderr, redirect_stdout
 from io import StringIO
 
-from rowanshift.choice import Router
+from rowanshift.cacheproxy.decision.router import Router
+from rowanshift.cacheproxy.model import Category, Entry, Semantics, Settings, Verdict
 from rowanshift.cli import main
-from rowanshift.model import Category, Entry, Semantics, Settings, Verdict
 
 RERUNNABLE, TICKETED, EXCLUSIVE, ZONAL = range(4)
 ORIGIN = "origin:1"
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -7,14 +7,14 @@
 import trio
 from helpers import ORIGIN
 
+from rowanshift.cacheproxy.config import config_of
+from rowanshift.cacheproxy.service import Phase, Service
 from rowanshift.emulation.demo import ask
 from rowanshift.emulation.discovery import Agent, row_of
 from rowanshift.emulation.http import Ledger
 from rowanshift.emulation.servers import Cache, Kind, Origin
 from rowanshift.invariants.events import Events
-from rowanshift.net.config import config_of
-from rowanshift.net.service import Phase, Service
-from rowanshift.net.transport import SYSTEM
+from rowanshift.transport.runtime import SYSTEM
 
 RAW = {
     "categories": [
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -8,14 +8,14 @@
 import trio
 from test_net import FIELDS, Deciding, clients_of, pair
 
-from rowanshift.model import Verdict
-from rowanshift.net.budget import Budget, Memory
-from rowanshift.net.clients import Clients
-from rowanshift.net.clock import Clock
-from rowanshift.net.connection import WHOLE, BadMessage, Connection
-from rowanshift.net.exchange import Reply
-from rowanshift.net.flow import HIGH, Flow
-from rowanshift.net.servers import Servers
+from rowanshift.cacheproxy.clients import Clients
+from rowanshift.cacheproxy.clock import Clock
+from rowanshift.cacheproxy.exchange import Reply
+from rowanshift.cacheproxy.model import Verdict
+from rowanshift.cacheproxy.servers import Servers
+from rowanshift.transport.flow import HIGH, Flow
+from rowanshift.transport.http_connection import WHOLE, BadMessage, Connection
+from rowanshift.transport.memory_budget import Budget, Memory
 
 LONG = bytes(range(256)) * 1200  # over 64 KiB
 
@@ -164,7 +164,7 @@
         self.told, self.nursery, self.gone_ids = [], nursery, []
 
     def take(self, exchange) -> None:
-        from rowanshift.net.exchange import HandOff
+        from rowanshift.cacheproxy.exchange import HandOff
 
         self.exchange = exchange
         self.servers.hand_off(HandOff(exchange, 0, "s", self.clock.now(), exchange.expiry))
@@ -375,8 +375,8 @@
     ],
 )
 def test_a_long_request_that_is_malformed_or_too_slow_gets_an_error_and_the_close(sent, status, monkeypatch):
-    monkeypatch.setattr("rowanshift.net.clients.BODY_RATE", 10**6)
-    monkeypatch.setattr("rowanshift.net.clients.BODY_SLACK", 0.3)
+    monkeypatch.setattr("rowanshift.cacheproxy.clients.BODY_RATE", 10**6)
+    monkeypatch.setattr("rowanshift.cacheproxy.clients.BODY_SLACK", 0.3)
 
     async def script(p):
         client, accept = await p.connect()
@@ -392,7 +392,7 @@
 
 
 def test_a_body_over_the_limit_is_refused_by_its_length_and_when_it_is_reached(monkeypatch):
-    monkeypatch.setattr("rowanshift.net.connection.LARGEST_BODY", 100_000)
+    monkeypatch.setattr("rowanshift.transport.http_connection.LARGEST_BODY", 100_000)
     for sent in (b"Content-Length: 100001\r\n\r\n", b"Transfer-Encoding: chunked\r\n\r\n" + chunked(LONG, 9000)):
         ours, theirs = pair()
         with ours, theirs:
@@ -422,7 +422,7 @@
 
 
 def test_a_long_answer_that_stands_still_is_cut_off(monkeypatch):
-    monkeypatch.setattr("rowanshift.net.servers.SILENT_BODY", 0.2)
+    monkeypatch.setattr("rowanshift.cacheproxy.servers.SILENT_BODY", 0.2)
 
     async def script(p):
         client, accept = await p.connect()
--- a/tests/test_call_exchanges.py
+++ b/tests/test_call_exchanges.py
@@ -10,13 +10,13 @@
 import trio
 from loguru import logger
 
-from rowanshift.net.budget import Memory
-from rowanshift.net.calls import Answer, CallFailed, Line, call
-from rowanshift.net.connection import Connection
-from rowanshift.net.links import Caller, LinkFailed
-from rowanshift.net.transport import send_all
 from rowanshift.simulation.clock import Determined, VirtualClock
 from rowanshift.simulation.network import End, Network, Paths
+from rowanshift.transport.calls import Answer, CallFailed, Line, call
+from rowanshift.transport.http_connection import Connection
+from rowanshift.transport.memory_budget import Memory
+from rowanshift.transport.record_links import Caller, LinkFailed
+from rowanshift.transport.runtime import send_all
 from rowanshift.wire.codec import HEAD
 from rowanshift.wire.delivery import CODEC, Elsewhere
 
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -3,9 +3,9 @@
 import pytest
 from helpers import CATEGORIES, EXCLUSIVE, ORIGIN, RERUNNABLE, TICKETED, ZONAL, come_back, entry, router, take
 
-from rowanshift.model import Answer, Hot, Item, Tally, Verdict
-from rowanshift.policy.hotness import LEASE
-from rowanshift.policy.ring import stable
+from rowanshift.cacheproxy.model import Answer, Hot, Item, Tally, Verdict
+from rowanshift.placement.hash_ring import stable
+from rowanshift.placement.hot_keys import LEASE
 
 K = stable("k") >> 32
 KEYS = [f"k:{n}" for n in range(300)]
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -12,7 +12,8 @@
 
 from helpers import invoke
 
-from rowanshift import __version__, node_settings
+from rowanshift import __version__
+from rowanshift.process import node_settings
 from rowanshift.simulation.draw import SIZES
 
 ROOT = Path(__file__).parents[1]
@@ -218,7 +219,8 @@
 
     CODE = """
 import os, signal, sys
-from rowanshift import cli, node_settings
+from rowanshift import cli
+from rowanshift.process import node_settings
 def import_module(name):
     os.kill(os.getpid(), signal.Signals[sys.argv[1]])
     raise SystemExit(7)
@@ -273,7 +275,7 @@
                         "rich",
                         "lmdb",
                         "serde",
-                        "rowanshift.migrate",
+                        "rowanshift.cacheproxy.migrate",
                         "rowanshift.simulation",
                         "rowanshift.emulation",
                         "rowanshift.dataplane",
--- a/tests/test_control_client.py
+++ b/tests/test_control_client.py
@@ -13,7 +13,7 @@
 from rowanshift.dataplane.primary_search import SUSPECT_FOR, PrimarySearch
 from rowanshift.dataplane.routing_table import RoutingTable
 from rowanshift.invariants.system import Answered
-from rowanshift.node_settings import Bounds
+from rowanshift.process.node_settings import Bounds
 from rowanshift.simulation.fleet import ONCE, Fleet, Unit, config_of, play
 from rowanshift.wire.delivery import NamedVersion, Poll, Update
 
--- a/tests/test_control_leaving.py
+++ b/tests/test_control_leaving.py
@@ -14,16 +14,16 @@
 import trio
 from loguru import logger
 
-from rowanshift import staff
-from rowanshift.net import calls
-from rowanshift.net.calls import Answer, CallFailed, CallServer, call
-from rowanshift.net.connection import Message
-from rowanshift.net.links import Caller, LinkFailed
-from rowanshift.net.transport import connect, send_all
+from rowanshift.admin import commands as staff
 from rowanshift.simulation.fleet import Fleet, config_of, play
 from rowanshift.simulation.fleet_machines import Unit
 from rowanshift.simulation.fleet_settings import BOUNDS, CONTROL, INNER
 from rowanshift.simulation.machine import Machine
+from rowanshift.transport import calls
+from rowanshift.transport.calls import Answer, CallFailed, CallServer, call
+from rowanshift.transport.http_connection import Message
+from rowanshift.transport.record_links import Caller, LinkFailed
+from rowanshift.transport.runtime import connect, send_all
 from rowanshift.wire.delivery import Poll, Update
 from rowanshift.wire.table import CODEC
 
--- a/tests/test_core_scenarios.py
+++ b/tests/test_core_scenarios.py
@@ -13,10 +13,10 @@
 
 from rowanshift.controlplane.configuration_change import CHANGES
 from rowanshift.controlplane.order_history import NO_ORDERS
-from rowanshift.core_scenario import WHAT, CoreScenario, CoreTrouble, core_scenario_of, is_core, load_core
-from rowanshift.scenario import ScenarioError
 from rowanshift.simulation.core_draw import KINDS, MORE, ORDERS, WHOLE, core_scenario
 from rowanshift.simulation.core_play import CorePlayer, play_core
+from rowanshift.simulation.core_scenario import WHAT, CoreScenario, CoreTrouble, core_scenario_of, is_core, load_core
+from rowanshift.simulation.scenario import ScenarioError
 
 NAMED = {path.stem: path for path in (Path(__file__).parents[1] / "examples/scenarios").glob("core-*.toml")}
 
--- a/tests/test_emulation_system.py
+++ b/tests/test_emulation_system.py
@@ -29,11 +29,11 @@
     by_id,
     of_kind,
 )
-from rowanshift.net.budget import Memory
-from rowanshift.net.connection import Connection
-from rowanshift.net.transport import SYSTEM, connect, send_all
 from rowanshift.simulation.clock import Determined, VirtualClock
 from rowanshift.simulation.network import Network, Paths
+from rowanshift.transport.http_connection import Connection
+from rowanshift.transport.memory_budget import Memory
+from rowanshift.transport.runtime import SYSTEM, connect, send_all
 
 PORT = 8080
 TRAITS = dict(
--- a/tests/test_exchange_clients.py
+++ b/tests/test_exchange_clients.py
@@ -22,7 +22,7 @@
 )
 from loguru import logger
 
-from rowanshift.net.transport import SYSTEM, connect, send_all
+from rowanshift.transport.runtime import SYSTEM, connect, send_all
 
 
 def setUpModule():
--- a/tests/test_exchange_faults.py
+++ b/tests/test_exchange_faults.py
@@ -17,7 +17,7 @@
 from rowanshift.dataplane.forwarder import Forwarder
 from rowanshift.dataplane.retry_decision import Decision, Ending, Progress, Told
 from rowanshift.dataplane.upstream import Link, Outcome, SendFailed, Upstream
-from rowanshift.net.connection import Connection
+from rowanshift.transport.http_connection import Connection
 
 
 def setUpModule():
--- a/tests/test_fleet_faults.py
+++ b/tests/test_fleet_faults.py
@@ -16,7 +16,7 @@
 from rowanshift.dataplane import drain
 from rowanshift.dataplane.client_answer import ClientGone, Out
 from rowanshift.dataplane.control_client import ControlClient
-from rowanshift.retry_budget import RetryBudget
+from rowanshift.dataplane.retry_budget import RetryBudget
 from rowanshift.simulation.fleet import ONCE, REPEATED, RESUMED, config_of, play, routes_of
 
 
--- a/tests/test_frontend_leaving.py
+++ b/tests/test_frontend_leaving.py
@@ -13,8 +13,8 @@
 from rowanshift.dataplane.drain import NOTICE
 from rowanshift.dataplane.frontend import FIRST_WITHIN, Frontend
 from rowanshift.dataplane.service import LEAVE_STEP
-from rowanshift.net.budget import CLIENTS, OWN, Budget
-from rowanshift.net.transport import connect
+from rowanshift.transport.memory_budget import CLIENTS, OWN, Budget
+from rowanshift.transport.runtime import connect
 
 LATE = NOTICE + 0.2  # when the new connection comes
 WAITING = 20  # connections
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -9,12 +9,12 @@
 from loguru import logger
 from rig import Rig, free, played
 
-from rowanshift.model import Hot
-from rowanshift.net.budget import LEAST, OWN, Budget, Memory
-from rowanshift.net.control import CALLERS
-from rowanshift.net.handover import MEET_WITHIN, Handover
-from rowanshift.net.service import Phase
-from rowanshift.net.transport import SYSTEM
+from rowanshift.cacheproxy.control import CALLERS
+from rowanshift.cacheproxy.handover import MEET_WITHIN, Handover
+from rowanshift.cacheproxy.model import Hot
+from rowanshift.cacheproxy.service import Phase
+from rowanshift.transport.memory_budget import LEAST, OWN, Budget, Memory
+from rowanshift.transport.runtime import SYSTEM
 
 
 @pytest.fixture(autouse=True)
@@ -251,8 +251,8 @@
 @pytest.mark.parametrize("says", [None, b"", b"\x00\x01\n", b"rowanshift 2\nend\n", b"x" * 2000])
 def test_a_fellow_that_does_not_answer_as_it_should_holds_up_nobody(says, folder, monkeypatch):
     # guards against a new process that waits for good on one that stands still, or speaks another language
-    monkeypatch.setattr("rowanshift.net.handover.MEET_WITHIN", 0.2)
-    monkeypatch.setattr("rowanshift.net.handover.LONGEST_LINE", 1024)
+    monkeypatch.setattr("rowanshift.cacheproxy.handover.MEET_WITHIN", 0.2)
+    monkeypatch.setattr("rowanshift.cacheproxy.handover.LONGEST_LINE", 1024)
     with socket.socket(socket.AF_UNIX) as listener:
         listener.bind(str(folder / "rowanshift-127.0.0.1-1.sock"))
         listener.listen(1)
@@ -314,7 +314,7 @@
 
 
 def test_so_many_fellows_may_be_linked_and_no_more(monkeypatch):
-    monkeypatch.setattr("rowanshift.net.handover.MOST_FELLOWS", 0)
+    monkeypatch.setattr("rowanshift.cacheproxy.handover.MOST_FELLOWS", 0)
 
     async def script(rig):
         new = await second(rig)
--- a/tests/test_inherited_names.py
+++ b/tests/test_inherited_names.py
@@ -12,8 +12,8 @@
 from rowanshift.simulation.fleet import Fleet, play
 from rowanshift.simulation.fleet_settings import MODEL
 from rowanshift.simulation.fleet_troubles import Unit
-from rowanshift.version_names import VersionName
 from rowanshift.wire.delivery import NamedVersion
+from rowanshift.wire.named_versions import VersionName
 
 CLOSE = 0.3  # seconds by which a date may differ from when the name was acknowledged
 AGE = 2.5  # seconds from a name to the trouble
--- a/tests/test_kv_index.py
+++ b/tests/test_kv_index.py
@@ -21,7 +21,7 @@
     there,
     unpacked,
 )
-from rowanshift.net.connection import Message
+from rowanshift.transport.http_connection import Message
 
 AT = "10.0.0.1:9000"
 
--- a/tests/test_load_index.py
+++ b/tests/test_load_index.py
@@ -19,9 +19,9 @@
     LoadIndex,
     Sums,
 )
+from rowanshift.dataplane.ownership import holder
 from rowanshift.dataplane.server_progress import HALF_LIFE
-from rowanshift.ownership import holder
-from rowanshift.policy.ring import stable
+from rowanshift.placement.hash_ring import stable
 from rowanshift.simulation.clock import Determined, VirtualClock
 from rowanshift.simulation.network import Network, Paths
 from rowanshift.wire.machines import ip_of, machine_of
--- a/tests/test_migrate.py
+++ b/tests/test_migrate.py
@@ -9,9 +9,9 @@
 from helpers import invoke
 from test_net import RAW
 
+from rowanshift.cacheproxy.config import config_of
+from rowanshift.cacheproxy.migrate import Wanted, migrated
 from rowanshift.emulation import demo
-from rowanshift.migrate import Wanted, migrated
-from rowanshift.net.config import config_of
 
 EXAMPLE = Path(__file__).parents[1] / "examples" / "config.json"
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -16,24 +16,24 @@
 from loguru import logger
 from rig import free
 
+from rowanshift.cacheproxy.clients import Clients, exchange_of
+from rowanshift.cacheproxy.clock import Clock
+from rowanshift.cacheproxy.config import ConfigError, Names, changed, config_of, entry_of
+from rowanshift.cacheproxy.discovery import Discovery
+from rowanshift.cacheproxy.driver import Driver
+from rowanshift.cacheproxy.exchange import Exchange, HandOff, Reply
+from rowanshift.cacheproxy.membership import Membership
+from rowanshift.cacheproxy.model import Answer, Results, Verdict
+from rowanshift.cacheproxy.peers import Peers
+from rowanshift.cacheproxy.servers import Servers, verdict_of
+from rowanshift.cacheproxy.service import Phase, Service
 from rowanshift.emulation.discovery import Agent, row_of
 from rowanshift.invariants.events import Events
-from rowanshift.model import Answer, Results, Verdict
-from rowanshift.net.budget import CLIENTS, OWN, Budget, Memory
-from rowanshift.net.clients import Clients, exchange_of
-from rowanshift.net.clock import Clock
-from rowanshift.net.config import ConfigError, Names, changed, config_of, entry_of
-from rowanshift.net.connection import BadMessage, Connection, Message
-from rowanshift.net.discovery import Discovery
-from rowanshift.net.driver import Driver
-from rowanshift.net.exchange import Exchange, HandOff, Reply
-from rowanshift.net.lines import Lines
-from rowanshift.net.membership import Membership
-from rowanshift.net.peers import Peers
-from rowanshift.net.ring import Ring
-from rowanshift.net.servers import Servers, verdict_of
-from rowanshift.net.service import Phase, Service
-from rowanshift.net.transport import SYSTEM, Socket
+from rowanshift.process.log_rate_limit import Lines
+from rowanshift.transport.buffer import Ring
+from rowanshift.transport.http_connection import BadMessage, Connection, Message
+from rowanshift.transport.memory_budget import CLIENTS, OWN, Budget, Memory
+from rowanshift.transport.runtime import SYSTEM, Socket
 
 NAMES = Names({b"read": 0, b"write": 1}, {b"demo": 0, b"other": 1}, {"here": 0, "there": 1}, {"cache": 0, "origin": 1})
 FIELDS = {"Host": "a", "X-Txn": "1", "X-Lane": "read", "X-Org": "other", "X-Remaining-Ms": "480"}
@@ -627,8 +627,8 @@
 @pytest.mark.parametrize(("sent", "got"), [(b"", b""), (b"GET /read/k HTT", b"HTTP/1.1 408")])
 def test_a_client_that_says_nothing_or_half_a_request_goes_soon(sent, got, monkeypatch):
     # guards against descriptors held by those who connect by hundreds, and against one more byte now and then
-    monkeypatch.setattr("rowanshift.net.clients.SILENT_FOR", 0.1)
-    monkeypatch.setattr("rowanshift.net.clients.HEAD_WITHIN", 0.1)
+    monkeypatch.setattr("rowanshift.cacheproxy.clients.SILENT_FOR", 0.1)
+    monkeypatch.setattr("rowanshift.cacheproxy.clients.HEAD_WITHIN", 0.1)
 
     async def main():
         ours, theirs = pair()
@@ -648,7 +648,7 @@
 
 def test_a_client_that_has_asked_may_not_stand_idle_for_long(monkeypatch):
     # guards against clients that ask once and keep their connection: others then find none left
-    monkeypatch.setattr("rowanshift.net.clients.IDLE_FOR", 0.1)
+    monkeypatch.setattr("rowanshift.cacheproxy.clients.IDLE_FOR", 0.1)
 
     async def main():
         ours, theirs = pair()
@@ -727,7 +727,7 @@
 )
 def test_an_idle_client_goes_at_once_unless_it_has_asked_or_is_fresh(asked, fresh, closed, monkeypatch):
     if not fresh:
-        monkeypatch.setattr("rowanshift.net.clients.FRESH_FOR", 0.01)
+        monkeypatch.setattr("rowanshift.cacheproxy.clients.FRESH_FOR", 0.01)
 
     async def main():
         ours, theirs = pair()
--- a/tests/test_node_settings.py
+++ b/tests/test_node_settings.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from tempfile import TemporaryDirectory
 
-from rowanshift.node_settings import (
+from rowanshift.process.node_settings import (
     LARGEST,
     NodeSettings,
     NodeSettingsError,
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -12,12 +12,12 @@
 from rig import free, played
 from test_net import GOOD
 
-from rowanshift.model import Verdict
-from rowanshift.net.config import ConfigError, config_of, control_of, load
-from rowanshift.net.control import CALLERS, LONGEST_LINE, Control
-from rowanshift.net.figures import Figures
-from rowanshift.net.membership import Membership
-from rowanshift.net.service import Phase
+from rowanshift.cacheproxy.config import ConfigError, config_of, control_of, load
+from rowanshift.cacheproxy.control import CALLERS, LONGEST_LINE, Control
+from rowanshift.cacheproxy.figures import Figures
+from rowanshift.cacheproxy.membership import Membership
+from rowanshift.cacheproxy.model import Verdict
+from rowanshift.cacheproxy.service import Phase
 
 # the second address -----------------------------------------
 
@@ -388,7 +388,7 @@
 
 
 def test_a_byte_at_a_time_is_a_call_and_a_line_that_takes_too_long_ends(monkeypatch):
-    monkeypatch.setattr("rowanshift.net.control.LINE_WITHIN", 0.3)
+    monkeypatch.setattr("rowanshift.cacheproxy.control.LINE_WITHIN", 0.3)
 
     async def script(rig):
         got = []
@@ -418,7 +418,7 @@
 
 
 def test_so_many_may_be_out_by_hand_and_no_more(monkeypatch):
-    monkeypatch.setattr("rowanshift.net.membership.MOST_OUT", 1)
+    monkeypatch.setattr("rowanshift.cacheproxy.membership.MOST_OUT", 1)
 
     async def script(rig):
         return [await rig.call(f"DISABLE cache:{n}") for n in (0, 1, 0)]
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -8,8 +8,8 @@
 
 from rowanshift.dataplane.endpoints import Endpoint, Endpoints
 from rowanshift.dataplane.kv_moves import LEAST_SOUGHT, source_of
-from rowanshift.policy.hotness import EVIDENCE, HOT_EPOCHS, LEASE
-from rowanshift.policy.placement import (
+from rowanshift.placement.hot_keys import EVIDENCE, HOT_EPOCHS, LEASE
+from rowanshift.placement.shadows import (
     BACK_OFF,
     EASE,
     LONGEST_BACK_OFF,
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -2,8 +2,8 @@
 
 import unittest
 
-from rowanshift.policy.hotness import EVIDENCE, HOT_EPOCHS, LEASE, TABLE, Hotness
-from rowanshift.policy.ring import HashRing, stable
+from rowanshift.placement.hash_ring import HashRing, stable
+from rowanshift.placement.hot_keys import EVIDENCE, HOT_EPOCHS, LEASE, TABLE, Hotness
 
 OWNERS = [f"server:{n}" for n in range(5)]
 MARKS = [stable(f"key:{n}") >> 32 for n in range(2000)]
--- a/tests/test_process_end.py
+++ b/tests/test_process_end.py
@@ -21,8 +21,8 @@
 
 from rowanshift.emulation import cluster
 from rowanshift.emulation.system_clients import Patron, Work
-from rowanshift.net.transport import Address
 from rowanshift.soak.processes import heeds
+from rowanshift.transport.runtime import Address
 
 ROOT = Path(__file__).parents[1]
 WITHIN = 15.0  # seconds for anything that is waited for
--- a/tests/test_protocol_rules.py
+++ b/tests/test_protocol_rules.py
@@ -10,10 +10,10 @@
 from rowanshift.controlplane.server_registry import Known
 from rowanshift.dataplane.routing_table import RoutingTable
 from rowanshift.invariants.facts import Ordered
-from rowanshift.net.calls import call
 from rowanshift.simulation import fleet as fleets
 from rowanshift.simulation.fleet import ONCE, SERVICE, Fleet
 from rowanshift.simulation.fleet_settings import CONTACT, MODEL, READY
+from rowanshift.transport.calls import call
 
 RETRIES, TIMEOUT = 3, 8.0  # of the rig's routes
 FULL = Behaviour(rejection(503, b"Not-Executed: 1"), runs=False)
--- a/tests/test_request_endings.py
+++ b/tests/test_request_endings.py
@@ -22,10 +22,10 @@
 )
 from rowanshift.emulation.system_clients import Patron
 from rowanshift.invariants.facts import CallCut, RequestCut
-from rowanshift.net.calls import CallEnding, CallEndings, CutCall
-from rowanshift.net.transport import connect, send_all
 from rowanshift.simulation.fleet import ONCE, REPEATED, RESUMED, Fleet, ViolatedEndings, config_of, play
 from rowanshift.simulation.fleet_machines import Unit
+from rowanshift.transport.calls import CallEnding, CallEndings, CutCall
+from rowanshift.transport.runtime import connect, send_all
 
 GRACE = 6.0  # seconds
 MIDWAY = 200  # bytes of an answer, in the middle of its events
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -16,7 +16,7 @@
     written,
 )
 from rowanshift.dataplane.routing_table import BadControlState, RoutingTable, Tenant, routing_table_of
-from rowanshift.net.connection import BadMessage, Message
+from rowanshift.transport.http_connection import BadMessage, Message
 
 SHEET = {
     "limits": {"maxBodyBytes": 1000, "headerTimeoutMs": 500, "idleTimeoutMs": 2000},
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -5,7 +5,7 @@
 from bisect import bisect_left, bisect_right
 from collections import deque
 
-from rowanshift.retry_budget import SURE, RetryBudget
+from rowanshift.dataplane.retry_budget import SURE, RetryBudget
 
 RATIO, SLACK, WINDOW = 0.2, 10.0, 10.0
 
--- a/tests/test_revocation.py
+++ b/tests/test_revocation.py
@@ -12,7 +12,7 @@
 from rowanshift.dataplane.routing_table import routing_table_of
 from rowanshift.invariants.configuration_rules import revoked
 from rowanshift.invariants.facts import Answered, Asked, Began, ConfigAnswered, ConfigSent
-from rowanshift.node_settings import Bounds
+from rowanshift.process.node_settings import Bounds
 from rowanshift.simulation.fleet import ONCE, REPEATED, RESUMED, Fleet, config_of, play, routes_of
 from rowanshift.simulation.fleet_machines import Unit
 from rowanshift.simulation.fleet_settings import HOST, KEYS
--- a/tests/test_signal_times.py
+++ b/tests/test_signal_times.py
@@ -10,10 +10,10 @@
 import trio
 from loguru import logger
 
-from rowanshift.net.transport import SYSTEM
 from rowanshift.simulation.fleet import ONCE, Fleet, config_of, play, routes_of
 from rowanshift.simulation.fleet_settings import BOUNDS
 from rowanshift.simulation.fleet_troubles import Unit
+from rowanshift.transport.runtime import SYSTEM
 
 GRACE = BOUNDS["graceS"]
 STANDSTILL = 3.0  # seconds
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -19,12 +19,16 @@
 from msgspec.structs import replace
 from trio._core import _run
 
+from rowanshift.cacheproxy.model import Category, Semantics
 from rowanshift.emulation.servers import PARTS, Meter
 from rowanshift.invariants.checks import Rules, Terms
 from rowanshift.invariants.events import KINDS, Events, named
-from rowanshift.model import Category, Semantics
-from rowanshift.net.transport import connect, send_all
-from rowanshift.scenario import (
+from rowanshift.simulation.clock import MOST_IDLE, Determined, Standstill, VirtualClock
+from rowanshift.simulation.command import _one, play
+from rowanshift.simulation.draw import KINDS as DRAWN
+from rowanshift.simulation.draw import scenario
+from rowanshift.simulation.network import Network, Paths
+from rowanshift.simulation.scenario import (
     WHAT,
     CategoryRow,
     Fleet,
@@ -35,14 +39,10 @@
     load,
     scenario_of,
 )
-from rowanshift.simulation.clock import MOST_IDLE, Determined, Standstill, VirtualClock
-from rowanshift.simulation.command import _one, play
-from rowanshift.simulation.draw import KINDS as DRAWN
-from rowanshift.simulation.draw import scenario
-from rowanshift.simulation.network import Network, Paths
 from rowanshift.simulation.shrink import Shrinker
 from rowanshift.simulation.worker_pool import worker_pool
 from rowanshift.simulation.world import World
+from rowanshift.transport.runtime import connect, send_all
 
 SCENARIOS = Path(__file__).parent.parent / "examples/scenarios"
 NAMED = sorted({*SCENARIOS.glob("*.toml")} - {*SCENARIOS.glob("core-*.toml")})  # those: test_core_scenarios.py
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -33,7 +33,6 @@
     Reached,
     digest_of,
 )
-from rowanshift.net.transport import SYSTEM, connect, send_all
 from rowanshift.soak import checker, command, plan, records
 from rowanshift.soak.layout import GRACE, Layout
 from rowanshift.soak.plan import BadPlan, Direction, Link, Trouble, TroubleKind
@@ -51,6 +50,7 @@
 )
 from rowanshift.soak.relay import DatagramRelay, Relay
 from rowanshift.soak.run import RECOVER_WITHIN, SERVE_ON, Run
+from rowanshift.transport.runtime import SYSTEM, connect, send_all
 
 ROOT = Path(__file__).parents[1]
 SHORT_SEEDS = 1, 2, 4, 5, 15  # played in CI
--- a/tests/test_staff.py
+++ b/tests/test_staff.py
@@ -21,16 +21,17 @@
 from helpers import invoke
 from loguru import logger
 
-from rowanshift import node_settings, staff
+from rowanshift.admin import commands as staff
 from rowanshift.controlplane.api import ConfigResource
 from rowanshift.controlplane.change_loader import ChangeLoader
 from rowanshift.controlplane.replication import StateTooLarge
 from rowanshift.controlplane.store import Store
 from rowanshift.emulation import cluster
-from rowanshift.net.budget import Memory
-from rowanshift.net.calls import Answer, CallServer
-from rowanshift.net.connection import Message
-from rowanshift.net.transport import SYSTEM
+from rowanshift.process import node_settings
+from rowanshift.transport.calls import Answer, CallServer
+from rowanshift.transport.http_connection import Message
+from rowanshift.transport.memory_budget import Memory
+from rowanshift.transport.runtime import SYSTEM
 from rowanshift.wire.table import CODEC, Hello
 
 ROOT = Path(__file__).parents[1]
@@ -39,12 +40,12 @@
 WHERE_LIMITS = (
     "dataplane/*.py",
     "controlplane/**/*.py",
-    "net/links.py",
-    "net/calls.py",
-    "retry_budget.py",
-    "version_names.py",
+    "transport/record_links.py",
+    "transport/calls.py",
+    "dataplane/retry_budget.py",
+    "wire/named_versions.py",
 )
-WHERE_EVENTS = "dataplane/*.py", "controlplane/**/*.py", "net/links.py", "net/calls.py"
+WHERE_EVENTS = "dataplane/*.py", "controlplane/**/*.py", "transport/record_links.py", "transport/calls.py"
 
 
 def net() -> str:
--- a/tests/test_start_of_processes.py
+++ b/tests/test_start_of_processes.py
@@ -11,8 +11,8 @@
 
 from rowanshift.controlplane import change_loader
 from rowanshift.controlplane.change_loader import LOAD_AFTER, ChangeLoader
-from rowanshift.net.transport import SYSTEM
 from rowanshift.simulation.fleet import Fleet, config_of, play
+from rowanshift.transport.runtime import SYSTEM
 
 ROOT = Path(__file__).parents[1]
 LATER = ("serde", "jinja2", "beartype", "rowanshift.controlplane.configuration")
--- a/tests/test_system_simulation.py
+++ b/tests/test_system_simulation.py
@@ -24,8 +24,7 @@
 from rowanshift.dataplane.routing_table import Route
 from rowanshift.invariants import system as rules
 from rowanshift.invariants.system import Answered, Began, Loaded, Ordered, VersionNamed
-from rowanshift.net.transport import connect
-from rowanshift.node_settings import load_node_settings
+from rowanshift.process.node_settings import load_node_settings
 from rowanshift.simulation.clock import Determined, VirtualClock
 from rowanshift.simulation.disk import VirtualDisk
 from rowanshift.simulation.fleet import (
@@ -42,6 +41,7 @@
     routes_of,
 )
 from rowanshift.simulation.network import Network, Paths
+from rowanshift.transport.runtime import connect
 
 
 def setUpModule():
--- a/tests/test_version_names.py
+++ b/tests/test_version_names.py
@@ -9,10 +9,9 @@
 
 from rowanshift.controlplane.server_registry import FAILED_LATER, NAMES_KEPT_FOR, Known, ServerRegistry
 from rowanshift.controlplane.service import ControlPlaneService
-from rowanshift.net.links import Caller
 from rowanshift.simulation.fleet import Fleet, play
 from rowanshift.simulation.fleet_settings import INNER
-from rowanshift.version_names import MOST_AGE_MS, MOST_MODELS, MOST_NAMES, VersionNames
+from rowanshift.transport.record_links import Caller
 from rowanshift.wire.delivery import (
     CODEC,
     NamedVersion,
@@ -23,6 +22,7 @@
     UpdateOfFormat1,
     UpdateOfFormat2,
 )
+from rowanshift.wire.named_versions import MOST_AGE_MS, MOST_MODELS, MOST_NAMES, VersionNames
 
 
 def setUpModule() -> None:
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -5,9 +5,9 @@
 import orjson
 import pytest
 
-from rowanshift.adapter.wire import WireError, encode, serve
-from rowanshift.model import Results
-from rowanshift.settings import SettingsError, optional, settings_of
+from rowanshift.cacheproxy.adapter.wire import WireError, encode, serve
+from rowanshift.cacheproxy.model import Results
+from rowanshift.cacheproxy.settings import SettingsError, optional, settings_of
 
 
 def run(*lines: str) -> list:
