--- a/rowanshift/soak/processes.py
+++ b/rowanshift/soak/processes.py
@@ -12,6 +12,7 @@
 import subprocess
 import sys
 from collections.abc import Callable
+from functools import partial
 from pathlib import Path
 
 import trio
@@ -37,8 +38,11 @@
     """A process wrote more than ``LARGEST_LOG`` bytes of log."""
 
 
-def _die_with_parent() -> None:
+def _die_with_parent(parent: int) -> None:
+    """Have the kernel kill this process when its parent ends; end at once if the parent ended before it was asked."""
     _libc.prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
+    if os.getppid() != parent:
+        os._exit(1)
 
 
 def heeds(pid: int, number: signal.Signals) -> bool:
@@ -96,7 +100,7 @@
                 stdin=subprocess.DEVNULL,
                 stdout=log,
                 stderr=log,
-                preexec_fn=_die_with_parent,
+                preexec_fn=partial(_die_with_parent, os.getpid()),
             )
         self.started_at = self.now()
         self.facts.append(ProcessStarted(self.now(), self.name, self.life, self.log.name, self.front))
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -735,6 +735,30 @@
     assert [pid for pid in started if alive(pid)] == []
 
 
+def test_a_process_whose_parent_ended_before_it_asked_for_its_end_ends_at_once(tmp_path: Path) -> None:
+    """The parent is killed between the fork and the child's request to the kernel."""
+    program = (
+        "import os, time\n"
+        "from rowanshift.soak import processes\n"
+        "parent = os.getpid()\n"
+        "child = os.fork()\n"
+        "if child == 0:\n"
+        "    while os.getppid() == parent:\n"
+        "        time.sleep(0.01)\n"
+        "    processes._die_with_parent(parent)\n"
+        f"    open({str(tmp_path / 'lived_on')!r}, 'w').close()\n"
+        "    os._exit(0)\n"
+        "print(child)\n"
+    )
+    done = subprocess.run([sys.executable, "-c", program], cwd=ROOT, capture_output=True, text=True, check=True)
+    child = int(done.stdout)
+    ends = time.monotonic() + 5
+    while alive(child) and time.monotonic() < ends:
+        time.sleep(0.01)
+    assert not alive(child)
+    assert not (tmp_path / "lived_on").exists()
+
+
 @pytest.mark.parametrize("seed", SHORT_SEEDS)
 def test_the_short_form(seed: int, capsys: pytest.CaptureFixture) -> None:
     """All that the processes promise, under the troubles of these seeds. A failure is kept under ``found/``."""
