--- a/rowanshift/capacity/sizes.py
+++ b/rowanshift/capacity/sizes.py
@@ -1,6 +1,6 @@
 """The stated size, the budgets, and the exact lengths of records on the wire. No I/O.
 
-A change to ``rowanshift.wire`` that changes a length fails ``tests/test_capacity.py`` until it is here.
+A change to ``rowanshift.wire`` that changes a length fails ``tests/capacity/test_capacity.py`` until it is here.
 """
 
 from collections.abc import Iterable, Mapping
--- a/rowanshift/modelcheck/__main__.py
+++ b/rowanshift/modelcheck/__main__.py
@@ -2,7 +2,7 @@
 
 python -m rowanshift.modelcheck walks --seeds 200 --steps 6000 --machines 3 --f 1
 python -m rowanshift.modelcheck breadth --states 20000
-python -m rowanshift.modelcheck faults --planted tests/planted_replication_faults.py
+python -m rowanshift.modelcheck faults --planted tests/support/planted_replication_faults.py
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from rowanshift.modelcheck.hunt import WALKS, find
 from rowanshift.modelcheck.starts import STARTS
 
-DEFAULT_PLANTED = "tests/planted_replication_faults.py"
+DEFAULT_PLANTED = "tests/support/planted_replication_faults.py"
 
 
 def run_walks(given: argparse.Namespace) -> bool:
--- a/rowanshift/simulation/clock.py
+++ b/rowanshift/simulation/clock.py
@@ -72,7 +72,8 @@
     """Has trio schedule by a seed while it is entered; what was set before comes back afterwards.
 
     trio shuffles the tasks of a turn. It has a switch for the makers of test tools that sorts them by age
-    first, and a random source of its own; both are private, so tests/test_simulation.py notices when they go.
+    first, and a random source of its own; both are private, so
+    tests/simulation/test_simulation.py notices when they go.
     """
 
     def __init__(self, seed: str) -> None:
--- a/tests/test_staff.py
+++ b/tests/admin/test_commands.py
@@ -18,7 +18,6 @@
 
 import orjson
 import trio
-from helpers import invoke
 from loguru import logger
 
 from rowanshift.admin import commands as staff
@@ -33,8 +32,9 @@
 from rowanshift.transport.memory_budget import Memory
 from rowanshift.transport.runtime import SYSTEM
 from rowanshift.wire.table import CODEC, Hello
+from tests.support.helpers import invoke
 
-ROOT = Path(__file__).parents[1]
+ROOT = Path(__file__).parents[2]
 WITHIN = 30.0  # seconds for anything that is waited for
 LOOK = 0.02  # seconds between looks
 WHERE_LIMITS = (
--- a/tests/test_ablation.py
+++ b/tests/benchmarks/test_ablation.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-ROOT = Path(__file__).parents[1]
+ROOT = Path(__file__).parents[2]
 SAID = """built in 0.4 s
 day                  own/srv  score  worth served refused failed  weakest part
 trouble-1               9/10   1.00  0.753  0.925   0.000  0.034  worst windows 0.38; prices 0.067
--- a/tests/test_benchmarks.py
+++ b/tests/benchmarks/test_benchmarks.py
@@ -12,7 +12,7 @@
 
 import trio
 
-PROXY = Path(__file__).parents[1] / "benchmarks" / "proxy.py"
+PROXY = Path(__file__).parents[2] / "benchmarks" / "proxy.py"
 SHORT = ["--rounds", "1", "--requests", "256", "--connections", "64", "--json"]
 
 
--- a/tests/test_bodies.py
+++ b/tests/cacheproxy/test_bodies.py
@@ -6,7 +6,6 @@
 import httptools
 import pytest
 import trio
-from test_net import FIELDS, Deciding, clients_of, pair
 
 from rowanshift.cacheproxy.clients import Clients
 from rowanshift.cacheproxy.clock import Clock
@@ -16,6 +15,7 @@
 from rowanshift.transport.flow import HIGH, Flow
 from rowanshift.transport.http_connection import WHOLE, BadMessage, Connection
 from rowanshift.transport.memory_budget import Budget, Memory
+from tests.cacheproxy.test_network import FIELDS, Deciding, clients_of, pair
 
 LONG = bytes(range(256)) * 1200  # over 64 KiB
 
--- a/tests/test_handover.py
+++ b/tests/cacheproxy/test_handover.py
@@ -7,7 +7,6 @@
 import pytest
 import trio
 from loguru import logger
-from rig import Rig, free, played
 
 from rowanshift.cacheproxy.control import CALLERS
 from rowanshift.cacheproxy.handover import MEET_WITHIN, Handover
@@ -15,6 +14,7 @@
 from rowanshift.cacheproxy.service import Phase
 from rowanshift.transport.memory_budget import LEAST, OWN, Budget, Memory
 from rowanshift.transport.runtime import SYSTEM
+from tests.support.cache_proxy_rig import Rig, free, played
 
 
 @pytest.fixture(autouse=True)
--- a/tests/test_migrate.py
+++ b/tests/cacheproxy/test_migrate.py
@@ -6,14 +6,14 @@
 import orjson
 import pytest
 import trio
-from helpers import invoke
-from test_net import RAW
 
 from rowanshift.cacheproxy.config import config_of
 from rowanshift.cacheproxy.migrate import Wanted, migrated
 from rowanshift.emulation import demo
+from tests.cacheproxy.test_network import RAW
+from tests.support.helpers import invoke
 
-EXAMPLE = Path(__file__).parents[1] / "examples" / "config.json"
+EXAMPLE = Path(__file__).parents[2] / "examples" / "config.json"
 
 
 def row(server: str, zone: str) -> dict:
--- a/tests/test_net.py
+++ b/tests/cacheproxy/test_network.py
@@ -12,9 +12,7 @@
 import pytest
 import trio
 import trio.testing
-from helpers import entry, settings
 from loguru import logger
-from rig import free
 
 from rowanshift.cacheproxy.clients import Clients, exchange_of
 from rowanshift.cacheproxy.clock import Clock
@@ -34,6 +32,8 @@
 from rowanshift.transport.http_connection import BadMessage, Connection, Message
 from rowanshift.transport.memory_budget import CLIENTS, OWN, Budget, Memory
 from rowanshift.transport.runtime import SYSTEM, Socket
+from tests.support.cache_proxy_rig import free
+from tests.support.helpers import entry, settings
 
 NAMES = Names({b"read": 0, b"write": 1}, {b"demo": 0, b"other": 1}, {"here": 0, "there": 1}, {"cache": 0, "origin": 1})
 FIELDS = {"Host": "a", "X-Txn": "1", "X-Lane": "read", "X-Org": "other", "X-Remaining-Ms": "480"}
--- a/tests/test_operation.py
+++ b/tests/cacheproxy/test_operation.py
@@ -8,9 +8,6 @@
 import orjson
 import pytest
 import trio
-from helpers import RERUNNABLE, come_back, entry, invoke, router, take
-from rig import free, played
-from test_net import GOOD
 
 from rowanshift.cacheproxy.config import ConfigError, config_of, control_of, load
 from rowanshift.cacheproxy.control import CALLERS, LONGEST_LINE, Control
@@ -18,6 +15,9 @@
 from rowanshift.cacheproxy.membership import Membership
 from rowanshift.cacheproxy.model import Verdict
 from rowanshift.cacheproxy.service import Phase
+from tests.cacheproxy.test_network import GOOD
+from tests.support.cache_proxy_rig import free, played
+from tests.support.helpers import RERUNNABLE, come_back, entry, invoke, router, take
 
 # the second address -----------------------------------------
 
--- a/tests/test_choice.py
+++ b/tests/cacheproxy/test_router_decisions.py
@@ -1,11 +1,22 @@
 """Each test builds its state and calls one function; no bench."""
 
 import pytest
-from helpers import CATEGORIES, EXCLUSIVE, ORIGIN, RERUNNABLE, TICKETED, ZONAL, come_back, entry, router, take
 
 from rowanshift.cacheproxy.model import Answer, Hot, Item, Tally, Verdict
 from rowanshift.placement.hash_ring import stable
 from rowanshift.placement.hot_keys import LEASE
+from tests.support.helpers import (
+    CATEGORIES,
+    EXCLUSIVE,
+    ORIGIN,
+    RERUNNABLE,
+    TICKETED,
+    ZONAL,
+    come_back,
+    entry,
+    router,
+    take,
+)
 
 K = stable("k") >> 32
 KEYS = [f"k:{n}" for n in range(300)]
--- a/tests/test_membership.py
+++ b/tests/controlplane/replication/test_membership.py
@@ -5,13 +5,13 @@
 
 import trio
 from loguru import logger
-from test_replication import FOURTH, Rig, number, single
 
 from rowanshift.controlplane import replication as p
 from rowanshift.controlplane.replication.core import ReplicaCore
 from rowanshift.controlplane.replication.redundancy import RedundancyWatch
 from rowanshift.controlplane.replication.timing import Timing
 from rowanshift.simulation.fleet import Fleet, play
+from tests.controlplane.replication.test_replication import FOURTH, Rig, number, single
 
 
 def setUpModule() -> None:
--- a/tests/test_replication.py
+++ b/tests/controlplane/replication/test_replication.py
@@ -5,8 +5,6 @@
 import unittest
 from collections.abc import Callable
 
-from planted_replication_faults import FAULTS
-
 from rowanshift.controlplane import replication as p
 from rowanshift.controlplane.replication import timing
 from rowanshift.controlplane.replication.timing import BLOCK, PRE_VOTE_RETRY
@@ -14,6 +12,7 @@
 from rowanshift.modelcheck.hunt import find
 from rowanshift.modelcheck.walk import Walk
 from rowanshift.modelcheck.world import Host, World, half
+from tests.support.planted_replication_faults import FAULTS
 
 ME, OTHER, THIRD, FOURTH = 1, 2, 3, 4
 
--- a/tests/test_state_delta.py
+++ b/tests/controlplane/replication/test_state_delta.py
@@ -2,12 +2,11 @@
 
 import unittest
 
-from test_replication import Rig
-
 from rowanshift.controlplane import replication as p
 from rowanshift.modelcheck.walk import Walk
 from rowanshift.modelcheck.world import half
 from rowanshift.wire.delta import COPY, LITERAL, OPERATION
+from tests.controlplane.replication.test_replication import Rig
 
 ROW = b'{"name":"r-%05d"},'
 ROWS = 3000
--- a/tests/test_control_leaving.py
+++ b/tests/controlplane/test_graceful_shutdown.py
@@ -27,7 +27,7 @@
 from rowanshift.wire.delivery import Poll, Update
 from rowanshift.wire.table import CODEC
 
-ROOT = Path(__file__).parents[1]
+ROOT = Path(__file__).parents[2]
 PORT = 700
 GRACE = BOUNDS["graceS"]  # seconds
 CROSSING = 0.02  # seconds in which a poll may cross the close of its connection
--- a/tests/test_start_of_processes.py
+++ b/tests/controlplane/test_lazy_imports.py
@@ -14,7 +14,7 @@
 from rowanshift.simulation.fleet import Fleet, config_of, play
 from rowanshift.transport.runtime import SYSTEM
 
-ROOT = Path(__file__).parents[1]
+ROOT = Path(__file__).parents[2]
 LATER = ("serde", "jinja2", "beartype", "rowanshift.controlplane.configuration")
 
 
--- a/tests/test_drain_review.py
+++ b/tests/dataplane/test_drain_order_of_events.py
@@ -7,7 +7,6 @@
 from unittest import mock
 
 import trio
-from exchange_rig import Asked, Behaviour, Client, Got, NoLoads, Rig, Then, chunk, head, play, request_bytes
 from loguru import logger
 
 from rowanshift.dataplane.drain import END_RESERVE, EXIT_RESERVE, Drain, request_kind
@@ -15,6 +14,19 @@
 from rowanshift.dataplane.request_endings import EXCUSED_PART, RequestEndings
 from rowanshift.dataplane.service import DataPlaneService
 from rowanshift.dataplane.upstream import Upstream
+from tests.support.exchange_rig import (
+    Asked,
+    Behaviour,
+    Client,
+    Got,
+    NoLoads,
+    Rig,
+    Then,
+    chunk,
+    head,
+    play,
+    request_bytes,
+)
 
 GRACE = 8.0
 GIVEN_UP_AT = GRACE - END_RESERVE
--- a/tests/test_exchange_attempts.py
+++ b/tests/dataplane/test_exchange_attempts.py
@@ -3,8 +3,13 @@
 import unittest
 
 import trio
-from exchange_case import Case, Exchange, breaches, exchange, outcome
-from exchange_rig import (
+from loguru import logger
+
+from rowanshift.dataplane.endpoints import Endpoint
+from rowanshift.dataplane.forwarder import SILENT_FOR
+from rowanshift.dataplane.upstream import LOOK, Link
+from tests.support.exchange_case import Case, Exchange, breaches, exchange, outcome
+from tests.support.exchange_rig import (
     KINDS,
     REPEATABLE,
     WITHIN,
@@ -19,11 +24,6 @@
     request_bytes,
     whole_answer,
 )
-from loguru import logger
-
-from rowanshift.dataplane.endpoints import Endpoint
-from rowanshift.dataplane.forwarder import SILENT_FOR
-from rowanshift.dataplane.upstream import LOOK, Link
 
 
 def setUpModule():
--- a/tests/test_exchange_clients.py
+++ b/tests/dataplane/test_exchange_clients.py
@@ -3,8 +3,11 @@
 import unittest
 
 import trio
-from exchange_case import breaches, outcome
-from exchange_rig import (
+from loguru import logger
+
+from rowanshift.transport.runtime import SYSTEM, connect, send_all
+from tests.support.exchange_case import breaches, outcome
+from tests.support.exchange_rig import (
     KINDS,
     REPEATABLE,
     WITHIN,
@@ -20,9 +23,6 @@
     whole_answer,
     whole_body,
 )
-from loguru import logger
-
-from rowanshift.transport.runtime import SYSTEM, connect, send_all
 
 
 def setUpModule():
--- a/tests/test_exchanges.py
+++ b/tests/dataplane/test_exchanges.py
@@ -6,8 +6,11 @@
 
 import test_exchange_attempts
 import trio
-from exchange_case import ENDS, KIND_OF, Case, Exchange, breaches, ending_at, exchange, expected, outcome
-from exchange_rig import (
+from loguru import logger
+
+from rowanshift.dataplane.retry_decision import Decision, Ending, Kind, Progress, Told, decide
+from tests.support.exchange_case import ENDS, KIND_OF, Case, Exchange, breaches, ending_at, exchange, expected, outcome
+from tests.support.exchange_rig import (
     EVENTS,
     KINDS,
     REPEATABLE,
@@ -24,9 +27,6 @@
     rejection,
     whole_answer,
 )
-from loguru import logger
-
-from rowanshift.dataplane.retry_decision import Decision, Ending, Kind, Progress, Told, decide
 
 
 def setUpModule():
@@ -444,7 +444,7 @@
 class Page(unittest.TestCase):
     """``docs/exchanges.md`` against the table in the code, and against the tests above."""
 
-    text = (Path(__file__).parents[1] / "docs" / "exchanges.md").read_text()
+    text = (Path(__file__).parents[2] / "docs" / "exchanges.md").read_text()
     rows = tuple(
         tuple(cell.strip() for cell in line.strip("|").split("|"))
         for line in text.split("## The table")[1].split("\n## ")[0].splitlines()
--- a/tests/test_frontend_leaving.py
+++ b/tests/dataplane/test_frontend_shutdown.py
@@ -6,15 +6,15 @@
 from unittest import mock
 
 import trio
-from exchange_rig import FRONT, Behaviour, Client, Got, Rig, request_bytes
 from loguru import logger
-from test_drain_review import WITHIN, until_its_end
 
 from rowanshift.dataplane.drain import NOTICE
 from rowanshift.dataplane.frontend import FIRST_WITHIN, Frontend
 from rowanshift.dataplane.service import LEAVE_STEP
 from rowanshift.transport.memory_budget import CLIENTS, OWN, Budget
 from rowanshift.transport.runtime import connect
+from tests.dataplane.test_drain_order_of_events import WITHIN, until_its_end
+from tests.support.exchange_rig import FRONT, Behaviour, Client, Got, Rig, request_bytes
 
 LATE = NOTICE + 0.2  # when the new connection comes
 WAITING = 20  # connections
--- a/tests/test_request_endings.py
+++ b/tests/dataplane/test_request_endings.py
@@ -7,8 +7,6 @@
 from unittest import mock
 
 import trio
-from exchange_rig import FRONT, KINDS, Behaviour, Client, Rig, Then, rejection, request_bytes
-from exchange_rig import play as play_exchange
 from loguru import logger
 
 from rowanshift.dataplane import drain
@@ -26,6 +24,8 @@
 from rowanshift.simulation.fleet_machines import Unit
 from rowanshift.transport.calls import CallEnding, CallEndings, CutCall
 from rowanshift.transport.runtime import connect, send_all
+from tests.support.exchange_rig import FRONT, KINDS, Behaviour, Client, Rig, Then, rejection, request_bytes
+from tests.support.exchange_rig import play as play_exchange
 
 GRACE = 6.0  # seconds
 MIDWAY = 200  # bytes of an answer, in the middle of its events
--- a/tests/test_closing_fault.py
+++ b/tests/modelcheck/test_closing_fault.py
@@ -5,13 +5,13 @@
 
 import trio
 from loguru import logger
-from test_replication import FOURTH, Rig
 
 from rowanshift.controlplane import replication as p
 from rowanshift.modelcheck.closing_walk import ClosingWalk, UncountedWalk
 from rowanshift.simulation.fleet import Fleet, config_of, play
 from rowanshift.simulation.fleet_machines import Unit
 from rowanshift.simulation.fleet_settings import MODEL
+from tests.controlplane.replication.test_replication import FOURTH, Rig
 
 SEEDS = {(3, 1, 1): range(5000, 5006), (5, 2, 1): range(5000, 5003)}  # by machines, f, spares
 STEPS = 8000
--- a/tests/test_modelcheck.py
+++ b/tests/modelcheck/test_modelcheck.py
@@ -6,8 +6,6 @@
 import unittest
 from unittest import mock
 
-from planted_client_faults import FAULTS
-
 from rowanshift.controlplane import order_history
 from rowanshift.controlplane import replication as p
 from rowanshift.controlplane.configuration import parse
@@ -17,6 +15,7 @@
 from rowanshift.modelcheck.files import DIRECTORY, FILE, FileSystem, StoreModel
 from rowanshift.modelcheck.hunt import find
 from rowanshift.modelcheck.member_walk import MemberWalk
+from tests.support.planted_client_faults import FAULTS
 
 RECORD = p.DurableState(1, p.NO_RECORD, p.NO_VERSION, b"abcd", False)
 
--- a/tests/test_process_end.py
+++ b/tests/process/test_process_end.py
@@ -24,7 +24,7 @@
 from rowanshift.soak.processes import heeds
 from rowanshift.transport.runtime import Address
 
-ROOT = Path(__file__).parents[1]
+ROOT = Path(__file__).parents[2]
 WITHIN = 15.0  # seconds for anything that is waited for
 LOOK = 0.01  # seconds between looks
 BETWEEN = 0.0005  # seconds between signals that go on to the end
--- a/tests/test_core_scenarios.py
+++ b/tests/simulation/test_core_scenarios.py
@@ -8,7 +8,6 @@
 
 import msgspec
 import orjson
-from helpers import invoke
 from loguru import logger
 
 from rowanshift.controlplane.configuration_change import CHANGES
@@ -17,8 +16,9 @@
 from rowanshift.simulation.core_play import CorePlayer, play_core
 from rowanshift.simulation.core_scenario import WHAT, CoreScenario, CoreTrouble, core_scenario_of, is_core, load_core
 from rowanshift.simulation.scenario import ScenarioError
+from tests.support.helpers import invoke
 
-NAMED = {path.stem: path for path in (Path(__file__).parents[1] / "examples/scenarios").glob("core-*.toml")}
+NAMED = {path.stem: path for path in (Path(__file__).parents[2] / "examples/scenarios").glob("core-*.toml")}
 
 
 def setUpModule():
--- a/tests/test_protocol_rules.py
+++ b/tests/simulation/test_protocol_rules.py
@@ -3,8 +3,6 @@
 import unittest
 
 import trio
-from exchange_case import exchange, outcome
-from exchange_rig import KINDS, REPEATABLE, Behaviour, Client, Rig, Then, plain, play, rejection, request_bytes
 from loguru import logger
 
 from rowanshift.controlplane.server_registry import Known
@@ -14,6 +12,19 @@
 from rowanshift.simulation.fleet import ONCE, SERVICE, Fleet
 from rowanshift.simulation.fleet_settings import CONTACT, MODEL, READY
 from rowanshift.transport.calls import call
+from tests.support.exchange_case import exchange, outcome
+from tests.support.exchange_rig import (
+    KINDS,
+    REPEATABLE,
+    Behaviour,
+    Client,
+    Rig,
+    Then,
+    plain,
+    play,
+    rejection,
+    request_bytes,
+)
 
 RETRIES, TIMEOUT = 3, 8.0  # of the rig's routes
 FULL = Behaviour(rejection(503, b"Not-Executed: 1"), runs=False)
--- a/tests/test_simulation.py
+++ b/tests/simulation/test_simulation.py
@@ -13,7 +13,6 @@
 
 import pytest
 import trio
-from faults import FAULTS
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from msgspec.structs import replace
@@ -43,8 +42,9 @@
 from rowanshift.simulation.worker_pool import worker_pool
 from rowanshift.simulation.world import World
 from rowanshift.transport.runtime import connect, send_all
+from tests.support.cache_proxy_faults import FAULTS
 
-SCENARIOS = Path(__file__).parent.parent / "examples/scenarios"
+SCENARIOS = Path(__file__).parents[2] / "examples/scenarios"
 NAMED = sorted({*SCENARIOS.glob("*.toml")} - {*SCENARIOS.glob("core-*.toml")})  # those: test_core_scenarios.py
 FOUND = {  # a seed at which each planted fault breaks a rule, and which
     "answers_twice": (0, 1),
@@ -407,7 +407,7 @@
 
 def test_a_seed_replays_in_another_process_with_other_hashes_and_other_seeds_before_it():
     code = (
-        "import sys; sys.path.insert(0, 'tests'); from test_simulation import digest_of\n"
+        "import sys; sys.path.insert(0, 'tests/simulation'); from test_simulation import digest_of\n"
         "for seed in sys.argv[1:]: print(digest_of(int(seed)))"
     )
     args = [["3"], ["12", "3"]]
--- a/tests/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -52,7 +52,7 @@
 from rowanshift.soak.run import RECOVER_WITHIN, SERVE_ON, Run
 from rowanshift.transport.runtime import SYSTEM, connect, send_all
 
-ROOT = Path(__file__).parents[1]
+ROOT = Path(__file__).parents[2]
 SHORT_SEEDS = 1, 2, 4, 5, 15  # played in CI
 SEEDS = range(60)  # that are drawn without being played
 
--- a/tests/rig.py
+++ b/tests/support/cache_proxy_rig.py
@@ -5,7 +5,6 @@
 import time
 
 import trio
-from helpers import ORIGIN
 
 from rowanshift.cacheproxy.config import config_of
 from rowanshift.cacheproxy.service import Phase, Service
@@ -15,6 +14,7 @@
 from rowanshift.emulation.servers import Cache, Kind, Origin
 from rowanshift.invariants.events import Events
 from rowanshift.transport.runtime import SYSTEM
+from tests.support.helpers import ORIGIN
 
 RAW = {
     "categories": [
--- a/tests/exchange_case.py
+++ b/tests/support/exchange_case.py
@@ -3,7 +3,8 @@
 import unittest
 from dataclasses import dataclass
 
-from exchange_rig import (
+from rowanshift.dataplane.retry_decision import Decision, Ending, Kind, Progress, Told, decide
+from tests.support.exchange_rig import (
     PROMISES,
     REPEATABLE,
     STREAMS,
@@ -18,8 +19,6 @@
     whole_body,
 )
 
-from rowanshift.dataplane.retry_decision import Decision, Ending, Kind, Progress, Told, decide
-
 KIND_OF = {
     "idempotent": Kind.IDEMPOTENT,
     "non_idempotent": Kind.NON_IDEMPOTENT,
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -10,11 +10,10 @@
 from types import SimpleNamespace
 from unittest import mock
 
-from helpers import invoke
-
 from rowanshift import __version__
 from rowanshift.process import node_settings
 from rowanshift.simulation.draw import SIZES
+from tests.support.helpers import invoke
 
 ROOT = Path(__file__).parents[1]
 EXAMPLE = ROOT / "examples" / "config.json"
--- a/tests/test_wire_records.py
+++ b/tests/wire/test_wire_records.py
@@ -260,7 +260,7 @@
 class WrittenBefore(unittest.TestCase):
     """Frames and records on disk, written by the program of before its names were changed."""
 
-    written = orjson.loads((Path(__file__).parent / "data" / "frames-before-rename.json").read_bytes())
+    written = orjson.loads((Path(__file__).parents[1] / "data" / "frames-before-rename.json").read_bytes())
 
     def test_all_are_read_and_written_as_they_were(self):
         for name, frame in self.written.items():
