--- a/benchmarks/primary_gap.py
+++ b/benchmarks/primary_gap.py
@@ -77,9 +77,9 @@
 
 async def _back_apart(fleet: Fleet) -> None:
     await trio.sleep(DOWN)
-    order = fleet.chance.sample(fleet.cores, len(fleet.cores))
+    order = fleet.random_source.sample(fleet.cores, len(fleet.cores))
     for unit in order:
-        await trio.sleep(fleet.chance.random() * APART / len(order))
+        await trio.sleep(fleet.random_source.random() * APART / len(order))
         fleet.back(unit)
 
 
@@ -128,7 +128,7 @@
 
     async def main(fleet: Fleet) -> Gaps:
         await fleet.start()
-        await trio.sleep(SETTLES + DRAWN * fleet.chance.random())
+        await trio.sleep(SETTLES + DRAWN * fleet.random_source.random())
         began = fleet.now()
         primary, orders = Watch(began), Watch(began)
         async with trio.open_nursery() as nursery:
--- a/rowanshift/admin/commands.py
+++ b/rowanshift/admin/commands.py
@@ -19,7 +19,7 @@
 from rowanshift.transport.calls import CallFailed, call
 from rowanshift.transport.http_connection import Fields, Message
 from rowanshift.transport.memory_budget import Memory
-from rowanshift.transport.runtime import SYSTEM, Address, Host
+from rowanshift.transport.runtime import SYSTEM, Address, Runtime
 from rowanshift.wire.delivery import DRAINING, LOADING
 from rowanshift.wire.machines import machine_of
 
@@ -83,7 +83,7 @@
 class Control:
     """Calls of a system's control addresses."""
 
-    def __init__(self, addresses: Sequence[Address], host: Host = SYSTEM) -> None:
+    def __init__(self, addresses: Sequence[Address], host: Runtime = SYSTEM) -> None:
         self.addresses, self.host = list(addresses), host
         self.memory = Memory(MEMORY)
 
--- a/rowanshift/cacheproxy/handover.py
+++ b/rowanshift/cacheproxy/handover.py
@@ -17,7 +17,7 @@
 from loguru import logger
 
 from rowanshift.cacheproxy.model import Learned
-from rowanshift.transport.runtime import Address, Host, Listener, Nursery, Port, Stream, accepted, send_all
+from rowanshift.transport.runtime import Address, Listener, Nursery, Port, Runtime, Stream, accepted, send_all
 
 HEAD = "rowanshift 1"
 FILE = b"rowanshift out 1"
@@ -56,7 +56,7 @@
 
 
 class Handover:
-    def __init__(self, host: Host, address: Address) -> None:
+    def __init__(self, host: Runtime, address: Address) -> None:
         self.host, self.name = host, "rowanshift-{}-{}".format(*address)
         self.links: list[Link] = []
         self.passed_on: Callable[[], dict[str, Listener | Port]] = dict  # by name, while they are open
--- a/rowanshift/cacheproxy/service.py
+++ b/rowanshift/cacheproxy/service.py
@@ -22,7 +22,7 @@
 from rowanshift.cacheproxy.peers import Peers
 from rowanshift.cacheproxy.servers import Servers
 from rowanshift.transport.memory_budget import Budget, Memory
-from rowanshift.transport.runtime import SYSTEM, Host, Listener, Nursery, Port
+from rowanshift.transport.runtime import SYSTEM, Listener, Nursery, Port, Runtime
 from rowanshift.transport.signals import ReceivedSignal
 
 STALL = 0.25  # of the due time, that an answer may stand still halfway
@@ -41,11 +41,11 @@
 
 
 class Service:
-    def __init__(self, config: Config, path: Path | None = None, host: Host = SYSTEM) -> None:
+    def __init__(self, config: Config, path: Path | None = None, host: Runtime = SYSTEM) -> None:
         self.config, self.path = config, path  # where it was read from
         self.host = host
         self.phase = Phase.STARTING
-        self.told_to_stop = trio.Event()
+        self.shutdown_requested = trio.Event()
         self.handover = Handover(host, config.listen)
         self.listener: Listener | None = None
         self.peers: Peers | None = None
@@ -54,11 +54,11 @@
         self.phase = phase
         logger.info("{} {}", self.config.name, phase.value)
 
-    async def _heed(self, signals: AsyncIterator[ReceivedSignal], discovery: Discovery) -> None:
+    async def _on_signals(self, signals: AsyncIterator[ReceivedSignal], discovery: Discovery) -> None:
         """Takes signals for as long as the process lives, so that one that comes late ends nothing."""
         async for received in signals:
             if received.number != signal.SIGHUP:
-                self.told_to_stop.set()
+                self.shutdown_requested.set()
             elif self.phase in (Phase.SERVING, Phase.DRAINED):
                 phase = self.phase
                 self.enter(Phase.RELOADING)
@@ -164,7 +164,7 @@
                 if config.control:  # opened first, closed last
                     calls = host.listen(config.control, CALLS)
                     nursery.start_soon(self._control().serve, calls, nursery)
-                nursery.start_soon(self._heed, signals, discovery)
+                nursery.start_soon(self._on_signals, signals, discovery)
                 nursery.start_soon(driver.keep_waking)
                 nursery.start_soon(self._watch_the_loop)
                 nursery.start_soon(discovery.run)
@@ -179,7 +179,7 @@
                 clients.ready = True
                 self.enter(Phase.SERVING)
                 self.handover.start(nursery)
-                await self.told_to_stop.wait()
+                await self.shutdown_requested.wait()
 
                 self.enter(Phase.LEAVING)
                 clients.ready, clients.leaving = False, True
--- a/rowanshift/capacity/hollow.py
+++ b/rowanshift/capacity/hollow.py
@@ -14,11 +14,12 @@
 from rowanshift.capacity.meter import Loopback, free_port
 from rowanshift.controlplane.configuration_change import put_config
 from rowanshift.controlplane.control_state import put_version, unpack
-from rowanshift.controlplane.replica_host import NotConfirmed, NotPrimary, OutcomeUnknown
+from rowanshift.controlplane.replica_host import NotConfirmed, OutcomeUnknown
+from rowanshift.controlplane.replication import NotPrimary
 from rowanshift.controlplane.server_registry import Known, known_of
 from rowanshift.controlplane.service import ControlPlaneService
 from rowanshift.controlplane.singleton_tasks import LIST_EVERY
-from rowanshift.dataplane.control_client import HOLD, ControlClient
+from rowanshift.dataplane.control_client import LONG_POLL_SECONDS, ControlClient
 from rowanshift.process.node_settings import Bounds, node_settings_of
 from rowanshift.transport.buffer import Ring
 from rowanshift.transport.runtime import Address, Stream, connect, receive, send_all
@@ -31,34 +32,34 @@
 AGAIN = 0.1  # seconds
 
 
-def token(chance: random.Random, digits: int) -> str:
-    return f"{chance.getrandbits(4 * digits):0{digits}x}"
+def token(random_source: random.Random, digits: int) -> str:
+    return f"{random_source.getrandbits(4 * digits):0{digits}x}"
 
 
 def models(count: int) -> list[str]:
     return [f"model-{i:02d}" for i in range(count)]
 
 
-def tenant(chance: random.Random) -> dict[str, Any]:
+def tenant(random_source: random.Random) -> dict[str, Any]:
     """A tenant with one key of 128 random bits."""
     return {
-        "name": f"tenant-{token(chance, 6)}",
-        "apiKeys": [token(chance, 32)],
-        "priority": chance.randrange(4),
-        "isolated": chance.random() < 0.3,
+        "name": f"tenant-{token(random_source, 6)}",
+        "apiKeys": [token(random_source, 32)],
+        "priority": random_source.randrange(4),
+        "isolated": random_source.random() < 0.3,
     }
 
 
-def route(chance: random.Random, services: int) -> dict[str, Any]:
+def route(random_source: random.Random, services: int) -> dict[str, Any]:
     return {
-        "name": f"r-{token(chance, 7)}",
-        "hostname": f"h{token(chance, 4)}.example",
-        "pathPrefix": f"/{token(chance, 7)}/",
+        "name": f"r-{token(random_source, 7)}",
+        "hostname": f"h{token(random_source, 4)}.example",
+        "pathPrefix": f"/{token(random_source, 7)}/",
         "routeType": "streaming",
         "timeoutMs": 15000,
         "targetLatencyMs": 600,
         "priority": 1,
-        "backend": f"pool-{chance.randrange(services):02d}",
+        "backend": f"pool-{random_source.randrange(services):02d}",
         "retries": 1,
         "public": False,
         "sticky": True,
@@ -69,7 +70,7 @@
 
 def configuration(tenants: int, routes: int, pools: int, seed: int = 1) -> dict[str, Any]:
     """A configuration of this size, the same for the same seed."""
-    chance = random.Random(seed)
+    random_source = random.Random(seed)
     services = [
         {
             "name": f"pool-{i:02d}",
@@ -82,10 +83,10 @@
     ]
     return {
         "revision": 1,
-        "routes": [route(chance, pools) for _ in range(routes)],
+        "routes": [route(random_source, pools) for _ in range(routes)],
         "backends": services,
         "limits": {"maxBodyBytes": 4194304, "headerTimeoutMs": 3000, "idleTimeoutMs": 15000},
-        "tenants": [tenant(chance) for _ in range(tenants)],
+        "tenants": [tenant(random_source) for _ in range(tenants)],
     }
 
 
@@ -93,10 +94,10 @@
     """The same with one tenant's key replaced, as most changes do."""
     made = config | {"revision": revision}
     if made["tenants"]:
-        chance = random.Random(revision)
+        random_source = random.Random(revision)
         rows = list(made["tenants"])
-        place = chance.randrange(len(rows))
-        rows[place] = rows[place] | {"apiKeys": [token(chance, 32)]}
+        place = random_source.randrange(len(rows))
+        rows[place] = rows[place] | {"apiKeys": [token(random_source, 32)]}
         made["tenants"] = rows
     return made
 
@@ -243,7 +244,7 @@
         """For what a command costs by itself."""
 
     def stop(self) -> None:
-        self.core_service.tell_to_stop(trio.current_time())
+        self.core_service.request_shutdown(trio.current_time())
 
 
 UNPACKED: dict[bytes, Any] = {}  # answers that many routers of this process get alike
@@ -288,7 +289,7 @@
             frames, ring = Frames(), Ring()
             while most is None or self.polls < most:
                 self.polls += 1
-                poll = Poll(self.machine, 1, **self.has, hold_ms=int(1000 * HOLD))
+                poll = Poll(self.machine, 1, **self.has, long_poll_ms=int(1000 * LONG_POLL_SECONDS))
                 await send_all(stream, CODEC.pack(poll, self.polls & 0xFFFFFFFF))
                 answer = await self._answer(stream, frames, ring)
                 if answer is None:
--- a/rowanshift/capacity/roles.py
+++ b/rowanshift/capacity/roles.py
@@ -11,7 +11,7 @@
 from rowanshift.controlplane.replication.timing import HEARTBEAT
 from rowanshift.controlplane.service import LINKS
 from rowanshift.controlplane.singleton_tasks import LIST_EVERY, MOST_PAGES
-from rowanshift.dataplane.control_client import HOLD
+from rowanshift.dataplane.control_client import LONG_POLL_SECONDS
 from rowanshift.wire.codec import HEAD, LARGEST
 
 PAGE = 50  # servers of a page of the list, as the benches' sites have it
@@ -87,12 +87,12 @@
 
     whole = sizes.update(core, rows=round(row * size.servers))
     changes = roster_changes(size)
-    add("router", "polls", "1 / HOLD", 1 / HOLD, "a second")
+    add("router", "polls", "1 / HOLD", 1 / LONG_POLL_SECONDS, "a second")
     add(
         "router",
         "idle, out and in",
         f"{sizes.poll()} + {sizes.update(0)} + 8 core, a second",
-        (sizes.poll() + sizes.update(core)) / HOLD,
+        (sizes.poll() + sizes.update(core)) / LONG_POLL_SECONDS,
         "B/s",
         BUDGET.traffic,
     )
--- a/rowanshift/capacity/takeover.py
+++ b/rowanshift/capacity/takeover.py
@@ -41,16 +41,16 @@
     ledgers: dict[int, Replica] = field(default_factory=dict)
     cut: set[int] = field(default_factory=set)
     committed: list[float] = field(default_factory=list)
-    chance: random.Random = field(init=False)
+    random_source: random.Random = field(init=False)
     order: Any = field(init=False)  # keeps what is due at once in the order it was set
     due: list[tuple[float, int, Callable[..., None], tuple]] = field(init=False)
 
     def __post_init__(self) -> None:
-        self.chance, self.order, self.due = random.Random(self.seed), count(), []
+        self.random_source, self.order, self.due = random.Random(self.seed), count(), []
         names = tuple(range(1, self.machines + 1))
         for me in names:
-            self.ledgers[me] = Replica(me, self.f, names, True, None, 0.0, self.chance.random, DUTY_WAIT)
-            self.at(self.chance.random() * TICK, self.tick, me)
+            self.ledgers[me] = Replica(me, self.f, names, True, None, 0.0, self.random_source.random, DUTY_WAIT)
+            self.at(self.random_source.random() * TICK, self.tick, me)
             self.act(me)
 
     def at(self, when: float, what: Callable[..., None], *args: Any) -> None:
@@ -82,11 +82,11 @@
                     self.bytes += len(CODEC.pack(message))
                     if me not in self.cut and to not in self.cut:
                         far = me % self.regions != to % self.regions
-                        delay = (DELAY_FAR if far else DELAY_NEAR) * (0.5 + self.chance.random() / 2)
+                        delay = (DELAY_FAR if far else DELAY_NEAR) * (0.5 + self.random_source.random() / 2)
                         self.at(self.now + delay, self.receive, me, to, message)
                 case Save(token, _):
                     self.saves += 1
-                    self.at(self.now + SAVE * self.chance.random(), self.saved, me, token)
+                    self.at(self.now + SAVE * self.random_source.random(), self.saved, me, token)
                 case Committed():
                     self.committed.append(self.now)
 
@@ -139,14 +139,14 @@
     world = Play(seed, f, machines)
     world.until(SETTLED)
     world.until(LONGEST, world.on_duty)
-    world.until(world.now + world.chance.random())
+    world.until(world.now + world.random_source.random())
     holder = world.holder()
     before = world.ledgers[holder].record
     others = {
         "backup_killed": [m for m in before.in_sync if m != holder],
         "witness_killed": [m for m in before.witnesses if m not in before.in_sync],
     }.get(trouble, [holder])
-    victim = world.chance.choice(others)
+    victim = world.random_source.choice(others)
     at = world.now
     if trouble == "primary_cut_off":
         world.cut.add(victim)
@@ -192,8 +192,8 @@
     at = time.process_time()
     homes = Counter(ring.walk(mark, 1)[0] for mark in marks)
     walk = (time.process_time() - at) / KEYS
-    chance = random.Random(seeds)
-    gone = chance.sample(names, min(seeds, servers))
+    random_source = random.Random(seeds)
+    gone = random_source.sample(names, min(seeds, servers))
     # a server's share of the circle is what its leaving moves
     circle = [*ring.ring, ring.ring[0] + (1 << 64)]
     shares: Counter[str] = Counter()
--- a/rowanshift/controlplane/api.py
+++ b/rowanshift/controlplane/api.py
@@ -8,8 +8,8 @@
 from rowanshift.controlplane.change_loader import ChangeLoader
 from rowanshift.controlplane.control_state import ControlState, InvalidVersion, put_version, unpack
 from rowanshift.controlplane.order_history import OrderTooOld
-from rowanshift.controlplane.replica_host import NotConfirmed, NotPrimary, OutcomeUnknown, ReplicaHost
-from rowanshift.controlplane.replication import STATE_LIMIT, StateTooLarge
+from rowanshift.controlplane.replica_host import NotConfirmed, OutcomeUnknown, ReplicaHost
+from rowanshift.controlplane.replication import STATE_LIMIT, NotPrimary, StateTooLarge
 from rowanshift.transport.calls import Answer, said
 from rowanshift.transport.http_connection import Message
 from rowanshift.wire.machines import ip_of
--- a/rowanshift/controlplane/change_loader.py
+++ b/rowanshift/controlplane/change_loader.py
@@ -9,7 +9,7 @@
 
 import trio
 
-from rowanshift.transport.runtime import Host
+from rowanshift.transport.runtime import Runtime
 
 MODULE = "rowanshift.controlplane.configuration_change"
 LOAD_AFTER = 1.0  # seconds after the start at which it is loaded if no change has asked for it
@@ -18,7 +18,7 @@
 class ChangeLoader:
     """The module of changes, imported once."""
 
-    def __init__(self, host: Host) -> None:
+    def __init__(self, host: Runtime) -> None:
         self.host = host
         self.module: ModuleType | None = None
         self.turn = trio.Lock()
--- a/rowanshift/controlplane/replica_host.py
+++ b/rowanshift/controlplane/replica_host.py
@@ -18,7 +18,6 @@
     Failed,
     Located,
     Message,
-    NotPrimary,
     ReadConfirmed,
     ReadFailed,
     RedundancyWatch,
@@ -28,8 +27,8 @@
     Store,
 )
 from rowanshift.controlplane.store import StoreError
-from rowanshift.transport.record_links import MOST_QUEUED, STUCK, Inbox, LinkFailed, Sender
-from rowanshift.transport.runtime import Disk, Host, Nursery
+from rowanshift.transport.record_links import MOST_QUEUED, STUCK, RecordReader, RecordSender
+from rowanshift.transport.runtime import Disk, Nursery, Runtime
 from rowanshift.wire.codec import HEAD, BadRecord
 from rowanshift.wire.machines import ip_of
 from rowanshift.wire.table import CODEC, Hello
@@ -78,7 +77,7 @@
 
     def __init__(
         self,
-        host: Host,
+        host: Runtime,
         machine: int,
         port: int,
         replica: Replica,
@@ -89,7 +88,7 @@
     ) -> None:
         self.host, self.machine, self.port, self.replica, self.store = host, machine, port, replica, store
         self.nursery, self.became, self.committed = nursery, became, committed
-        self.senders: dict[tuple[int, Channel], Sender] = {}
+        self.senders: dict[tuple[int, Channel], RecordSender] = {}
         self.heard: dict[int, float] = {}
         self.tokens = count(1)
         self.pending: dict[int, Pending] = {}
@@ -185,9 +184,9 @@
                 case Failed(token) | ReadFailed(token):
                     self._end(token, False)
                 case Became(primary):
-                    self._became(primary)
+                    self._on_role_change(primary)
 
-    def _became(self, primary: bool) -> None:
+    def _on_role_change(self, primary: bool) -> None:
         event = "primary" if primary else "no_primary"
         in_sync = ",".join(map(ip_of, self.replica.record.in_sync))
         logger.info("event={} epoch={} in_sync={}", event, self.replica.record.number, in_sync)
@@ -247,13 +246,13 @@
             sender = self._new_sender(to, channel)
         sender.put(message)
 
-    def _new_sender(self, to: int, channel: Channel) -> Sender:
+    def _new_sender(self, to: int, channel: Channel) -> RecordSender:
         if len(self.senders) >= MOST_SENDERS:
             quiet = min(self.senders, key=lambda key: self.heard.get(key[0], 0.0))
             self.senders.pop(quiet).stop()
         most, stuck = (MOST_LARGE, LARGE_STUCK) if channel is Channel.LARGE_STATES else (MOST_QUEUED, STUCK)
         alive = partial(self._alive, to, channel)
-        sender = Sender(self.host, CODEC, (ip_of(to), self.port), Hello(self.machine), alive, most, stuck)
+        sender = RecordSender(self.host, CODEC, (ip_of(to), self.port), Hello(self.machine), alive, most, stuck)
         self.senders[to, channel] = sender
         self.nursery.start_soon(sender.run)
         return sender
@@ -263,7 +262,7 @@
         since = max(self.heard.get(machine, 0.0), self.senders[machine, channel].opened_at)
         return trio.current_time() - since < UNHEARD
 
-    async def hear(self, inbox: Inbox, hello: Hello) -> None:
+    async def hear(self, inbox: RecordReader, hello: Hello) -> None:
         """Take what another core machine says, until its connection ends."""
         while True:
             _, message = await inbox.next()
@@ -281,6 +280,3 @@
         raise BadRecord("a record cut short")
     _, _, kind, _, _ = HEAD.unpack_from(record)
     return CODEC.unpack(kind, record[HEAD.size :])
-
-
-__all__ = ["BadRecord", "LinkFailed", "NotConfirmed", "NotPrimary", "OutcomeUnknown", "ReplicaHost", "durable_of"]
--- a/rowanshift/controlplane/replication/__init__.py
+++ b/rowanshift/controlplane/replication/__init__.py
@@ -15,7 +15,7 @@
     StateTooLarge,
 )
 from rowanshift.controlplane.replication.core import Candidacy, Proposal
-from rowanshift.controlplane.replication.fault_domains import FaultTolerance, Place
+from rowanshift.controlplane.replication.fault_domains import FailureDomain, FaultTolerance
 from rowanshift.controlplane.replication.messages import (
     NO_RECORD,
     NO_VERSION,
@@ -63,6 +63,7 @@
     "DurableState",
     "EpochRecord",
     "Failed",
+    "FailureDomain",
     "FaultTolerance",
     "Heartbeat",
     "HeartbeatReply",
@@ -72,7 +73,6 @@
     "Located",
     "Message",
     "NotPrimary",
-    "Place",
     "PreVote",
     "PreVoted",
     "Prepare",
--- a/rowanshift/controlplane/replication/core.py
+++ b/rowanshift/controlplane/replication/core.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from rowanshift.controlplane.replication.actions import Action, Save, Send
-from rowanshift.controlplane.replication.fault_domains import UNKNOWN_PLACE, FaultTolerance, Place
+from rowanshift.controlplane.replication.fault_domains import UNKNOWN_FAILURE_DOMAIN, FailureDomain, FaultTolerance
 from rowanshift.controlplane.replication.messages import (
     NO_RECORD,
     NO_VERSION,
@@ -91,7 +91,7 @@
         duty_wait: float = 0.0,
         timing: Timing = DEFAULT_TIMING,
         *,
-        place: Place = UNKNOWN_PLACE,
+        place: FailureDomain = UNKNOWN_FAILURE_DOMAIN,
         tolerance: FaultTolerance | None = None,
     ) -> None:
         """``f`` machines may be lost, or all that ``tolerance`` says. ``now`` and ``duty_wait`` are in seconds;
@@ -304,7 +304,7 @@
         """Whether it is known of all members that they don't count, by this machine or by one of them."""
         if any(self._now < self._nobody_counts_by.get(member, NEVER) + self.timing.located_for for member in members):
             return True
-        return bool(members) and not any(self.places.get(member, UNKNOWN_PLACE).counts for member in members)
+        return bool(members) and not any(self.places.get(member, UNKNOWN_FAILURE_DOMAIN).counts for member in members)
 
     # where machines are
 
@@ -322,7 +322,7 @@
 
     def _on_located(self, sender: int, message: Located) -> None:
         self._places_matter = True
-        self.places[sender] = Place(message.zone, message.region, message.counts)
+        self.places[sender] = FailureDomain(message.zone, message.region, message.counts)
         if message.nobody_counts:
             self._nobody_counts_by[sender] = self._now
         else:
--- a/rowanshift/controlplane/replication/fault_domains.py
+++ b/rowanshift/controlplane/replication/fault_domains.py
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class FailureDomain:
     """Where a machine is, and whether it is one of those of which the fault tolerance speaks."""
 
     zone: str = ""
@@ -43,13 +43,13 @@
     counts: bool = True
 
 
-UNKNOWN_PLACE = Place()  # of machines that have not said: they are taken to share one zone
-Places = Mapping[int, Place]  # by machine
+UNKNOWN_FAILURE_DOMAIN = FailureDomain()  # of machines that have not said: they are taken to share one zone
+Places = Mapping[int, FailureDomain]  # by machine
 
 
 def most_lost(members: Collection[int], places: Places, tolerance: FaultTolerance) -> int:
     """How many of the members the worst loss takes."""
-    places_of = [places.get(member, UNKNOWN_PLACE) for member in members]
+    places_of = [places.get(member, UNKNOWN_FAILURE_DOMAIN) for member in members]
     regions = {place.region for place in places_of}
     return max(
         _lost_with(regions_lost, places_of, tolerance)
@@ -57,7 +57,7 @@
     )
 
 
-def _lost_with(regions_lost: Collection[str], places: Sequence[Place], tolerance: FaultTolerance) -> int:
+def _lost_with(regions_lost: Collection[str], places: Sequence[FailureDomain], tolerance: FaultTolerance) -> int:
     """How many go where it takes these regions, and then the fullest zones and any machines of the others."""
     left = [place for place in places if place.region not in regions_lost]
     zones = Counter((place.region, place.zone) for place in left)
@@ -93,8 +93,8 @@
 
 def _in_same_domains(machine: int, others: Sequence[int], places: Places, tolerance: FaultTolerance) -> tuple[int, int]:
     """How many of the others share its region and its zone, as far as such may be lost."""
-    place = places.get(machine, UNKNOWN_PLACE)
-    places_of = [places.get(other, UNKNOWN_PLACE) for other in others]
+    place = places.get(machine, UNKNOWN_FAILURE_DOMAIN)
+    places_of = [places.get(other, UNKNOWN_FAILURE_DOMAIN) for other in others]
     in_region = sum(other.region == place.region for other in places_of) if tolerance.regions else 0
     in_zone = sum((other.region, other.zone) == (place.region, place.zone) for other in places_of)
     return in_region, in_zone if tolerance.domains else 0
@@ -128,7 +128,7 @@
     if not tolerance.domains:
         return True
     for a_zone in range(1, MOST_WITNESSES + 1):
-        places = [Place(zone, region) for zone, region in zones.items() for _ in range(a_zone)]
+        places = [FailureDomain(zone, region) for zone, region in zones.items() for _ in range(a_zone)]
         machines = range(len(places))
         if places and vote_margin(machines, dict(enumerate(places)), tolerance) >= 0:
             return True
--- a/rowanshift/controlplane/replication/membership.py
+++ b/rowanshift/controlplane/replication/membership.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from rowanshift.controlplane.replication.core import ReplicaCore
-from rowanshift.controlplane.replication.fault_domains import UNKNOWN_PLACE
+from rowanshift.controlplane.replication.fault_domains import UNKNOWN_FAILURE_DOMAIN
 from rowanshift.controlplane.replication.messages import Join, Leave, LeaveReply, RecoveryReply, TransferLeadership
 
 
@@ -49,7 +49,7 @@
         witnesses = self._durable.accepted.witnesses
         since = self._now - self.timing.spare_fresh
         spares = {machine for machine, asked in self._spares.items() if asked > since and machine not in witnesses}
-        return any(self.places.get(machine, UNKNOWN_PLACE).counts for machine in spares)
+        return any(self.places.get(machine, UNKNOWN_FAILURE_DOMAIN).counts for machine in spares)
 
     def _give_leadership(self) -> bool:
         """As primary, once nothing is under way; whether it is given."""
--- a/rowanshift/controlplane/server_registry.py
+++ b/rowanshift/controlplane/server_registry.py
@@ -8,7 +8,7 @@
 from math import ceil
 from typing import Any
 
-from rowanshift.wire.delivery import DRAINING, LOADING, UP, NamedVersion, Row
+from rowanshift.wire.delivery import DRAINING, LOADING, UP, NamedVersion, ServerRecord
 from rowanshift.wire.named_versions import VersionName, VersionNames
 
 AT_ONCE = 0.4  # part of a service's servers that may load at once, one at least
@@ -52,10 +52,10 @@
     failed_loads: dict[str, FailedLoads] = field(default_factory=dict)  # by model
     began_at: float = 0.0  # when it was last ordered to load
 
-    def row(self) -> Row:
+    def row(self) -> ServerRecord:
         """The server as routers are told of it."""
         state = (DRAINING if self.draining else UP) | (LOADING if self.loading else 0)
-        return Row(self.id, self.service, self.address, self.zone, self.slots, state, dict(self.versions))
+        return ServerRecord(self.id, self.service, self.address, self.zone, self.slots, state, dict(self.versions))
 
 
 def known_of(entry: dict[str, Any]) -> Known:
@@ -124,7 +124,7 @@
         self.serial += 1
         return True
 
-    def rows(self) -> tuple[Row, ...]:
+    def rows(self) -> tuple[ServerRecord, ...]:
         """All servers as routers are told of them."""
         return tuple(known.row() for known in self.servers.values())
 
@@ -147,11 +147,11 @@
             for name in told[:MOST_TOLD]
             if name.is_dated and name.version <= named.get(name.model, 0)
         ]
-        changed = self.names.note_all(pair for pair in dated if self._is_news(*pair))
+        changed = self.names.note_all(pair for pair in dated if self._is_newer(*pair))
         self.names_serial += changed
         return changed
 
-    def _is_news(self, model: str, told: VersionName) -> bool:
+    def _is_newer(self, model: str, told: VersionName) -> bool:
         """Whether a date differs from what is known by more than messages take."""
         known = self.names.named(model, told.version)
         return known is None or not known.is_dated or told.named_at < known.named_at - DATED_EARLIER
--- a/rowanshift/controlplane/service.py
+++ b/rowanshift/controlplane/service.py
@@ -14,7 +14,7 @@
 from rowanshift.controlplane.change_loader import ChangeLoader
 from rowanshift.controlplane.control_state import ControlState, unpack
 from rowanshift.controlplane.replica_host import ReplicaHost, durable_of
-from rowanshift.controlplane.replication import DurableState, FaultTolerance, Place, Replica
+from rowanshift.controlplane.replication import DurableState, FailureDomain, FaultTolerance, Replica
 from rowanshift.controlplane.server_registry import ServerRegistry
 from rowanshift.controlplane.settings_doubts import fault_tolerance_doubts
 from rowanshift.controlplane.singleton_tasks import SingletonTasks
@@ -24,19 +24,19 @@
 from rowanshift.process.error_groups import first_of
 from rowanshift.process.logs import log_to_stderr
 from rowanshift.process.node_settings import NodeSettings, NodeSettingsError, load_node_settings
-from rowanshift.transport.calls import CallEndings, CallServer
+from rowanshift.transport.calls import CallOutcomes, CallServer
 from rowanshift.transport.memory_budget import Memory
-from rowanshift.transport.record_links import Inbox, LinkFailed
-from rowanshift.transport.runtime import SYSTEM, Disk, Host, Listener, Stream, send_all
+from rowanshift.transport.record_links import ConnectionFailed, RecordReader
+from rowanshift.transport.runtime import SYSTEM, Disk, Listener, Runtime, Stream, send_all
 from rowanshift.transport.signals import ReceivedSignal
 from rowanshift.wire.codec import BadRecord
 from rowanshift.wire.delivery import (
-    Elsewhere,
     NamedVersion,
     Poll,
     PollOfFormat1,
     PollOfFormat2,
     PollOfFormat3,
+    Redirect,
     Update,
     UpdateOfFormat1,
 )
@@ -44,7 +44,7 @@
 from rowanshift.wire.named_versions import age_ms
 from rowanshift.wire.table import CODEC, Hello
 
-HOLD = 1.0  # seconds that a poll is held at most
+LONG_POLL_SECONDS = 1.0  # seconds that a poll is held at most
 FIND_PRIMARY = 0.4  # seconds that a poll waits at a machine that knows of no primary
 LOOK = 0.05  # seconds between its looks
 MEMBERS_EVERY = 0.5  # seconds between tellings of who is a member
@@ -67,21 +67,21 @@
 class ControlPlaneService:
     """One core machine: its replica, the operator's API, routers' polls and the singleton tasks."""
 
-    def __init__(self, boot: NodeSettings, host: Host = SYSTEM, seed: int | None = None) -> None:
+    def __init__(self, boot: NodeSettings, host: Runtime = SYSTEM, seed: int | None = None) -> None:
         self.boot, self.host = boot, host
-        self.chance = random.Random(seed)
+        self.random_source = random.Random(seed)
         self.machine = machine_of(boot.ip)
-        self.told_to_stop = trio.Event()
-        self.told_at: float | None = None  # trio's time at which the signal was handled
+        self.shutdown_requested = trio.Event()
+        self.shutdown_requested_at: float | None = None  # trio's time at which the signal was handled
         self.replica_host: ReplicaHost | None = None  # until the disk has been read
         self.state, self.fingerprint, self.packed = ControlState(), 0, b""
         self.raw: bytes | None = None
         self.store_addresses: set[tuple[str, int]] = set()
-        self.news = trio.Event()
+        self.update_event = trio.Event()
         self.members: dict[int, float] = {}  # routers by machine, with trio's time of their last poll
         self.primary_since: float | None = None
         self.links = 0
-        self.calls = CallEndings()
+        self.calls = CallOutcomes()
         self.polls = 0  # that were read and have no answer yet
         self.leaving = False  # released, or the grace is nearly over: nothing is held or begun any more
         self.rows_of: tuple[ServerRegistry | None, int] = (None, 0)
@@ -115,7 +115,7 @@
                 logger.error("event=disk_not_open why={!r}", str(error))
                 await self.host.pause(OPEN_AGAIN)
 
-    def _became(self, primary: bool) -> None:
+    def _on_role_change(self, primary: bool) -> None:
         self.primary_since = trio.current_time() if primary else None
         self.members.clear()
         self.peers, self.peers_serial = (), 0
@@ -125,8 +125,8 @@
         self._tell()
 
     def _tell(self) -> None:
-        self.news.set()
-        self.news = trio.Event()
+        self.update_event.set()
+        self.update_event = trio.Event()
 
     def refresh(self) -> None:
         """Takes the committed state up."""
@@ -221,13 +221,13 @@
 
     # routers ---------------------------------------------
 
-    async def _poll(self, poll: PollOfFormat3) -> Update | Elsewhere:
+    async def _poll(self, poll: PollOfFormat3) -> Update | Redirect:
         """Hold a router's question until there is something newer than it has, as long as it allows.
 
         The answer is made under a lease that was looked at after the question came in.
         """
         now = trio.current_time()
-        until = now + min(HOLD, poll.hold_ms / 1000)
+        until = now + min(LONG_POLL_SECONDS, poll.long_poll_ms / 1000)
         search_until = now + FIND_PRIMARY
         while True:
             now = trio.current_time()
@@ -241,20 +241,20 @@
             self.members[poll.machine] = now
             self.refresh()
             self._take_dates(poll)
-            if now >= until or self._has_news(poll):
+            if now >= until or self._has_update(poll):
                 return self._update(poll, now)
-            news = self.news
+            update_event = self.update_event
             with trio.move_on_at(until):
-                await news.wait()
+                await update_event.wait()
 
     def _names_another(self) -> bool:
         """Whether this machine is sure of not being the primary and has heard the primary lately."""
         replica = self.replica_host.replica
         return not replica.is_primary and replica.primary_hint != 0
 
-    def _elsewhere(self) -> Elsewhere:
+    def _elsewhere(self) -> Redirect:
         replica = self.replica_host.replica
-        return Elsewhere(0 if replica.is_primary else replica.primary_hint, self._core())
+        return Redirect(0 if replica.is_primary else replica.primary_hint, self._core())
 
     def _take_dates(self, poll: PollOfFormat3) -> None:
         """Takes in when versions were named, if the asker tells it."""
@@ -262,7 +262,7 @@
         if told and self.tasks.registry.take_dates(told, self.state.versions, trio.current_time()):
             self._tell()
 
-    def _has_news(self, poll: PollOfFormat3) -> bool:
+    def _has_update(self, poll: PollOfFormat3) -> bool:
         """Whether there is anything that the asker lacks."""
         epoch, registry = self.replica_host.replica.record.number, self.tasks.registry
         return (
@@ -344,7 +344,7 @@
     async def _link(self, stream: Stream) -> None:
         """One connection of a router or of a core machine."""
         self.links += 1
-        inbox = Inbox(stream, CODEC)
+        inbox = RecordReader(stream, CODEC)
         try:
             number, record = await inbox.next()
             if isinstance(record, Hello):
@@ -354,7 +354,7 @@
                 number, record = await inbox.next()
         except BadRecord as error:
             logger.warning("event=bad_record why={!r}", str(error))
-        except (LinkFailed, OSError, trio.ClosedResourceError, trio.TooSlowError):
+        except (ConnectionFailed, OSError, trio.ClosedResourceError, trio.TooSlowError):
             pass
         except Exception:
             logger.exception("event=link_broke")
@@ -365,7 +365,7 @@
     async def _answer_poll(self, stream: Stream, number: int, record: Any) -> None:
         """Answer one question of a router on its connection."""
         if isinstance(record, PollOfFormat1):
-            record = record.upgraded(int(1000 * HOLD))
+            record = record.upgraded(int(1000 * LONG_POLL_SECONDS))
         if not isinstance(record, PollOfFormat3):
             raise BadRecord(f"{type(record).__name__} was not expected")
         self.polls += 1
@@ -412,7 +412,7 @@
         boot, host = self.boot, self.host
         with host.signals() as signals:
             async with host.nursery() as nursery:
-                nursery.start_soon(self._heed, signals, nursery.cancel_scope)
+                nursery.start_soon(self._on_signals, signals, nursery.cancel_scope)
                 store, durable = await self._disk()
                 memory = Memory(boot.limits.memory_mb * MEMORY_PART)
                 file = boot.file
@@ -424,15 +424,15 @@
                     file.bootstrap,
                     durable,
                     trio.current_time(),
-                    self.chance.random,
+                    self.random_source.random,
                     boot.bounds.lease_ms / 1000 + 0.3,
-                    place=Place(file.zone, file.region, file.quorum_member),
+                    place=FailureDomain(file.zone, file.region, file.quorum_member),
                     tolerance=FaultTolerance(tolerated.machines, tolerated.zones, tolerated.regions),
                 )
                 for doubt in fault_tolerance_doubts(file):
                     logger.warning("event=tolerance_not_met why={!r}", doubt)
                 self.replica_host = ReplicaHost(
-                    host, self.machine, boot.inner[1], replica, store, nursery, self._became, self.refresh
+                    host, self.machine, boot.inner[1], replica, store, nursery, self._on_role_change, self.refresh
                 )
                 self.tasks = SingletonTasks(
                     host,
@@ -471,21 +471,21 @@
                     replica.is_amnesic,
                     replica.record.number,
                 )
-                await self.told_to_stop.wait()
+                await self.shutdown_requested.wait()
                 logger.info("event=stopping primary={}", replica.is_primary)
                 released = await self.replica_host.leave(self._grace_ends_at() - GRACE_LEFT)
                 logger.info("event=left released={}", released)
                 await self._finish(calls)
                 nursery.cancel_scope.cancel()
 
-    def tell_to_stop(self, at: float) -> None:
+    def request_shutdown(self, at: float) -> None:
         """Serve no longer than the grace from this time on; a second call changes nothing."""
-        self.told_at = at if self.told_at is None else self.told_at
-        self.told_to_stop.set()
+        self.shutdown_requested_at = at if self.shutdown_requested_at is None else self.shutdown_requested_at
+        self.shutdown_requested.set()
 
     def _grace_ends_at(self) -> float:
         """When the platform ends this process, however late its loop heard of the signal."""
-        return self.told_at + self.boot.bounds.grace_s
+        return self.shutdown_requested_at + self.boot.bounds.grace_s
 
     async def _finish(self, calls: CallServer) -> None:
         """Answer the calls and polls that were read, and refuse what comes, within what is kept of the grace."""
@@ -498,10 +498,10 @@
             await self.host.pause(LOOK)
         await self.host.pause(FAREWELL)
 
-    async def _heed(self, signals: AsyncIterator[ReceivedSignal], scope: trio.CancelScope) -> None:
+    async def _on_signals(self, signals: AsyncIterator[ReceivedSignal], scope: trio.CancelScope) -> None:
         async for received in signals:
             if received.number != signal.SIGHUP:
-                self.tell_to_stop(received.at)
+                self.request_shutdown(received.at)
                 if self.replica_host is None:
                     scope.cancel()
             elif self.boot.path is not None:
@@ -514,9 +514,9 @@
                     logger.warning("event=settings_kept why={!r}", str(error))
 
 
-def readable_by(poll: PollOfFormat3, found: Update | Elsewhere) -> UpdateOfFormat1 | Elsewhere:
+def readable_by(poll: PollOfFormat3, found: Update | Redirect) -> UpdateOfFormat1 | Redirect:
     """An answer in the form that the router which asked knows."""
-    if isinstance(poll, Poll) or isinstance(found, Elsewhere):
+    if isinstance(poll, Poll) or isinstance(found, Redirect):
         return found
     return found.of_format_1() if isinstance(poll, PollOfFormat2) else found.of_format_2()
 
--- a/rowanshift/controlplane/singleton_tasks.py
+++ b/rowanshift/controlplane/singleton_tasks.py
@@ -15,7 +15,7 @@
 from rowanshift.kv_index.index import BadEvents, KvIndex, Source
 from rowanshift.transport.calls import CallFailed, Line, call
 from rowanshift.transport.memory_budget import Memory
-from rowanshift.transport.runtime import Address, Host, Nursery
+from rowanshift.transport.runtime import Address, Nursery, Runtime
 
 LIST_EVERY = 0.8  # seconds between readings of the list
 LIST_WITHIN = 1.0  # seconds for a page
@@ -41,7 +41,7 @@
 
     def __init__(
         self,
-        host: Host,
+        host: Runtime,
         memory: Memory,
         node: ReplicaHost,
         cloud: Address | None,
--- a/rowanshift/dataplane/client_answer.py
+++ b/rowanshift/dataplane/client_answer.py
@@ -4,7 +4,7 @@
 
 import trio
 
-from rowanshift.dataplane.request_endings import RequestEnding
+from rowanshift.dataplane.request_outcomes import RequestOutcome
 from rowanshift.transport.calls import REASONS, said
 from rowanshift.transport.http_connection import NO_BODY, Connection, Message
 
@@ -36,7 +36,7 @@
     last: bytes | None = None  # id of the last event that was passed on
     passed_on: int = 0  # bytes that were handed to the connection
     status: int = 0  # of a refusal
-    ending: RequestEnding = RequestEnding.CUT_BY_ROUTER  # until it came to another
+    ending: RequestOutcome = RequestOutcome.CUT_BY_ROUTER  # until it came to another
 
     async def send(self, data: bytes) -> None:
         """Write bytes to the client; ``ClientGone`` if it takes nothing for too long."""
@@ -95,7 +95,7 @@
             lines.append(b"Connection: close")
         self.begun = True
         await self.send(b"\r\n".join([*lines, b"", body]))
-        self.ending, self.status = RequestEnding.REFUSAL, refusal.status
+        self.ending, self.status = RequestOutcome.REFUSAL, refusal.status
 
     def left(self) -> bool:
         """Whether the client has ended its connection."""
--- a/rowanshift/dataplane/control_client.py
+++ b/rowanshift/dataplane/control_client.py
@@ -19,13 +19,13 @@
 from rowanshift.dataplane.routing_table import BadControlState, RoutingTable, routing_table_of
 from rowanshift.kv_index.index import unpacked
 from rowanshift.process.node_settings import Bounds
-from rowanshift.transport.record_links import Caller, LinkFailed
-from rowanshift.transport.runtime import Address, Host
-from rowanshift.wire.delivery import CODEC, DRAINING, LOADING, Elsewhere, NamedVersion, Poll, Row, Update
+from rowanshift.transport.record_links import ConnectionFailed, RecordClient
+from rowanshift.transport.runtime import Address, Runtime
+from rowanshift.wire.delivery import CODEC, DRAINING, LOADING, NamedVersion, Poll, Redirect, ServerRecord, Update
 from rowanshift.wire.machines import ip_of, machine_of
 from rowanshift.wire.named_versions import VersionName, VersionNames, age_ms
 
-HOLD = 0.5  # seconds that the primary may hold a poll: what is known is no older than two of these
+LONG_POLL_SECONDS = 0.5  # seconds that the primary may hold a poll: what is known is no older than two of these
 ANSWER_WITHIN = 0.3  # seconds beyond that for its answer; then others are asked for the primary
 SEARCH_WITHIN = 0.75  # seconds for an answer to a poll of a search
 STAGGER = 0.12  # seconds until the next machine is asked, whatever the one before does
@@ -54,7 +54,7 @@
     """The machine that answered as the primary, and the connection to it."""
 
     machine: int
-    caller: Caller
+    caller: RecordClient
 
 
 class ControlClient:
@@ -62,19 +62,19 @@
 
     def __init__(
         self,
-        host: Host,
+        host: Runtime,
         machine: int,
         port: int,
         seeds: Callable[[], Iterable[Address]],
         bounds: Bounds,
-        chance: random.Random,
+        random_source: random.Random,
         gone: Callable[[Endpoint], None],
     ) -> None:
         """``gone`` is told of each server that is to get no more requests."""
         self.host, self.machine, self.port, self.seeds = host, machine, port, seeds
-        self.bounds, self.chance, self.gone = bounds, chance, gone
-        self.started = chance.getrandbits(63)
-        self.routing_table, self.servers = RoutingTable(), Endpoints(chance)
+        self.bounds, self.random_source, self.gone = bounds, random_source, gone
+        self.started = random_source.getrandbits(63)
+        self.routing_table, self.servers = RoutingTable(), Endpoints(random_source)
         self.state_version, self.fingerprint = NO_VERSION, 0  # of the control state
         self.registry, self.stock, self.peers = NO_VERSION, NO_VERSION, NO_VERSION
         self.machines: tuple[int, ...] = ()  # the members
@@ -87,10 +87,10 @@
         self.members = 0
         self.core: tuple[int, ...] = ()
         self.freshness = Freshness(0.0, REFUSE_PART * bounds.config_apply_ms / 1000, bounds.revoke_within)
-        self.search = PrimarySearch(chance.random)
+        self.search = PrimarySearch(random_source.random)
         self.failures = 0  # polls without an answer in a row
         self.held = trio.CancelScope()  # around the poll that is held
-        self.news = trio.Event()
+        self.update_event = trio.Event()
 
     # what the frontend asks
 
@@ -163,9 +163,9 @@
 
     async def changed(self, within: float) -> None:
         """Waits until something was learnt, so many seconds at most."""
-        news = self.news
+        update_event = self.update_event
         with trio.move_on_after(max(0.0, within)):
-            await news.wait()
+            await update_event.wait()
 
     def may_refuse(self) -> bool:
         """Whether what is known is recent enough for a refusal that is final for the client."""
@@ -217,16 +217,16 @@
                     search.progress = trio.Event()
             if search.found is not None:
                 return search.found
-            await self.host.pause(AGAIN * (0.5 + self.chance.random()))
+            await self.host.pause(AGAIN * (0.5 + self.random_source.random()))
 
     async def _ask_for_primary(self, search: Search, machine: int, scope: trio.CancelScope) -> None:
         """Asks one machine; ends the search if it is the primary."""
-        caller = Caller(self.host, CODEC, (ip_of(machine), self.port))
+        caller = RecordClient(self.host, CODEC, (ip_of(machine), self.port))
         try:
             if await self._ask(machine, caller, hold=0.0) and search.found is None:
                 search.found = Primary(machine, caller)
                 scope.cancel()
-        except LinkFailed as error:
+        except ConnectionFailed as error:
             self._failed(machine, error)
         finally:
             if search.found is None or search.found.caller is not caller:
@@ -237,22 +237,22 @@
     async def _follow(self, primary: Primary) -> None:
         """Holds one poll after another at the primary, until it is silent or no longer primary."""
         while True:
-            hold = 0.0 if self.freshness.in_doubt else HOLD
+            hold = 0.0 if self.freshness.in_doubt else LONG_POLL_SECONDS
             try:
                 with trio.CancelScope() as self.held:
                     if not await self._ask(primary.machine, primary.caller, hold):
                         return
-            except LinkFailed as error:
+            except ConnectionFailed as error:
                 self._failed(primary.machine, error)
                 return
 
-    async def _ask(self, machine: int, caller: Caller, hold: float) -> bool:
+    async def _ask(self, machine: int, caller: RecordClient, hold: float) -> bool:
         """One poll; whether the machine answered as the primary, and with nothing older than is known."""
         asked_at = trio.current_time()
-        within = HOLD + ANSWER_WITHIN if hold else SEARCH_WITHIN
+        within = LONG_POLL_SECONDS + ANSWER_WITHIN if hold else SEARCH_WITHIN
         poll = self._poll(hold)
         answer = await caller.ask(poll, within)
-        if isinstance(answer, Elsewhere):
+        if isinstance(answer, Redirect):
             self.core = answer.core or self.core
             self.search.named(answer.primary if answer.primary != machine else 0)
             return False
@@ -273,15 +273,15 @@
     def _core_machines(self) -> set[int]:
         return {*self.core, *(machine_of(seed[0]) for seed in self.seeds())}
 
-    def _failed(self, machine: int, error: LinkFailed) -> None:
+    def _failed(self, machine: int, error: ConnectionFailed) -> None:
         self.search.silent(machine, trio.current_time())
         self.failures += 1
         if self.failures in (1, 10, 100):
             logger.info("event=poll_failed to={} times={} why={!r}", ip_of(machine), self.failures, str(error))
 
     def _tell(self) -> None:
-        self.news.set()
-        self.news = trio.Event()
+        self.update_event.set()
+        self.update_event = trio.Event()
 
     # taking answers in
 
@@ -338,7 +338,7 @@
         self._tell()
 
 
-def endpoint_of(row: Row) -> Endpoint:
+def endpoint_of(row: ServerRecord) -> Endpoint:
     """A server of the list as requests are sent to it."""
     draining, loading = bool(row.state & DRAINING), bool(row.state & LOADING)
     return Endpoint(
--- a/rowanshift/dataplane/endpoints.py
+++ b/rowanshift/dataplane/endpoints.py
@@ -42,15 +42,15 @@
 class Endpoints:
     """All servers by their id, and the pool of each service."""
 
-    def __init__(self, chance: random.Random) -> None:
-        self.chance = chance
+    def __init__(self, random_source: random.Random) -> None:
+        self.random_source = random_source
         self.pools: dict[str, Pool] = {}
         self.engines: dict[str, Endpoint] = {}
 
     def pool(self, service: str) -> Pool:
         """The servers of a service that may take requests."""
         if service not in self.pools:
-            self.pools[service] = Pool(self.chance)
+            self.pools[service] = Pool(self.random_source)
         return self.pools[service]
 
     def update(self, engines: list[Endpoint]) -> list[Endpoint]:
--- a/rowanshift/dataplane/forwarder.py
+++ b/rowanshift/dataplane/forwarder.py
@@ -13,10 +13,10 @@
 from rowanshift.dataplane.forwarding import COME_AGAIN, LEAST_LEFT, Counts, Forwarding
 from rowanshift.dataplane.kv_moves import KvMoves, source_of
 from rowanshift.dataplane.load_index import DatagramKind, LoadIndex
-from rowanshift.dataplane.request_endings import RequestEnding
+from rowanshift.dataplane.request_outcomes import RequestOutcome
 from rowanshift.dataplane.requests import Request, priority_of, written
 from rowanshift.dataplane.retry_budget import RetryBudget
-from rowanshift.dataplane.retry_decision import Decision, Ending, Told, decide
+from rowanshift.dataplane.retry_decision import ClientResponse, Decision, ExchangeOutcome, decide
 from rowanshift.dataplane.routing_table import Route, RoutingTable, Tenant
 from rowanshift.dataplane.upstream import LOOK, Link, Outcome, SendFailed, Upstream
 from rowanshift.placement.shadows import Pool, back_off, lighter
@@ -37,26 +37,26 @@
 EVENT_END = re.compile(rb"\r?\n\r?\n")
 EVENT_ID = re.compile(rb"(?m)^id:[ ]?([^\r\n]*)")
 ENDINGS = {
-    Outcome.UNSENT: Ending.NOT_WRITTEN,
-    Outcome.BROKEN: Ending.NO_ANSWER,
-    Outcome.GARBLED: Ending.GARBLED,
-    Outcome.MISMATCHED: Ending.MISMATCHED,
-    Outcome.LATE: Ending.TIMED_OUT,
-    Outcome.SILENT: Ending.SILENT,
+    Outcome.UNSENT: ExchangeOutcome.NOT_WRITTEN,
+    Outcome.BROKEN: ExchangeOutcome.NO_ANSWER,
+    Outcome.GARBLED: ExchangeOutcome.GARBLED,
+    Outcome.MISMATCHED: ExchangeOutcome.MISMATCHED,
+    Outcome.LATE: ExchangeOutcome.TIMED_OUT,
+    Outcome.SILENT: ExchangeOutcome.SILENT,
 }
 
 
 VERDICT_OF = {  # what the ending of an attempt says of its server; all others say nothing
-    Ending.SUCCESS: DatagramKind.DONE,
-    Ending.NOT_WRITTEN: DatagramKind.FAILED,
-    Ending.NO_ANSWER: DatagramKind.FAILED,
-    Ending.GARBLED: DatagramKind.FAILED,
-    Ending.SERVER_ERROR: DatagramKind.FAILED,
-    Ending.TIMED_OUT: DatagramKind.FAILED,
-    Ending.MISMATCHED: DatagramKind.FAILED,
-    Ending.UNPROVEN_PROMISE: DatagramKind.FAILED,
-    Ending.LAST_SERVER_ERROR: DatagramKind.FAILED,
-    Ending.SILENT: DatagramKind.FAILED,
+    ExchangeOutcome.SUCCESS: DatagramKind.DONE,
+    ExchangeOutcome.NOT_WRITTEN: DatagramKind.FAILED,
+    ExchangeOutcome.NO_ANSWER: DatagramKind.FAILED,
+    ExchangeOutcome.GARBLED: DatagramKind.FAILED,
+    ExchangeOutcome.SERVER_ERROR: DatagramKind.FAILED,
+    ExchangeOutcome.TIMED_OUT: DatagramKind.FAILED,
+    ExchangeOutcome.MISMATCHED: DatagramKind.FAILED,
+    ExchangeOutcome.UNPROVEN_PROMISE: DatagramKind.FAILED,
+    ExchangeOutcome.LAST_SERVER_ERROR: DatagramKind.FAILED,
+    ExchangeOutcome.SILENT: DatagramKind.FAILED,
 }
 
 
@@ -147,14 +147,14 @@
         try:
             await self._attempts(forwarding)
             self._finished(forwarding, trio.current_time())
-            out.ending = RequestEnding.WHOLE_ANSWER
+            out.ending = RequestOutcome.WHOLE_ANSWER
         except Refusal:
             if out.begun:
                 out.ending = forwarding.ending_once_begun(trio.current_time())
             raise
         except trio.Cancelled:  # it is given up, perhaps after its time, where its client takes nothing
             if out.begun and trio.current_time() >= forwarding.until:
-                out.ending = RequestEnding.TIME_UP
+                out.ending = RequestOutcome.TIME_UP
             raise
         finally:
             if forwarding.spare is not None:
@@ -173,9 +173,9 @@
             except Moved:
                 continue
             decision = decide(forwarding.kind, ending)
-            if decision.told is Told.ANSWER and not decision.again:
+            if decision.told is ClientResponse.ANSWER and not decision.again:
                 return
-            if ending is Ending.NOT_WRITTEN:
+            if ending is ExchangeOutcome.NOT_WRITTEN:
                 self._unreached(forwarding, endpoint)
                 continue
             forwarding.note(ending, decision)
@@ -268,7 +268,7 @@
 
     # one attempt ------------------------------------------
 
-    async def _attempt(self, forwarding: Forwarding, endpoint: Endpoint) -> Ending:
+    async def _attempt(self, forwarding: Forwarding, endpoint: Endpoint) -> ExchangeOutcome:
         """One send to one server, and what came of it; an answer that is the client's has been passed on."""
         request = forwarding.request
         version = endpoint.versions.get(request.model, 0)
@@ -333,12 +333,14 @@
             return False
         return self.allowed(request) != (forwarding.route, forwarding.tenant)
 
-    def _ending_of(self, forwarding: Forwarding, endpoint: Endpoint, link: Link | None, failure: SendFailed) -> Ending:
+    def _ending_of(
+        self, forwarding: Forwarding, endpoint: Endpoint, link: Link | None, failure: SendFailed
+    ) -> ExchangeOutcome:
         """The ending that a failure stands for; ``ClientGone`` if nobody waits for the answer any more."""
         if failure.outcome is Outcome.CLIENT_GONE:
             raise ClientGone from failure
         if failure.outcome is Outcome.UNSENT:
-            return Ending.NOT_WRITTEN
+            return ExchangeOutcome.NOT_WRITTEN
         logger.info(
             "event=send_failed server={} request={} outcome={} why={!r}",
             endpoint.id,
@@ -407,7 +409,7 @@
         forwarding.spare = spare
         return True
 
-    async def _take(self, forwarding: Forwarding, link: Link, load: tuple[str, int], version: int) -> Ending:
+    async def _take(self, forwarding: Forwarding, link: Link, load: tuple[str, int], version: int) -> ExchangeOutcome:
         """Takes the answer of one attempt at weights of a version in, and passes it on if it is the client's."""
         endpoint = link.engine
 
@@ -422,14 +424,14 @@
             self._warn_if_overdue(forwarding, endpoint, version)
             await self.loads.ended(load, DatagramKind.DONE)
             await self._stream(forwarding, link, look)
-            ending = Ending.SUCCESS if link.connection.clean() else Ending.SURPLUS
+            ending = ExchangeOutcome.SUCCESS if link.connection.clean() else ExchangeOutcome.SURPLUS
             self._release(link, decide(forwarding.kind, ending))
             return ending
         ending = forwarding.progress.ending_of_status(message.status, b"not-executed" in dict(message.fields))
         decision = decide(forwarding.kind, ending)
         self._release(link, decision)
         self._mark(endpoint, message, ending)
-        if decision.told is Told.ANSWER and not decision.again:
+        if decision.told is ClientResponse.ANSWER and not decision.again:
             await forwarding.out.whole(message, message.body)
         return ending
 
@@ -456,16 +458,16 @@
         else:
             self.upstream.close(link)
 
-    def _mark(self, endpoint: Endpoint, message: Message, ending: Ending) -> None:
+    def _mark(self, endpoint: Endpoint, message: Message, ending: ExchangeOutcome) -> None:
         """Gives a server that rejected a request no more for a while."""
         now = trio.current_time()
-        if ending is Ending.MISDIRECTED:
+        if ending is ExchangeOutcome.MISDIRECTED:
             instance = dict(message.fields).get(b"instance-id", endpoint.id.encode()).decode("latin-1")
             if instance != endpoint.id:
                 back_off(endpoint, now)
                 self.upstream.leave(endpoint)
             endpoint.silent_until = max(endpoint.silent_until, now + STALE_FOR)
-        elif ending is Ending.NOT_EXECUTED and message.status in (429, 503):
+        elif ending is ExchangeOutcome.NOT_EXECUTED and message.status in (429, 503):
             endpoint.silent_until = max(endpoint.silent_until, now + FULL_FOR)
 
     async def _stream(self, forwarding: Forwarding, link: Link, look: Callable[[], Outcome | None]) -> None:
--- a/rowanshift/dataplane/forwarding.py
+++ b/rowanshift/dataplane/forwarding.py
@@ -4,9 +4,16 @@
 
 from rowanshift.dataplane.client_answer import Out, Refusal
 from rowanshift.dataplane.drain import RequestKind, request_kind
-from rowanshift.dataplane.request_endings import RequestEnding
+from rowanshift.dataplane.request_outcomes import RequestOutcome
 from rowanshift.dataplane.requests import Request
-from rowanshift.dataplane.retry_decision import Decision, Ending, Kind, Progress, Told, kind_of
+from rowanshift.dataplane.retry_decision import (
+    ClientResponse,
+    Decision,
+    ExchangeOutcome,
+    Progress,
+    RequestIdempotency,
+    kind_of,
+)
 from rowanshift.dataplane.routing_table import Route, Tenant
 from rowanshift.dataplane.upstream import Link
 from rowanshift.placement.shadows import mark_of
@@ -14,10 +21,10 @@
 LEAST_LEFT = 0.02  # seconds under which nothing is sent to a server
 COME_AGAIN = 0.1  # seconds until a client that was refused may come again
 REASON_OF = {  # what a client is told; of all other endings, that its request may have run
-    Ending.MISDIRECTED: "the server was another",
-    Ending.NOT_EXECUTED: "servers are full",
-    Ending.SERVER_ERROR: "it failed at a server",
-    Ending.NOT_TAKEN_UP: "it was not taken up",
+    ExchangeOutcome.MISDIRECTED: "the server was another",
+    ExchangeOutcome.NOT_EXECUTED: "servers are full",
+    ExchangeOutcome.SERVER_ERROR: "it failed at a server",
+    ExchangeOutcome.NOT_TAKEN_UP: "it was not taken up",
 }
 
 
@@ -53,7 +60,7 @@
     last: Refusal = field(default_factory=lambda: Refusal(503, "no server", COME_AGAIN))  # what it would be told
 
     @property
-    def kind(self) -> Kind:
+    def kind(self) -> RequestIdempotency:
         """What may be done with its request."""
         return kind_of(self.route.streaming, self.route.repeatable)
 
@@ -88,21 +95,21 @@
         left = self.route.servers - len(self.request.tried)
         return Progress(self.may_have_run, self.out.begun, bool(self.out.last), left)
 
-    def note(self, ending: Ending, decision: Decision) -> None:
+    def note(self, ending: ExchangeOutcome, decision: Decision) -> None:
         """Takes in how an attempt that reached a server ended, without an answer for the client."""
         self.arrived = True
         if decision.may_have_run:
-            self.left_silent = ending is Ending.SILENT
+            self.left_silent = ending is ExchangeOutcome.SILENT
         self.may_have_run = self.may_have_run or decision.may_have_run
         told = self.progress.told(decision)
         why = REASON_OF.get(ending, "it may have run")
-        if told is Told.UNAVAILABLE:
+        if told is ClientResponse.UNAVAILABLE:
             self.last = Refusal(told.status, why, COME_AGAIN)
         else:  # with ``CUT`` the status is not sent
-            self.last = Refusal(502 if told is Told.CUT else told.status, why)
+            self.last = Refusal(502 if told is ClientResponse.CUT else told.status, why)
 
-    def ending_once_begun(self, now: float) -> RequestEnding:
+    def ending_once_begun(self, now: float) -> RequestOutcome:
         """How its request ends if its answer had begun and no further attempt is made."""
         if self.until - now < LEAST_LEFT:
-            return RequestEnding.TIME_UP
-        return RequestEnding.CUT_BY_ROUTER if self.left_silent else RequestEnding.SERVER_BROKE_OFF
+            return RequestOutcome.TIME_UP
+        return RequestOutcome.CUT_BY_ROUTER if self.left_silent else RequestOutcome.SERVER_BROKE_OFF
--- a/rowanshift/dataplane/frontend.py
+++ b/rowanshift/dataplane/frontend.py
@@ -12,7 +12,7 @@
 from rowanshift.dataplane.forwarder import LEAVING, Forwarder, State
 from rowanshift.dataplane.forwarding import COME_AGAIN
 from rowanshift.dataplane.load_index import LoadIndex
-from rowanshift.dataplane.request_endings import EndedRequest, RequestEnding, RequestEndings
+from rowanshift.dataplane.request_outcomes import EndedRequest, RequestOutcome, RequestOutcomes
 from rowanshift.dataplane.requests import Request, request_of
 from rowanshift.dataplane.retry_budget import RetryBudget
 from rowanshift.dataplane.retry_decision import PROMISES
@@ -53,7 +53,7 @@
         draw: Callable[[], float],
         loads: LoadIndex,
         drain: Drain,
-        endings: RequestEndings | None = None,
+        endings: RequestOutcomes | None = None,
     ) -> None:
         self.state, self.budget, self.memory, self.drain = state, budget, memory, drain
         self.forwarder = Forwarder(state, back, retries, draw, loads, drain)
@@ -64,7 +64,7 @@
         self.answering: dict[trio.CancelScope, Out] = {}  # what gives up each request that is open
         self.accepting = trio.CancelScope()
         self.listener_closed = trio.Event()
-        self.endings = endings or RequestEndings()
+        self.endings = endings or RequestOutcomes()
         budget.idle_clients = self.drop_idle
 
     # the listener -----------------------------------------
@@ -239,7 +239,7 @@
                     if not connection.stream.recv_into(space):
                         return
         except ClientGone:
-            out.ending = RequestEnding.CLIENT_LEFT
+            out.ending = RequestOutcome.CLIENT_LEFT
         except (OSError, trio.ClosedResourceError):
             pass
 
@@ -257,7 +257,7 @@
             await self._bad(out, error)
             return False
         except ClientGone:
-            out.ending = RequestEnding.CLIENT_LEFT
+            out.ending = RequestOutcome.CLIENT_LEFT
             raise
         finally:  # also when it is cancelled
             now = trio.current_time()
--- a/rowanshift/dataplane/load_index.py
+++ b/rowanshift/dataplane/load_index.py
@@ -22,7 +22,7 @@
 from rowanshift.dataplane.ownership import holder
 from rowanshift.dataplane.server_progress import ServerProgress
 from rowanshift.placement.hash_ring import stable
-from rowanshift.transport.runtime import Address, Host, Port
+from rowanshift.transport.runtime import Address, Port, Runtime
 from rowanshift.wire.machines import ip_of
 
 RECORD = Struct(">2sBBIQI")  # magic, format, kind, call, server's mark, tokens
@@ -137,7 +137,7 @@
 class LoadIndex:
     """Tokens to read at each server, summed over all routers, each server's sum kept by one owner."""
 
-    def __init__(self, host: Host, address: Address, machine: int) -> None:
+    def __init__(self, host: Runtime, address: Address, machine: int) -> None:
         self.host, self.address, self.machine = host, address, machine
         self.port: Port | None = None
         self.sums = Sums()
--- a/rowanshift/dataplane/request_endings.py
+++ b/rowanshift/dataplane/request_outcomes.py
@@ -12,7 +12,7 @@
 EXCUSED_PART = 5 / 6  # of the grace, from which on such a cut is excused
 
 
-class RequestEnding(Enum):
+class RequestOutcome(Enum):
     """How one request ended."""
 
     WHOLE_ANSWER = "whole_answer"  # a server's answer was passed on whole
@@ -96,7 +96,7 @@
     """A request, how it ended, and what of the leave matters to it (None where the process was not leaving)."""
 
     request: OpenRequest
-    ending: RequestEnding
+    ending: RequestOutcome
     at: float
     phase: Phase
     status: int = 0  # of a refusal
@@ -115,13 +115,13 @@
 
 
 @dataclass(slots=True, eq=False)
-class RequestEndings:
+class RequestOutcomes:
     """Opens each request that was read whole, closes it exactly once, and counts endings and violations. ``watch`` is
     told of each violation, and of each cut that is excused."""
 
     leave: Leave | None = None
     open: dict[OpenRequest, None] = field(default_factory=dict)
-    endings: dict[Phase, Counter[RequestEnding]] = field(default_factory=lambda: {phase: Counter() for phase in Phase})
+    endings: dict[Phase, Counter[RequestOutcome]] = field(default_factory=lambda: {phase: Counter() for phase in Phase})
     violations: dict[Phase, Counter[Violation]] = field(default_factory=lambda: {phase: Counter() for phase in Phase})
 
     excused: int = 0  # requests that were cut late in the grace
@@ -146,10 +146,10 @@
         return request
 
     def closed(
-        self, request: OpenRequest, ending: RequestEnding, now: float, status: int = 0, passed_on: int = 0
+        self, request: OpenRequest, ending: RequestOutcome, now: float, status: int = 0, passed_on: int = 0
     ) -> EndedRequest:
         """A request ended. The first ending stands: a second one is a violation and not counted as an ending."""
-        cut = ending is RequestEnding.CUT_BY_ROUTER
+        cut = ending is RequestOutcome.CUT_BY_ROUTER
         excused = cut and not request.ended and self._excuses(request, now)
         violation = Violation.CUT_BY_ROUTER if cut and not excused else None
         if request.ended:
@@ -175,7 +175,7 @@
         self.open.clear()
         for request in left_open:
             request.ended = True
-        cut = RequestEnding.CUT_BY_ROUTER
+        cut = RequestOutcome.CUT_BY_ROUTER
         return [self._ended(request, cut, now, 0, 0, Violation.NEVER_CLOSED) for request in left_open]
 
     def violated(self) -> int:
@@ -199,7 +199,7 @@
     def _ended(
         self,
         request: OpenRequest,
-        ending: RequestEnding,
+        ending: RequestOutcome,
         now: float,
         status: int,
         passed_on: int,
@@ -216,7 +216,7 @@
     def _made(
         self,
         request: OpenRequest,
-        ending: RequestEnding,
+        ending: RequestOutcome,
         now: float,
         status: int,
         passed_on: int,
--- a/rowanshift/dataplane/retry_decision.py
+++ b/rowanshift/dataplane/retry_decision.py
@@ -12,7 +12,7 @@
 PROMISES = frozenset([408, 421, 429, 503])  # statuses that say that a request has not run and never will
 
 
-class Kind(Enum):
+class RequestIdempotency(Enum):
     """Kinds of request, by what a second attempt may do."""
 
     IDEMPOTENT = "idempotent"
@@ -23,10 +23,10 @@
     @property
     def repeatable(self) -> bool:
         """Whether a request of this kind may run more than once."""
-        return self in (Kind.IDEMPOTENT, Kind.RESUMABLE_STREAM)
+        return self in (RequestIdempotency.IDEMPOTENT, RequestIdempotency.RESUMABLE_STREAM)
 
 
-class Ending(Enum):
+class ExchangeOutcome(Enum):
     """The ways in which one exchange with a server ends."""
 
     NOT_WRITTEN = "the last byte of the request was not handed to the system"
@@ -49,7 +49,7 @@
     NOT_TAKEN_UP = "a status that is no success, after a part of another server's stream was passed on"
 
 
-class Told(Enum):
+class ClientResponse(Enum):
     """What a client gets if no further attempt is made."""
 
     ANSWER = "the server's answer"
@@ -69,61 +69,67 @@
     """What follows from an ending."""
 
     again: bool  # another server may be tried
-    told: Told  # else
+    told: ClientResponse  # else
     may_have_run: bool
     kept: bool  # the connection to the server
 
 
 def _decisions(
-    kept: bool, may_have_run: bool, repeatable: tuple[bool, Told], once: tuple[bool, Told], resumable: bool = False
-) -> dict[Kind, Decision]:
+    kept: bool,
+    may_have_run: bool,
+    repeatable: tuple[bool, ClientResponse],
+    once: tuple[bool, ClientResponse],
+    resumable: bool = False,
+) -> dict[RequestIdempotency, Decision]:
     """One row: what holds for repeatable kinds, and for the others. With ``resumable``, only a resumable stream
     may go again of the repeatable kinds."""
     row = {}
-    for kind in Kind:
+    for kind in RequestIdempotency:
         again, told = repeatable if kind.repeatable else once
-        if resumable and kind is not Kind.RESUMABLE_STREAM:
+        if resumable and kind is not RequestIdempotency.RESUMABLE_STREAM:
             again = False
         row[kind] = Decision(again, told, may_have_run, kept)
     return row
 
 
 _AGAIN_OR_503, _AGAIN_OR_502, _AGAIN_OR_504 = (
-    (True, told) for told in (Told.UNAVAILABLE, Told.BAD_GATEWAY, Told.GATEWAY_TIMEOUT)
+    (True, told) for told in (ClientResponse.UNAVAILABLE, ClientResponse.BAD_GATEWAY, ClientResponse.GATEWAY_TIMEOUT)
 )
-_502, _504, _ANSWER = ((False, told) for told in (Told.BAD_GATEWAY, Told.GATEWAY_TIMEOUT, Told.ANSWER))
-_AGAIN_OR_CUT, _CUT = (True, Told.CUT), (False, Told.CUT)
-
-DECISIONS: dict[Ending, dict[Kind, Decision]] = {
-    Ending.NOT_WRITTEN: _decisions(False, False, _AGAIN_OR_503, _AGAIN_OR_503),
-    Ending.NO_ANSWER: _decisions(False, True, _AGAIN_OR_502, _502),
-    Ending.GARBLED: _decisions(False, True, _AGAIN_OR_502, _502),
-    Ending.MISMATCHED: _decisions(False, True, _AGAIN_OR_502, _502),
-    Ending.SILENT: _decisions(False, True, _AGAIN_OR_504, _504),
-    Ending.TIMED_OUT: _decisions(False, True, _504, _504),
-    Ending.MISDIRECTED: _decisions(True, False, _AGAIN_OR_503, _AGAIN_OR_503),
-    Ending.NOT_EXECUTED: _decisions(True, False, _AGAIN_OR_503, _AGAIN_OR_503),
-    Ending.UNPROVEN_PROMISE: _decisions(True, True, _AGAIN_OR_502, _502),
-    Ending.SERVER_ERROR: _decisions(True, True, _AGAIN_OR_502, _ANSWER),
-    Ending.LAST_SERVER_ERROR: _decisions(True, True, _ANSWER, _ANSWER),
-    Ending.REFUSED: _decisions(True, True, _ANSWER, _ANSWER),
-    Ending.SUCCESS: _decisions(True, True, _ANSWER, _ANSWER),
-    Ending.SURPLUS: _decisions(False, True, _ANSWER, _ANSWER),
-    Ending.BROKEN_UNSEEN: _decisions(False, True, _AGAIN_OR_502, _502),
-    Ending.BROKEN_MIDWAY: _decisions(False, True, _CUT, _CUT),
-    Ending.BROKEN_AFTER_EVENT: _decisions(False, True, _AGAIN_OR_CUT, _CUT, resumable=True),
-    Ending.NOT_TAKEN_UP: _decisions(True, True, _AGAIN_OR_CUT, _CUT, resumable=True),
+_502, _504, _ANSWER = (
+    (False, told) for told in (ClientResponse.BAD_GATEWAY, ClientResponse.GATEWAY_TIMEOUT, ClientResponse.ANSWER)
+)
+_AGAIN_OR_CUT, _CUT = (True, ClientResponse.CUT), (False, ClientResponse.CUT)
+
+DECISIONS: dict[ExchangeOutcome, dict[RequestIdempotency, Decision]] = {
+    ExchangeOutcome.NOT_WRITTEN: _decisions(False, False, _AGAIN_OR_503, _AGAIN_OR_503),
+    ExchangeOutcome.NO_ANSWER: _decisions(False, True, _AGAIN_OR_502, _502),
+    ExchangeOutcome.GARBLED: _decisions(False, True, _AGAIN_OR_502, _502),
+    ExchangeOutcome.MISMATCHED: _decisions(False, True, _AGAIN_OR_502, _502),
+    ExchangeOutcome.SILENT: _decisions(False, True, _AGAIN_OR_504, _504),
+    ExchangeOutcome.TIMED_OUT: _decisions(False, True, _504, _504),
+    ExchangeOutcome.MISDIRECTED: _decisions(True, False, _AGAIN_OR_503, _AGAIN_OR_503),
+    ExchangeOutcome.NOT_EXECUTED: _decisions(True, False, _AGAIN_OR_503, _AGAIN_OR_503),
+    ExchangeOutcome.UNPROVEN_PROMISE: _decisions(True, True, _AGAIN_OR_502, _502),
+    ExchangeOutcome.SERVER_ERROR: _decisions(True, True, _AGAIN_OR_502, _ANSWER),
+    ExchangeOutcome.LAST_SERVER_ERROR: _decisions(True, True, _ANSWER, _ANSWER),
+    ExchangeOutcome.REFUSED: _decisions(True, True, _ANSWER, _ANSWER),
+    ExchangeOutcome.SUCCESS: _decisions(True, True, _ANSWER, _ANSWER),
+    ExchangeOutcome.SURPLUS: _decisions(False, True, _ANSWER, _ANSWER),
+    ExchangeOutcome.BROKEN_UNSEEN: _decisions(False, True, _AGAIN_OR_502, _502),
+    ExchangeOutcome.BROKEN_MIDWAY: _decisions(False, True, _CUT, _CUT),
+    ExchangeOutcome.BROKEN_AFTER_EVENT: _decisions(False, True, _AGAIN_OR_CUT, _CUT, resumable=True),
+    ExchangeOutcome.NOT_TAKEN_UP: _decisions(True, True, _AGAIN_OR_CUT, _CUT, resumable=True),
 }
 
 
-def kind_of(streaming: bool, repeatable: bool) -> Kind:
+def kind_of(streaming: bool, repeatable: bool) -> RequestIdempotency:
     """The kind of a route's requests."""
     if streaming:
-        return Kind.RESUMABLE_STREAM if repeatable else Kind.STREAM
-    return Kind.IDEMPOTENT if repeatable else Kind.NON_IDEMPOTENT
+        return RequestIdempotency.RESUMABLE_STREAM if repeatable else RequestIdempotency.STREAM
+    return RequestIdempotency.IDEMPOTENT if repeatable else RequestIdempotency.NON_IDEMPOTENT
 
 
-def decide(kind: Kind, ending: Ending) -> Decision:
+def decide(kind: RequestIdempotency, ending: ExchangeOutcome) -> Decision:
     """The decision for one ending of one exchange."""
     return DECISIONS[ending][kind]
 
@@ -137,31 +143,31 @@
     event_passed: bool = False  # among it an event with an id
     servers_left: int = 0  # that the route still allows
 
-    def ending_of_status(self, status: int, not_executed: bool) -> Ending:
+    def ending_of_status(self, status: int, not_executed: bool) -> ExchangeOutcome:
         """The ending of an exchange whose answer was whole and no success."""
         if status == HTTPStatus.MISDIRECTED_REQUEST:
-            return Ending.MISDIRECTED
+            return ExchangeOutcome.MISDIRECTED
         if not_executed:
-            return Ending.NOT_EXECUTED
+            return ExchangeOutcome.NOT_EXECUTED
         if self.begun:
-            return Ending.NOT_TAKEN_UP
+            return ExchangeOutcome.NOT_TAKEN_UP
         if status in PROMISES:
-            return Ending.UNPROVEN_PROMISE
+            return ExchangeOutcome.UNPROVEN_PROMISE
         if status >= 500:
-            return Ending.SERVER_ERROR if self.servers_left > 0 else Ending.LAST_SERVER_ERROR
-        return Ending.REFUSED
+            return ExchangeOutcome.SERVER_ERROR if self.servers_left > 0 else ExchangeOutcome.LAST_SERVER_ERROR
+        return ExchangeOutcome.REFUSED
 
-    def ending_of_break(self) -> Ending:
+    def ending_of_break(self) -> ExchangeOutcome:
         """The ending of an exchange whose success broke off."""
         if not self.begun:
-            return Ending.BROKEN_UNSEEN
-        return Ending.BROKEN_AFTER_EVENT if self.event_passed else Ending.BROKEN_MIDWAY
+            return ExchangeOutcome.BROKEN_UNSEEN
+        return ExchangeOutcome.BROKEN_AFTER_EVENT if self.event_passed else ExchangeOutcome.BROKEN_MIDWAY
 
-    def told(self, decision: Decision) -> Told:
+    def told(self, decision: Decision) -> ClientResponse:
         """What the client is told at the end: no promise where a server may have run the request, and no status
         where an answer has begun."""
         if self.begun:
-            return Told.CUT
-        if decision.told is Told.UNAVAILABLE and self.may_have_run:
-            return Told.BAD_GATEWAY
+            return ClientResponse.CUT
+        if decision.told is ClientResponse.UNAVAILABLE and self.may_have_run:
+            return ClientResponse.BAD_GATEWAY
         return decision.told
--- a/rowanshift/dataplane/service.py
+++ b/rowanshift/dataplane/service.py
@@ -11,7 +11,7 @@
 from rowanshift.dataplane.drain import Drain, Phase
 from rowanshift.dataplane.frontend import BACKLOG, Frontend, log_ending
 from rowanshift.dataplane.load_index import LoadIndex
-from rowanshift.dataplane.request_endings import RequestEndings
+from rowanshift.dataplane.request_outcomes import RequestOutcomes
 from rowanshift.dataplane.retry_budget import RetryBudget
 from rowanshift.dataplane.upstream import Upstream
 from rowanshift.process.error_groups import first_of
@@ -20,7 +20,7 @@
 from rowanshift.transport.calls import Answer, CallServer
 from rowanshift.transport.http_connection import Message
 from rowanshift.transport.memory_budget import Budget, Memory
-from rowanshift.transport.runtime import SYSTEM, Host
+from rowanshift.transport.runtime import SYSTEM, Runtime
 from rowanshift.transport.signals import ReceivedSignal
 from rowanshift.wire.machines import machine_of
 
@@ -51,13 +51,13 @@
 class DataPlaneService:
     """One router: its frontend, upstream connections, and what it knows of the control plane."""
 
-    def __init__(self, boot: NodeSettings, host: Host = SYSTEM, seed: int | None = None) -> None:
+    def __init__(self, boot: NodeSettings, host: Runtime = SYSTEM, seed: int | None = None) -> None:
         self.boot, self.host = boot, host
-        self.chance = random.Random(seed)
+        self.random_source = random.Random(seed)
         self.drain = Drain(boot.bounds.grace_s)
-        self.told_to_stop = trio.Event()
-        self.told_at = 0.0  # trio's time at which the signal was handled
-        self.endings = RequestEndings()
+        self.shutdown_requested = trio.Event()
+        self.shutdown_requested_at = 0.0  # trio's time at which the signal was handled
+        self.endings = RequestOutcomes()
         self.front: Frontend | None = None  # until it serves
         self.budgets: dict[str, RetryBudget] = {}
         self.joined_at: float | None = None
@@ -137,7 +137,7 @@
                     boot.inner[1],
                     self.seeds,
                     boot.bounds,
-                    self.chance,
+                    self.random_source,
                     self.back.leave,
                 )
                 self.loads = LoadIndex(host, boot.inner, machine_of(boot.ip))
@@ -148,14 +148,14 @@
                     budget,
                     memory,
                     self.retries,
-                    self.chance.random,
+                    self.random_source.random,
                     self.loads,
                     self.drain,
                     self.endings,
                 )
                 nursery.start_soon(self.loads.run)
                 readiness = CallServer({b"/readiness": Readiness(self)}, memory)
-                nursery.start_soon(self._heed, signals)
+                nursery.start_soon(self._on_signals, signals)
                 nursery.start_soon(readiness.serve, host.listen(boot.want("readiness"), 64), nursery, host.pause)
                 nursery.start_soon(self.control_client.run)
                 nursery.start_soon(self._watch)
@@ -163,14 +163,14 @@
                 nursery.start_soon(self.front.accept, listener, nursery, host.pause)
                 host.settled()
                 logger.info("event=started role=dataplane name={}", boot.name)
-                await self.told_to_stop.wait()
+                await self.shutdown_requested.wait()
                 await self._leave(self.front, budget)
                 nursery.cancel_scope.cancel()
 
     async def _leave(self, front: Frontend, budget: Budget) -> None:
         """Serve on as ``Drain`` says, then end what is open and stop; returns within the grace."""
-        self.drain.begin(self.told_at)
-        front.endings.begin_leave(self.told_at, self.drain.grace)
+        self.drain.begin(self.shutdown_requested_at)
+        front.endings.begin_leave(self.shutdown_requested_at, self.drain.grace)
         front.begin_leave()
         logger.info("event=leaving open={}", front.open)
         while (phase := self.drain.phase(trio.current_time(), front.unfinished)) is not Phase.OVER:
@@ -185,11 +185,11 @@
             front.close_idle()
             await trio.sleep(LAST_STEP)
 
-    async def _heed(self, signals: AsyncIterator[ReceivedSignal]) -> None:
+    async def _on_signals(self, signals: AsyncIterator[ReceivedSignal]) -> None:
         async for received in signals:
             if received.number != signal.SIGHUP:
-                self.told_at = self.told_at or received.at
-                self.told_to_stop.set()
+                self.shutdown_requested_at = self.shutdown_requested_at or received.at
+                self.shutdown_requested.set()
 
     async def _watch(self) -> None:
         """Notices that the process stood still, and closes what was idle too long."""
--- a/rowanshift/dataplane/upstream.py
+++ b/rowanshift/dataplane/upstream.py
@@ -11,7 +11,7 @@
 from rowanshift.dataplane.endpoints import Endpoint
 from rowanshift.transport.http_connection import BadMessage, Connection, Message
 from rowanshift.transport.memory_budget import Budget, Memory
-from rowanshift.transport.runtime import Host
+from rowanshift.transport.runtime import Runtime
 
 DIAL_WITHIN = 0.6  # seconds
 IDLE_FOR = 4.0  # seconds that a connection is kept where the server names no time
@@ -60,7 +60,7 @@
 class Upstream:
     """Connections to servers: dialled, kept while idle, one exchange at a time on each."""
 
-    def __init__(self, host: Host, budget: Budget, memory: Memory) -> None:
+    def __init__(self, host: Runtime, budget: Budget, memory: Memory) -> None:
         self.host, self.budget, self.memory = host, budget, memory
         self.idle: dict[Endpoint, list[Link]] = {}
         self.dials = self.sends = 0
--- a/rowanshift/emulation/clients.py
+++ b/rowanshift/emulation/clients.py
@@ -18,7 +18,7 @@
 from rowanshift.invariants.events import Events
 from rowanshift.transport.http_connection import BadMessage, Connection, Message
 from rowanshift.transport.memory_budget import Memory
-from rowanshift.transport.runtime import Address, Host, Nursery, connect, send_all
+from rowanshift.transport.runtime import Address, Nursery, Runtime, connect, send_all
 
 READY = b"GET /-/ready HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"
 DIAL_WITHIN = 1.0
@@ -70,29 +70,36 @@
         self.sums = list(accumulate((n + 1) ** -exponent for n in range(count)))
         self.hot: tuple[str, float] | None = None  # one key, and the part of all reads that goes to it
 
-    def draw(self, chance: random.Random) -> str:
-        if self.hot is not None and chance.random() < self.hot[1]:
+    def draw(self, random_source: random.Random) -> str:
+        if self.hot is not None and random_source.random() < self.hot[1]:
             return self.hot[0]
-        n = bisect(self.sums, chance.random() * self.sums[-1])
+        n = bisect(self.sums, random_source.random() * self.sums[-1])
         return f"k{(min(n, self.count - 1) + self.shifted) % self.count}"
 
 
 class Crowd:
     def __init__(
         self,
-        host: Host,
+        host: Runtime,
         name: str,
         site: int,
         now: Callable[[], float],
         events: Events,
-        chance: random.Random,
+        random_source: random.Random,
         doors: list[Door],
         asked: list[Asked],
         customers: dict[str, float],
         rate: float,
         habits: Habits,
     ) -> None:
-        self.host, self.name, self.site, self.now, self.events, self.chance = (host, name, site, now, events, chance)
+        self.host, self.name, self.site, self.now, self.events, self.random_source = (
+            host,
+            name,
+            site,
+            now,
+            events,
+            random_source,
+        )
         self.doors, self.asked, self.customers, self.habits = doors, asked, customers, habits
         self.rate = rate  # first tries a second
         self.keys = Keys(habits.keys, habits.zipf)
@@ -111,7 +118,7 @@
         async with self.host.nursery() as nursery:
             due = self.now()
             while not self.over:
-                due += self.chance.expovariate(max(self.rate, 1e-9))
+                due += self.random_source.expovariate(max(self.rate, 1e-9))
                 await self.host.pause(max(0.0, min(due - self.now(), 1.0)))
                 if due > self.now() + 0.5:  # the rate may change meanwhile
                     due = self.now()
@@ -122,13 +129,13 @@
                     self._begin(nursery, due)
 
     def _begin(self, nursery: Nursery, due: float) -> None:
-        draw = self.chance.random
+        draw = self.random_source.random
         what = self.asked[min(bisect(self.shares, draw() * self.shares[-1]), len(self.asked) - 1)]
         customer = ""
         if self.customers:
             names = [*self.customers]
             customer = names[min(bisect(self.parts, draw() * self.parts[-1]), len(names) - 1)]
-        nursery.start_soon(self._ask, what, customer, self.keys.draw(self.chance), due)
+        nursery.start_soon(self._ask, what, customer, self.keys.draw(self.random_source), due)
 
     async def _ask(self, what: Asked, customer: str, key: str, due: float) -> None:
         """One request with its retries."""
@@ -147,7 +154,7 @@
                     return
                 if self.over:
                     return
-                await self.host.pause(max(back, self.habits.wait * (0.5 + self.chance.random())))
+                await self.host.pause(max(back, self.habits.wait * (0.5 + self.random_source.random())))
         finally:
             self.open -= 1
 
@@ -156,7 +163,7 @@
         if self.lean is not None and any(door.name == self.lean for door in up):
             return next(door for door in up if door.name == self.lean)
         near = [door for door in up if door.site == self.site]
-        return self.chance.choice(near or up) if up else None
+        return self.random_source.choice(near or up) if up else None
 
     async def _try(self, what: Asked, customer: str, key: str, since: float) -> tuple[str, float]:
         """One try: how it ended, and when to come back."""
@@ -174,7 +181,7 @@
     async def _on_one(
         self, door: Door, txn: str, what: Asked, customer: str, key: str, left: float, fresh: bool
     ) -> tuple[str, float]:
-        connection = None if fresh or self.chance.random() < self.habits.one_off else self._kept(door)
+        connection = None if fresh or self.random_source.random() < self.habits.one_off else self._kept(door)
         kept = connection is not None
         if connection is None:
             try:
@@ -190,9 +197,9 @@
                     if dialling.cancelled_caught:
                         return "no way", 0.0
                 request = self._request(txn, what, customer, key, left)
-                if self.habits.halves and self.chance.random() < self.habits.halves:
+                if self.habits.halves and self.random_source.random() < self.habits.halves:
                     await send_all(connection.stream, request[: len(request) // 2])
-                    await self.host.pause(self.chance.random() * 3)
+                    await self.host.pause(self.random_source.random() * 3)
                     return "half", 0.0
                 await send_all(connection.stream, request)
                 asked = True
@@ -204,7 +211,7 @@
                 made = message.body.startswith(f"{txn} ".encode())
                 self.events.tell("answered", txn, message.status, at, made)
                 self._second(connection, txn)
-                if message.keep and connection.clean() and self.chance.random() >= self.habits.one_off:
+                if message.keep and connection.clean() and self.random_source.random() >= self.habits.one_off:
                     door.idle.append((self.now(), connection, txn))
                     connection = None
                 back = field_of(message, b"retry-after")
--- a/rowanshift/emulation/cluster.py
+++ b/rowanshift/emulation/cluster.py
@@ -112,7 +112,7 @@
         self.host = Inside()
         self.facts: deque = deque(maxlen=FACTS)
         self.registry = Registry()
-        self.chance = random.Random()
+        self.random_source = random.Random()
         common = clock, self.facts
         self.platform = PlatformList(self.host, (f"{net}{PLATFORM}", LIST), LIST_RATE, LIST_LAG_MS, *common)
         self.servers = [
@@ -125,7 +125,7 @@
         self.routers = [DataPlaneService(load_node_settings(self.settings("edge", n)), self.host) for n in ROUTERS]
         self.controls = [(f"{net}{n}", CONTROL) for n in CORE]
         self.fronts = [(f"{net}{n}", FRONT) for n in ROUTERS]
-        self.operator = Operator(self.host, "operator", *common, self.controls, self.chance, self.registry)
+        self.operator = Operator(self.host, "operator", *common, self.controls, self.random_source, self.registry)
 
     def settings(self, kind: str, number: int) -> Path:
         """Writes the settings file of a machine, as the platform does."""
--- a/rowanshift/emulation/demo.py
+++ b/rowanshift/emulation/demo.py
@@ -115,7 +115,7 @@
                 f"'X-Org: demo' -H 'X-Remaining-Ms: 2000' http://{host}:{port}/read/hello"
             )
         else:
-            service.told_to_stop.set()
+            service.shutdown_requested.set()
         while service.phase is not Phase.STOPPED:
             await trio.sleep(0.05)
         nursery.cancel_scope.cancel()
--- a/rowanshift/emulation/discovery.py
+++ b/rowanshift/emulation/discovery.py
@@ -9,7 +9,7 @@
 from rowanshift.emulation.http import HttpServer, deserted
 from rowanshift.invariants.events import Events
 from rowanshift.transport.http_connection import Connection, Message
-from rowanshift.transport.runtime import Address, Host
+from rowanshift.transport.runtime import Address, Runtime
 
 EMPTY_LINE_EVERY = 2.0
 TICK = 0.25
@@ -50,7 +50,7 @@
     """Beside one router. ``rows`` is the list as it has been told the agent."""
 
     def __init__(
-        self, host: Host, address: Address, now: Callable[[], float], events: Events, router: str, rows: list[Row]
+        self, host: Runtime, address: Address, now: Callable[[], float], events: Events, router: str, rows: list[Row]
     ) -> None:
         super().__init__(host, address, now, events)
         self.router = router
--- a/rowanshift/emulation/http.py
+++ b/rowanshift/emulation/http.py
@@ -10,7 +10,7 @@
 from rowanshift.invariants.events import Events
 from rowanshift.transport.http_connection import BadMessage, Connection, Message
 from rowanshift.transport.memory_budget import Memory
-from rowanshift.transport.runtime import Address, Host, Stream, accepted
+from rowanshift.transport.runtime import Address, Runtime, Stream, accepted
 
 BACKLOG = 512
 REMEMBERED = 20_000  # hand-offs and misses that the stand-ins know of at once
@@ -80,7 +80,7 @@
     idle_for = 60.0
     most_connections = 10_000
 
-    def __init__(self, host: Host, address: Address, now: Callable[[], float], events: Events) -> None:
+    def __init__(self, host: Runtime, address: Address, now: Callable[[], float], events: Events) -> None:
         self.host, self.address, self.now, self.events = host, address, now, events
         self.memory = Memory(4096)
         self.connections = 0
--- a/rowanshift/emulation/model_server.py
+++ b/rowanshift/emulation/model_server.py
@@ -31,7 +31,7 @@
 )
 from rowanshift.transport.flow import LAST_CHUNK, framed
 from rowanshift.transport.http_connection import Connection, Message
-from rowanshift.transport.runtime import Address, Host, Nursery, Stream
+from rowanshift.transport.runtime import Address, Nursery, Runtime, Stream
 
 JSON = b"Content-Type: application/json"
 NOT_EXECUTED = b"Not-Executed: 1"
@@ -231,7 +231,7 @@
 
     def __init__(
         self,
-        host: Host,
+        host: Runtime,
         address: Address,
         clock: Callable[[], float],
         facts: list[Fact],
@@ -395,7 +395,7 @@
 
     def __init__(
         self,
-        host: Host,
+        host: Runtime,
         address: Address,
         instance_id: str,
         service: str,
@@ -406,12 +406,12 @@
         traits: Traits | None = None,
         zone: str = "z1",
         region: str = "r1",
-        chance: random.Random | None = None,
+        random_source: random.Random | None = None,
     ) -> None:
         self.first_id = self.instance_id = instance_id
         self.next_id = ""
         self.service, self.models = service, dict(models)
-        self.chance = chance or random.Random(instance_id)
+        self.random_source = random_source or random.Random(instance_id)
         self.slowed = 1.0  # factor of its times
         self.lost_share = self.lost_orders = 0.0  # parts of answers that are lost
         self.garbling: tuple[str, int] = ("", 0)
@@ -779,7 +779,7 @@
         if self.garbling[1]:
             garbling, left = self.garbling
             self.garbling = garbling, left - 1
-        if self.chance.random() < self.lost_share:
+        if self.random_source.random() < self.lost_share:
             garbling = "lost"
         at = run.since
         while at < run.out or not run.headed:
@@ -844,7 +844,7 @@
                     body["revision"],
                 )
             )
-        if self.lost_orders and self.chance.random() < self.lost_orders:
+        if self.lost_orders and self.random_source.random() < self.lost_orders:
             reset(connection.stream)
             return False
         await self.reply(connection, status, b"", *self._fields())
--- a/rowanshift/emulation/platform.py
+++ b/rowanshift/emulation/platform.py
@@ -11,7 +11,7 @@
 from rowanshift.invariants.events import Events
 from rowanshift.invariants.system import Fact, Listed, Listing
 from rowanshift.transport.http_connection import Connection, Message
-from rowanshift.transport.runtime import Address, Host
+from rowanshift.transport.runtime import Address, Runtime
 
 JSON = b"Content-Type: application/json"
 
@@ -21,7 +21,7 @@
 
     def __init__(
         self,
-        host: Host,
+        host: Runtime,
         address: Address,
         rate_per_s: float,
         lag_ms: float,
--- a/rowanshift/emulation/servers.py
+++ b/rowanshift/emulation/servers.py
@@ -12,7 +12,7 @@
 from rowanshift.emulation.http import HttpServer, Ledger, answer, body_of, deserted, field_of, other
 from rowanshift.invariants.events import Events
 from rowanshift.transport.http_connection import Connection, Message
-from rowanshift.transport.runtime import Address, Host
+from rowanshift.transport.runtime import Address, Runtime
 
 PARTS = 5  # an overload lasts once so many equal parts of its time in a row were over
 MISS_WORK = 0.25  # of a read's, that a miss takes
@@ -102,18 +102,18 @@
 
     def __init__(
         self,
-        host: Host,
+        host: Runtime,
         address: Address,
         now: Callable[[], float],
         events: Events,
         name: str,
         kind: Kind,
         ledger: Ledger,
-        chance: random.Random,
+        random_source: random.Random,
         zone: int = 0,
     ) -> None:
         super().__init__(host, address, now, events)
-        self.name, self.kind, self.ledger, self.chance, self.zone = name, kind, ledger, chance, zone
+        self.name, self.kind, self.ledger, self.random_source, self.zone = name, kind, ledger, random_source, zone
         self.idle_for = kind.idle_for
         self.core = Core(kind.cores)
         self.slowed = 1.0  # factor of its speed
@@ -144,7 +144,7 @@
         self.events.tell("reached", txn, self.name, other(stream), first_at, self.zone)
         if (given_up_at := getattr(stream, "given_up_at", lambda: inf)()) < inf:
             self.events.tell("given_up", txn, self.name, given_up_at)
-        work = self.kind.works[category] * (1 - SPREAD + 2 * SPREAD * self.chance.random())
+        work = self.kind.works[category] * (1 - SPREAD + 2 * SPREAD * self.random_source.random())
         work += self.kind.handshake if fresh else 0.0
         if self.overloaded(txn, work):
             return False
@@ -163,7 +163,7 @@
             await self.busy(work)
         finally:
             self.core.give()
-        if status == 200 and self.spoiling.part and self.chance.random() < self.spoiling.part:
+        if status == 200 and self.spoiling.part and self.random_source.random() < self.spoiling.part:
             return await self._spoil(connection, txn, body)
         if status == 200:
             body = self.done(message, txn, key) or body
@@ -198,7 +198,7 @@
         return True
 
     async def _spoil(self, connection: Connection, txn: str, body: bytes) -> bool:
-        way = self.chance.choice(self.spoiling.ways)
+        way = self.random_source.choice(self.spoiling.ways)
         self._told(connection, txn, "spoilt")
         whole = answer(200, body, b"X-Found: hit")
         if way == "reset":
@@ -216,7 +216,7 @@
         )
         if way == "behind":
             return True
-        if way == "half" and self.chance.random() < 0.5:
+        if way == "half" and self.random_source.random() < 0.5:
             await self.host.pause(5)  # neither more nor an end
         return False
 
--- a/rowanshift/emulation/system_clients.py
+++ b/rowanshift/emulation/system_clients.py
@@ -27,7 +27,7 @@
 )
 from rowanshift.transport.http_connection import BadMessage, Connection, Message
 from rowanshift.transport.memory_budget import Memory
-from rowanshift.transport.runtime import Address, Host, Stream, connect, send_all
+from rowanshift.transport.runtime import Address, Runtime, Stream, connect, send_all
 
 DIAL_WITHIN = 1.0
 PROMISES = (408, 421, 429, 503)
@@ -155,16 +155,16 @@
 
     def __init__(
         self,
-        host: Host,
+        host: Runtime,
         name: str,
         clock: Callable[[], float],
         facts: list[Fact],
         fronts: Sequence[Address],
-        chance: random.Random,
+        random_source: random.Random,
         keeps: bool = False,
     ) -> None:
         self.host, self.name, self.now, self.facts = host, name, clock, facts
-        self.fronts, self.chance, self.keeps = list(fronts), chance, keeps
+        self.fronts, self.random_source, self.keeps = list(fronts), random_source, keeps
         self.ids = self.calls = 0
         self.kept: dict[Address, tuple[Stream, str]] = {}  # and the id that it last carried
         self.tries: list[Try] = []
@@ -174,7 +174,7 @@
         self.calls += 1
         call, ends = f"{self.name}-{self.calls}", self.now() + work.within
         for n in range(tries):
-            front = self.chance.choice(self.fronts)
+            front = self.random_source.choice(self.fronts)
             last = await self.ask(work, front, since, ends - self.now(), call, fresh=n > 0)
             again = (
                 work.repeatable or work.resumable or (last.how == "whole" and last.status in PROMISES) or not last.taken
@@ -201,7 +201,7 @@
     ) -> Try:
         """One try under an id of its own, at one router."""
         self.ids += 1
-        front = front or self.chance.choice(self.fronts)
+        front = front or self.random_source.choice(self.fronts)
         attempt = Try(f"{self.name}.{self.ids}", front, self.now())
         left = work.within if left is None else left
         self.tries.append(attempt)
@@ -362,16 +362,16 @@
 
     def __init__(
         self,
-        host: Host,
+        host: Runtime,
         name: str,
         clock: Callable[[], float],
         facts: list[Fact],
         controls: Sequence[Address],
-        chance: random.Random,
+        random_source: random.Random,
         registry: Registry | None = None,
     ) -> None:
         self.host, self.name, self.now, self.facts = host, name, clock, facts
-        self.controls, self.chance, self.registry = list(controls), chance, registry
+        self.controls, self.random_source, self.registry = list(controls), random_source, registry
         self.memory = Memory(4096)
         self.silence = 1.0  # seconds after which it moves on; longer for large bodies
         self.lost_acknowledgements = 0.0  # part of the 200s to orders that are lost on their way
@@ -419,7 +419,7 @@
         """One call, sent again as it was until it is settled or ``within`` seconds are over. With a ``name`` it is
         an order, whose answers are facts and may be lost."""
         ends, backoff, others = self.now() + within, FIRST_BACKOFF, 0
-        order = self.chance.sample(self.controls, len(self.controls))
+        order = self.random_source.sample(self.controls, len(self.controls))
         n = 0
         while self.now() < ends:
             reply = await self._follow(order[n % len(order)], method, target, body, fields, ends, name)
@@ -430,7 +430,7 @@
                 others += 1
                 if others == 3:
                     return reply
-            await self.host.pause(min(backoff * (0.5 + self.chance.random()), max(0.0, ends - self.now())))
+            await self.host.pause(min(backoff * (0.5 + self.random_source.random()), max(0.0, ends - self.now())))
             backoff = min(2 * backoff, LONGEST_BACKOFF)
         return Reply(0)
 
@@ -459,7 +459,7 @@
         if not name:
             return False
         share = self.lost_acknowledgements if status == 200 else 0.0
-        lost = share > 0 and self.chance.random() < share
+        lost = share > 0 and self.random_source.random() < share
         self.facts.append(OrderReplied(self.now(), name, sent_at, "{}:{}".format(*address), status, lost))
         return lost
 
--- a/rowanshift/modelcheck/client_messages.py
+++ b/rowanshift/modelcheck/client_messages.py
@@ -76,10 +76,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Elsewhere:
+class Redirect:
     """The machine asked holds no lease."""
 
     poll: Poll
 
 
-ClientMessage = PutConfig | GetConfig | Reply | Poll | Update | Elsewhere
+ClientMessage = PutConfig | GetConfig | Reply | Poll | Update | Redirect
--- a/rowanshift/modelcheck/client_walk.py
+++ b/rowanshift/modelcheck/client_walk.py
@@ -8,7 +8,7 @@
 
 from rowanshift.controlplane import replication as p
 from rowanshift.modelcheck.client_invariants import ClientInvariants
-from rowanshift.modelcheck.client_messages import ClientMessage, Elsewhere, Poll, Reply, Update
+from rowanshift.modelcheck.client_messages import ClientMessage, Poll, Redirect, Reply, Update
 from rowanshift.modelcheck.control_service import ControlService
 from rowanshift.modelcheck.operators import Operator
 from rowanshift.modelcheck.routers import Router
@@ -112,12 +112,12 @@
                 heapq.heappush(self.on_the_way, (until, next(self.serials), sender, to, message))
             elif isinstance(message, Reply):
                 self.operators[to].receive(message)
-            elif isinstance(message, Update | Elsewhere):
+            elif isinstance(message, Update | Redirect):
                 self.routers[to].receive(message, now)
             elif self._is_up(to) and self.world.hosts[to].service is not None:
                 self.world.hosts[to].service.receive(sender, message)
             elif isinstance(message, Poll):  # the connection is refused
-                self._send(to, sender, Elsewhere(message))
+                self._send(to, sender, Redirect(message))
 
     def _paused_until(self, to: int) -> float:
         """Seconds of the world until which an addressee stands still."""
--- a/rowanshift/modelcheck/control_service.py
+++ b/rowanshift/modelcheck/control_service.py
@@ -17,11 +17,11 @@
 from rowanshift.modelcheck.client_invariants import ClientInvariants
 from rowanshift.modelcheck.client_messages import (
     ClientMessage,
-    Elsewhere,
     GetConfig,
     Order,
     Poll,
     PutConfig,
+    Redirect,
     Reply,
     Status,
     Update,
@@ -225,7 +225,7 @@
         """Answer a poll that is held, if there is news or it is time."""
         if not self._holds_lease():
             self.polls.remove(held)
-            self.outbox.append((held.router, Elsewhere(held.poll)))
+            self.outbox.append((held.router, Redirect(held.poll)))
             return
         version, state = self._state_to_tell()
         if state != held.poll.state or self.now >= held.until:
--- a/rowanshift/modelcheck/routers.py
+++ b/rowanshift/modelcheck/routers.py
@@ -4,7 +4,7 @@
 
 from rowanshift.dataplane.freshness import Freshness
 from rowanshift.modelcheck.client_invariants import ClientInvariants
-from rowanshift.modelcheck.client_messages import NO_VERSION, Elsewhere, Poll, Update, Version
+from rowanshift.modelcheck.client_messages import NO_VERSION, Poll, Redirect, Update, Version
 
 ANSWER_LIMIT = 1.6  # seconds for a poll's answer; then another machine is asked
 REFUSE_WITHIN = 7.5  # seconds: the age of what is known up to which a client is refused by it
@@ -37,14 +37,14 @@
         self.asked, self.waits = now, True
         return Poll(self.serial, self.state, now)
 
-    def receive(self, answer: Update | Elsewhere, now: float) -> None:
+    def receive(self, answer: Update | Redirect, now: float) -> None:
         """An answer has come, perhaps an old one."""
         if answer.poll.serial == self.serial:
             self.waits = False
-        if isinstance(answer, Update) and self._is_news(answer):
+        if isinstance(answer, Update) and self._is_newer(answer):
             self._take(answer, now)
 
-    def _is_news(self, update: Update) -> bool:
+    def _is_newer(self, update: Update) -> bool:
         return update.version >= self.version
 
     def _take(self, update: Update, now: float) -> None:
--- a/rowanshift/placement/shadows.py
+++ b/rowanshift/placement/shadows.py
@@ -44,8 +44,8 @@
 class Pool:
     """The ready servers of a service, their ring and what is hot there."""
 
-    def __init__(self, chance) -> None:
-        self.chance, self.hotness = chance, Hotness(0.0)
+    def __init__(self, random_source) -> None:
+        self.random_source, self.hotness = random_source, Hotness(0.0)
         self.ring, self.engines = HashRing(lambda engine: engine.id), []
         self.drawn = {}  # the replica kept for a hot prefix
 
@@ -85,7 +85,7 @@
         """One replica drawn at random and kept, until it holds well over the mean."""
         kept = self.drawn.get(mark)
         if kept not in replicas:
-            kept = replicas[int(self.chance.random() * len(replicas))]
+            kept = replicas[int(self.random_source.random() * len(replicas))]
         elif kept.inflight >= most:
             kept = min(replicas, key=lambda engine: engine.inflight)
         self.drawn[mark] = kept
--- a/rowanshift/simulation/core_draw.py
+++ b/rowanshift/simulation/core_draw.py
@@ -87,18 +87,18 @@
 
 def core_scenario(seed: int) -> CoreScenario:
     """The scenario of a seed."""
-    chance = random.Random(f"{seed}/core")
-    fleet = chance.choice(SIZES)
+    random_source = random.Random(f"{seed}/core")
+    fleet = random_source.choice(SIZES)
     troubles: list[CoreTrouble] = []
     at = FIRST_ROUND_S
     while at < LAST_ROUND_S:
-        of_round = _round(chance, fleet, at)
+        of_round = _round(random_source, fleet, at)
         troubles += of_round
         ends = max(_ends_by(trouble) for trouble in of_round)
-        troubles += _orders(chance, at, ends)
+        troubles += _orders(random_source, at, ends)
         at = ends + SYNC_S
     seconds = round(at - SYNC_S + END_S, 3)
-    load = CoreLoad(clients=4, change_every_s=chance.choice([0.2, 0.7, 2.0]), read_every_s=READ_EVERY_S)
+    load = CoreLoad(clients=4, change_every_s=random_source.choice([0.2, 0.7, 2.0]), read_every_s=READ_EVERY_S)
     rows = sorted(troubles, key=lambda trouble: trouble.at_s)
     return CoreScenario(
         name=f"core-seed-{seed}",
@@ -115,67 +115,73 @@
     return trouble.at_s + trouble.for_s + (TRIGGERED_WITHIN_S if trouble.after else 0.0)
 
 
-def _drawn(chance: random.Random, what: str, kind: Kind, at: float, who: list[str], after: str = "") -> CoreTrouble:
+def _drawn(
+    random_source: random.Random, what: str, kind: Kind, at: float, who: list[str], after: str = ""
+) -> CoreTrouble:
     return CoreTrouble(
         round(at, 3),
         what,
         who,
-        round(chance.uniform(kind.shortest, kind.longest), 3),
-        round(chance.uniform(kind.least, kind.largest), 3),
-        chance.choice(["both", "both", "in", "out"]),
+        round(random_source.uniform(kind.shortest, kind.longest), 3),
+        round(random_source.uniform(kind.least, kind.largest), 3),
+        random_source.choice(["both", "both", "in", "out"]),
         after,
     )
 
 
-def _round(chance: random.Random, fleet: CoreFleet, at: float) -> list[CoreTrouble]:
-    if chance.random() < WHOLE_SHARE:
-        return _whole(chance, at)
+def _round(random_source: random.Random, fleet: CoreFleet, at: float) -> list[CoreTrouble]:
+    if random_source.random() < WHOLE_SHARE:
+        return _whole(random_source, at)
     cores = [f"core-{n}" for n in range(fleet.cores)]
-    victims = chance.sample(cores, chance.randint(1, fleet.lost_at_once))
-    if chance.random() < ROLE_SHARE:
-        victims[0] = chance.choice(ROLES)
+    victims = random_source.sample(cores, random_source.randint(1, fleet.lost_at_once))
+    if random_source.random() < ROLE_SHARE:
+        victims[0] = random_source.choice(ROLES)
     troubles: list[CoreTrouble] = []
     for victim in victims:
-        drawn = chance.choices([*KINDS], [kind.weight for kind in KINDS.values()], k=chance.randint(1, 3))
+        drawn = random_source.choices([*KINDS], [kind.weight for kind in KINDS.values()], k=random_source.randint(1, 3))
         once = dict.fromkeys(drawn) if victim in ROLES else drawn  # a role may be another machine's the next time
         for what in once:
-            after = chance.choice(TRIGGERS)
-            drawn_at = at + BUSY_S * chance.random()
-            troubles.append(_drawn(chance, what, KINDS[what], drawn_at, [victim], after))
+            after = random_source.choice(TRIGGERS)
+            drawn_at = at + BUSY_S * random_source.random()
+            troubles.append(_drawn(random_source, what, KINDS[what], drawn_at, [victim], after))
             if what == "cut" and victim == "primary":  # in the middle of a roll-out
                 troubles.append(CoreTrouble(round(drawn_at - ROLL_OUT_BEFORE_S, 3), "version"))
-    if chance.random() < MORE_SHARE:
-        troubles += _more(chance, cores, victims, at)
-    if chance.random() < ROUTER_SHARE:
-        what = chance.choice([*ROUTER_TROUBLES])
-        troubles.append(_drawn(chance, what, ROUTER_TROUBLES[what], at + BUSY_S * chance.random(), ["router-0"]))
+    if random_source.random() < MORE_SHARE:
+        troubles += _more(random_source, cores, victims, at)
+    if random_source.random() < ROUTER_SHARE:
+        what = random_source.choice([*ROUTER_TROUBLES])
+        troubles.append(
+            _drawn(random_source, what, ROUTER_TROUBLES[what], at + BUSY_S * random_source.random(), ["router-0"])
+        )
     return troubles
 
 
-def _whole(chance: random.Random, at: float) -> list[CoreTrouble]:
+def _whole(random_source: random.Random, at: float) -> list[CoreTrouble]:
     """The whole core goes at once, at a moment or right after an acknowledgement; one disk may be lost with it, and
     the one that is to have the same may be slow."""
-    what = chance.choice(WHOLE)
-    after = chance.choice(["", "acknowledgement", "acknowledgement"])
-    when = at + BUSY_S * chance.random()
-    troubles = [_drawn(chance, what, KINDS[what], when, ["core"], after)]
-    if chance.random() < WIPED_SHARE:
-        troubles.append(_drawn(chance, "wipe", KINDS["wipe"], when, ["primary"], after))
-    if chance.random() < SLOW_SHARE:
-        troubles.append(_drawn(chance, "slow_disk", KINDS["slow_disk"], max(0.0, when - SLOW_BEFORE_S), ["backup"]))
+    what = random_source.choice(WHOLE)
+    after = random_source.choice(["", "acknowledgement", "acknowledgement"])
+    when = at + BUSY_S * random_source.random()
+    troubles = [_drawn(random_source, what, KINDS[what], when, ["core"], after)]
+    if random_source.random() < WIPED_SHARE:
+        troubles.append(_drawn(random_source, "wipe", KINDS["wipe"], when, ["primary"], after))
+    if random_source.random() < SLOW_SHARE:
+        troubles.append(
+            _drawn(random_source, "slow_disk", KINDS["slow_disk"], max(0.0, when - SLOW_BEFORE_S), ["backup"])
+        )
     return troubles
 
 
-def _more(chance: random.Random, cores: list[str], victims: list[str], at: float) -> list[CoreTrouble]:
+def _more(random_source: random.Random, cores: list[str], victims: list[str], at: float) -> list[CoreTrouble]:
     """Another machine stops as well, or two lose each other; no disk is lost."""
-    other = chance.choice([name for name in cores if name not in victims])
-    what = chance.choice(MORE)
+    other = random_source.choice([name for name in cores if name not in victims])
+    what = random_source.choice(MORE)
     who = [victims[0], other] if what == "part" else [other]
     kind = KINDS["cut" if what == "part" else what]
-    return [_drawn(chance, what, kind, at + BUSY_S * chance.random(), who)]
+    return [_drawn(random_source, what, kind, at + BUSY_S * random_source.random(), who)]
 
 
-def _orders(chance: random.Random, since: float, until: float) -> list[CoreTrouble]:
+def _orders(random_source: random.Random, since: float, until: float) -> list[CoreTrouble]:
     """What operators do meanwhile."""
-    names = chance.choices([*ORDERS], [kind.weight for kind in ORDERS.values()], k=chance.randint(1, 4))
-    return [_drawn(chance, what, ORDERS[what], chance.uniform(since, until), []) for what in names]
+    names = random_source.choices([*ORDERS], [kind.weight for kind in ORDERS.values()], k=random_source.randint(1, 4))
+    return [_drawn(random_source, what, ORDERS[what], random_source.uniform(since, until), []) for what in names]
--- a/rowanshift/simulation/core_play.py
+++ b/rowanshift/simulation/core_play.py
@@ -89,7 +89,7 @@
             fleet.nursery.start_soon(self._keep_reading, load.read_every_s)
         for trouble in self.scenario.trouble:
             self.busy += 1
-            fleet.nursery.start_soon(self._befall, trouble, began)
+            fleet.nursery.start_soon(self._inject, trouble, began)
         await trio.sleep(self.scenario.seconds)
         while self.busy:
             await trio.sleep(LOOK)
@@ -171,7 +171,7 @@
                 return list(fleet.units)
         return [unit for unit in fleet.units if unit.name == name]
 
-    async def _befall(self, trouble: CoreTrouble, began: float) -> None:
+    async def _inject(self, trouble: CoreTrouble, began: float) -> None:
         try:
             await trio.sleep(max(0.0, began + trouble.at_s - self.fleet.now()))
             if trouble.after and not await self._triggered(trouble.after):
--- a/rowanshift/simulation/disk.py
+++ b/rowanshift/simulation/disk.py
@@ -17,8 +17,8 @@
 class VirtualDisk:
     """Times in seconds, by the network's clock. Its machine waits for it in ``Machine.in_thread``."""
 
-    def __init__(self, now: Callable[[], float], chance: random.Random, takes: float = TAKES) -> None:
-        self.now, self.chance, self.takes = now, chance, takes
+    def __init__(self, now: Callable[[], float], random_source: random.Random, takes: float = TAKES) -> None:
+        self.now, self.random_source, self.takes = now, random_source, takes
         self.synced: bytes | None = None  # the record that outlasts everything but the disk
         self.unsynced: list[tuple[float, bytes]] = []  # when each will be synced, and the record
         self.usable = False  # between open and close
@@ -78,7 +78,7 @@
         self._sync()
         self.usable = False
         for _, record in self.unsynced:
-            if self.chance.random() < KEPT:
+            if self.random_source.random() < KEPT:
                 self.synced = record
         self.unsynced.clear()
 
--- a/rowanshift/simulation/draw.py
+++ b/rowanshift/simulation/draw.py
@@ -50,9 +50,9 @@
 
 
 def scenario(seed: int, size: str = "small") -> Scenario:
-    chance = random.Random(f"{seed}/scenario")
+    random_source = random.Random(f"{seed}/scenario")
     routers, caches, rate, seconds = SIZES[size]
-    pick, between = chance.choice, chance.uniform
+    pick, between = random_source.choice, random_source.uniform
     fleet = Fleet(
         routers=routers,
         caches=caches,
@@ -93,45 +93,52 @@
         window=pick([512, 4096, 65536]),
         lost=between(0, 0.1),
     )
-    rows, load = categories(chance), pick([0.1, 0.2, 0.4, 0.6, 0.8])  # part of the fleet's cores that is busy
+    rows, load = categories(random_source), pick([0.1, 0.2, 0.4, 0.6, 0.8])  # part of the fleet's cores that is busy
     speed = (fleet.slowest + fleet.fastest) / 2
     wanted = load * caches * fleet.cores * speed / work.rate  # seconds of work of a work item
     mean = sum(row.share * row.work_s for row in rows) / sum(row.share for row in rows)
     rows = [msgspec.structs.replace(row, work_s=min(0.15, row.work_s * wanted / mean)) for row in rows]
     return Scenario(
-        f"seed-{seed}", seed, seconds, fleet, work, links, rows, troubles(chance, seconds, pick([1, 2, 3, 4, 6, 8]))
+        f"seed-{seed}",
+        seed,
+        seconds,
+        fleet,
+        work,
+        links,
+        rows,
+        troubles(random_source, seconds, pick([1, 2, 3, 4, 6, 8])),
     )
 
 
-def categories(chance: random.Random) -> list[CategoryRow]:
+def categories(random_source: random.Random) -> list[CategoryRow]:
     """The plain ones, with writes that may go again within a zone or not at all."""
     rows = [*CATEGORIES]
-    if chance.random() < 0.3:
-        rows[1] = msgspec.structs.replace(rows[1], group="zone", window_s=chance.uniform(1, 5))
-    if chance.random() < 0.3:  # effects at the caches themselves
+    if random_source.random() < 0.3:
+        rows[1] = msgspec.structs.replace(rows[1], group="zone", window_s=random_source.uniform(1, 5))
+    if random_source.random() < 0.3:  # effects at the caches themselves
         rows.append(CategoryRow("once", 0.1, 0.5, 2.0, "unsafe", "", 0.0, 4.0, 0.02))
-    if chance.random() < 0.3:
-        group = chance.choice(["all", "zone"])
+    if random_source.random() < 0.3:
+        group = random_source.choice(["all", "zone"])
         rows.append(CategoryRow("mark", 0.1, 0.5, 2.0, "keyed", group, 3.0, 2.0, 0.02))
     return rows
 
 
-def troubles(chance: random.Random, seconds: float, count: int) -> list[Trouble]:
+def troubles(random_source: random.Random, seconds: float, count: int) -> list[Trouble]:
     rows = []
-    for what in chance.choices([*KINDS], [row[0] for row in KINDS.values()], k=count):
+    for what in random_source.choices([*KINDS], [row[0] for row in KINDS.values()], k=count):
         _, shortest, longest, least, largest = KINDS[what]
         who = ""
-        if what in OF_ORIGIN and chance.random() < 0.3:
+        if what in OF_ORIGIN and random_source.random() < 0.3:
             who = "origin"
-        elif what in OF_ROUTERS and chance.random() < 0.4:
-            who = f"r{chance.randrange(3)}"
+        elif what in OF_ROUTERS and random_source.random() < 0.4:
+            who = f"r{random_source.randrange(3)}"
         rows.append(
             Trouble(
-                round(chance.uniform(FIRST, LAST * seconds), 3),
+                round(random_source.uniform(FIRST, LAST * seconds), 3),
                 what,
                 who,
-                round(chance.uniform(shortest, longest), 3),
-                round(chance.uniform(least, largest), 3),
+                round(random_source.uniform(shortest, longest), 3),
+                round(random_source.uniform(least, largest), 3),
             )
         )
     return sorted(rows, key=lambda row: row.at_s)
--- a/rowanshift/simulation/fleet.py
+++ b/rowanshift/simulation/fleet.py
@@ -62,7 +62,7 @@
     "SERVICE",
     "VERSION",
     "Fleet",
-    "ViolatedEndings",
+    "ViolatedOutcomes",
     "config_of",
     "play",
     "routes_of",
@@ -93,7 +93,7 @@
         self.nursery, self.clock, self.seed, self.f, self.zones = nursery, clock, seed, f, zones
         self.bounds = BOUNDS | {"revokeStrict": revoke > 0, "revokeMs": 1000 * revoke}
         self.rules = replace(RULES, revoke=revoke or None)
-        self.chance = random.Random(f"{seed}/fleet")
+        self.random_source = random.Random(f"{seed}/fleet")
         self.network = Network(clock, seed, Paths(within=0.0004, across=0.003, jitter=0.2, partial=0.02))
         self.facts: list[Fact] = []
         self.registry, self.memory = Registry(), Memory(4096)
@@ -211,7 +211,7 @@
     async def start(self, config: dict[str, Any] | None = None) -> None:
         """Starts all on empty disks, and gives the first configuration; ready when this returns."""
         for unit in self.units:
-            self.nursery.start_soon(self._live, unit, START_APART * self.chance.random())
+            self.nursery.start_soon(self._live, unit, START_APART * self.random_source.random())
         for unit in self.routers:
             self.nursery.start_soon(self._probe, unit)
         await self.put(config or config_of(1))
@@ -251,15 +251,16 @@
         return rules.of_kind(self.facts, kind)
 
 
-class ViolatedEndings(Exception):
+class ViolatedOutcomes(Exception):
     """Requests or calls of a run did not end as they must."""
 
 
 def play(
     main: Callable[[Fleet], Awaitable[T]], seed: str = "f", within: float = 300.0, strict: bool = True, **given: Any
 ) -> tuple[T, Fleet]:
-    """Runs ``main(fleet)`` to its end, for ``within`` virtual seconds at most. ``ViolatedEndings`` if requests or calls
-    did not end as they must; without ``strict`` that is left to whoever asks for the breaches, which name them too."""
+    """Runs ``main(fleet)`` to its end, for ``within`` virtual seconds at most. ``ViolatedOutcomes`` if requests or
+    calls did not end as they must; without ``strict`` that is left to whoever asks for the breaches, which name them
+    too."""
     clock = VirtualClock()
 
     async def all_of_it() -> tuple[T, Fleet]:
@@ -275,5 +276,5 @@
     with Determined(seed):
         result, fleet = trio.run(all_of_it, clock=clock)
     if strict and (violations := fleet.violations()):
-        raise ViolatedEndings("; ".join(map(str, violations)))
+        raise ViolatedOutcomes("; ".join(map(str, violations)))
     return result, fleet
--- a/rowanshift/simulation/fleet_load.py
+++ b/rowanshift/simulation/fleet_load.py
@@ -79,8 +79,10 @@
             n = 0
             while True:
                 n += 1
-                await patron.call(self.work(prefix, key, f"{name}-own-{n}", out, patron.chance.randrange(CATALOGUES)))
-                await trio.sleep(pause * (0.5 + patron.chance.random()))
+                await patron.call(
+                    self.work(prefix, key, f"{name}-own-{n}", out, patron.random_source.randrange(CATALOGUES))
+                )
+                await trio.sleep(pause * (0.5 + patron.random_source.random()))
 
         self.nursery.start_soon(ask)
         return patron
--- a/rowanshift/simulation/fleet_machines.py
+++ b/rowanshift/simulation/fleet_machines.py
@@ -11,7 +11,7 @@
 from loguru import logger
 
 from rowanshift.controlplane.service import ControlPlaneService
-from rowanshift.dataplane.request_endings import EndedRequest
+from rowanshift.dataplane.request_outcomes import EndedRequest
 from rowanshift.dataplane.service import DataPlaneService
 from rowanshift.emulation.platform import PlatformList
 from rowanshift.invariants.facts import CallCut, Fact, PrimaryBecame, RequestCut, RouterStarted
@@ -71,10 +71,10 @@
         super().__init__(boot, host, seed)
         self.told = became
 
-    def _became(self, primary: bool) -> None:
+    def _on_role_change(self, primary: bool) -> None:
         if primary:
             self.told(self.replica_host.replica.record.number)
-        super()._became(primary)
+        super()._on_role_change(primary)
 
 
 class FleetMachines:
--- a/rowanshift/simulation/network.py
+++ b/rowanshift/simulation/network.py
@@ -107,8 +107,8 @@
             if len(data) == 0:
                 return 0
             raise BlockingIOError(errno.EAGAIN, "the window is full")
-        if n > 1 and self.network.chance.random() < self.network.paths.partial:
-            n = self.network.chance.randrange(1, n)
+        if n > 1 and self.network.random_source.random() < self.network.paths.partial:
+            n = self.network.random_source.randrange(1, n)
         self.room -= n
         self.wrote += n
         self.network.carry(self, "data", bytes(data[:n]))
@@ -313,7 +313,7 @@
 class Network:
     def __init__(self, clock: VirtualClock, seed: str, paths: Paths | None = None) -> None:
         self.clock, self.seed, self.paths = clock, seed, paths or Paths()
-        self.chance = random.Random(f"{seed}/network")
+        self.random_source = random.Random(f"{seed}/network")
         self.machines: dict[str, Machine] = {}  # by address
         self.listeners: dict[Address, VirtualListener] = {}
         self.ports: dict[Address, VirtualPort] = {}
@@ -358,7 +358,7 @@
         if one is other:
             return 0.00002
         base = self.paths.within if one.site == other.site else self.paths.across
-        return base * (1 + self.paths.jitter * self.chance.random())
+        return base * (1 + self.paths.jitter * self.random_source.random())
 
     # streams ----------------------------------------------
 
@@ -458,12 +458,12 @@
             return
         if self.clock.time < self.lose_all_until.get(sender.name, 0.0):
             return
-        draw, paths = self.chance.random(), self.paths
+        draw, paths = self.random_source.random(), self.paths
         if draw < paths.lost:
             return
         for _ in range(2 if draw > 1 - paths.doubled else 1):
             after = self.latency(sender, target)
-            if self.chance.random() < paths.late:
+            if self.random_source.random() < paths.late:
                 after *= paths.LATE
             self.clock.at(self.clock.time + after, self._datagram, payload, port.address, address)
 
--- a/rowanshift/simulation/world.py
+++ b/rowanshift/simulation/world.py
@@ -106,7 +106,7 @@
     ) -> None:
         self.scenario, self.make = scenario, make
         self.clock = VirtualClock()
-        self.chance = random.Random(f"{scenario.seed}/world")
+        self.random_source = random.Random(f"{scenario.seed}/world")
         links = scenario.links
         self.network = Network(
             self.clock,
@@ -187,7 +187,7 @@
     def _kind(self, origin: bool = False) -> Kind:
         s, fleet = self.scenario, self.scenario.fleet
         works = {c.name: s.work.origin_fetch_s if origin else c.work_s for c in s.category}
-        speed = 1.0 if origin else self.chance.uniform(fleet.slowest, fleet.fastest)
+        speed = 1.0 if origin else self.random_source.uniform(fleet.slowest, fleet.fastest)
         return Kind(
             works,
             fleet.origin_cores if origin else fleet.cores,
@@ -209,7 +209,9 @@
         )
         rows = [self._row(place) for place in self.caches.values()]
         machines = [
-            self.network.machine(f"r{n}", n % fleet.sites, fleet.descriptors, self.chance.uniform(-1, 1) * fleet.skew_s)
+            self.network.machine(
+                f"r{n}", n % fleet.sites, fleet.descriptors, self.random_source.uniform(-1, 1) * fleet.skew_s
+            )
             for n in range(fleet.routers)
         ]
         peers = [f"{m.address}:{PEERS}" for m in machines]
@@ -470,7 +472,7 @@
         """Tells all agents of a server, each in its own time but in order."""
         row = self._row(place, lifecycle)
         for router in self.routers:
-            late = self.scenario.fleet.list_late_s * self.chance.uniform(0.1, 1.0) + router.delay
+            late = self.scenario.fleet.list_late_s * self.random_source.uniform(0.1, 1.0) + router.delay
             router.list_at = max(router.list_at + 1e-6, self.clock.time + late)
             self.at(router.list_at, self._tell_agent, router, row)
 
@@ -492,8 +494,8 @@
         """The caches that are named and still there; some of them, where none is."""
         if who in ([], ["some"]):
             live = self._live()
-            count = max(1, int(len(live) * self.chance.uniform(0.05, most)))
-            yield from self.chance.sample(live, min(count, len(live)))
+            count = max(1, int(len(live) * self.random_source.uniform(0.05, most)))
+            yield from self.random_source.sample(live, min(count, len(live)))
         for name in who:
             place = self.caches.get(name)
             if place is not None and not place.leaving and not place.gone:
@@ -501,7 +503,7 @@
 
     def _some_routers(self, who: list[str]) -> list[RouterPlace]:
         if who in ([], ["some"]):
-            return [self.chance.choice(self.routers)]
+            return [self.random_source.choice(self.routers)]
         return [place for place in self.routers if place.machine.name in who]
 
     def _all_or(self, who: list[str]) -> list[RouterPlace]:
@@ -518,7 +520,7 @@
     def _do_void(self, trouble: Trouble, who: list[str]) -> None:
         for place in self._live():
             store = place.server.store if place.server else {}
-            for key in [k for k in store if self.chance.random() < trouble.value]:
+            for key in [k for k in store if self.random_source.random() < trouble.value]:
                 del store[key]
 
     def _do_die(self, trouble: Trouble, who: list[str], how: str = "kill") -> None:
@@ -599,7 +601,7 @@
 
     def _do_deploy(self, trouble: Trouble, who: list[str]) -> None:
         live = self._live()
-        chosen = self.chance.sample(live, max(1, int(len(live) * (trouble.value or 0.9))))
+        chosen = self.random_source.sample(live, max(1, int(len(live) * (trouble.value or 0.9))))
         for n, place in enumerate(chosen):
             wait = trouble.for_s * n / len(chosen)
             self.after(wait, self._replace, place)
@@ -614,7 +616,7 @@
 
     def _do_shrink(self, trouble: Trouble, who: list[str]) -> None:
         live = self._live()
-        chosen = self.chance.sample(live, int(len(live) * (1 - (trouble.value or 0.5))))
+        chosen = self.random_source.sample(live, int(len(live) * (1 - (trouble.value or 0.5))))
         for n, place in enumerate(chosen):
             self.after(trouble.for_s * n / max(1, len(chosen)), self._leave, place)
 
@@ -641,7 +643,7 @@
         if sites < 2:
             return
         pairs = [tuple(map(int, name.split("-"))) for name in who]
-        pairs = pairs or [tuple(self.chance.sample(range(sites), 2))]
+        pairs = pairs or [tuple(self.random_source.sample(range(sites), 2))]
         for one, another in pairs:
             self.network.cut(one, another)
             self.after(trouble.for_s, self.network.heal, one, another)
@@ -662,13 +664,13 @@
         crowd.rate /= factor
 
     def _do_hot(self, trouble: Trouble, who: list[str]) -> None:
-        key = f"k{self.chance.randrange(self.scenario.work.keys)}"
+        key = f"k{self.random_source.randrange(self.scenario.work.keys)}"
         for crowd in self.crowds:
             crowd.keys.hot = key, trouble.value or 0.3
             self.after(trouble.for_s, setattr, crowd.keys, "hot", None)
 
     def _do_shift(self, trouble: Trouble, who: list[str]) -> None:
-        by = self.chance.randrange(self.scenario.work.keys)
+        by = self.random_source.randrange(self.scenario.work.keys)
         for crowd in self.crowds:
             crowd.keys.shifted += by
 
@@ -704,7 +706,7 @@
                 place.restart_after = max(0.1, trouble.for_s)
                 place.machine.kill()
                 self.events.tell("down", place.machine.name, "killed")
-                self.after(min(self.chance.uniform(*NOTICED), place.restart_after), self._close_doors, place)
+                self.after(min(self.random_source.uniform(*NOTICED), place.restart_after), self._close_doors, place)
 
     def _do_restart(self, trouble: Trouble, who: list[str]) -> None:
         for place in self._some_routers(who):
@@ -712,7 +714,7 @@
                 place.restart_after = max(0.1, trouble.for_s)
                 place.machine.signal(signal.SIGTERM)
                 self.events.tell("signalled", place.machine.name, "SIGTERM")
-                self.after(self.chance.uniform(*STOPS_DIALLING), self._close_doors, place)
+                self.after(self.random_source.uniform(*STOPS_DIALLING), self._close_doors, place)
 
     def _do_reload(self, trouble: Trouble, who: list[str]) -> None:
         """Moves the router to a second agent beside it, which counts in its own way."""
@@ -728,7 +730,7 @@
                 place.machine.name,
                 [*old.rows.values()],
             )
-            agent.generation = agent.first = self.chance.randrange(1, 2000)
+            agent.generation = agent.first = self.random_source.randrange(1, 2000)
             place.agent = agent
             place.file.data["discovery"] = f"{beside.address}:{AGENT}"
             self.nursery.start_soon(self._process, beside, agent.run)
--- a/rowanshift/soak/command.py
+++ b/rowanshift/soak/command.py
@@ -80,12 +80,12 @@
 
 async def _until_told(run: Run) -> None:
     async with trio.open_nursery() as nursery:
-        await nursery.start(_heed)
+        await nursery.start(_on_signals)
         await run.play()
         nursery.cancel_scope.cancel()
 
 
-async def _heed(task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED) -> None:
+async def _on_signals(task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED) -> None:
     """Ends the run at a signal. A KeyboardInterrupt would be lost where it is raised in a callback, as those of a fork
     are."""
     with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
--- a/rowanshift/soak/layout.py
+++ b/rowanshift/soak/layout.py
@@ -27,7 +27,7 @@
     server_name,
 )
 from rowanshift.soak.relay import DatagramRelay, Relay
-from rowanshift.transport.runtime import Address, Host
+from rowanshift.transport.runtime import Address, Runtime
 
 FIRST_CORE, FIRST_ROUTER, FIRST_SERVER, PLATFORM_NUMBER = 1, 11, 81, 91  # last numbers of the addresses
 INTERNAL, CONTROL = 7400, 8500  # ports; a machine's own is so much above as its last number
@@ -114,13 +114,13 @@
         """A core machine's disk."""
         return self.folder / "disks" / name
 
-    def write_settings(self, name: str, bootstrap: bool, chance: random.Random) -> None:
+    def write_settings(self, name: str, bootstrap: bool, random_source: random.Random) -> None:
         """Writes a machine's settings file; the seeds come in any order."""
         made = self.folder / f"{name}.json.new"
-        made.write_bytes(orjson.dumps(self.settings(name, bootstrap, chance), option=orjson.OPT_INDENT_2))
+        made.write_bytes(orjson.dumps(self.settings(name, bootstrap, random_source), option=orjson.OPT_INDENT_2))
         made.replace(self.settings_path(name))
 
-    def settings(self, name: str, bootstrap: bool, chance: random.Random) -> dict[str, Any]:
+    def settings(self, name: str, bootstrap: bool, random_source: random.Random) -> dict[str, Any]:
         """What a machine's settings file holds."""
         ip, core = self.ip(name), name in self.cores
         port = self.internal(name)[1]
@@ -129,7 +129,7 @@
             if core
             else {"frontend": f"{ip}:{FRONT}", "readiness": f"{ip}:{READINESS}"}
         )
-        seeds = chance.sample(self.cores, len(self.cores))
+        seeds = random_source.sample(self.cores, len(self.cores))
         return {
             "nodeName": name,
             "machineClass": "core" if core else "edge",
@@ -154,7 +154,7 @@
 
     # relays -----------------------------------------------
 
-    def wires(self, host: Host) -> Iterator[Wire]:
+    def wires(self, host: Runtime) -> Iterator[Wire]:
         """All relays of the run, not running yet."""
 
         def relay(link: Link, address: Address, target: Address) -> Wire:
@@ -176,7 +176,7 @@
         yield relay(Link(SYSTEM, PLATFORM), (self.ip(PLATFORM), SYSTEM_LISTED), self.platform())
         yield from self._datagrams(host)
 
-    def _datagrams(self, host: Host) -> Iterator[Wire]:
+    def _datagrams(self, host: Runtime) -> Iterator[Wire]:
         for caller in self.routers:
             for target in self.routers:
                 if caller != target:
--- a/rowanshift/soak/load.py
+++ b/rowanshift/soak/load.py
@@ -26,7 +26,7 @@
 from rowanshift.soak.plan import Plan
 from rowanshift.transport.calls import CallFailed, call
 from rowanshift.transport.memory_budget import Memory
-from rowanshift.transport.runtime import Address, Host
+from rowanshift.transport.runtime import Address, Runtime
 
 OTHER = "other"  # the second service
 PROBE, MISSES = 0.5, 4  # seconds between looks whether a router is ready, and failures until clients leave it
@@ -47,7 +47,7 @@
 class Balancer:
     """Which routers clients are sent to: those that say they are ready, known as late as a platform knows it."""
 
-    def __init__(self, host: Host, layout: Layout) -> None:
+    def __init__(self, host: Runtime, layout: Layout) -> None:
         self.host, self.layout, self.memory = host, layout, Memory(4096)
         self.ready: list[Address] = []
         self.says_ready: dict[str, bool] = dict.fromkeys(layout.routers, False)  # as each said last
@@ -82,7 +82,7 @@
     """
 
     def __init__(
-        self, plan: Plan, host: Host, layout: Layout, balancer: Balancer, now: Callable[[], float], facts: list[Fact]
+        self, plan: Plan, host: Runtime, layout: Layout, balancer: Balancer, now: Callable[[], float], facts: list[Fact]
     ) -> None:
         self.plan, self.host, self.layout, self.balancer, self.now, self.facts = (
             plan,
@@ -102,17 +102,17 @@
                 nursery.start_soon(self._ask, number)
 
     async def _ask(self, number: int) -> None:
-        chance = random.Random(f"{self.plan.seed}/client/{number}")
+        random_source = random.Random(f"{self.plan.seed}/client/{number}")
         name = f"c{number}"
-        patron = Patron(self.host, name, self.now, self.facts, self.fronts, chance, keeps=number % 4 in KEEPING)
+        patron = Patron(self.host, name, self.now, self.facts, self.fronts, random_source, keeps=number % 4 in KEEPING)
         key = [held[0] for held in KEYS.values()][(number + number // 4) % len(KEYS)]
         prefix = (RESUMED, ONCE, REPEATED)[number % 3]
         try:
             while self.requests < MOST_REQUESTS:
                 self.requests += 1
                 patron.fronts = self._choices(number, patron)
-                await patron.call(work_of(prefix, key, f"{name}-own-{patron.calls}", chance))
-                await trio.sleep(PAUSE * (0.5 + chance.random()))
+                await patron.call(work_of(prefix, key, f"{name}-own-{patron.calls}", random_source))
+                await trio.sleep(PAUSE * (0.5 + random_source.random()))
         finally:
             patron.close()
 
@@ -124,16 +124,16 @@
         return self.balancer.ready or self.fronts
 
 
-def work_of(prefix: str, key: str, own: str, chance: random.Random) -> Work:
+def work_of(prefix: str, key: str, own: str, random_source: random.Random) -> Work:
     """One request: a shared prompt, a part of its own, and an answer of some length."""
     tenant = next(name for name, held in KEYS.items() if key in held)
-    prompt = ("preamble", 200), (f"catalogue-{chance.randrange(CATALOGUES)}", 100), (own, 30)
+    prompt = ("preamble", 200), (f"catalogue-{random_source.randrange(CATALOGUES)}", 100), (own, 30)
     return Work(
         HOST,
         f"{prefix}x",
         MODEL,
         prompt,
-        chance.choices(LENGTHS, LENGTH_WEIGHTS)[0],
+        random_source.choices(LENGTHS, LENGTH_WEIGHTS)[0],
         key,
         tenant,
         repeatable=prefix != ONCE,
@@ -158,10 +158,10 @@
     """The operators' calls: one configuration after another, now and then one again as it was, and versions."""
 
     def __init__(
-        self, plan: Plan, host: Host, layout: Layout, registry: Registry, now: Callable[[], float], facts: list[Fact]
+        self, plan: Plan, host: Runtime, layout: Layout, registry: Registry, now: Callable[[], float], facts: list[Fact]
     ) -> None:
         self.plan, self.facts = plan, facts
-        self.chance = random.Random(f"{plan.seed}/operators")
+        self.random_source = random.Random(f"{plan.seed}/operators")
         self.operator, self.second = (
             Operator(host, name, now, facts, layout.controls(), random.Random(f"{plan.seed}/{name}"), registry)
             for name in ("op1", "op2")
@@ -182,7 +182,7 @@
 
     async def _read_on(self) -> None:
         while True:
-            await trio.sleep(READ_EVERY * self.chance.uniform(0.5, 1.5))
+            await trio.sleep(READ_EVERY * self.random_source.uniform(0.5, 1.5))
             await self.read(CHANGE_WITHIN)
 
     async def read(self, within: float) -> dict[str, Any] | None:
@@ -194,14 +194,14 @@
 
     async def _change(self) -> None:
         while True:
-            drawn = self.chance.random()
+            drawn = self.random_source.random()
             if drawn < RACE_SHARE:
                 await self._race()
             elif await self._put(self.sent + 1, CHANGE_WITHIN) != 200:
                 await self._learn()
             elif drawn > 1 - REPEAT_SHARE:
                 await self._send_again()
-            await trio.sleep(self.chance.uniform(0.5, 1.5) / self.plan.changes_per_second)
+            await trio.sleep(self.random_source.uniform(0.5, 1.5) / self.plan.changes_per_second)
 
     async def _put(self, revision: int, within: float) -> int:
         self.sent = revision
@@ -240,8 +240,8 @@
         """Name versions in series, faster than their bound, for good."""
         revision = 2
         while True:
-            await trio.sleep(SERIES_EVERY * self.chance.uniform(0.5, 1.5))
-            for _ in range(self.chance.randint(*NAMES_IN_SERIES)):
+            await trio.sleep(SERIES_EVERY * self.random_source.uniform(0.5, 1.5))
+            for _ in range(self.random_source.randint(*NAMES_IN_SERIES)):
                 if 200 <= await self.second.name_version(MODEL, revision, CHANGE_WITHIN) < 300:
                     revision += 1
                 await trio.sleep(self.plan.names_apart)
--- a/rowanshift/soak/plan.py
+++ b/rowanshift/soak/plan.py
@@ -131,18 +131,18 @@
 
 def draw(seed: int, seconds: float, routers: int | None = None, tracks: int = 3) -> Plan:
     """The plan of a seed. Each track is a sequence of troubles; as many overlap at most as there are tracks."""
-    chance = random.Random(f"soak/{seed}")
-    routers = routers if routers is not None else chance.randint(4, 6)
+    random_source = random.Random(f"soak/{seed}")
+    routers = routers if routers is not None else random_source.randint(4, 6)
     _check_sizes(seconds, routers)
-    drawn = _Draw(chance, seconds, routers, tracks).troubles()
+    drawn = _Draw(random_source, seconds, routers, tracks).troubles()
     plan = Plan(
         seed,
         seconds,
         routers,
         clients=min(MOST_CLIENTS, 4 * routers),
-        changes_per_second=round(chance.uniform(*CHANGES_PER_SECOND), 1),
+        changes_per_second=round(random_source.uniform(*CHANGES_PER_SECOND), 1),
         troubles=tuple(sorted(_outside(calm_of(seed, seconds), drawn), key=lambda trouble: trouble.at)),
-        names_apart=round(chance.uniform(*NAMES_APART), 2),
+        names_apart=round(random_source.uniform(*NAMES_APART), 2),
     )
     check(plan)
     return plan
@@ -208,52 +208,54 @@
     GAPS = 0.05, 0.5  # seconds between the machines of a roll
     ROUNDS = 3  # of a roll, at most
 
-    def __init__(self, chance: random.Random, seconds: float, routers: int, tracks: int) -> None:
-        self.chance, self.seconds, self.tracks = chance, seconds, tracks
+    def __init__(self, random_source: random.Random, seconds: float, routers: int, tracks: int) -> None:
+        self.random_source, self.seconds, self.tracks = random_source, seconds, tracks
         self.cores, self.routers = names(core_name, CORES), names(router_name, routers)
         self.servers = names(server_name, SERVERS)
 
     def troubles(self) -> list[Trouble]:
         drawn = [trouble for _ in range(self.tracks) for trouble in self._track()]
-        if self.chance.random() < self.WIPE_SHARE:
-            drawn.append(self._trouble(TroubleKind.WIPE, self.chance.uniform(self.WIPE_FROM, 1.0) * self.seconds))
+        if self.random_source.random() < self.WIPE_SHARE:
+            drawn.append(
+                self._trouble(TroubleKind.WIPE, self.random_source.uniform(self.WIPE_FROM, 1.0) * self.seconds)
+            )
         return drawn
 
     def _track(self) -> Iterator[Trouble]:
-        at = self.chance.uniform(0.0, self.FIRST_WITHIN)
+        at = self.random_source.uniform(0.0, self.FIRST_WITHIN)
         while at < self.seconds:
-            kind = self.chance.choices([*WEIGHTS], [*WEIGHTS.values()])[0]
+            kind = self.random_source.choices([*WEIGHTS], [*WEIGHTS.values()])[0]
             yield (trouble := self._trouble(kind, at))
-            at = trouble.until + self.chance.uniform(*self.PAUSES) + (STOP_TAKES if kind in STOPS else 0.0)
+            at = trouble.until + self.random_source.uniform(*self.PAUSES) + (STOP_TAKES if kind in STOPS else 0.0)
 
     def _trouble(self, kind: TroubleKind, at: float) -> Trouble:
-        lasts = round(self.chance.uniform(*LASTS[kind]), 3)
+        lasts = round(self.random_source.uniform(*LASTS[kind]), 3)
         machines: tuple[str, ...] = ()
         links: tuple[Link, ...] = ()
         direction = Direction.BOTH
         if kind is TroubleKind.CUT:
-            links, direction = self._cut_links(), self.chance.choice([*Direction])
+            links, direction = self._cut_links(), self.random_source.choice([*Direction])
         elif kind is TroubleKind.LOSE_ANSWERS:
             links = self._asked_links()
         elif kind is TroubleKind.WIPE:
-            machines = (self.chance.choice(self.cores),)
+            machines = (self.random_source.choice(self.cores),)
         else:
             machines = self._machines(kind in PLANNED)
         if kind is not TroubleKind.ROLL:
             return Trouble(kind, round(at, 3), lasts, machines, links, direction)
-        gap, rounds = round(self.chance.uniform(*self.GAPS), 3), self.chance.randint(1, self.ROUNDS)
+        gap, rounds = round(self.random_source.uniform(*self.GAPS), 3), self.random_source.randint(1, self.ROUNDS)
         return Trouble(kind, round(at, 3), lasts, machines, gap=gap, rounds=rounds)
 
     def _machines(self, planned: bool) -> tuple[str, ...]:
         """One core machine or some routers; planned work befalls larger groups."""
-        if self.chance.random() < 0.35:
+        if self.random_source.random() < 0.35:
             most = 2 if planned else 1
             return self._some(self.cores, most)
         most = len(self.routers) if planned else max(1, len(self.routers) // 2)
         return self._some(self.routers, most)
 
     def _some(self, among: list[str], most: int) -> tuple[str, ...]:
-        return tuple(sorted(self.chance.sample(among, self.chance.randint(1, most))))
+        return tuple(sorted(self.random_source.sample(among, self.random_source.randint(1, most))))
 
     def _cut_links(self) -> tuple[Link, ...]:
         draws = [
@@ -264,28 +266,28 @@
             self._system_to_server,
             self._system_to_platform,
         ]
-        return self.chance.choice(draws)()
+        return self.random_source.choice(draws)()
 
     def _asked_links(self) -> tuple[Link, ...]:
         draws = [self._clients_to_routers, self._router_to_cores, self._operators_to_cores, self._system_to_server]
-        return self.chance.choice(draws)()
+        return self.random_source.choice(draws)()
 
     def _clients_to_routers(self) -> tuple[Link, ...]:
         return tuple(Link(CLIENTS, name) for name in self._some(self.routers, max(1, len(self.routers) // 2)))
 
     def _router_to_cores(self) -> tuple[Link, ...]:
-        router = self.chance.choice(self.routers)
+        router = self.random_source.choice(self.routers)
         return tuple(Link(router, name) for name in self._some(self.cores, len(self.cores)))
 
     def _core_from_the_others(self) -> tuple[Link, ...]:
-        alone = self.chance.choice(self.cores)
+        alone = self.random_source.choice(self.cores)
         return tuple(link for name in self.cores if name != alone for link in (Link(alone, name), Link(name, alone)))
 
     def _operators_to_cores(self) -> tuple[Link, ...]:
         return tuple(Link(OPERATORS, name) for name in self._some(self.cores, len(self.cores)))
 
     def _system_to_server(self) -> tuple[Link, ...]:
-        return (Link(SYSTEM, self.chance.choice(self.servers)),)
+        return (Link(SYSTEM, self.random_source.choice(self.servers)),)
 
     def _system_to_platform(self) -> tuple[Link, ...]:
         return (Link(SYSTEM, PLATFORM),)
--- a/rowanshift/soak/relay.py
+++ b/rowanshift/soak/relay.py
@@ -14,7 +14,7 @@
 import trio
 
 from rowanshift.soak.plan import Direction
-from rowanshift.transport.runtime import Address, Host, Stream, accepted, connect, send_all
+from rowanshift.transport.runtime import Address, Runtime, Stream, accepted, connect, send_all
 
 BACKLOG = 128
 MOST_CONNECTIONS = 512  # of a relay at once; more are reset
@@ -79,7 +79,7 @@
 class Relay(Cuttable):
     """Passes the connections made to one address on to another."""
 
-    def __init__(self, host: Host, address: Address, target: Address) -> None:
+    def __init__(self, host: Runtime, address: Address, target: Address) -> None:
         super().__init__()
         self.host, self.address, self.target = host, address, target
         self.open = 0
@@ -152,7 +152,7 @@
 class DatagramRelay(Cuttable):
     """Passes datagrams between two addresses. The caller sends to the relay's address as to the target's."""
 
-    def __init__(self, host: Host, address: Address, caller: Address, target: Address) -> None:
+    def __init__(self, host: Runtime, address: Address, caller: Address, target: Address) -> None:
         super().__init__()
         self.host, self.address, self.caller, self.target = host, address, caller, target
 
--- a/rowanshift/soak/run.py
+++ b/rowanshift/soak/run.py
@@ -48,7 +48,7 @@
     """One run of a plan under a folder, at the addresses that begin with ``net``."""
 
     def __init__(self, plan: Plan, folder: Path, net: str) -> None:
-        self.plan, self.chance = plan, random.Random(f"{plan.seed}/run")
+        self.plan, self.random_source = plan, random.Random(f"{plan.seed}/run")
         self.began = trio.current_time()
         self.facts: list[Fact] = []
         self.host = Inside()
@@ -80,7 +80,7 @@
             self.registry,
             {MODEL: 1},
             TRAITS,
-            chance=random.Random(f"{self.plan.seed}/{name}"),
+            random_source=random.Random(f"{self.plan.seed}/{name}"),
         )
         server.name = "{}:{}".format(*self.layout.listed(name))  # others reach it through its relay
         return server
@@ -141,14 +141,14 @@
 
     async def _start_apart(self, names: list[str]) -> None:
         """Starts machines in any order within ``START_APART``."""
-        order = self.chance.sample(names, len(names))
+        order = self.random_source.sample(names, len(names))
         for name in order:
             self._write_settings(name)
             self.processes[name].start()
             await trio.sleep(START_APART / len(order))
 
     def _write_settings(self, name: str) -> None:
-        self.layout.write_settings(name, self.bootstrap, self.chance)
+        self.layout.write_settings(name, self.bootstrap, self.random_source)
 
     async def _ready(self, within: float) -> bool:
         """Waits until every router says that it is ready."""
@@ -171,7 +171,7 @@
                 changes.start_soon(self.changes.run)
                 async with trio.open_nursery() as troubles:
                     for trouble in self.plan.troubles:
-                        troubles.start_soon(self._befall, trouble)
+                        troubles.start_soon(self._inject, trouble)
                     await trio.sleep(self.plan.seconds)
                 await self._enough_changes()
                 changes.cancel_scope.cancel()
@@ -243,7 +243,7 @@
 
     # troubles ---------------------------------------------
 
-    async def _befall(self, trouble: Trouble) -> None:
+    async def _inject(self, trouble: Trouble) -> None:
         await trio.sleep(trouble.at)
         begun, machines = self.now(), self._hit(trouble)
         methods: dict[TroubleKind, Callable] = {
--- a/rowanshift/transport/calls.py
+++ b/rowanshift/transport/calls.py
@@ -14,7 +14,7 @@
 
 from rowanshift.transport.http_connection import BadMessage, Connection, Fields, Message
 from rowanshift.transport.memory_budget import Memory
-from rowanshift.transport.runtime import Address, Host, Listener, Nursery, Stream, connect, send_all
+from rowanshift.transport.runtime import Address, Listener, Nursery, Runtime, Stream, connect, send_all
 
 REASONS = {status.value: status.phrase.encode() for status in HTTPStatus}
 CALLERS = 256  # connections at once; more are closed
@@ -50,7 +50,7 @@
         return b"\r\n".join([*lines, b"", self.body])
 
 
-class CallEnding(Enum):
+class CallOutcome(Enum):
     """How a call that was read ended."""
 
     ANSWERED = "answered"  # its answer was handed to the system whole
@@ -72,28 +72,28 @@
 
 
 @dataclass(slots=True, eq=False)
-class CallEndings:
+class CallOutcomes:
     """Counts the calls that were read and how they ended; ``watch`` is told of each that was cut."""
 
     read: int = 0
-    ended: Counter[CallEnding] = field(default_factory=Counter)
+    ended: Counter[CallOutcome] = field(default_factory=Counter)
     watch: Callable[[CutCall], None] = _ignore
 
     def opened(self) -> None:
         """A call was read whole."""
         self.read += 1
 
-    def closed(self, ending: CallEnding, target: str, came_at: float, now: float) -> None:
+    def closed(self, ending: CallOutcome, target: str, came_at: float, now: float) -> None:
         """A call that was read has ended."""
         self.ended[ending] += 1
-        if ending is CallEnding.CUT:
+        if ending is CallOutcome.CUT:
             logger.warning("event=call_cut target={} took={:.3f}", target, now - came_at)
             self.watch(CutCall(target, came_at, now))
 
     @property
     def not_answered(self) -> int:
         """Calls that were read, and neither answered nor given up by their callers."""
-        return self.read - self.ended[CallEnding.ANSWERED] - self.ended[CallEnding.CALLER_LEFT]
+        return self.read - self.ended[CallOutcome.ANSWERED] - self.ended[CallOutcome.CALLER_LEFT]
 
 
 class Resource(Protocol):
@@ -110,10 +110,10 @@
         resources: Mapping[bytes, Resource],
         memory: Memory,
         largest: int = 1 << 16,
-        endings: CallEndings | None = None,
+        endings: CallOutcomes | None = None,
     ) -> None:
         self.resources, self.memory, self.largest = resources, memory, largest
-        self.endings = endings or CallEndings()
+        self.endings = endings or CallOutcomes()
         self.leaving = False
         self.accepting = trio.CancelScope()
         self.connections: dict[Connection, None] = {}  # of callers, the oldest first
@@ -232,7 +232,7 @@
 
     async def _serve_call(self, connection: Connection, message: Message) -> bool:
         """Answers one call that was read; whether its caller took the answer."""
-        came_at, ending = trio.current_time(), CallEnding.CUT
+        came_at, ending = trio.current_time(), CallOutcome.CUT
         self.endings.opened()
         try:
             answer = await self._answer_in_time(connection, message)
@@ -241,13 +241,13 @@
                 with trio.move_on_after(CALL_WITHIN) as scope:
                     await send_all(connection.stream, answer.bytes(message.keep))
             except (OSError, trio.ClosedResourceError):
-                ending = CallEnding.CALLER_LEFT
+                ending = CallOutcome.CALLER_LEFT
                 raise
-            ending = CallEnding.CALLER_LEFT if scope.cancelled_caught else CallEnding.ANSWERED
+            ending = CallOutcome.CALLER_LEFT if scope.cancelled_caught else CallOutcome.ANSWERED
             return not scope.cancelled_caught
         finally:  # also when it is cancelled
-            if ending is CallEnding.CUT and has_left(connection):
-                ending = CallEnding.CALLER_LEFT
+            if ending is CallOutcome.CUT and has_left(connection):
+                ending = CallOutcome.CALLER_LEFT
             self.endings.closed(ending, message.target.decode("latin-1"), came_at, trio.current_time())
 
     async def _answer(self, message: Message) -> Answer:
@@ -279,7 +279,7 @@
 class Line:
     """One call after another on one connection to one address, which is dialled anew once it has ended."""
 
-    def __init__(self, host: Host, memory: Memory, address: Address) -> None:
+    def __init__(self, host: Runtime, memory: Memory, address: Address) -> None:
         self.host, self.memory, self.address = host, memory, address
         self.connection: Connection | None = None
 
@@ -339,7 +339,7 @@
 
 
 async def call(
-    host: Host,
+    host: Runtime,
     memory: Memory,
     address: Address,
     method: bytes,
--- a/rowanshift/transport/record_links.py
+++ b/rowanshift/transport/record_links.py
@@ -8,7 +8,7 @@
 from loguru import logger
 
 from rowanshift.transport.buffer import Ring
-from rowanshift.transport.runtime import Address, Host, Stream, connect, receive, send_all
+from rowanshift.transport.runtime import Address, Runtime, Stream, connect, receive, send_all
 from rowanshift.wire.codec import BadRecord, Codec, Frames
 
 DIAL_WITHIN = 0.4  # seconds
@@ -18,11 +18,11 @@
 STUCK = 1.5  # seconds that a write may take
 
 
-class LinkFailed(Exception):
+class ConnectionFailed(Exception):
     """A record could not be exchanged; it may have arrived."""
 
 
-class Inbox:
+class RecordReader:
     """Whole records from one stream."""
 
     def __init__(self, stream: Stream, codec: Codec) -> None:
@@ -31,32 +31,32 @@
         self.ready: deque[tuple[int, int, bytes]] = deque()
 
     async def next(self) -> tuple[int, Any]:
-        """The call's number and the record; ``BadRecord``, or ``LinkFailed`` at the end."""
+        """The call's number and the record; ``BadRecord``, or ``ConnectionFailed`` at the end."""
         while not self.ready:
             if not await receive(self.stream, self.ring):
-                raise LinkFailed("the other side ended")
+                raise ConnectionFailed("the other side ended")
             self.ready.extend(self.frames.feed(self.ring.read()))
         kind, number, body = self.ready.popleft()
         return number, self.codec.unpack(kind, body)
 
 
-class Caller:
+class RecordClient:
     """One call at a time on one connection to one address."""
 
-    def __init__(self, host: Host, codec: Codec, address: Address) -> None:
+    def __init__(self, host: Runtime, codec: Codec, address: Address) -> None:
         self.host, self.codec, self.address = host, codec, address
-        self.inbox: Inbox | None = None
+        self.inbox: RecordReader | None = None
         self.number = 0
 
     async def ask(self, record: Any, within: float) -> Any:
-        """The answer; ``LinkFailed`` if none comes within so many seconds."""
+        """The answer; ``ConnectionFailed`` if none comes within so many seconds."""
         self.number = (self.number + 1) & 0xFFFFFFFF
         answer, whole = None, False
         try:
             with trio.move_on_after(within):
                 if self.inbox is None:
                     stream = self.host.stream()
-                    self.inbox = Inbox(stream, self.codec)
+                    self.inbox = RecordReader(stream, self.codec)
                     with trio.fail_after(min(within, DIAL_WITHIN)):
                         await connect(stream, self.address)
                 await send_all(self.inbox.stream, self.codec.pack(record, self.number))
@@ -65,12 +65,12 @@
                     number, answer = await self.inbox.next()
                 whole = True
         except (OSError, BadRecord, trio.ClosedResourceError, trio.TooSlowError) as error:
-            raise LinkFailed(repr(error)) from error
+            raise ConnectionFailed(repr(error)) from error
         finally:
             if not whole:
                 self.close()
         if not whole:
-            raise LinkFailed(f"no answer within {within} s")
+            raise ConnectionFailed(f"no answer within {within} s")
         return answer
 
     def close(self) -> None:
@@ -79,7 +79,7 @@
             self.inbox = None
 
 
-class Sender:
+class RecordSender:
     """Records one way to one machine; the newest ``most`` are kept while it can't be reached.
 
     ``alive`` tells whether the machine was heard since this connection has been up; a write may take ``stuck`` seconds.
@@ -87,7 +87,7 @@
 
     def __init__(
         self,
-        host: Host,
+        host: Runtime,
         codec: Codec,
         address: Address,
         hello: Any,
--- a/rowanshift/transport/runtime.py
+++ b/rowanshift/transport/runtime.py
@@ -1,6 +1,6 @@
 """Streams, listeners, datagram ports, and the machine that a router runs on: nothing else touches sockets.
 
-Everything above asks a ``Host`` for what the system gives, so that the same code runs on real sockets
+Everything above asks a ``Runtime`` for what the system gives, so that the same code runs on real sockets
 (``System``) and in the virtual network (``rowanshift.simulation``). A ``Stream`` never blocks: ``send`` and
 ``recv_into`` do what can be done in the turn that decides it and raise ``BlockingIOError`` otherwise, and
 the waits tell when to try again. On real sockets a stream is the socket itself, with a few methods more:
@@ -83,7 +83,7 @@
 
 
 class Disk(Protocol):
-    """One record on a machine's disk. Its calls block, so they are made in ``Host.in_thread``; they raise
+    """One record on a machine's disk. Its calls block, so they are made in ``Runtime.in_thread``; they raise
     what ``rowanshift/controlplane/store.py`` tells of."""
 
     damage: str  # what the last read found, empty if nothing
@@ -105,7 +105,7 @@
     def start_soon(self, function: Callable[..., Awaitable[Any]], *args: Any) -> None: ...
 
 
-class Host(Protocol):
+class Runtime(Protocol):
     """The machine that a process runs on."""
 
     def wall(self) -> float: ...  # Unix seconds, by its own clock
--- a/rowanshift/wire/delivery.py
+++ b/rowanshift/wire/delivery.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Row:
+class ServerRecord:
     """One server as the registry names it."""
 
     id: str
@@ -52,7 +52,7 @@
     registry: tuple[int, int]  # epoch and serial of the servers' list that it has
     stock: tuple[int, int]  # the same of what stores keep
     peers: tuple[int, int]  # and of the members
-    hold_ms: int  # how long the poll may be held while there is nothing newer; 0: answer at once
+    long_poll_ms: int  # how long the poll may be held while there is nothing newer; 0: answer at once
 
 
 class PollOfFormat2(PollOfFormat3):
@@ -84,10 +84,10 @@
     stock: tuple[int, int]
     peers: tuple[int, int]
 
-    def upgraded(self, hold_ms: int) -> PollOfFormat2:
+    def upgraded(self, long_poll_ms: int) -> PollOfFormat2:
         """The same question with the time that it may be held."""
         has = self.version, self.fingerprint, self.registry, self.stock, self.peers
-        return PollOfFormat2(self.machine, self.started, *has, hold_ms)
+        return PollOfFormat2(self.machine, self.started, *has, long_poll_ms)
 
 
 @dataclass(slots=True, frozen=True)
@@ -102,7 +102,7 @@
     versions: dict[str, int]  # named, of each model
     registry: tuple[int, int]
     has_rows: bool
-    rows: tuple[Row, ...] = field(default=())
+    rows: tuple[ServerRecord, ...] = field(default=())
     members: int = 1  # routers that share budgets; 0: not known yet
     stock: tuple[int, int] = (0, 0)
     stock_whole: bool = False  # else what changed
@@ -144,7 +144,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Elsewhere:
+class Redirect:
     """The machine asked is not the primary."""
 
     primary: int  # its IP as a number, 0: not known
@@ -154,7 +154,7 @@
 KINDS: dict[int, tuple[type, str]] = {
     1: (PollOfFormat1, "qqpqppp"),
     2: (UpdateOfFormat1, "pq?qbvp?oqp?bbp?tt"),
-    3: (Elsewhere, "qt"),
+    3: (Redirect, "qt"),
     4: (PollOfFormat2, "qqpqpppq"),
     5: (PollOfFormat3, "qqpqpppq"),
     6: (UpdateOfFormat2, "pq?qbvp?oqp?bbp?ttn"),
@@ -162,7 +162,7 @@
     8: (Update, "pq?qbvp?oqp?bbp?ttp?y"),
 }
 NESTED: dict[str, tuple[type, str]] = {
-    "o": (Row, "ssssqqv"),
+    "o": (ServerRecord, "ssssqqv"),
     "n": (NamedVersionOfFormat1, "sqq"),
     "y": (NamedVersion, "sqq?"),
 }
--- a/tests/cacheproxy/test_handover.py
+++ b/tests/cacheproxy/test_handover.py
@@ -38,7 +38,7 @@
 
 
 async def stop(service) -> None:
-    service.told_to_stop.set()
+    service.shutdown_requested.set()
     while service.phase is not Phase.STOPPED:
         await trio.sleep(0.01)
 
@@ -76,7 +76,7 @@
     async def script(rig):
         new = await second(rig)
         await trio.sleep(0.05)
-        rig.service.told_to_stop.set()
+        rig.service.shutdown_requested.set()
         await trio.sleep(0.02)
         got = [(await rig.get(f"k{n}")).status for n in range(20)]
         return got, sum(map(sum, rig.service.figures.ended)), sum(map(sum, new.figures.ended))
--- a/tests/cacheproxy/test_operation.py
+++ b/tests/cacheproxy/test_operation.py
@@ -186,7 +186,7 @@
 def test_a_drained_router_ends_well_and_can_not_be_called_back_then():
     async def script(rig):
         await rig.call("DRAIN")
-        rig.service.told_to_stop.set()
+        rig.service.shutdown_requested.set()
         await trio.sleep(0.05)
         late = await rig.call("UNDRAIN"), await rig.call("READY")
         with trio.fail_after(3):
--- a/tests/capacity/test_capacity.py
+++ b/tests/capacity/test_capacity.py
@@ -30,7 +30,7 @@
 from rowanshift.controlplane.configuration import parse
 from rowanshift.controlplane.control_state import unpack
 from rowanshift.controlplane.replication import EpochRecord, Heartbeat, HeartbeatReply, StateVersion, Store, Stored
-from rowanshift.wire.delivery import Elsewhere, Update
+from rowanshift.wire.delivery import Redirect, Update
 from rowanshift.wire.table import CODEC
 
 ROUTERS, SERVERS, TENANTS, ROUTES, POOLS = 3, 5, 4, 3, 2
@@ -89,7 +89,7 @@
         self.assertEqual(run["sent"], 4 * ROUTERS * sizes.poll())
         elsewhere = run["answers"] - len(run["log"])  # on a machine so busy that the lease ran out meanwhile
         told = sum(length(answer) for answer in run["log"])
-        self.assertEqual(run["received"], told + elsewhere * (sizes.empty(Elsewhere) + 8))
+        self.assertEqual(run["received"], told + elsewhere * (sizes.empty(Redirect) + 8))
 
     def test_the_small_run_carried_what_it_is_to_prove(self) -> None:
         log = self.run_["log"]
--- a/tests/controlplane/replication/test_fault_domains.py
+++ b/tests/controlplane/replication/test_fault_domains.py
@@ -9,8 +9,8 @@
 from rowanshift.controlplane import replication as p
 from rowanshift.controlplane.replication.fault_domains import (
     MOST_WITNESSES,
+    FailureDomain,
     FaultTolerance,
-    Place,
     bearable,
     better_witnesses,
     choose_backups,
@@ -134,7 +134,7 @@
     """Who is taken to count, by what machines say."""
 
     def replica(self) -> p.Replica:
-        place = p.Place("z", "r", counts=False)
+        place = p.FailureDomain("z", "r", counts=False)
         made = p.Replica(4, 1, (1, 2, 3), False, None, 0.0, lambda: 0.5, place=place)
         record = p.EpochRecord(1 << 32 | 1, 1, (1, 2), (1, 2, 3))
         made._durable = p.DurableState(record.number, record, p.NO_VERSION, b"", amnesic=False)
@@ -181,9 +181,9 @@
 class Choice(unittest.TestCase):
     """The pure choice."""
 
-    def places(self, *zones: str) -> dict[int, Place]:
+    def places(self, *zones: str) -> dict[int, FailureDomain]:
         """Machine by machine, a region and a zone as two letters."""
-        return {number: Place(zone[1], zone[0]) for number, zone in enumerate(zones, 1)}
+        return {number: FailureDomain(zone[1], zone[0]) for number, zone in enumerate(zones, 1)}
 
     def test_what_the_worst_loss_takes(self) -> None:
         places = self.places("aa", "aa", "ab", "ba", "bb", "ca")
@@ -201,20 +201,25 @@
             self.assertEqual(most_lost(places, places, tolerance), taken, tolerance)
 
     def test_without_domains_the_preferred_are_chosen(self) -> None:
-        chance = random.Random(1)
+        random_source = random.Random(1)
         for _ in range(200):
-            machines = chance.sample(range(2, 12), chance.randrange(1, 8))
-            places = {machine: Place(chance.choice("abc")) for machine in machines}
+            machines = random_source.sample(range(2, 12), random_source.randrange(1, 8))
+            places = {machine: FailureDomain(random_source.choice("abc")) for machine in machines}
             for f in range(4):
                 chosen = choose_backups(1, machines, places, FaultTolerance(f))
                 self.assertEqual(chosen, machines[:f])
 
     def test_a_choice_survives_wherever_any_does(self) -> None:
         """Against all choices of machines, for drawn places."""
-        chance = random.Random(2)
+        random_source = random.Random(2)
         for _ in range(300):
-            places = {machine: Place(chance.choice("abc"), chance.choice("xy")) for machine in range(1, 7)}
-            tolerance = FaultTolerance(chance.randrange(2), chance.randrange(2), chance.randrange(2))
+            places = {
+                machine: FailureDomain(random_source.choice("abc"), random_source.choice("xy"))
+                for machine in range(1, 7)
+            }
+            tolerance = FaultTolerance(
+                random_source.randrange(2), random_source.randrange(2), random_source.randrange(2)
+            )
             chosen = choose_backups(1, [2, 3, 4, 5, 6], places, tolerance)
             left = copies_left([1, *chosen], places, tolerance)
             self.assertEqual(left > 0, copies_left([*places], places, tolerance) > 0, (places, tolerance))
@@ -230,7 +235,7 @@
         self.assertEqual(better_witnesses([1, 4, 5], [2], places, tolerance), ())
 
     def test_no_more_votes_than_the_limit(self) -> None:
-        places = {machine: Place("a", "r") for machine in range(MOST_WITNESSES + 1)}
+        places = {machine: FailureDomain("a", "r") for machine in range(MOST_WITNESSES + 1)}
         everyone = list(range(MOST_WITNESSES))
         self.assertEqual(better_witnesses(everyone, [MOST_WITNESSES], places, FaultTolerance(0, 1)), ())
         self.assertEqual(
--- a/tests/controlplane/replication/test_membership.py
+++ b/tests/controlplane/replication/test_membership.py
@@ -208,7 +208,7 @@
 
         async def main(fleet: Fleet) -> float:
             await fleet.start()
-            await trio.sleep(1.5 + fleet.chance.random())
+            await trio.sleep(1.5 + fleet.random_source.random())
             primary, backup = fleet.primary(), fleet.backups()[0]
             third = next(unit for unit in fleet.cores if unit not in (primary, backup))
             unit = {"primary": primary, "backup": backup, "witness": third}[role]
--- a/tests/controlplane/test_configuration_patch.py
+++ b/tests/controlplane/test_configuration_patch.py
@@ -259,7 +259,7 @@
         until = fleet.now() + seconds
         while fleet.now() < until or fleet.open:
             await trio.sleep(0.4)
-            await fleet.send_again(1, fleet.chance.randrange(4))
+            await fleet.send_again(1, fleet.random_source.randrange(4))
         await fleet.operator.read_config()
 
     async def trouble(self, fleet: Fleet, name: str, after: float) -> None:
--- a/tests/controlplane/test_graceful_shutdown.py
+++ b/tests/controlplane/test_graceful_shutdown.py
@@ -22,7 +22,7 @@
 from rowanshift.transport import calls
 from rowanshift.transport.calls import Answer, CallFailed, CallServer, call
 from rowanshift.transport.http_connection import Message
-from rowanshift.transport.record_links import Caller, LinkFailed
+from rowanshift.transport.record_links import ConnectionFailed, RecordClient
 from rowanshift.transport.runtime import connect, send_all
 from rowanshift.wire.delivery import Poll, Update
 from rowanshift.wire.table import CODEC
@@ -286,13 +286,13 @@
     async def keep_polling(self, fleet: Fleet, machine: Machine, after: float, unanswered: list[float]) -> None:
         """Polls as a router does; notes for how long each poll was held that got no answer."""
         await trio.sleep(after)
-        caller = Caller(fleet.outside, CODEC, (machine.address, INNER[0]))
+        caller = RecordClient(fleet.outside, CODEC, (machine.address, INNER[0]))
         poll = Poll(1, 0, (0, 0), 0, (0, 0), (0, 0), (0, 0), 1000)
         while machine.running:
             asked = trio.current_time()
             try:
                 answer = await caller.ask(poll, 3.0)
-            except LinkFailed:
+            except ConnectionFailed:
                 if (held := trio.current_time() - asked) > CROSSING:
                     unanswered.append(held)
                 return
@@ -324,7 +324,9 @@
 class Process(unittest.TestCase):
     """A real process of the control plane, told to stop."""
 
-    def told_to_stop(self, event: str, signals: list[signal.Signals], data_is_a_file: bool = False) -> tuple[int, str]:
+    def shutdown_requested(
+        self, event: str, signals: list[signal.Signals], data_is_a_file: bool = False
+    ) -> tuple[int, str]:
         """The exit code, and what was logged after the line of this event, at which the signals were sent."""
         folder = Path(self.enterContext(TemporaryDirectory()))
         ip = f"127.{os.getpid() >> 8 & 0x7F}.{os.getpid() & 0xFF}.9"
@@ -361,13 +363,13 @@
     def test_it_ends_well_however_many_signals_come(self) -> None:
         for signals in ([signal.SIGTERM], [signal.SIGTERM, signal.SIGHUP, signal.SIGTERM, signal.SIGTERM]):
             with self.subTest(signals=signals):
-                code, said = self.told_to_stop("event=started", signals)
+                code, said = self.shutdown_requested("event=started", signals)
                 self.assertEqual(code, 0, said)
                 self.assertIn("event=left released=True", said)
                 self.assertNotIn("Traceback", said)
 
     def test_it_ends_well_while_its_disk_can_not_be_opened(self) -> None:
-        code, said = self.told_to_stop("event=disk_not_open", [signal.SIGTERM], data_is_a_file=True)
+        code, said = self.shutdown_requested("event=disk_not_open", [signal.SIGTERM], data_is_a_file=True)
         self.assertEqual(code, 0, said)
         self.assertNotIn("Traceback", said)
 
--- a/tests/controlplane/test_server_registry.py
+++ b/tests/controlplane/test_server_registry.py
@@ -12,7 +12,7 @@
     ServerRegistry,
     known_of,
 )
-from rowanshift.wire.delivery import CODEC, DRAINING, LOADING, UP, Row, Update
+from rowanshift.wire.delivery import CODEC, DRAINING, LOADING, UP, ServerRecord, Update
 
 
 def entry(id="i-0-1", version=1, service="s", **more):
@@ -40,11 +40,11 @@
 
 class Entries(unittest.TestCase):
     def test_one(self):
-        self.assertEqual(known_of(entry()).row(), Row("i-0-1", "s", "10.0.0.1:80", "z", 4, UP, {"m": 1}))
+        self.assertEqual(known_of(entry()).row(), ServerRecord("i-0-1", "s", "10.0.0.1:80", "z", 4, UP, {"m": 1}))
 
     def test_what_may_be_missing(self):
         made = known_of({"id": "i", "backend": "s", "address": "a:1"})
-        self.assertEqual(made.row(), Row("i", "s", "a:1", "", 1, UP, {}))
+        self.assertEqual(made.row(), ServerRecord("i", "s", "a:1", "", 1, UP, {}))
         self.assertEqual(
             known_of(entry(models=[{"name": "m"}, {"name": "n", "revision": None}])).versions, {"m": 0, "n": 0}
         )
@@ -76,24 +76,24 @@
             with self.assertRaises(BadList, msg=repr(junk)):
                 known_of(junk)
 
-    def drawn(self, chance, deep=2):
-        kind = chance.randrange(8 if deep else 6)
+    def drawn(self, random_source, deep=2):
+        kind = random_source.randrange(8 if deep else 6)
         if kind == 6:
-            return [self.drawn(chance, deep - 1) for _ in range(chance.randrange(3))]
+            return [self.drawn(random_source, deep - 1) for _ in range(random_source.randrange(3))]
         if kind == 7:
-            names = chance.sample(("id", "name", "revision", "x"), 3)
-            return {name: self.drawn(chance, deep - 1) for name in names}
-        return chance.choice((None, True, 0, -1, 3, 0.5, "", "draining", "12", "x"))
+            names = random_source.sample(("id", "name", "revision", "x"), 3)
+            return {name: self.drawn(random_source, deep - 1) for name in names}
+        return random_source.choice((None, True, 0, -1, 3, 0.5, "", "draining", "12", "x"))
 
     def test_drawn_junk(self):
-        chance, refused = random.Random(1), 0
+        random_source, refused = random.Random(1), 0
         for _ in range(5000):
             junk = entry()
-            for name in chance.sample(sorted(junk), chance.randrange(1, 4)):
-                if chance.random() < 0.3:
+            for name in random_source.sample(sorted(junk), random_source.randrange(1, 4)):
+                if random_source.random() < 0.3:
                     del junk[name]
                 else:
-                    junk[name] = self.drawn(chance)
+                    junk[name] = self.drawn(random_source)
             try:
                 self.assertIsInstance(known_of(junk), Known)
             except BadList:
@@ -161,11 +161,11 @@
         self.assertEqual(made.servers["a"].versions, {"m": 2})
 
     def test_versions_never_go_back_whatever_comes(self):
-        chance, made, best = random.Random(2), ServerRegistry(), {}
+        random_source, made, best = random.Random(2), ServerRegistry(), {}
         for _ in range(2000):
-            id, version = chance.choice("abc"), chance.randrange(50)
-            if chance.random() < 0.5:
-                made.take([known(each, chance.randrange(50)) for each in "abc"])
+            id, version = random_source.choice("abc"), random_source.randrange(50)
+            if random_source.random() < 0.5:
+                made.take([known(each, random_source.randrange(50)) for each in "abc"])
             else:
                 made.loaded(id, "m", version, 0.0)
             for each, server in made.servers.items():
--- a/tests/dataplane/test_control_client.py
+++ b/tests/dataplane/test_control_client.py
@@ -122,7 +122,7 @@
     async def applied_after(self, fleet: Fleet, trouble: str, end: str) -> float:
         """Seconds from an acknowledgement by the next primary until all routers use the change."""
         await fleet.start()
-        await trio.sleep(1.0 + fleet.chance.random())
+        await trio.sleep(1.0 + fleet.random_source.random())
         first = fleet.primary()
         getattr(fleet, trouble)(first)
         await fleet.until(lambda: another_holds(fleet, first))
--- a/tests/dataplane/test_drain_order_of_events.py
+++ b/tests/dataplane/test_drain_order_of_events.py
@@ -11,7 +11,7 @@
 
 from rowanshift.dataplane.drain import END_RESERVE, EXIT_RESERVE, Drain, request_kind
 from rowanshift.dataplane.load_index import DatagramKind
-from rowanshift.dataplane.request_endings import EXCUSED_PART, RequestEndings
+from rowanshift.dataplane.request_outcomes import EXCUSED_PART, RequestOutcomes
 from rowanshift.dataplane.service import DataPlaneService
 from rowanshift.dataplane.upstream import Upstream
 from tests.support.exchange_rig import (
@@ -45,16 +45,16 @@
 
 async def leave(rig: Rig) -> None:
     """What the service does from SIGTERM on; the end of the play is the end of the process."""
-    service = SimpleNamespace(drain=rig.front.drain, told_at=trio.current_time())
+    service = SimpleNamespace(drain=rig.front.drain, shutdown_requested_at=trio.current_time())
     await DataPlaneService._leave(service, rig.front, rig.front.budget)
 
 
 def until_its_end(
     clients: Callable[[Rig], Awaitable[None]], *behaviours: Behaviour, longest: float = 0.0
-) -> RequestEndings:
+) -> RequestOutcomes:
     """The endings at a router that gets SIGTERM as ``clients`` start."""
 
-    async def main(rig: Rig) -> RequestEndings:
+    async def main(rig: Rig) -> RequestOutcomes:
         rig.behaviours += behaviours
         if longest:
             rig.front.drain.durations.finished(NO_TOKENS, longest, trio.current_time())
@@ -153,7 +153,7 @@
 
 
 class SlowClient(unittest.TestCase):
-    def ending(self, within: float) -> RequestEndings:
+    def ending(self, within: float) -> RequestOutcomes:
         """The ending of a request, sent 4 s after the SIGTERM, whose client takes a part of a long answer only."""
 
         async def clients(rig: Rig) -> None:
@@ -161,7 +161,7 @@
             await trio.sleep(4.0)
             await Client(rig).send(request_bytes("stream", "r1", within=within))
 
-        async def main(rig: Rig) -> RequestEndings:
+        async def main(rig: Rig) -> RequestOutcomes:
             rig.behaviours += [Behaviour(cut=0, then=Then.SILENCE), Behaviour(answer=long_stream)]
             rig.nursery.start_soon(clients, rig)
             await leave(rig)
--- a/tests/dataplane/test_endpoints.py
+++ b/tests/dataplane/test_endpoints.py
@@ -224,7 +224,7 @@
         seen = set()
         for seed in range(20):
             self.setUp()
-            self.pool.chance.seed(seed)
+            self.pool.random_source.seed(seed)
             now = self.heat()
             first = self.pick(now=now)
             self.assertEqual({self.pick(now=now) for _ in range(50)}, {first})
@@ -397,12 +397,12 @@
         self.assertIn(self.engines.engines["i-0"], self.pool.engines)
 
     def test_drawn_rosters(self):
-        chance = random.Random(4)
+        random_source = random.Random(4)
         for _ in range(150):
             wanted = [
-                engine(n, chance.randrange(3), chance.choice("st"), draining=chance.random() < 0.2)
+                engine(n, random_source.randrange(3), random_source.choice("st"), draining=random_source.random() < 0.2)
                 for n in range(12)
-                if chance.random() < 0.7
+                if random_source.random() < 0.7
             ]
             before = set(self.engines.engines.values())
             gone = self.engines.update(wanted)
--- a/tests/dataplane/test_exchange_faults.py
+++ b/tests/dataplane/test_exchange_faults.py
@@ -15,7 +15,7 @@
 from rowanshift.dataplane import forwarder
 from rowanshift.dataplane.client_answer import Out
 from rowanshift.dataplane.forwarder import Forwarder
-from rowanshift.dataplane.retry_decision import Decision, Ending, Progress, Told
+from rowanshift.dataplane.retry_decision import ClientResponse, Decision, ExchangeOutcome, Progress
 from rowanshift.dataplane.upstream import Link, Outcome, SendFailed, Upstream
 from rowanshift.transport.http_connection import Connection
 
@@ -94,16 +94,16 @@
     def test_a_promise_is_passed_on_without_not_executed(self) -> None:
         true = Progress.ending_of_status
 
-        def ending(progress: Progress, status: int, not_executed: bool) -> Ending:
+        def ending(progress: Progress, status: int, not_executed: bool) -> ExchangeOutcome:
             made = true(progress, status, not_executed)
-            return Ending.REFUSED if made is Ending.UNPROVEN_PROMISE else made
+            return ExchangeOutcome.REFUSED if made is ExchangeOutcome.UNPROVEN_PROMISE else made
 
         patch = mock.patch.object(Progress, "ending_of_status", ending)
         self.found(test_exchanges.Statuses, "test_a_promise_without_proof", patch)
 
     def test_a_promise_is_made_after_a_run_elsewhere(self) -> None:
-        def told(progress: Progress, decision: Decision) -> Told:
-            return Told.CUT if progress.begun else decision.told
+        def told(progress: Progress, decision: Decision) -> ClientResponse:
+            return ClientResponse.CUT if progress.begun else decision.told
 
         patch = mock.patch.object(Progress, "told", told)
         self.found(test_exchange_attempts.SeveralAttempts, "test_one_may_have_run_it_and_the_rest_reject_it", patch)
@@ -125,9 +125,11 @@
     def test_a_reset_on_a_reused_connection_counts_as_unsent(self) -> None:
         true = Forwarder._ending_of
 
-        def ending_of(self: Forwarder, forwarding: Any, endpoint: Any, link: Link, failure: SendFailed) -> Ending:
+        def ending_of(
+            self: Forwarder, forwarding: Any, endpoint: Any, link: Link, failure: SendFailed
+        ) -> ExchangeOutcome:
             if link is not None and link.since and failure.outcome is Outcome.BROKEN:
-                return Ending.NOT_WRITTEN
+                return ExchangeOutcome.NOT_WRITTEN
             return true(self, forwarding, endpoint, link, failure)
 
         patch = mock.patch.object(Forwarder, "_ending_of", ending_of)
@@ -155,9 +157,9 @@
         self.found(test_exchanges.AnswersBrokenOff, "test_reset_in_the_answer_to_resumable", patch)
 
     def test_what_may_have_run_goes_again(self) -> None:
-        def again(kind: Any, ending: Ending, true: Callable = forwarder.decide) -> Decision:
+        def again(kind: Any, ending: ExchangeOutcome, true: Callable = forwarder.decide) -> Decision:
             decision = true(kind, ending)
-            return Decision(True, decision.told, True, False) if ending is Ending.NO_ANSWER else decision
+            return Decision(True, decision.told, True, False) if ending is ExchangeOutcome.NO_ANSWER else decision
 
         patch = mock.patch.object(forwarder, "decide", again)
         self.found(test_exchanges.AnswersBrokenOff, "test_close_in_the_answer_to_non_idempotent", patch)
--- a/tests/dataplane/test_exchange_signals.py
+++ b/tests/dataplane/test_exchange_signals.py
@@ -32,7 +32,7 @@
 
 def patron(fleet: Fleet, name: str, keeps: bool = False) -> Patron:
     """A client of the first router alone."""
-    made = Patron(fleet.outside, name, fleet.now, fleet.facts, fleet.fronts[:1], fleet.chance, keeps)
+    made = Patron(fleet.outside, name, fleet.now, fleet.facts, fleet.fronts[:1], fleet.random_source, keeps)
     fleet.patrons.append(made)
     return made
 
--- a/tests/dataplane/test_graceful_shutdown_of_router.py
+++ b/tests/dataplane/test_graceful_shutdown_of_router.py
@@ -65,7 +65,7 @@
     def client(self, keeps: bool = False) -> Patron:
         fleet = self.fleet
         name = f"p{len(fleet.patrons)}"
-        made = Patron(fleet.outside, name, fleet.now, fleet.facts, fleet.fronts[:1], fleet.chance, keeps)
+        made = Patron(fleet.outside, name, fleet.now, fleet.facts, fleet.fronts[:1], fleet.random_source, keeps)
         fleet.patrons.append(made)
         return made
 
--- a/tests/dataplane/test_load_index.py
+++ b/tests/dataplane/test_load_index.py
@@ -152,17 +152,17 @@
         self.assertEqual(self.sums.progress.records, {})
 
     def test_drawn_calls_against_a_plain_sum(self):
-        chance, now, kept = random.Random(1), 0.0, {}
+        random_source, now, kept = random.Random(1), 0.0, {}
         for _ in range(5000):
-            now += chance.expovariate(20)
-            who, call = chance.choice((ONE, OTHER)), chance.randrange(200)
-            if chance.random() < 0.6:
-                kept[who, call] = chance.randrange(4), chance.randrange(3000), now + KEPT
+            now += random_source.expovariate(20)
+            who, call = random_source.choice((ONE, OTHER)), random_source.randrange(200)
+            if random_source.random() < 0.6:
+                kept[who, call] = random_source.randrange(4), random_source.randrange(3000), now + KEPT
                 self.sums.add(who, call, *kept[who, call][:2], now)
             else:
                 kept.pop((who, call), None)
                 self.sums.done(who, call)
-            server = chance.randrange(4)
+            server = random_source.randrange(4)
             expected = sum(tokens for of, tokens, until in kept.values() if of == server and until >= now)
             self.assertEqual(self.sums.of(server, now), expected)
 
@@ -210,10 +210,10 @@
 
     def test_several_counters_agree(self):
         async def main(network, loads):
-            told, chance, expected = [], random.Random(1), dict.fromkeys(SERVERS, 0)
+            told, random_source, expected = [], random.Random(1), dict.fromkeys(SERVERS, 0)
             for one in loads:
                 for server in SERVERS:
-                    tokens = chance.randrange(1, 5000)
+                    tokens = random_source.randrange(1, 5000)
                     told.append((one, await one.add(server, tokens), tokens))
                     expected[server] += tokens
             await trio.sleep(0.1)
@@ -306,7 +306,7 @@
             await loads[0].add(self.held_by(loads[0], loads)[0], 5)
             stranger = network.machine("stranger", 9)
             stranger.running = True
-            port, to, chance = stranger.port((stranger.address, PORT)), loads[0].address, random.Random(2)
+            port, to, random_source = stranger.port((stranger.address, PORT)), loads[0].address, random.Random(2)
             mark = stable(SERVERS[0])
             good = RECORD.pack(MAGIC, FORMAT, DatagramKind.ADD, 1, mark, 100)
             wrong = [
@@ -319,7 +319,7 @@
                 RECORD.pack(MAGIC, FORMAT, DatagramKind.TOLD, 1, mark, 100),
                 RECORD.pack(MAGIC, FORMAT, DatagramKind.DONE, 1, mark, 0),
             ]
-            wrong += [chance.randbytes(chance.randrange(40)) for _ in range(1000)]
+            wrong += [random_source.randbytes(random_source.randrange(40)) for _ in range(1000)]
             before = dict(loads[0].sums.tokens)
             for payload in wrong:
                 await port.send(payload, to)
