--- a/tests/dataplane/test_request_endings.py
+++ b/tests/dataplane/test_request_outcomes.py
@@ -10,19 +10,19 @@
 from loguru import logger
 
 from rowanshift.dataplane import drain
-from rowanshift.dataplane.request_endings import (
+from rowanshift.dataplane.request_outcomes import (
     EndedRequest,
     OpenRequest,
     Phase,
-    RequestEnding,
-    RequestEndings,
+    RequestOutcome,
+    RequestOutcomes,
     Violation,
 )
 from rowanshift.emulation.system_clients import Patron
 from rowanshift.invariants.facts import CallCut, RequestCut
-from rowanshift.simulation.fleet import ONCE, REPEATED, RESUMED, Fleet, ViolatedEndings, config_of, play
+from rowanshift.simulation.fleet import ONCE, REPEATED, RESUMED, Fleet, ViolatedOutcomes, config_of, play
 from rowanshift.simulation.fleet_machines import Unit
-from rowanshift.transport.calls import CallEnding, CallEndings, CutCall
+from rowanshift.transport.calls import CallOutcome, CallOutcomes, CutCall
 from rowanshift.transport.runtime import connect, send_all
 from tests.support.exchange_rig import FRONT, KINDS, Behaviour, Client, Rig, Then, rejection, request_bytes
 from tests.support.exchange_rig import play as play_exchange
@@ -42,36 +42,36 @@
 
 class Counts(unittest.TestCase):
     def setUp(self) -> None:
-        self.endings = RequestEndings()
+        self.endings = RequestOutcomes()
 
     def opened(self, now: float = 1.0, nth: int = 1) -> OpenRequest:
         return self.endings.opened("r", now, nth, now)
 
     def test_an_ending_is_counted_once_in_the_phase_of_its_end(self) -> None:
         early, late = self.opened(), self.opened()
-        self.endings.closed(early, RequestEnding.WHOLE_ANSWER, 2.0)
+        self.endings.closed(early, RequestOutcome.WHOLE_ANSWER, 2.0)
         self.endings.begin_leave(3.0, GRACE)
-        self.endings.closed(late, RequestEnding.REFUSAL, 4.0, status=503)
-        self.assertEqual(self.endings.endings[Phase.SERVING], {RequestEnding.WHOLE_ANSWER: 1})
-        self.assertEqual(self.endings.endings[Phase.LEAVING], {RequestEnding.REFUSAL: 1})
+        self.endings.closed(late, RequestOutcome.REFUSAL, 4.0, status=503)
+        self.assertEqual(self.endings.endings[Phase.SERVING], {RequestOutcome.WHOLE_ANSWER: 1})
+        self.assertEqual(self.endings.endings[Phase.LEAVING], {RequestOutcome.REFUSAL: 1})
         self.assertEqual((self.endings.violated(), self.endings.process_ended(5.0)), (0, []))
 
     def test_only_a_cut_by_the_router_is_a_violation_by_itself(self) -> None:
-        for ending in RequestEnding:
+        for ending in RequestOutcome:
             with self.subTest(ending=ending):
-                endings = RequestEndings()
+                endings = RequestOutcomes()
                 ended = endings.closed(endings.opened("r", 0.0, 1, 0.0), ending, 1.0)
-                cut = ending is RequestEnding.CUT_BY_ROUTER
+                cut = ending is RequestOutcome.CUT_BY_ROUTER
                 self.assertEqual(endings.violated(), int(cut))
                 self.assertEqual(ended.violation, Violation.CUT_BY_ROUTER if cut else None)
 
     def test_a_request_closed_twice(self) -> None:
         request = self.opened()
-        self.endings.closed(request, RequestEnding.WHOLE_ANSWER, 2.0)
-        ended = self.endings.closed(request, RequestEnding.REFUSAL, 3.0)
+        self.endings.closed(request, RequestOutcome.WHOLE_ANSWER, 2.0)
+        ended = self.endings.closed(request, RequestOutcome.REFUSAL, 3.0)
         self.assertEqual(ended.violation, Violation.CLOSED_TWICE)
         self.assertEqual(self.endings.violations[Phase.SERVING], {Violation.CLOSED_TWICE: 1})
-        self.assertEqual(self.endings.endings[Phase.SERVING], {RequestEnding.WHOLE_ANSWER: 1})
+        self.assertEqual(self.endings.endings[Phase.SERVING], {RequestOutcome.WHOLE_ANSWER: 1})
 
     def test_a_request_never_closed(self) -> None:
         request = self.opened()
@@ -80,20 +80,20 @@
         self.assertEqual(self.endings.violations[Phase.LEAVING], {Violation.NEVER_CLOSED: 1})
         self.assertEqual(self.endings.process_ended(9.0), [])
         self.assertEqual(
-            self.endings.closed(request, RequestEnding.WHOLE_ANSWER, 9.0).violation, Violation.CLOSED_TWICE
+            self.endings.closed(request, RequestOutcome.WHOLE_ANSWER, 9.0).violation, Violation.CLOSED_TWICE
         )
 
     def test_times_of_the_leave(self) -> None:
         request = self.endings.opened("r", 8.0, 2, 11.0)
         self.endings.begin_leave(10.0, GRACE)
         self.endings.begin_leave(12.0, GRACE)  # a second signal changes nothing
-        ended = self.endings.closed(request, RequestEnding.CUT_BY_ROUTER, 15.0, passed_on=7)
+        ended = self.endings.closed(request, RequestOutcome.CUT_BY_ROUTER, 15.0, passed_on=7)
         self.assertEqual((ended.since_signal, ended.grace_left), (5.0, 1.0))
         self.assertEqual((ended.came_since_signal, ended.grace_left_at_arrival), (1.0, 5.0))
         self.assertEqual((ended.connected_since_signal, request.kept, ended.passed_on), (-2.0, True, 7))
 
     def test_no_times_of_a_leave_while_serving(self) -> None:
-        ended = self.endings.closed(self.opened(), RequestEnding.WHOLE_ANSWER, 2.0)
+        ended = self.endings.closed(self.opened(), RequestOutcome.WHOLE_ANSWER, 2.0)
         self.assertEqual((ended.since_signal, ended.grace_left, ended.came_since_signal), (None, None, None))
 
     def test_connections_since_the_signal(self) -> None:
@@ -106,13 +106,13 @@
 class Excused(unittest.TestCase):
     """A cut after the signal at 10 s, of a grace of 6 s: excused from 15 s on, of requests up to 13 s."""
 
-    def cut(self, came: float, at: float, leaves: bool = True) -> RequestEndings:
-        endings, told = RequestEndings(), []
+    def cut(self, came: float, at: float, leaves: bool = True) -> RequestOutcomes:
+        endings, told = RequestOutcomes(), []
         endings.watch = told.append
         request = endings.opened("r", came, 1, came)
         if leaves:
             endings.begin_leave(10.0, GRACE)
-        ended = endings.closed(request, RequestEnding.CUT_BY_ROUTER, at)
+        ended = endings.closed(request, RequestOutcome.CUT_BY_ROUTER, at)
         self.assertEqual(told, [ended])
         self.assertEqual((endings.excused, endings.violated()), (int(ended.excused), int(not ended.excused)))
         return endings
@@ -133,11 +133,11 @@
         self.assertEqual(self.cut(9.0, 15.0, leaves=False).excused, 0)
 
     def test_other_violations_are_not(self) -> None:
-        endings = RequestEndings()
+        endings = RequestOutcomes()
         endings.begin_leave(10.0, GRACE)
         request = endings.opened("r", 10.0, 1, 10.0)
-        endings.closed(request, RequestEnding.CUT_BY_ROUTER, 15.5)
-        endings.closed(request, RequestEnding.CUT_BY_ROUTER, 15.5)
+        endings.closed(request, RequestOutcome.CUT_BY_ROUTER, 15.5)
+        endings.closed(request, RequestOutcome.CUT_BY_ROUTER, 15.5)
         endings.opened("s", 10.0, 1, 10.0)
         endings.process_ended(16.0)
         self.assertEqual(endings.excused, 1)
@@ -152,10 +152,10 @@
 class AtAFrontend(unittest.TestCase):
     """Each ending, as an exchange in the virtual network comes to it."""
 
-    def ending(self, main: Callable[[Rig, Client], Awaitable[Any]], *behaviours: Behaviour) -> RequestEnding:
+    def ending(self, main: Callable[[Rig, Client], Awaitable[Any]], *behaviours: Behaviour) -> RequestOutcome:
         """The ending of the one request that ``main`` sends by a client."""
 
-        async def run(rig: Rig) -> RequestEndings:
+        async def run(rig: Rig) -> RequestOutcomes:
             rig.behaviours += behaviours
             await main(rig, Client(rig))
             await trio.sleep(LONG)
@@ -164,10 +164,10 @@
         endings = play_exchange(run, servers=2)
         (ending,) = endings.endings[Phase.SERVING].elements()
         self.assertEqual(len(endings.open), 0)
-        self.assertEqual(endings.violated(), int(ending is RequestEnding.CUT_BY_ROUTER))
+        self.assertEqual(endings.violated(), int(ending is RequestOutcome.CUT_BY_ROUTER))
         return ending
 
-    def of_one(self, kind: str, *behaviours: Behaviour) -> RequestEnding:
+    def of_one(self, kind: str, *behaviours: Behaviour) -> RequestOutcome:
         """The ending of a request whose client waits for it."""
 
         async def main(rig: Rig, client: Client) -> None:
@@ -177,29 +177,29 @@
 
     def test_a_whole_answer(self) -> None:
         for kind in KINDS:
-            self.assertEqual(self.of_one(kind), RequestEnding.WHOLE_ANSWER)
+            self.assertEqual(self.of_one(kind), RequestOutcome.WHOLE_ANSWER)
 
     def test_a_whole_answer_of_a_second_server(self) -> None:
-        self.assertEqual(self.of_one("idempotent", Behaviour(cut=0, then=Then.RESET)), RequestEnding.WHOLE_ANSWER)
-        self.assertEqual(self.of_one("resumable", Behaviour(cut=MIDWAY, then=Then.RESET)), RequestEnding.WHOLE_ANSWER)
+        self.assertEqual(self.of_one("idempotent", Behaviour(cut=0, then=Then.RESET)), RequestOutcome.WHOLE_ANSWER)
+        self.assertEqual(self.of_one("resumable", Behaviour(cut=MIDWAY, then=Then.RESET)), RequestOutcome.WHOLE_ANSWER)
 
     def test_a_refusal(self) -> None:
-        self.assertEqual(self.of_one("non_idempotent", Behaviour(cut=0, then=Then.RESET)), RequestEnding.REFUSAL)
+        self.assertEqual(self.of_one("non_idempotent", Behaviour(cut=0, then=Then.RESET)), RequestOutcome.REFUSAL)
 
     def test_a_refusal_of_a_request_that_is_not_well_formed(self) -> None:
         async def main(rig: Rig, client: Client) -> None:
             await client.send(b"GET /idempotent/ HTTP/1.1\r\nHost: h\r\n\r\n")
             self.assertEqual((await client.answer()).status, 400)
 
-        self.assertEqual(self.ending(main), RequestEnding.REFUSAL)
+        self.assertEqual(self.ending(main), RequestOutcome.REFUSAL)
 
     def test_a_server_that_breaks_off(self) -> None:
         for then in (Then.RESET, Then.CLOSE):
-            self.assertEqual(self.of_one("stream", Behaviour(cut=MIDWAY, then=then)), RequestEnding.SERVER_BROKE_OFF)
+            self.assertEqual(self.of_one("stream", Behaviour(cut=MIDWAY, then=then)), RequestOutcome.SERVER_BROKE_OFF)
 
     def test_its_time_is_up(self) -> None:
         silent = Behaviour(cut=MIDWAY, then=Then.SILENCE)
-        self.assertEqual(self.of_one("stream", silent), RequestEnding.TIME_UP)
+        self.assertEqual(self.of_one("stream", silent), RequestOutcome.TIME_UP)
 
     def test_the_client_leaves(self) -> None:
         async def main(rig: Rig, client: Client) -> None:
@@ -208,19 +208,19 @@
             client.close()
 
         for cut in (0, MIDWAY):
-            self.assertEqual(self.ending(main, Behaviour(cut=cut, then=Then.SILENCE)), RequestEnding.CLIENT_LEFT)
+            self.assertEqual(self.ending(main, Behaviour(cut=cut, then=Then.SILENCE)), RequestOutcome.CLIENT_LEFT)
 
     def test_a_server_that_is_given_up_after_its_answer_had_begun(self) -> None:
         """It says nothing for long, and no other takes its stream up."""
         silent = Behaviour(cut=MIDWAY, then=Then.SILENCE)
         refused = Behaviour(rejection(503, b"Not-Executed: 1"))
-        self.assertEqual(self.of_one("resumable", silent, refused), RequestEnding.CUT_BY_ROUTER)
+        self.assertEqual(self.of_one("resumable", silent, refused), RequestOutcome.CUT_BY_ROUTER)
 
     def test_a_request_that_is_cancelled(self) -> None:
         """Before its answer has begun, and in the middle of it."""
         for cut in (0, MIDWAY):
 
-            async def main(rig: Rig, cut: int = cut) -> RequestEndings:
+            async def main(rig: Rig, cut: int = cut) -> RequestOutcomes:
                 rig.behaviours.append(Behaviour(cut=cut, then=Then.SILENCE))
                 stream = rig.client_machine.stream()
                 await connect(stream, (rig.router.address, FRONT))
@@ -230,7 +230,7 @@
                 return rig.front.endings
 
             endings = play_exchange(main, servers=1)
-            self.assertEqual(endings.endings[Phase.SERVING], {RequestEnding.CUT_BY_ROUTER: 1})
+            self.assertEqual(endings.endings[Phase.SERVING], {RequestOutcome.CUT_BY_ROUTER: 1})
             self.assertEqual(endings.violations[Phase.SERVING], {Violation.CUT_BY_ROUTER: 1})
             self.assertEqual(len(endings.open), 0)
 
@@ -243,12 +243,12 @@
         async def main(fleet: Fleet) -> None:
             await fleet.start()
             unit = fleet.routers[0]
-            kept = Patron(fleet.outside, "kept", fleet.now, fleet.facts, fleet.fronts[:1], fleet.chance, True)
+            kept = Patron(fleet.outside, "kept", fleet.now, fleet.facts, fleet.fronts[:1], fleet.random_source, True)
             await kept.ask(fleet.work(REPEATED, "key-1", "own-0"))
             fleet.terminate(unit)
             await trio.sleep(0.5)
             await kept.ask(fleet.work(REPEATED, "key-1", "own-1"))
-            new = Patron(fleet.outside, "new", fleet.now, fleet.facts, fleet.fronts[:1], fleet.chance, False)
+            new = Patron(fleet.outside, "new", fleet.now, fleet.facts, fleet.fronts[:1], fleet.random_source, False)
             await new.ask(fleet.work(ONCE, "key-1", "own-2"))
             await fleet.until(lambda: not unit.machine.running)
 
@@ -291,7 +291,7 @@
 
     def found(self, why: str) -> None:
         """A play fails for this; one that is not strict reports it as a breach."""
-        with self.assertRaisesRegex(ViolatedEndings, f"ENDING .*{why}"):
+        with self.assertRaisesRegex(ViolatedOutcomes, f"ENDING .*{why}"):
             play(self.scenario)
         breaches = play(self.scenario, strict=False)[1].breaches()
         self.assertIn("ENDING", {breach.rule for breach in breaches if why in breach.why})
@@ -310,7 +310,9 @@
             await fleet.start()
             router = fleet.routers[0]
             patrons = [
-                Patron(fleet.outside, f"p{n}", fleet.now, fleet.facts, fleet.fronts[:1], fleet.chance, n % 2 == 0)
+                Patron(
+                    fleet.outside, f"p{n}", fleet.now, fleet.facts, fleet.fronts[:1], fleet.random_source, n % 2 == 0
+                )
                 for n in range(12)
             ]
             for n, patron in enumerate(patrons):
@@ -328,24 +330,24 @@
         self.assertEqual([str(breach) for breach in fleet.breaches()], [])
 
     def test_a_request_that_is_never_closed(self) -> None:
-        true = RequestEndings.closed
+        true = RequestOutcomes.closed
 
         def forgetting(endings, request, *more, **named):
             if endings.leave is not None:
-                return EndedRequest(request, RequestEnding.WHOLE_ANSWER, 0.0, Phase.SERVING)
+                return EndedRequest(request, RequestOutcome.WHOLE_ANSWER, 0.0, Phase.SERVING)
             return true(endings, request, *more, **named)
 
-        with mock.patch.object(RequestEndings, "closed", forgetting):
+        with mock.patch.object(RequestOutcomes, "closed", forgetting):
             self.found("never_closed")
 
     def test_a_request_that_is_closed_twice(self) -> None:
-        true = RequestEndings.closed
+        true = RequestOutcomes.closed
 
         def twice(endings, request, *more, **named):
             true(endings, request, *more, **named)
             return true(endings, request, *more, **named)
 
-        with mock.patch.object(RequestEndings, "closed", twice):
+        with mock.patch.object(RequestOutcomes, "closed", twice):
             self.found("closed_twice")
 
     def test_unplanned_trouble_of_the_router_excuses(self) -> None:
@@ -361,7 +363,7 @@
 
         with (
             mock.patch.multiple(drain, NOTICE=0.05, END_RESERVE=8.0, END_PART=1.0),
-            self.assertRaisesRegex(ViolatedEndings, "router-0: cut_by_router"),
+            self.assertRaisesRegex(ViolatedOutcomes, "router-0: cut_by_router"),
         ):
             play(partial(self.scenario, trouble=trouble))
 
@@ -385,7 +387,7 @@
         unit.machine.scope.cancel()
 
     def test_a_call_that_is_cut(self) -> None:
-        with self.assertRaisesRegex(ViolatedEndings, "core-.*a call was read and not answered"):
+        with self.assertRaisesRegex(ViolatedOutcomes, "core-.*a call was read and not answered"):
             play(partial(self.scenario, trouble=self.stopped))
 
     def test_unplanned_trouble_of_the_machine_excuses(self) -> None:
@@ -402,9 +404,9 @@
         play(partial(self.scenario, trouble=Fleet.terminate))
 
     def test_the_count(self) -> None:
-        endings, told = CallEndings(), []
+        endings, told = CallOutcomes(), []
         endings.watch = told.append
-        for ending in CallEnding:
+        for ending in CallOutcome:
             endings.opened()
             endings.closed(ending, "/config", 1.0, 2.0)
         endings.opened()
--- a/tests/dataplane/test_requests.py
+++ b/tests/dataplane/test_requests.py
@@ -83,9 +83,9 @@
             self.assertEqual(routing_table().match(b"h.example", path).name, name)
 
     def test_the_order_of_routes_does_not_matter(self):
-        chance = random.Random(1)
+        random_source = random.Random(1)
         for _ in range(50):
-            rows = chance.sample(SHEET["routes"], len(SHEET["routes"]))
+            rows = random_source.sample(SHEET["routes"], len(SHEET["routes"]))
             made = routing_table({**SHEET, "routes": rows})
             self.assertEqual(made.match(b"h.example", b"/v1/chat/x").name, "deep")
             self.assertEqual(made.match(b"h.example", b"/v1").name, "v1")
@@ -167,10 +167,10 @@
         ):
             with self.assertRaises(BadControlState, msg=data):
                 routing_table_of(1, data, {})
-        chance, good = random.Random(2), orjson.dumps(SHEET)
+        random_source, good = random.Random(2), orjson.dumps(SHEET)
         for _ in range(3000):
             spoilt = bytearray(good)
-            spoilt[chance.randrange(len(spoilt))] = chance.randrange(256)
+            spoilt[random_source.randrange(len(spoilt))] = random_source.randrange(256)
             with suppress(BadControlState):
                 routing_table_of(1, bytes(spoilt), {})
 
@@ -277,9 +277,9 @@
                 self.assertLess(float(sum(tokens_of(text + b"," + text))), float("inf"))
 
     def test_drawn_prompt_prefixes_and_counts(self):
-        chance = random.Random(3)
+        random_source = random.Random(3)
         for _ in range(5000):
-            text = bytes(chance.choices(b"ab:,0 9-.\xff", k=chance.randrange(14)))
+            text = bytes(random_source.choices(b"ab:,0 9-.\xff", k=random_source.randrange(14)))
             self.assertTrue(all(tokens >= 0 for _, tokens in parts_of(text)))
             self.assertTrue(min(tokens_of(text)) >= 0)
 
--- a/tests/dataplane/test_retry_budget.py
+++ b/tests/dataplane/test_retry_budget.py
@@ -58,13 +58,13 @@
 class Case(unittest.TestCase):
     def run_all(self, counters, seed, rate, until=25.0, wanted=1.0):
         """Drawn requests at drawn counters, each of which wants so many repeats; the times of both."""
-        chance, now, requests, repeats = random.Random(seed), 0.0, [], []
-        while (now := now + chance.expovariate(rate(now))) < until:
-            budget = chance.choice(counters)
+        random_source, now, requests, repeats = random.Random(seed), 0.0, [], []
+        while (now := now + random_source.expovariate(rate(now))) < until:
+            budget = random_source.choice(counters)
             budget.request(now)
             requests.append(now)
-            for _ in range(int(wanted + chance.random())):
-                if chance.choice(counters).take(now):
+            for _ in range(int(wanted + random_source.random())):
+                if random_source.choice(counters).take(now):
                     repeats.append(now)
         return requests, repeats
 
@@ -95,12 +95,12 @@
     def test_each_repeat_has_its_requests_in_the_window_that_ends_with_it(self):
         """Whatever the rate: what a counter spent when it sends one more is worth its own requests."""
         for seed in range(4):
-            chance = random.Random(seed)
+            random_source = random.Random(seed)
             (budget,) = budgets(1)
             requests, repeats, now = [], [], 0.0
             for _ in range(500):
-                now += chance.choice((0.0, 0.003, 0.05, 0.4, 3.0)) * chance.random()
-                if chance.random() < 0.6:
+                now += random_source.choice((0.0, 0.003, 0.05, 0.4, 3.0)) * random_source.random()
+                if random_source.random() < 0.6:
                     budget.request(now)
                     requests.append(now)
                 elif budget.take(now):
@@ -168,12 +168,12 @@
         self.assertFalse(budget.take(2.0))
 
     def test_more_members_in_turn(self):
-        chance = random.Random(1)
+        random_source = random.Random(1)
         counters = budgets(20, 20)
         requests, repeats, now = [], [], 0.0
         for n in range(2000):
             now += 0.02
-            budget = chance.choice(counters)
+            budget = random_source.choice(counters)
             budget.request(now)
             requests.append(now)
             if n % 200 == 0:  # one joins without slack, and all hear of it
@@ -181,7 +181,7 @@
                 for other in counters[:-1]:
                     other.members = len(counters)
             for _ in range(2):
-                if chance.choice(counters).take(now):
+                if random_source.choice(counters).take(now):
                     repeats.append(now)
         self.assertLessEqual(worst(requests, repeats), SLACK)
 
--- a/tests/emulation/test_emulation_system.py
+++ b/tests/emulation/test_emulation_system.py
@@ -746,7 +746,7 @@
         async def main(world):
             full, good = world.server(slots=0, queue=0), world.server()
             patron = world.patron(full)
-            patron.chance.choice = lambda fronts: fronts[min(len(patron.tries), len(fronts) - 1)]
+            patron.random_source.choice = lambda fronts: fronts[min(len(patron.tries), len(fronts) - 1)]
             patron.fronts = [full.address, good.address]
             promised = await patron.call(work())  # not to be repeated, but it did not run
             good.answer_lost(1.0)
--- a/tests/kv_index/test_kv_index.py
+++ b/tests/kv_index/test_kv_index.py
@@ -139,16 +139,16 @@
                 self.assertEqual((self.source.marks(), self.source.boot, self.source.since), (before, 1, 5))
 
     def test_drawn_junk(self):
-        chance = random.Random(1)
+        random_source = random.Random(1)
 
         def value(deep=3):
-            kind = chance.randrange(9 if deep else 6)
+            kind = random_source.randrange(9 if deep else 6)
             if kind == 6:
-                return [value(deep - 1) for _ in range(chance.randrange(5))]
+                return [value(deep - 1) for _ in range(random_source.randrange(5))]
             if kind >= 7:
-                names = chance.sample(("bootEpoch", "nextToken", "lost", "held", "events", "x"), 5)
+                names = random_source.sample(("bootEpoch", "nextToken", "lost", "held", "events", "x"), 5)
                 return {name: value(deep - 1) for name in names}
-            return chance.choice((None, True, -1, 2**70, 0.5, "", "+", "12", "\ud800"))
+            return random_source.choice((None, True, -1, 2**70, 0.5, "", "+", "12", "\ud800"))
 
         for _ in range(3000):
             source = Source(AT)
@@ -194,12 +194,12 @@
 
     def test_every_serial(self):
         for seed, many in ((1, 3), (2, 40), (3, 400)):
-            chance, stock = random.Random(seed), KvIndex()
+            random_source, stock = random.Random(seed), KvIndex()
             past = {stock.serial: set()}
             for _ in range(120):
                 held = set(stock.held)
-                for _ in range(chance.randrange(many) + 1):
-                    held ^= {chance.randrange(1000)}
+                for _ in range(random_source.randrange(many) + 1):
+                    held ^= {random_source.randrange(1000)}
                 stock.update(held)
                 past[stock.serial] = held
             wholes = 0
@@ -281,7 +281,7 @@
         return [line for line in lines if line not in moves], moves
 
     def test_any_index_changes_only_those_headers(self):
-        chance = random.Random(1)
+        random_source = random.Random(1)
         home = Endpoint("i-0", "s", "10.0.2.1:80", "z", 1, {"m": 3})
         every = [there(at) for at in self.STORES] + [
             index.mark_of(at, "m", salt, id)
@@ -296,9 +296,9 @@
             plain, _ = self.sent(set(), prefix, None)
             seen = set()
             for _ in range(300):
-                stored = set(chance.sample(every, chance.randrange(len(every) + 1)))
-                stored |= {chance.getrandbits(64) for _ in range(3)}
-                lines, moves = self.sent(stored, prefix, chance.choice((None, home)))
+                stored = set(random_source.sample(every, random_source.randrange(len(every) + 1)))
+                stored |= {random_source.getrandbits(64) for _ in range(3)}
+                lines, moves = self.sent(stored, prefix, random_source.choice((None, home)))
                 self.assertEqual(lines, plain)
                 self.assertLessEqual(set(moves), allowed)
                 self.assertLessEqual(len(moves), 2)
--- a/tests/modelcheck/test_closing_fault.py
+++ b/tests/modelcheck/test_closing_fault.py
@@ -197,14 +197,14 @@
 
 async def closing_day(fleet: Fleet) -> ClosingDay:
     """Changes without a pause, something that befalls a machine, and the closing fault."""
-    chance = fleet.chance
+    random_source = fleet.random_source
     await fleet.start()
     extra = fleet.spare(counts=False)
     changing = trio.CancelScope()
     fleet.nursery.start_soon(keep_changing, fleet, changing)
-    left, wiped = await BEFORE[chance.choice(sorted(BEFORE))](fleet)
+    left, wiped = await BEFORE[random_source.choice(sorted(BEFORE))](fleet)
     await fleet.name_version(NAMED)
-    await trio.sleep(chance.choice(APART) * chance.random())
+    await trio.sleep(random_source.choice(APART) * random_source.random())
     acknowledged = fleet.revision
     fleet.cut_power(extra, *fleet.routers)
     fleet.empty_disk(wiped)
@@ -221,37 +221,37 @@
     """The machines that return after the closing fault, and the one whose disk is lost in it; as of those below."""
     await trio.sleep(SYNCED)
     left = fleet.cores[:3]
-    return left, fleet.chance.choice(left)
+    return left, fleet.random_source.choice(left)
 
 
 async def leaves(fleet: Fleet) -> tuple[list[Unit], Unit]:
     """A spare has long been there, and a machine leaves as planned."""
-    spare, leaving = fleet.spare(), fleet.chance.choice(fleet.cores[:3])
+    spare, leaving = fleet.spare(), fleet.random_source.choice(fleet.cores[:3])
     await trio.sleep(SYNCED)
     fleet.terminate(leaving)
     await fleet.until(lambda: not leaving.machine.running)
     left = [unit for unit in (*fleet.cores[:3], spare) if unit is not leaving]
-    return left, fleet.chance.choice(left)
+    return left, fleet.random_source.choice(left)
 
 
 async def is_replaced(fleet: Fleet) -> tuple[list[Unit], Unit]:
     """A machine is gone without a word, and another has taken its place for as long as that counts as lost."""
-    gone = fleet.chance.choice(fleet.cores[:3])
+    gone = fleet.random_source.choice(fleet.cores[:3])
     await trio.sleep(SYNCED)
     fleet.empty_disk(gone)
     left = [unit for unit in (*fleet.cores[:3], fleet.spare()) if unit is not gone]
     await trio.sleep(SYNCED)
-    return left, fleet.chance.choice(left)
+    return left, fleet.random_source.choice(left)
 
 
 async def joins(fleet: Fleet) -> tuple[list[Unit], Unit]:
     """A machine has just been told to stop, and another starts in its place: that one's disk is lost."""
-    leaving = fleet.chance.choice(fleet.cores[:3])
+    leaving = fleet.random_source.choice(fleet.cores[:3])
     await trio.sleep(SYNCED)
     fleet.terminate(leaving)
-    await trio.sleep(fleet.chance.random() * SYNCED)
+    await trio.sleep(fleet.random_source.random() * SYNCED)
     joined = fleet.spare()
-    await trio.sleep(fleet.chance.random() * SYNCED)
+    await trio.sleep(fleet.random_source.random() * SYNCED)
     return [*fleet.cores[:3], joined], joined
 
 
--- a/tests/process/test_node_settings.py
+++ b/tests/process/test_node_settings.py
@@ -189,16 +189,16 @@
                 node_settings_of(data[:end])
 
     def test_random_bytes(self):
-        chance = random.Random(1)
+        random_source = random.Random(1)
         for _ in range(2000):
             with self.assertRaises(NodeSettingsError):
-                node_settings_of(chance.randbytes(chance.randrange(60)))
+                node_settings_of(random_source.randbytes(random_source.randrange(60)))
 
     def test_single_bytes_changed(self):
-        chance, data = random.Random(2), json.dumps(GOOD).encode()
+        random_source, data = random.Random(2), json.dumps(GOOD).encode()
         for _ in range(4000):
             spoilt = bytearray(data)
-            spoilt[chance.randrange(len(spoilt))] = chance.randrange(256)
+            spoilt[random_source.randrange(len(spoilt))] = random_source.randrange(256)
             try:
                 node_settings_of(bytes(spoilt))
             except NodeSettingsError as error:
--- a/tests/simulation/test_system_simulation.py
+++ b/tests/simulation/test_system_simulation.py
@@ -531,7 +531,7 @@
         self.assertGreaterEqual(fleet.served(end - 3.0), 0.97)
 
     async def later(self, fleet, unit):
-        await trio.sleep(0.3 * fleet.chance.random())
+        await trio.sleep(0.3 * fleet.random_source.random())
         fleet.back(unit)
 
     def test_all_are_killed_at_once(self):
--- a/tests/support/exchange_case.py
+++ b/tests/support/exchange_case.py
@@ -3,7 +3,14 @@
 import unittest
 from dataclasses import dataclass
 
-from rowanshift.dataplane.retry_decision import Decision, Ending, Kind, Progress, Told, decide
+from rowanshift.dataplane.retry_decision import (
+    ClientResponse,
+    Decision,
+    ExchangeOutcome,
+    Progress,
+    RequestIdempotency,
+    decide,
+)
 from tests.support.exchange_rig import (
     PROMISES,
     REPEATABLE,
@@ -20,10 +27,10 @@
 )
 
 KIND_OF = {
-    "idempotent": Kind.IDEMPOTENT,
-    "non_idempotent": Kind.NON_IDEMPOTENT,
-    "resumable": Kind.RESUMABLE_STREAM,
-    "stream": Kind.STREAM,
+    "idempotent": RequestIdempotency.IDEMPOTENT,
+    "non_idempotent": RequestIdempotency.NON_IDEMPOTENT,
+    "resumable": RequestIdempotency.RESUMABLE_STREAM,
+    "stream": RequestIdempotency.STREAM,
 }
 ENDS = (Then.RESET, Then.CLOSE, Then.SILENCE)
 
@@ -63,9 +70,9 @@
     if decision.again:
         return "success"
     told = Progress(may_have_run=ran, begun=begun).told(decision)
-    if told is Told.ANSWER:
+    if told is ClientResponse.ANSWER:
         return "success" if server_status == 200 else f"server {server_status}"
-    return "cut" if told is Told.CUT else f"own {told.status}"
+    return "cut" if told is ClientResponse.CUT else f"own {told.status}"
 
 
 @dataclass(slots=True)
@@ -112,7 +119,13 @@
         self.assertEqual(self.wrong[:5], [], f"{len(self.wrong)} exchanges")
 
     def agrees(
-        self, made: Exchange, kind: str, ending: Ending, where: str, server_status: int = 200, begun: bool = False
+        self,
+        made: Exchange,
+        kind: str,
+        ending: ExchangeOutcome,
+        where: str,
+        server_status: int = 200,
+        begun: bool = False,
     ) -> None:
         """Notes what the table does not say of a first attempt that ended so."""
         decision = decide(KIND_OF[kind], ending)
@@ -125,22 +138,22 @@
         )
         if got != wanted:
             self.wrong.append(f"{kind}, {ending.name}, {where}: {got}, not {wanted}: {made.got}")
-        if ending is Ending.TIMED_OUT and made.got.at < WITHIN - 0.1:
+        if ending is ExchangeOutcome.TIMED_OUT and made.got.at < WITHIN - 0.1:
             self.wrong.append(f"{kind}, {where}: ended after {made.got.at} s")
 
 
-def ending_at(kind: str, answer: bytes, cut: int, then: Then) -> tuple[Ending, bool]:
+def ending_at(kind: str, answer: bytes, cut: int, then: Then) -> tuple[ExchangeOutcome, bool]:
     """The ending of an exchange whose answer, a success, stops after ``cut`` bytes, and whether it has begun."""
     seen, id = answer[:cut], answer.partition(b"Request-Id: ")[2].partition(b"\r\n")[0].decode()
     _, found, rest = seen.partition(b"\r\n\r\n")
     if cut == len(answer):
-        return Ending.SUCCESS, True
+        return ExchangeOutcome.SUCCESS, True
     begun = bool(rest) if kind in ("idempotent", "non_idempotent") else event(id, 1) in rest
     if then is Then.SILENCE:
         resumes = kind == "resumable" or (kind == "idempotent" and not begun)
-        return (Ending.SILENT if resumes else Ending.TIMED_OUT), begun
+        return (ExchangeOutcome.SILENT if resumes else ExchangeOutcome.TIMED_OUT), begun
     if not found:
-        return Ending.NO_ANSWER, False
+        return ExchangeOutcome.NO_ANSWER, False
     if not begun:
-        return Ending.BROKEN_UNSEEN, False
-    return (Ending.BROKEN_AFTER_EVENT if kind in STREAMS else Ending.BROKEN_MIDWAY), True
+        return ExchangeOutcome.BROKEN_UNSEEN, False
+    return (ExchangeOutcome.BROKEN_AFTER_EVENT if kind in STREAMS else ExchangeOutcome.BROKEN_MIDWAY), True
--- a/tests/support/planted_client_faults.py
+++ b/tests/support/planted_client_faults.py
@@ -106,14 +106,14 @@
 class RouterTakesOlderEpoch(Router):
     """A router takes whatever comes."""
 
-    def _is_news(self, update):
+    def _is_newer(self, update):
         return True
 
 
 class RouterOrdersBySequence(Router):
     """A router orders by the sequence alone, so that a new epoch's first answers look old."""
 
-    def _is_news(self, update):
+    def _is_newer(self, update):
         return update.version[1] <= self.version[1] or update.version >= self.version
 
 
--- a/tests/support/planted_replication_faults.py
+++ b/tests/support/planted_replication_faults.py
@@ -19,8 +19,8 @@
 class EmptyDiskVotes(p.Replica):
     """A machine that lost its disk starts as if it were the first start."""
 
-    def __init__(self, me, f, seeds, bootstrap, durable, now, chance, duty_wait=0.0, timing=p.DEFAULT_TIMING):
-        super().__init__(me, f, seeds, True, durable, now, chance, duty_wait, timing)
+    def __init__(self, me, f, seeds, bootstrap, durable, now, random_source, duty_wait=0.0, timing=p.DEFAULT_TIMING):
+        super().__init__(me, f, seeds, True, durable, now, random_source, duty_wait, timing)
 
 
 class AcceptsBeforeSave(p.Replica):
--- a/tests/transport/test_call_exchanges.py
+++ b/tests/transport/test_call_exchanges.py
@@ -15,10 +15,10 @@
 from rowanshift.transport.calls import Answer, CallFailed, Line, call
 from rowanshift.transport.http_connection import Connection
 from rowanshift.transport.memory_budget import Memory
-from rowanshift.transport.record_links import Caller, LinkFailed
+from rowanshift.transport.record_links import ConnectionFailed, RecordClient
 from rowanshift.transport.runtime import send_all
 from rowanshift.wire.codec import HEAD
-from rowanshift.wire.delivery import CODEC, Elsewhere
+from rowanshift.wire.delivery import CODEC, Redirect
 
 PORT = 80
 WITHIN = 0.05  # seconds that a call waits
@@ -200,22 +200,22 @@
 
 
 class Records(unittest.TestCase):
-    """``Caller``: records between processes, each answered under its number."""
+    """``RecordClient``: records between processes, each answered under its number."""
 
-    SIZE = len(CODEC.pack(Elsewhere(1, ()), 1))
+    SIZE = len(CODEC.pack(Redirect(1, ()), 1))
 
     def sweep(self, *delayed: Delayed, rest: float = 0.0) -> list[tuple[str, ...]]:
         async def main(peer: Peer) -> list[tuple[str, ...]]:
-            made, caller = [], Caller(peer.caller_machine, CODEC, peer.address)
+            made, caller = [], RecordClient(peer.caller_machine, CODEC, peer.address)
             for n, each in enumerate(delayed):
                 peer.delayed[:] = [each]
                 got = []
                 for m in range(3):
-                    record = Elsewhere(n * 10 + m, ())
+                    record = Redirect(n * 10 + m, ())
                     try:
                         answer = await caller.ask(record, WITHIN)
                         got.append("own" if answer == record else f"another's: {answer}")
-                    except LinkFailed:
+                    except ConnectionFailed:
                         got.append("failed")
                     await trio.sleep(rest)
                 made.append(tuple(got))
@@ -232,13 +232,13 @@
 
     def test_a_surplus_answer_is_known_by_its_number(self) -> None:
         for number in (0, 1, 2, 77):
-            surplus = CODEC.pack(Elsewhere(999, ()), number)
+            surplus = CODEC.pack(Redirect(999, ()), number)
             for got in self.sweep(*(Delayed(self.SIZE, 0.001, surplus) for _ in range(3)), rest=0.01)[1:]:
                 self.assertEqual(got, ("own", "own", "own"), number)
 
     def test_a_part_of_a_surplus_answer(self) -> None:
         """The next call fails or gets its own answer: it never gets another's."""
-        surplus = CODEC.pack(Elsewhere(999, ()), 77)
+        surplus = CODEC.pack(Redirect(999, ()), 77)
         for rest in (0.0, 0.01):
             for got in self.sweep(*(Delayed(self.SIZE, 0.001, surplus[:k]) for k in range(1, len(surplus))), rest=rest):
                 self.assertEqual(set(got) - {"own", "failed"}, set())
@@ -270,14 +270,14 @@
         self.finds(Lines, "test_surplus_bytes_behind_an_answer", patch)
 
     def test_the_number_of_a_record_is_not_compared(self) -> None:
-        true = Caller.ask
+        true = RecordClient.ask
 
-        async def ask(caller: Caller, record: Any, within: float) -> Any:
+        async def ask(caller: RecordClient, record: Any, within: float) -> Any:
             caller.number = -1 if caller.inbox is None else caller.number
             caller.number = 0 if caller.number < 0 else caller.number - 1  # all calls bear one number
             return await true(caller, record, within)
 
-        patch = unittest.mock.patch.object(Caller, "ask", ask)
+        patch = unittest.mock.patch.object(RecordClient, "ask", ask)
         self.finds(Records, "test_a_surplus_answer_is_known_by_its_number", patch)
 
 
--- a/tests/wire/test_named_versions.py
+++ b/tests/wire/test_named_versions.py
@@ -11,7 +11,7 @@
 from rowanshift.controlplane.service import ControlPlaneService
 from rowanshift.simulation.fleet import Fleet, play
 from rowanshift.simulation.fleet_settings import INNER
-from rowanshift.transport.record_links import Caller
+from rowanshift.transport.record_links import RecordClient
 from rowanshift.wire.delivery import (
     CODEC,
     NamedVersion,
@@ -57,9 +57,12 @@
             self.assertEqual([name.version for _, name in names_of(*order).all()], [3])
 
     def test_whatever_comes_in_any_order_it_says_what_a_plain_list_says(self) -> None:
-        chance = random.Random(1)
+        random_source = random.Random(1)
         for _ in range(200):
-            named = [(chance.randrange(1, 12), float(chance.randrange(20))) for _ in range(chance.randrange(1, 12))]
+            named = [
+                (random_source.randrange(1, 12), float(random_source.randrange(20)))
+                for _ in range(random_source.randrange(1, 12))
+            ]
             made = names_of(*named)
             for at in range(-1, 21):
                 newest = max((version for version, named_at in named if named_at <= at), default=0)
@@ -138,7 +141,7 @@
     def test_each_gets_the_answer_that_it_can_read(self) -> None:
         async def main(fleet: Fleet) -> list[UpdateOfFormat1]:
             await fleet.start()
-            caller = Caller(fleet.outside, CODEC, (fleet.primary().machine.address, INNER[0]))
+            caller = RecordClient(fleet.outside, CODEC, (fleet.primary().machine.address, INNER[0]))
             nothing = (0, 0), 0, (0, 0), (0, 0), (0, 0), 0
             await fleet.name_version(2)
             kinds = PollOfFormat2, PollOfFormat3, Poll
@@ -157,7 +160,7 @@
     def test_a_poll_of_a_former_router_is_held_while_there_is_nothing_newer(self) -> None:
         async def main(fleet: Fleet) -> float:
             await fleet.start()
-            caller = Caller(fleet.outside, CODEC, (fleet.primary().machine.address, INNER[0]))
+            caller = RecordClient(fleet.outside, CODEC, (fleet.primary().machine.address, INNER[0]))
             await trio.sleep(4.0)  # until its members have settled
             nothing = (0, 0), 0, (0, 0), (0, 0), (0, 0), 0
             found = await caller.ask(PollOfFormat3(1, 1, *nothing), 2.0)
--- a/tests/wire/test_wire_records.py
+++ b/tests/wire/test_wire_records.py
@@ -25,34 +25,37 @@
     value: float
 
 
-def drawn(chance, letter, nested):
+def drawn(random_source, letter, nested):
     match letter:
         case "q":
-            return chance.choice((*NUMBERS, chance.getrandbits(64)))
+            return random_source.choice((*NUMBERS, random_source.getrandbits(64)))
         case "?":
-            return chance.random() < 0.5
+            return random_source.random() < 0.5
         case "s":
-            return chance.choice(TEXTS[:4])
+            return random_source.choice(TEXTS[:4])
         case "b":
-            return chance.randbytes(chance.choice((0, 1, 7, 300)))
+            return random_source.randbytes(random_source.choice((0, 1, 7, 300)))
         case "p":
-            return chance.choice(NUMBERS), chance.getrandbits(64)
+            return random_source.choice(NUMBERS), random_source.getrandbits(64)
         case "t":
-            return tuple(chance.choice(NUMBERS) for _ in range(chance.choice((0, 1, 5))))
+            return tuple(random_source.choice(NUMBERS) for _ in range(random_source.choice((0, 1, 5))))
         case "v":
-            return {f"m{n}": chance.choice(NUMBERS) for n in range(chance.choice((0, 1, 4)))}
+            return {f"m{n}": random_source.choice(NUMBERS) for n in range(random_source.choice((0, 1, 4)))}
         case "o" | "n" | "y":
             cls, spec = nested[letter]
-            return tuple(cls(*(drawn(chance, part, nested) for part in spec)) for _ in range(chance.choice((0, 1, 3))))
+            return tuple(
+                cls(*(drawn(random_source, part, nested) for part in spec))
+                for _ in range(random_source.choice((0, 1, 3)))
+            )
     cls, spec = nested[letter]
-    return cls(*(drawn(chance, part, nested) for part in spec))
+    return cls(*(drawn(random_source, part, nested) for part in spec))
 
 
-def records(chance, count):
+def records(random_source, count):
     """Some of each kind of the whole table."""
     codec = table.CODEC
     return [
-        cls(*(drawn(chance, letter, codec.nested) for letter in spec))
+        cls(*(drawn(random_source, letter, codec.nested) for letter in spec))
         for cls, spec in codec.kinds.values()
         for _ in range(count)
     ]
@@ -89,12 +92,12 @@
 
     def test_texts_at_their_edges(self):
         for text in TEXTS:
-            row = delivery.Row(text, "s", "a:1", "", 1, delivery.UP | delivery.LOADING, {text: TOP})
+            row = delivery.ServerRecord(text, "s", "a:1", "", 1, delivery.UP | delivery.LOADING, {text: TOP})
             update = delivery.Update((0, 0), 0, False, 0, b"", {}, (1, 1), True, (row,))
             self.assertEqual(unframed(delivery.CODEC.pack(update))[0], update)
 
     def test_the_longest_tuple_and_dict(self):
-        whole = delivery.Elsewhere(0, tuple(range(65_535)))
+        whole = delivery.Redirect(0, tuple(range(65_535)))
         self.assertEqual(unframed(table.CODEC.pack(whole))[0], whole)
         versions = {str(n): n for n in range(65_535)}
         update = delivery.Update((0, 0), 0, False, 0, b"", versions, (0, 0), False)
@@ -111,7 +114,7 @@
             self.assertEqual(repr(codec.unpack(1, body).value), repr(value))
 
     def test_rows_packed_before_are_the_same_bytes(self):
-        row = delivery.Row("i", "s", "a:1", "z", 2, delivery.DRAINING, {"m": 3})
+        row = delivery.ServerRecord("i", "s", "a:1", "z", 2, delivery.DRAINING, {"m": 3})
         given = ((1, 2), 3, True, 4, b"c", {"m": 1}, (5, 6), True)
         packed = delivery.CODEC.put("o", (row, row))
         self.assertEqual(
@@ -140,9 +143,9 @@
 
     def test_odd_pieces(self):
         for seed in range(50):
-            chance, at, pieces = random.Random(seed), 0, []
+            random_source, at, pieces = random.Random(seed), 0, []
             while at < len(self.data):
-                size = chance.choice((0, 1, 3, 11, 12, 13, 97, 1000))
+                size = random_source.choice((0, 1, 3, 11, 12, 13, 97, 1000))
                 pieces.append(memoryview(self.data)[at : at + size])
                 at += size
             self.assertEqual(self.taken(pieces), self.records)
@@ -183,10 +186,10 @@
         self.assertEqual(frames.feed(HEAD.pack(MAGIC, FORMAT, 16, 0, LARGEST)), [])
 
     def test_random_bytes(self):
-        chance, refused = random.Random(3), 0
+        random_source, refused = random.Random(3), 0
         for _ in range(3000):
             try:
-                Frames().feed(chance.randbytes(chance.randrange(40)))
+                Frames().feed(random_source.randbytes(random_source.randrange(40)))
             except BadRecord:
                 refused += 1
         self.assertGreater(refused, 1500)
@@ -235,10 +238,10 @@
             delivery.CODEC.unpack(kind, body.replace(b"ab", b"\xff\xfe"))
 
     def test_random_bytes_of_each_kind(self):
-        chance, refused, kinds = random.Random(5), 0, sorted(table.CODEC.kinds)
+        random_source, refused, kinds = random.Random(5), 0, sorted(table.CODEC.kinds)
         for _ in range(8000):
-            kind = chance.choice(kinds)
-            body = chance.randbytes(chance.randrange(120))
+            kind = random_source.choice(kinds)
+            body = random_source.randbytes(random_source.randrange(120))
             try:
                 record = table.CODEC.unpack(kind, body)
             except BadRecord:
@@ -248,11 +251,11 @@
         self.assertGreater(refused, 4000)
 
     def test_single_bytes_changed(self):
-        chance, bodies = random.Random(6), self.bodies()
+        random_source, bodies = random.Random(6), self.bodies()
         for _ in range(8000):
-            kind, body, _ = chance.choice(bodies)
+            kind, body, _ = random_source.choice(bodies)
             spoilt = bytearray(body)
-            spoilt[chance.randrange(len(spoilt))] = chance.randrange(256)
+            spoilt[random_source.randrange(len(spoilt))] = random_source.randrange(256)
             with suppress(BadRecord):
                 table.CODEC.unpack(kind, bytes(spoilt))
 
