--- a/tests/benchmarks/test_benchmarks.py
+++ b/tests/benchmarks/test_benchmarks.py
@@ -12,7 +12,12 @@
 
 import trio
 
-PROXY = Path(__file__).parents[2] / "benchmarks" / "proxy.py"
+from rowanshift.emulation.system_clients import Piece, Try
+
+ROOT = Path(__file__).parents[2]
+PROXY = ROOT / "benchmarks" / "proxy.py"
+MIXED_VERSIONS = ROOT / "benchmarks" / "mixed_versions.py"
+REVISION = "HEAD" if (ROOT / ".git").exists() else "."  # a copy without a repository holds no revisions
 SHORT = ["--rounds", "1", "--requests", "256", "--connections", "64", "--json"]
 
 
@@ -70,3 +75,43 @@
         self.assertLess(max(measured.until_full.values()), 3.0)
         self.assertLess(measured.bytes_sent["StoreDelta"], 0.1 * measured.acknowledged * measured.state_bytes)
         self.assertGreater(measured.bytes_sent["StoreDelta"], 0)
+
+
+class MixedVersions(unittest.TestCase):
+    def run_tool(self, *options: str) -> subprocess.CompletedProcess:
+        return subprocess.run(
+            [sys.executable, MIXED_VERSIONS, *options], capture_output=True, text=True, timeout=180, cwd=ROOT
+        )
+
+    def test_a_revision_works_together_with_this_checkout(self) -> None:
+        done = self.run_tool("--revision", REVISION, "--combinations", "mostly-old", "--requests", "10")
+        self.assertEqual((done.returncode, done.stderr), (0, ""))
+        rows = [line.split("|") for line in done.stdout.splitlines()[2:]]
+        self.assertEqual([row[2].strip() for row in rows], [REVISION, "."])
+        for row in rows:
+            sent, answered, complete = (int(cell) for cell in row[3:6])
+            self.assertEqual((answered, complete), (sent, sent))
+            self.assertGreaterEqual(sent, 10)
+            self.assertEqual(row[9].split(), ["0"] * 5)
+
+    def test_an_unknown_revision_is_refused(self) -> None:
+        done = self.run_tool("--revision", "no-such-revision")
+        self.assertEqual((done.returncode, done.stdout), (2, ""))
+        self.assertIn("benchmarks/mixed_versions.py: no-such-revision: ", done.stderr)
+
+    def test_a_stream_with_a_missing_or_repeated_event_is_not_complete(self) -> None:
+        system = loaded("loopback_system")
+
+        def stream(*bounds: tuple[int, int], final: bool = True) -> Try:
+            pieces = [Piece(0.0, "r", first, last, "of", "run", last == 8 and final) for first, last in bounds]
+            return Try("r", ("127.0.0.1", 1), 0.0, how="whole", status=200, pieces=pieces)
+
+        self.assertTrue(system.is_complete(stream((0, 4), (4, 8)), 8))
+        for attempt in (
+            stream((0, 4)),
+            stream((4, 8)),
+            stream((0, 4), (0, 4), (4, 8)),
+            stream((0, 4), (4, 8), final=False),
+            stream(),
+        ):
+            self.assertFalse(system.is_complete(attempt, 8), attempt)
