--- a/benchmarks/changes.py
+++ b/benchmarks/changes.py
@@ -25,7 +25,7 @@
 from rowanshift.controlplane.replica_host import ReplicaHost
 from rowanshift.controlplane.replication.core import ReplicaCore
 from rowanshift.simulation.fleet import Fleet, Unit, config_of, play
-from rowanshift.wire.table import CODEC
+from rowanshift.wire.record_kinds import CODEC
 
 PACE = 0.1  # seconds from one change to the next
 TROUBLES = ("kill", "empty_disk", "replace")
--- a/rowanshift/admin/commands.py
+++ b/rowanshift/admin/commands.py
@@ -20,8 +20,8 @@
 from rowanshift.transport.http_connection import Fields, Message
 from rowanshift.transport.memory_budget import Memory
 from rowanshift.transport.runtime import SYSTEM, Address, Runtime
-from rowanshift.wire.delivery import DRAINING, LOADING
-from rowanshift.wire.machines import machine_of
+from rowanshift.wire.control_updates import DRAINING, LOADING
+from rowanshift.wire.machine_ids import machine_id_from_ip
 
 T = TypeVar("T")
 
@@ -166,7 +166,7 @@
 
 def place_of(ip: str) -> tuple[int, str]:
     try:
-        return machine_of(ip), ip
+        return machine_id_from_ip(ip), ip
     except ValueError:
         return 0, ip
 
@@ -512,26 +512,26 @@
     from rowanshift.controlplane.replica_host import durable_of
     from rowanshift.controlplane.replication import DurableState
     from rowanshift.controlplane.store import DamagedRecord
-    from rowanshift.wire.codec import BadRecord
-    from rowanshift.wire.machines import ip_of
+    from rowanshift.wire.codec import MalformedRecord
+    from rowanshift.wire.machine_ids import ip_from_machine_id
 
     try:
         durable = durable_of(record)
         if not isinstance(durable, DurableState):
-            raise BadRecord(f"{type(durable).__name__} where a DurableState belongs")
+            raise MalformedRecord(f"{type(durable).__name__} where a DurableState belongs")
         sheet = unpack(durable.state)
-    except (BadRecord, BadControlState) as error:
+    except (MalformedRecord, BadControlState) as error:
         raise DamagedRecord(f"the record can't be read: {error}") from error
     accepted = durable.accepted
 
     def told(machines: Iterable[int]) -> str:
-        return ", ".join(map(ip_of, machines)) or "none"
+        return ", ".join(map(ip_from_machine_id, machines)) or "none"
 
     lost = "; has lost its disk and not recovered yet" if durable.amnesic else ""
     config = f"revision {sheet.revision}, {len(sheet.config)} bytes" if sheet.revision else "no configuration yet"
     lines = [
         f"promised {durable.promised}{lost}",
-        f"epoch {accepted.number}, primary {ip_of(accepted.primary) if accepted.primary else 'none'}",
+        f"epoch {accepted.number}, primary {ip_from_machine_id(accepted.primary) if accepted.primary else 'none'}",
         f"in sync: {told(accepted.in_sync)}; witnesses: {told(accepted.witnesses)}"
         + (f"; former witnesses: {told(accepted.former)}" if accepted.former else ""),
         f"state of epoch {durable.version.epoch}, sequence {durable.version.sequence}: " + config,
--- a/rowanshift/capacity/delivery.py
+++ b/rowanshift/capacity/delivery.py
@@ -9,9 +9,9 @@
 from rowanshift.capacity.hollow import changed, configuration
 from rowanshift.capacity.sizes import update
 from rowanshift.dataplane.routing_table import routing_table_of
-from rowanshift.wire.codec import HEAD
+from rowanshift.wire.codec import FRAME_HEADER
 
-DIFFERENCE_HEAD = HEAD.size + 16 + 8 + 8 + 4  # frame, stamp, base's revision, revision, length
+DIFFERENCE_HEAD = FRAME_HEADER.size + 16 + 8 + 8 + 4  # frame, stamp, base's revision, revision, length
 
 
 def difference(before: dict[str, Any], after: dict[str, Any]) -> bytes:
--- a/rowanshift/capacity/hollow.py
+++ b/rowanshift/capacity/hollow.py
@@ -23,8 +23,8 @@
 from rowanshift.process.node_settings import Bounds, node_settings_of
 from rowanshift.transport.buffer import Ring
 from rowanshift.transport.runtime import Address, Stream, connect, receive, send_all
-from rowanshift.wire.codec import Frames
-from rowanshift.wire.delivery import CODEC, Poll, Update
+from rowanshift.wire.codec import FrameDecoder
+from rowanshift.wire.control_updates import CODEC, Poll, Update
 
 MACHINE = 127 << 24 | 1 << 16  # the first hollow router's
 SERVES_WITHIN = 10.0  # seconds for the ledger to be primary
@@ -249,7 +249,14 @@
 
 UNPACKED: dict[bytes, Any] = {}  # answers that many routers of this process get alike
 MOST_UNPACKED = 8
-ASKED_WITH = ("version", "fingerprint", "registry", "stock", "peers", "names_serial")  # of a Poll and an Update
+ASKED_WITH = (
+    "state_version",
+    "fingerprint",
+    "registry_version",
+    "prefix_holdings_version",
+    "peers_version",
+    "announcements_version",
+)  # of a Poll and an Update
 
 
 def unpacked(kind: int, body: bytes) -> Any:
@@ -279,14 +286,14 @@
 
     @property
     def registry(self) -> tuple[int, int]:
-        return self.has["registry"]
+        return self.has["registry_version"]
 
     async def run(self, most: int | None = None) -> None:
         """Polls, ``most`` times if that is given."""
         stream = self.host.stream()
         try:
             await connect(stream, self.address)
-            frames, ring = Frames(), Ring()
+            frames, ring = FrameDecoder(), Ring()
             while most is None or self.polls < most:
                 self.polls += 1
                 poll = Poll(self.machine, 1, **self.has, long_poll_ms=int(1000 * LONG_POLL_SECONDS))
@@ -303,7 +310,7 @@
         finally:
             stream.close()
 
-    async def _answer(self, stream: Stream, frames: Frames, ring: Ring) -> Any:
+    async def _answer(self, stream: Stream, frames: FrameDecoder, ring: Ring) -> Any:
         """The answer to the poll, None at the end of the connection."""
         while True:
             if not await receive(stream, ring):
--- a/rowanshift/capacity/roles.py
+++ b/rowanshift/capacity/roles.py
@@ -12,7 +12,7 @@
 from rowanshift.controlplane.service import LINKS
 from rowanshift.controlplane.singleton_tasks import LIST_EVERY, MOST_PAGES
 from rowanshift.dataplane.control_client import LONG_POLL_SECONDS
-from rowanshift.wire.codec import HEAD, LARGEST
+from rowanshift.wire.codec import FRAME_HEADER, MAX_RECORD_BYTES
 
 PAGE = 50  # servers of a page of the list, as the benches' sites have it
 MARK = 8  # bytes of a kept part on the wire
@@ -134,7 +134,7 @@
         BUDGET.traffic,
     )
     add("router", "kept parts, whole", f"{MARK} blocks", MARK * size.blocks, "bytes", BUDGET.memory)
-    add("router", "kept parts, one frame", "16 MiB / 8", LARGEST // MARK, "blocks")
+    add("router", "kept parts, one frame", "16 MiB / 8", MAX_RECORD_BYTES // MARK, "blocks")
     add("router", "kept parts, events", f"{MARK} events", MARK * size.events, "B/s", BUDGET.traffic)
     add(
         "primary",
@@ -350,7 +350,9 @@
         named = {f"model-{i:02d}": 1 for i in range(size.models)}
         frame = sizes.store(sizes.sheet(config, named, MOST_ORDERS))
         run = "delivery-tenants body"
-        made.append(Figure("backup", "a change", f"{HEAD.size + 28} + sheet", frame, "bytes", run, LARGEST))
+        made.append(
+            Figure("backup", "a change", f"{FRAME_HEADER.size + 28} + sheet", frame, "bytes", run, MAX_RECORD_BYTES)
+        )
         made.append(Figure("backup", "changes, in and to disk", "(store) changes/s", frame * changes, "B/s", run))
     return made
 
--- a/rowanshift/capacity/sizes.py
+++ b/rowanshift/capacity/sizes.py
@@ -6,8 +6,8 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
-from rowanshift.wire.codec import HEAD
-from rowanshift.wire.delivery import CODEC, KINDS, Poll, Update
+from rowanshift.wire.codec import FRAME_HEADER
+from rowanshift.wire.control_updates import CODEC, KINDS, Poll, Update
 
 DAY = 86400  # seconds
 FIXED = {
@@ -81,7 +81,7 @@
 
 def empty(record: type) -> int:
     """Bytes of a record's frame with nothing in its texts, bytes, tuples, dicts and rows."""
-    return HEAD.size + sum(FIXED[letter] for letter in KINDS[CODEC.numbers[record]][1])
+    return FRAME_HEADER.size + sum(FIXED[letter] for letter in KINDS[CODEC.numbers[record]][1])
 
 
 def poll() -> int:
@@ -112,21 +112,21 @@
 
 def confirm(in_sync: int, witnesses: int) -> int:
     """Bytes of a Confirm's frame, the primary's heartbeat."""
-    return HEAD.size + 16 + epoch(in_sync, witnesses)
+    return FRAME_HEADER.size + 16 + epoch(in_sync, witnesses)
 
 
 def confirmed() -> int:
     """Bytes of its answer's frame."""
-    return HEAD.size + 8 + 8 + 1 + 8 + 16
+    return FRAME_HEADER.size + 8 + 8 + 1 + 8 + 16
 
 
 def store(sheet: int) -> int:
     """Bytes of a Store's frame: the sheet goes whole."""
-    return HEAD.size + 8 + 16 + 4 + sheet
+    return FRAME_HEADER.size + 8 + 16 + 4 + sheet
 
 
 def stored() -> int:
-    return HEAD.size + 8 + 16 + 1 + 8
+    return FRAME_HEADER.size + 8 + 16 + 1 + 8
 
 
 def sheet(config: int, named: Mapping[str, int], taken: int) -> int:
--- a/rowanshift/controlplane/api.py
+++ b/rowanshift/controlplane/api.py
@@ -12,7 +12,7 @@
 from rowanshift.controlplane.replication import STATE_LIMIT, NotPrimary, StateTooLarge
 from rowanshift.transport.calls import Answer, said
 from rowanshift.transport.http_connection import Message
-from rowanshift.wire.machines import ip_of
+from rowanshift.wire.machine_ids import ip_from_machine_id
 
 WITHIN = 2.5  # seconds for a change to be on all disks that are wanted
 LOCATION = b"Location"
@@ -30,7 +30,7 @@
             return await self.served(message)
         except NotPrimary as error:
             if error.hint and error.hint != self.replica_host.machine:
-                at = f"http://{ip_of(error.hint)}:{self.port}".encode() + message.target
+                at = f"http://{ip_from_machine_id(error.hint)}:{self.port}".encode() + message.target
                 return Answer(307, b"", [(LOCATION, at)])
             return Answer(503, said("no primary is known"), [(b"Retry-After", b"0.3")])
         except NotConfirmed:
--- a/rowanshift/controlplane/replica_host.py
+++ b/rowanshift/controlplane/replica_host.py
@@ -29,9 +29,9 @@
 from rowanshift.controlplane.store import StoreError
 from rowanshift.transport.record_links import MOST_QUEUED, STUCK, RecordReader, RecordSender
 from rowanshift.transport.runtime import Disk, Nursery, Runtime
-from rowanshift.wire.codec import HEAD, BadRecord
-from rowanshift.wire.machines import ip_of
-from rowanshift.wire.table import CODEC, Hello
+from rowanshift.wire.codec import FRAME_HEADER, MalformedRecord
+from rowanshift.wire.machine_ids import ip_from_machine_id
+from rowanshift.wire.record_kinds import CODEC, Hello
 
 TICK = 0.05  # seconds
 UNHEARD = 0.9  # seconds without a word from a machine, after which its connection is dialled anew
@@ -188,7 +188,7 @@
 
     def _on_role_change(self, primary: bool) -> None:
         event = "primary" if primary else "no_primary"
-        in_sync = ",".join(map(ip_of, self.replica.record.in_sync))
+        in_sync = ",".join(map(ip_from_machine_id, self.replica.record.in_sync))
         logger.info("event={} epoch={} in_sync={}", event, self.replica.record.number, in_sync)
         if primary:
             self.watch = RedundancyWatch(trio.current_time())
@@ -252,7 +252,9 @@
             self.senders.pop(quiet).stop()
         most, stuck = (MOST_LARGE, LARGE_STUCK) if channel is Channel.LARGE_STATES else (MOST_QUEUED, STUCK)
         alive = partial(self._alive, to, channel)
-        sender = RecordSender(self.host, CODEC, (ip_of(to), self.port), Hello(self.machine), alive, most, stuck)
+        sender = RecordSender(
+            self.host, CODEC, (ip_from_machine_id(to), self.port), Hello(self.machine), alive, most, stuck
+        )
         self.senders[to, channel] = sender
         self.nursery.start_soon(sender.run)
         return sender
@@ -273,10 +275,10 @@
 
 
 def durable_of(record: bytes | None) -> DurableState | None:
-    """What a disk holds, ``BadRecord`` if it can't be read."""
+    """What a disk holds, ``MalformedRecord`` if it can't be read."""
     if record is None:
         return None
-    if len(record) < HEAD.size:
-        raise BadRecord("a record cut short")
-    _, _, kind, _, _ = HEAD.unpack_from(record)
-    return CODEC.unpack(kind, record[HEAD.size :])
+    if len(record) < FRAME_HEADER.size:
+        raise MalformedRecord("a record cut short")
+    _, _, kind, _, _ = FRAME_HEADER.unpack_from(record)
+    return CODEC.unpack(kind, record[FRAME_HEADER.size :])
--- a/rowanshift/controlplane/server_registry.py
+++ b/rowanshift/controlplane/server_registry.py
@@ -8,8 +8,8 @@
 from math import ceil
 from typing import Any
 
-from rowanshift.wire.delivery import DRAINING, LOADING, UP, NamedVersion, ServerRecord
-from rowanshift.wire.named_versions import VersionName, VersionNames
+from rowanshift.wire.control_updates import DRAINING, LOADING, UP, ModelVersionAnnouncement, ServerRecord
+from rowanshift.wire.version_announcements import VersionAnnouncement, VersionAnnouncements
 
 AT_ONCE = 0.4  # part of a service's servers that may load at once, one at least
 FIRST_LOAD = 1.5  # seconds that a load is taken to need, with all around it, until one has told
@@ -101,7 +101,7 @@
     roll_out_within: float = 0.0  # seconds in which all servers should have a named version; 0: as soon as may be
     load_takes: float = FIRST_LOAD  # seconds, smoothed
     names_kept_for: float = NAMES_KEPT_FOR
-    names: VersionNames = field(default_factory=VersionNames)  # since when each version has been named
+    names: VersionAnnouncements = field(default_factory=VersionAnnouncements)  # since when each version has been named
     names_serial: int = 1  # of the changes of names
     inherited: dict[str, int] | None = None  # of the first call, until the servers of the model were looked at
     late_models: set[str] = field(default_factory=set)  # whose inherited version a former primary had begun to roll out
@@ -133,28 +133,30 @@
         is_dated = self.inherited is not None
         if self.inherited is None:
             self.inherited = dict(named)
-        new = [name for name in named.items() if self.names.named(*name) is None]
-        self.names_serial += self.names.note_all((model, VersionName(version, now, is_dated)) for model, version in new)
-        self.names.forget_before(now - self.names_kept_for)
+        new = [name for name in named.items() if self.names.find(*name) is None]
+        self.names_serial += self.names.record_all(
+            (model, VersionAnnouncement(version, now, is_dated)) for model, version in new
+        )
+        self.names.discard_superseded_before(now - self.names_kept_for)
 
-    def take_dates(self, told: Sequence[NamedVersion], named: dict[str, int], now: float) -> bool:
+    def take_dates(self, told: Sequence[ModelVersionAnnouncement], named: dict[str, int], now: float) -> bool:
         """Take in when versions were named, as a router tells that knows it; whether anything changed.
 
         Routers outlive primaries, and the whole core: what a primary has inherited is dated by them.
         """
         dated = [
-            (name.model, VersionName(name.version, now - name.age_ms / 1000))
+            (name.model, VersionAnnouncement(name.version, now - name.age_ms / 1000))
             for name in told[:MOST_TOLD]
             if name.is_dated and name.version <= named.get(name.model, 0)
         ]
-        changed = self.names.note_all(pair for pair in dated if self._is_newer(*pair))
+        changed = self.names.record_all(pair for pair in dated if self._is_newer(*pair))
         self.names_serial += changed
         return changed
 
-    def _is_newer(self, model: str, told: VersionName) -> bool:
+    def _is_newer(self, model: str, told: VersionAnnouncement) -> bool:
         """Whether a date differs from what is known by more than messages take."""
-        known = self.names.named(model, told.version)
-        return known is None or not known.is_dated or told.named_at < known.named_at - DATED_EARLIER
+        known = self.names.find(model, told.version)
+        return known is None or not known.is_dated or told.announced_at < known.announced_at - DATED_EARLIER
 
     def next_load(self, named: dict[str, int], now: float) -> tuple[Known, str, int] | None:
         """The next server to be ordered, with the model and version; None if none should be now.
@@ -196,11 +198,11 @@
     def _due(self, model: str, known: Known) -> float:
         """When a server should have a newer version: ``roll_out_within`` after the first name that it lacks; somewhat
         later where loads failed, so that one which fails for good doesn't keep the others waiting."""
-        name = self.names.first_lacking(model, known.versions[model])
+        name = self.names.first_missing(model, known.versions[model])
         if name is None:
             return float("inf")
         within = 0.0 if model in self.late_models and not name.is_dated else self.roll_out_within
-        return name.named_at + within + FAILED_LATER * failed_loads(known, model).failures
+        return name.announced_at + within + FAILED_LATER * failed_loads(known, model).failures
 
     def at_once(self, dues: list[float], fellows: int, now: float) -> int:
         """How many of a service's servers may load at once: as few as bring each of those that lack a version, or load
@@ -217,7 +219,7 @@
         for model, version in named.items():
             for known in self.servers.values():
                 if not known.draining and known.versions.get(model, version) < version:
-                    since = self.names.lacking_since(model, known.versions[model])
+                    since = self.names.missing_since(model, known.versions[model])
                     lacks_for = 0.0 if since is None else now - since
                     found.append(ServerBehind(known.id, model, known.versions[model], lacks_for, known.loading))
         return sorted(found, key=lambda server: -server.lacks_for)
--- a/rowanshift/controlplane/service.py
+++ b/rowanshift/controlplane/service.py
@@ -29,9 +29,9 @@
 from rowanshift.transport.record_links import ConnectionFailed, RecordReader
 from rowanshift.transport.runtime import SYSTEM, Disk, Listener, Runtime, Stream, send_all
 from rowanshift.transport.signals import ReceivedSignal
-from rowanshift.wire.codec import BadRecord
-from rowanshift.wire.delivery import (
-    NamedVersion,
+from rowanshift.wire.codec import MalformedRecord
+from rowanshift.wire.control_updates import (
+    ModelVersionAnnouncement,
     Poll,
     PollOfFormat1,
     PollOfFormat2,
@@ -40,9 +40,9 @@
     Update,
     UpdateOfFormat1,
 )
-from rowanshift.wire.machines import ip_of, machine_of
-from rowanshift.wire.named_versions import age_ms
-from rowanshift.wire.table import CODEC, Hello
+from rowanshift.wire.machine_ids import ip_from_machine_id, machine_id_from_ip
+from rowanshift.wire.record_kinds import CODEC, Hello
+from rowanshift.wire.version_announcements import age_ms
 
 LONG_POLL_SECONDS = 1.0  # seconds that a poll is held at most
 FIND_PRIMARY = 0.4  # seconds that a poll waits at a machine that knows of no primary
@@ -70,7 +70,7 @@
     def __init__(self, boot: NodeSettings, host: Runtime = SYSTEM, seed: int | None = None) -> None:
         self.boot, self.host = boot, host
         self.random_source = random.Random(seed)
-        self.machine = machine_of(boot.ip)
+        self.machine = machine_id_from_ip(boot.ip)
         self.shutdown_requested = trio.Event()
         self.shutdown_requested_at: float | None = None  # trio's time at which the signal was handled
         self.replica_host: ReplicaHost | None = None  # until the disk has been read
@@ -92,7 +92,7 @@
     # state ------------------------------------------------
 
     def _seeds(self) -> tuple[int, ...]:
-        return tuple(machine_of(seed[0]) for seed in self.boot.seeds)
+        return tuple(machine_id_from_ip(seed[0]) for seed in self.boot.seeds)
 
     async def _disk(self) -> tuple[Disk | None, DurableState | None]:
         """The store, open, and what it holds."""
@@ -108,7 +108,7 @@
                 return store, durable_of(record)
             except NewerFormat:
                 raise
-            except (DamagedRecord, BadRecord) as error:
+            except (DamagedRecord, MalformedRecord) as error:
                 logger.error("event=disk_damaged why={!r}", str(error))
                 return store, None
             except StoreError as error:
@@ -165,18 +165,20 @@
             "name": self.boot.name,
             "machine": self.boot.ip,
             "primary": replica.is_primary,
-            "primaryHint": ip_of(replica.primary_hint),
+            "primaryHint": ip_from_machine_id(replica.primary_hint),
             "epoch": record.number,
-            "inSync": [ip_of(m) for m in record.in_sync],
-            "witnesses": [ip_of(m) for m in record.witnesses],
+            "inSync": [ip_from_machine_id(m) for m in record.in_sync],
+            "witnesses": [ip_from_machine_id(m) for m in record.witnesses],
             "amnesic": replica.is_amnesic,
             "leaseS": round(self.replica_host.holds(), 3),
             "redundancy": self._redundancy(now) if replica.is_primary else None,
             "revision": self.state.revision if replica.is_primary else None,
             "versions": self.state.versions if replica.is_primary else None,
-            "known": [ip_of(m) for m in sorted(replica.known)],
-            "members": [ip_of(m) for m, at in self.members.items() if now - at < MEMBER_FOR],
-            "memberAgeS": {ip_of(m): round(now - at, 3) for m, at in self.members.items() if now - at < MEMBER_FOR},
+            "known": [ip_from_machine_id(m) for m in sorted(replica.known)],
+            "members": [ip_from_machine_id(m) for m, at in self.members.items() if now - at < MEMBER_FOR],
+            "memberAgeS": {
+                ip_from_machine_id(m): round(now - at, 3) for m, at in self.members.items() if now - at < MEMBER_FOR
+            },
             "readsList": self.boot.cloud is not None and self.replica_host.holds() > 0,
             "listRead": self.tasks.registry.serial > 0,
             "mayOrder": replica.duty_from <= now and self.replica_host.holds() > 0,
@@ -258,7 +260,7 @@
 
     def _take_dates(self, poll: PollOfFormat3) -> None:
         """Takes in when versions were named, if the asker tells it."""
-        told = poll.names if isinstance(poll, Poll) else ()
+        told = poll.announcements if isinstance(poll, Poll) else ()
         if told and self.tasks.registry.take_dates(told, self.state.versions, trio.current_time()):
             self._tell()
 
@@ -267,10 +269,10 @@
         epoch, registry = self.replica_host.replica.record.number, self.tasks.registry
         return (
             poll.fingerprint != self.fingerprint
-            or (registry.serial > 0 and poll.registry != (epoch, registry.serial))
-            or poll.stock != (epoch, self.tasks.stock.serial)
-            or (self.peers_serial > 0 and poll.peers != (epoch, self.peers_serial))
-            or (isinstance(poll, Poll) and poll.names_serial != (epoch, registry.names_serial))
+            or (registry.serial > 0 and poll.registry_version != (epoch, registry.serial))
+            or poll.prefix_holdings_version != (epoch, self.tasks.stock.serial)
+            or (self.peers_serial > 0 and poll.peers_version != (epoch, self.peers_serial))
+            or (isinstance(poll, Poll) and poll.announcements_version != (epoch, registry.names_serial))
         )
 
     def _update(self, poll: PollOfFormat3, now: float) -> Update:
@@ -279,42 +281,44 @@
         epoch, state = replica.record.number, self.state
         version = replica.committed_version
         has_state = poll.fingerprint != self.fingerprint
-        has_rows = registry.serial > 0 and poll.registry != (epoch, registry.serial)
-        has_peers = self.peers_serial > 0 and poll.peers != (epoch, self.peers_serial)
+        has_rows = registry.serial > 0 and poll.registry_version != (epoch, registry.serial)
+        has_peers = self.peers_serial > 0 and poll.peers_version != (epoch, self.peers_serial)
         names_serial = epoch, registry.names_serial
-        has_names = has_state or not isinstance(poll, Poll) or poll.names_serial != names_serial
+        has_names = has_state or not isinstance(poll, Poll) or poll.announcements_version != names_serial
         counted = sum(now - at < COUNTED_FOR for at in self.members.values())
         known = self.primary_since is not None and now - self.primary_since > MEMBER_FOR
-        whole, kept, dropped = stock.since(poll.stock[1] if poll.stock[0] == epoch else 0)
+        whole, kept, dropped = stock.since(
+            poll.prefix_holdings_version[1] if poll.prefix_holdings_version[0] == epoch else 0
+        )
         return Update(
-            version=(version.epoch, version.sequence),
+            state_version=(version.epoch, version.sequence),
             fingerprint=self.fingerprint,
             has_state=has_state,
             revision=state.revision if has_state else 0,
             config=self.packed if has_state else b"",
             versions=state.versions if has_state else {},
-            registry=(epoch, registry.serial),
-            has_rows=has_rows,
-            rows=self._rows(registry) if has_rows else (),
-            members=counted if known else 0,
-            stock=(epoch, stock.serial),
-            stock_whole=whole,
-            kept=packed(kept),
-            dropped=packed(dropped),
-            peers=(epoch, self.peers_serial) if has_peers else poll.peers,
+            registry_version=(epoch, registry.serial),
+            has_server_records=has_rows,
+            server_records=self._rows(registry) if has_rows else (),
+            member_count=counted if known else 0,
+            prefix_holdings_version=(epoch, stock.serial),
+            prefix_holdings_complete=whole,
+            stored_block_hashes=packed(kept),
+            removed_block_hashes=packed(dropped),
+            peers_version=(epoch, self.peers_serial) if has_peers else poll.peers_version,
             has_peers=has_peers,
-            machines=self.peers if has_peers else (),
-            core=self._core(),
-            names_serial=names_serial,
-            has_names=has_names,
-            names=self._named_versions(now) if has_names else (),
+            peer_machines=self.peers if has_peers else (),
+            core_machines=self._core(),
+            announcements_version=names_serial,
+            has_announcements=has_names,
+            announcements=self._named_versions(now) if has_names else (),
         )
 
-    def _named_versions(self, now: float) -> tuple[NamedVersion, ...]:
+    def _named_versions(self, now: float) -> tuple[ModelVersionAnnouncement, ...]:
         """The names whose deadlines may be still to come, with how long ago they were acknowledged, as this machine met
         each as it was committed or as a router told it; else since this machine became primary, undated."""
         return tuple(
-            NamedVersion(model, name.version, age_ms(now - name.named_at), name.is_dated)
+            ModelVersionAnnouncement(model, name.version, age_ms(now - name.announced_at), name.is_dated)
             for model, name in self.tasks.registry.names.all()
         )
 
@@ -352,7 +356,7 @@
             while True:
                 await self._answer_poll(stream, number, record)
                 number, record = await inbox.next()
-        except BadRecord as error:
+        except MalformedRecord as error:
             logger.warning("event=bad_record why={!r}", str(error))
         except (ConnectionFailed, OSError, trio.ClosedResourceError, trio.TooSlowError):
             pass
@@ -367,7 +371,7 @@
         if isinstance(record, PollOfFormat1):
             record = record.upgraded(int(1000 * LONG_POLL_SECONDS))
         if not isinstance(record, PollOfFormat3):
-            raise BadRecord(f"{type(record).__name__} was not expected")
+            raise MalformedRecord(f"{type(record).__name__} was not expected")
         self.polls += 1
         try:
             found = readable_by(record, await self._poll(record))
--- a/rowanshift/dataplane/control_client.py
+++ b/rowanshift/dataplane/control_client.py
@@ -21,9 +21,18 @@
 from rowanshift.process.node_settings import Bounds
 from rowanshift.transport.record_links import ConnectionFailed, RecordClient
 from rowanshift.transport.runtime import Address, Runtime
-from rowanshift.wire.delivery import CODEC, DRAINING, LOADING, NamedVersion, Poll, Redirect, ServerRecord, Update
-from rowanshift.wire.machines import ip_of, machine_of
-from rowanshift.wire.named_versions import VersionName, VersionNames, age_ms
+from rowanshift.wire.control_updates import (
+    CODEC,
+    DRAINING,
+    LOADING,
+    ModelVersionAnnouncement,
+    Poll,
+    Redirect,
+    ServerRecord,
+    Update,
+)
+from rowanshift.wire.machine_ids import ip_from_machine_id, machine_id_from_ip
+from rowanshift.wire.version_announcements import VersionAnnouncement, VersionAnnouncements, age_ms
 
 LONG_POLL_SECONDS = 0.5  # seconds that the primary may hold a poll: what is known is no older than two of these
 ANSWER_WITHIN = 0.3  # seconds beyond that for its answer; then others are asked for the primary
@@ -80,8 +89,10 @@
         self.machines: tuple[int, ...] = ()  # the members
         self.met: Callable[[tuple[int, ...]], None] = lambda machines: None
         self.stored: set[int] = set()  # fingerprints of parts that a store keeps
-        self.names = VersionNames()  # trio's time at which each version was named, or somewhat before
-        self.latest_dates = VersionNames()  # the same of those whose date is known, or somewhat after: to be told on
+        self.names = VersionAnnouncements()  # trio's time at which each version was named, or somewhat before
+        self.latest_dates = (
+            VersionAnnouncements()
+        )  # the same of those whose date is known, or somewhat after: to be told on
         self.names_serial = NO_VERSION  # epoch and serial of the dates
         self.told_epoch = 0  # of the primary that was told the dates
         self.members = 0
@@ -101,17 +112,19 @@
 
     def version(self, model: str, now: float) -> int:
         """The least version of its weights that a server must have: the newest whose deadline has come near."""
-        return self.names.required(model, now - self.version_within)
+        return self.names.required_version(model, now - self.version_within)
 
     def overdue_for(self, model: str, version: int, now: float) -> float | None:
         """Seconds since the first name that weights of ``version`` lack, if so long that a request which begins on them
         now is near the bound or over it."""
-        since = self.names.lacking_since(model, version)
+        since = self.names.missing_since(model, version)
         if since is None or now - since < self.bounds.version_ms / 1000 - OVERDUE_EARLY:
             return None
         return now - since
 
-    def _note_versions(self, versions: dict[str, int], asked_at: float, names: Iterable[NamedVersion] = ()) -> None:
+    def _note_versions(
+        self, versions: dict[str, int], asked_at: float, names: Iterable[ModelVersionAnnouncement] = ()
+    ) -> None:
         """Takes down when each version was named, by the answer to a poll that was asked at that time.
 
         ``names`` tells how long before the answer that was; what it lacks counts as named when it was asked. Where
@@ -119,37 +132,38 @@
         time in which it is not yet in touch.
         """
         told = {(name.model, name.version): name for name in names}
-        unknown = [NamedVersion(*name, 0, is_dated=False) for name in versions.items() if name not in told]
+        unknown = [ModelVersionAnnouncement(*name, 0, is_dated=False) for name in versions.items() if name not in told]
         latest = asked_at
         if self.bounds.version_all_ms and not self.routing_table.revision:
             latest += OLD_AT_START * self.bounds.contact_ms / 1000 - self.version_within
         noted = []
         for name in [*told.values(), *unknown]:
-            named_at = asked_at - name.age_ms / 1000
-            named_at = named_at if name.is_dated else min(named_at, latest)
-            noted.append((name.model, VersionName(name.version, named_at, name.is_dated)))
+            announced_at = asked_at - name.age_ms / 1000
+            announced_at = announced_at if name.is_dated else min(announced_at, latest)
+            noted.append((name.model, VersionAnnouncement(name.version, announced_at, name.is_dated)))
             if name.version > self.routing_table.versions.get(name.model, 0):
                 age = name.age_ms / 1000
                 logger.info("event=version_named model={} version={} age_s={:.3f}", name.model, name.version, age)
-        self.names.note_all(noted)
-        self.names.forget_before(self._kept_since(asked_at))
+        self.names.record_all(noted)
+        self.names.discard_superseded_before(self._kept_since(asked_at))
 
-    def _note_latest_dates(self, names: Iterable[NamedVersion], received_at: float) -> None:
+    def _note_latest_dates(self, names: Iterable[ModelVersionAnnouncement], received_at: float) -> None:
         """Takes down the same for primaries to come, so that what is told on and on doesn't move to earlier times."""
         dated = [name for name in names if name.is_dated]
-        self.latest_dates.note_all(
-            (name.model, VersionName(name.version, received_at - name.age_ms / 1000)) for name in dated
+        self.latest_dates.record_all(
+            (name.model, VersionAnnouncement(name.version, received_at - name.age_ms / 1000)) for name in dated
         )
-        self.latest_dates.forget_before(self._kept_since(received_at))
+        self.latest_dates.discard_superseded_before(self._kept_since(received_at))
 
     def _kept_since(self, now: float) -> float:
         return now - NAMES_KEPT * self.bounds.version_ms / 1000
 
-    def _dates(self) -> tuple[NamedVersion, ...]:
+    def _dates(self) -> tuple[ModelVersionAnnouncement, ...]:
         """The dates of names as a primary is told them."""
         now = trio.current_time()
         return tuple(
-            NamedVersion(model, name.version, age_ms(now - name.named_at)) for model, name in self.latest_dates.all()
+            ModelVersionAnnouncement(model, name.version, age_ms(now - name.announced_at))
+            for model, name in self.latest_dates.all()
         )
 
     async def fresh(self, left: float) -> None:
@@ -221,7 +235,7 @@
 
     async def _ask_for_primary(self, search: Search, machine: int, scope: trio.CancelScope) -> None:
         """Asks one machine; ends the search if it is the primary."""
-        caller = RecordClient(self.host, CODEC, (ip_of(machine), self.port))
+        caller = RecordClient(self.host, CODEC, (ip_from_machine_id(machine), self.port))
         try:
             if await self._ask(machine, caller, hold=0.0) and search.found is None:
                 search.found = Primary(machine, caller)
@@ -253,14 +267,14 @@
         poll = self._poll(hold)
         answer = await caller.ask(poll, within)
         if isinstance(answer, Redirect):
-            self.core = answer.core or self.core
+            self.core = answer.core_machines or self.core
             self.search.named(answer.primary if answer.primary != machine else 0)
             return False
-        if not isinstance(answer, Update) or answer.version < self.state_version:
+        if not isinstance(answer, Update) or answer.state_version < self.state_version:
             return False
         self.failures = 0
-        if poll.names:
-            self.told_epoch = answer.version[0]
+        if poll.announcements:
+            self.told_epoch = answer.state_version[0]
         if self._take(answer, asked_at) and self.freshness.confirmed(asked_at):
             self._tell()
         return True
@@ -271,13 +285,15 @@
         return Poll(self.machine, self.started, *has, int(1000 * hold), self.names_serial, names)
 
     def _core_machines(self) -> set[int]:
-        return {*self.core, *(machine_of(seed[0]) for seed in self.seeds())}
+        return {*self.core, *(machine_id_from_ip(seed[0]) for seed in self.seeds())}
 
     def _failed(self, machine: int, error: ConnectionFailed) -> None:
         self.search.silent(machine, trio.current_time())
         self.failures += 1
         if self.failures in (1, 10, 100):
-            logger.info("event=poll_failed to={} times={} why={!r}", ip_of(machine), self.failures, str(error))
+            logger.info(
+                "event=poll_failed to={} times={} why={!r}", ip_from_machine_id(machine), self.failures, str(error)
+            )
 
     def _tell(self) -> None:
         self.update_event.set()
@@ -287,38 +303,38 @@
 
     def _take(self, update: Update, asked_at: float) -> bool:
         """Takes the answer to a poll in; whether all of it could be read."""
-        self.members, self.core = update.members or self.members, update.core or self.core
+        self.members, self.core = update.member_count or self.members, update.core_machines or self.core
         if update.has_state:
             if not self._take_state(update, asked_at):
                 return False
-        elif update.has_names:
+        elif update.has_announcements:
             self._take_names(self.routing_table.versions, update, asked_at)
-        self.state_version = update.version
+        self.state_version = update.state_version
         if update.has_peers:
-            self.peers, self.machines = update.peers, update.machines
+            self.peers, self.machines = update.peers_version, update.peer_machines
             self.met(self.machines)
-        self.stock = update.stock
-        if update.stock_whole:
-            self.stored = set(unpacked(update.kept))
+        self.stock = update.prefix_holdings_version
+        if update.prefix_holdings_complete:
+            self.stored = set(unpacked(update.stored_block_hashes))
         else:
-            self.stored.update(unpacked(update.kept))
-            self.stored.difference_update(unpacked(update.dropped))
-        if update.has_rows and update.registry >= self.registry:
+            self.stored.update(unpacked(update.stored_block_hashes))
+            self.stored.difference_update(unpacked(update.removed_block_hashes))
+        if update.has_server_records and update.registry_version >= self.registry:
             self._take_servers(update)
         return True
 
     def _take_names(self, versions: dict[str, int], update: Update, asked_at: float) -> None:
         """When versions were named, of which ``versions`` are the newest."""
-        self.names_serial = update.names_serial
-        self._note_versions(versions, asked_at, update.names)
-        self._note_latest_dates(update.names, trio.current_time())
+        self.names_serial = update.announcements_version
+        self._note_versions(versions, asked_at, update.announcements)
+        self._note_latest_dates(update.announcements, trio.current_time())
 
     def _take_state(self, update: Update, asked_at: float) -> bool:
         """The configuration and the named versions; whether they can be read."""
         try:
             table = routing_table_of(update.revision, zlib.decompress(update.config), update.versions)
         except (BadControlState, zlib.error) as error:
-            logger.error("event=bad_state version={} why={!r}", update.version, str(error))
+            logger.error("event=bad_state version={} why={!r}", update.state_version, str(error))
             return False
         self._take_names(table.versions, update, asked_at)
         if table.revision != self.routing_table.revision:
@@ -329,8 +345,8 @@
         return True
 
     def _take_servers(self, update: Update) -> None:
-        self.registry = update.registry
-        for endpoint in self.servers.update([endpoint_of(row) for row in update.rows]):
+        self.registry = update.registry_version
+        for endpoint in self.servers.update([endpoint_of(row) for row in update.server_records]):
             self.gone(endpoint)
         for endpoint in self.servers.engines.values():
             if endpoint.draining:
--- a/rowanshift/dataplane/load_index.py
+++ b/rowanshift/dataplane/load_index.py
@@ -23,7 +23,7 @@
 from rowanshift.dataplane.server_progress import ServerProgress
 from rowanshift.placement.hash_ring import stable
 from rowanshift.transport.runtime import Address, Port, Runtime
-from rowanshift.wire.machines import ip_of
+from rowanshift.wire.machine_ids import ip_from_machine_id
 
 RECORD = Struct(">2sBBIQI")  # magic, format, kind, call, server's mark, tokens
 MAGIC, FORMAT = b"RL", 1
@@ -191,7 +191,7 @@
     def _place(self, server: str) -> Address | None:
         """Where a server's sum is kept; None: nowhere, or here."""
         member = self.holder(server)
-        return None if member is None or member == self.machine else (ip_of(member), self.address[1])
+        return None if member is None or member == self.machine else (ip_from_machine_id(member), self.address[1])
 
     # calls ------------------------------------------------
 
--- a/rowanshift/dataplane/service.py
+++ b/rowanshift/dataplane/service.py
@@ -22,7 +22,7 @@
 from rowanshift.transport.memory_budget import Budget, Memory
 from rowanshift.transport.runtime import SYSTEM, Runtime
 from rowanshift.transport.signals import ReceivedSignal
-from rowanshift.wire.machines import machine_of
+from rowanshift.wire.machine_ids import machine_id_from_ip
 
 BEAT, STOOD_STILL = 0.25, 0.5  # seconds
 SWEEP = 0.5  # seconds between sweeps of idle connections
@@ -133,14 +133,14 @@
                 self.back = Upstream(host, budget, memory)
                 self.control_client = ControlClient(
                     host,
-                    machine_of(boot.ip),
+                    machine_id_from_ip(boot.ip),
                     boot.inner[1],
                     self.seeds,
                     boot.bounds,
                     self.random_source,
                     self.back.leave,
                 )
-                self.loads = LoadIndex(host, boot.inner, machine_of(boot.ip))
+                self.loads = LoadIndex(host, boot.inner, machine_id_from_ip(boot.ip))
                 self.control_client.met = self.loads.meet
                 self.front = Frontend(
                     self.control_client,
--- a/rowanshift/emulation/cluster.py
+++ b/rowanshift/emulation/cluster.py
@@ -30,7 +30,7 @@
 from rowanshift.process.logs import log_to_stderr
 from rowanshift.process.node_settings import load_node_settings
 from rowanshift.transport.runtime import Address, Listener, Stream, System, connect, send_all
-from rowanshift.wire.machines import ip_of
+from rowanshift.wire.machine_ids import ip_from_machine_id
 
 NET = "127.0.0."  # the addresses' beginning
 CORE, ROUTERS, SERVERS, PLATFORM = (1, 2, 3), (11, 12), (21, 22, 23), 31  # their last numbers
@@ -233,8 +233,9 @@
     core_service = await system.primary()
     record = core_service.replica_host.replica.record
     say(
-        f"Primary: {core_service.boot.ip}, epoch {record.number}; in sync: {', '.join(map(ip_of, record.in_sync))}; "
-        f"witnesses: {', '.join(map(ip_of, record.witnesses))}"
+        f"Primary: {core_service.boot.ip}, epoch {record.number}; "
+        f"in sync: {', '.join(map(ip_from_machine_id, record.in_sync))}; "
+        f"witnesses: {', '.join(map(ip_from_machine_id, record.witnesses))}"
     )
     status = await system.operator.put_config(CONFIG, 0)
     if status != 200:
--- a/rowanshift/simulation/fleet_machines.py
+++ b/rowanshift/simulation/fleet_machines.py
@@ -20,7 +20,7 @@
 from rowanshift.simulation.machine import Machine
 from rowanshift.simulation.network import Network
 from rowanshift.transport.calls import CutCall
-from rowanshift.wire.machines import machine_of
+from rowanshift.wire.machine_ids import machine_id_from_ip
 
 
 @dataclass(slots=True)
@@ -179,5 +179,5 @@
         in_sync = primary.program.replica_host.replica.record.in_sync if primary else ()
         return sorted(
             (unit for unit in self.cores if unit is not primary),
-            key=lambda unit: machine_of(unit.machine.address) not in in_sync,
+            key=lambda unit: machine_id_from_ip(unit.machine.address) not in in_sync,
         )
--- a/rowanshift/transport/record_links.py
+++ b/rowanshift/transport/record_links.py
@@ -9,7 +9,7 @@
 
 from rowanshift.transport.buffer import Ring
 from rowanshift.transport.runtime import Address, Runtime, Stream, connect, receive, send_all
-from rowanshift.wire.codec import BadRecord, Codec, Frames
+from rowanshift.wire.codec import Codec, FrameDecoder, MalformedRecord
 
 DIAL_WITHIN = 0.4  # seconds
 DIAL_ANEW = 0.25  # seconds that a sender waits for a connection: a machine that just gets power back misses the first
@@ -27,11 +27,11 @@
 
     def __init__(self, stream: Stream, codec: Codec) -> None:
         self.stream, self.codec = stream, codec
-        self.frames, self.ring = Frames(), Ring()
+        self.frames, self.ring = FrameDecoder(), Ring()
         self.ready: deque[tuple[int, int, bytes]] = deque()
 
     async def next(self) -> tuple[int, Any]:
-        """The call's number and the record; ``BadRecord``, or ``ConnectionFailed`` at the end."""
+        """The call's number and the record; ``MalformedRecord``, or ``ConnectionFailed`` at the end."""
         while not self.ready:
             if not await receive(self.stream, self.ring):
                 raise ConnectionFailed("the other side ended")
@@ -64,7 +64,7 @@
                 while number != self.number:
                     number, answer = await self.inbox.next()
                 whole = True
-        except (OSError, BadRecord, trio.ClosedResourceError, trio.TooSlowError) as error:
+        except (OSError, MalformedRecord, trio.ClosedResourceError, trio.TooSlowError) as error:
             raise ConnectionFailed(repr(error)) from error
         finally:
             if not whole:
--- a/rowanshift/wire/codec.py
+++ b/rowanshift/wire/codec.py
@@ -14,11 +14,11 @@
 from typing import Any
 
 MAGIC, FORMAT = b"RS", 1
-HEAD = Struct(">2sBBII")
-LARGEST = 16 << 20  # bytes of a record
+FRAME_HEADER = Struct(">2sBBII")
+MAX_RECORD_BYTES = 16 << 20  # bytes of a record
 
 
-class BadRecord(ValueError):
+class MalformedRecord(ValueError):
     """Bytes that are no record of this format; the connection they came by is closed."""
 
 
@@ -33,19 +33,19 @@
         """A whole frame."""
         number = self.numbers[type(record)]
         body = self.fields(record, self.kinds[number][1])
-        return HEAD.pack(MAGIC, FORMAT, number, call, len(body)) + body
+        return FRAME_HEADER.pack(MAGIC, FORMAT, number, call, len(body)) + body
 
     def unpack(self, kind: int, body: bytes) -> Any:
-        """The record of a frame's body; ``BadRecord`` if it is none."""
+        """The record of a frame's body; ``MalformedRecord`` if it is none."""
         if kind not in self.kinds:
-            raise BadRecord(f"unknown kind {kind}")
+            raise MalformedRecord(f"unknown kind {kind}")
         cls, spec = self.kinds[kind]
         try:
             values, end = self.read(body, 0, spec)
         except (error, UnicodeDecodeError, IndexError) as wrong:
-            raise BadRecord(f"{cls.__name__}: {wrong}") from wrong
+            raise MalformedRecord(f"{cls.__name__}: {wrong}") from wrong
         if end != len(body):
-            raise BadRecord(f"{cls.__name__}: {len(body) - end} bytes too many")
+            raise MalformedRecord(f"{cls.__name__}: {len(body) - end} bytes too many")
         return cls(*values)
 
     def fields(self, record: Any, spec: str) -> bytes:
@@ -121,7 +121,7 @@
                 cls, spec = self.nested[letter]
                 size, at = unpack_from(">I", data, at)[0], at + 4
                 if size > len(data):
-                    raise BadRecord(f"{size} rows in {len(data)} bytes")
+                    raise MalformedRecord(f"{size} rows in {len(data)} bytes")
                 rows = []
                 for _ in range(size):
                     values, at = self.read(data, at, spec)
@@ -133,30 +133,30 @@
 
 
 def piece(data: bytes, at: int, size: int) -> bytes:
-    """So many bytes from an offset. Raises ``BadRecord``."""
+    """So many bytes from an offset. Raises ``MalformedRecord``."""
     made = bytes(data[at : at + size])
     if len(made) != size:
-        raise BadRecord(f"{size} bytes wanted, {len(made)} there")
+        raise MalformedRecord(f"{size} bytes wanted, {len(made)} there")
     return made
 
 
-class Frames:
+class FrameDecoder:
     """Takes bytes as they come and gives whole frames as (kind, call, body)."""
 
     def __init__(self) -> None:
         self.held = bytearray()
 
     def feed(self, data: bytes | memoryview) -> list[tuple[int, int, bytes]]:
-        """``BadRecord`` at the first frame that is not of this format."""
+        """``MalformedRecord`` at the first frame that is not of this format."""
         held, made, at = self.held, [], 0
         held += data
-        while len(held) - at >= HEAD.size:
-            magic, form, kind, call, size = HEAD.unpack_from(held, at)
-            if magic != MAGIC or form != FORMAT or size > LARGEST:
-                raise BadRecord(f"no frame of this system: {bytes(held[at : at + 4])!r}, {size} bytes")
-            if len(held) - at - HEAD.size < size:
+        while len(held) - at >= FRAME_HEADER.size:
+            magic, form, kind, call, size = FRAME_HEADER.unpack_from(held, at)
+            if magic != MAGIC or form != FORMAT or size > MAX_RECORD_BYTES:
+                raise MalformedRecord(f"no frame of this system: {bytes(held[at : at + 4])!r}, {size} bytes")
+            if len(held) - at - FRAME_HEADER.size < size:
                 break
-            made.append((kind, call, bytes(held[at + HEAD.size : at + HEAD.size + size])))
-            at += HEAD.size + size
+            made.append((kind, call, bytes(held[at + FRAME_HEADER.size : at + FRAME_HEADER.size + size])))
+            at += FRAME_HEADER.size + size
         del held[:at]
         return made
--- a/rowanshift/wire/delivery.py
+++ b/rowanshift/wire/control_updates.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class NamedVersionOfFormat1:
+class ModelVersionAnnouncementOfFormat1:
     """A version of a model's weights, and how long ago it was named."""
 
     model: str
@@ -32,7 +32,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class NamedVersion:
+class ModelVersionAnnouncement:
     """A version of a model's weights, and how long ago it was named, when the message was made."""
 
     model: str
@@ -46,12 +46,12 @@
     """A poll of routers up to 0.2, which tell no dates of named versions: what a router has, and its lease renewed."""
 
     machine: int  # its IP as a number
-    started: int  # drawn at its start
-    version: tuple[int, int]  # epoch and sequence of the control state that it has; (0, 0): none
+    incarnation: int  # drawn at its start
+    state_version: tuple[int, int]  # epoch and sequence of the control state that it has; (0, 0): none
     fingerprint: int  # of that state's content
-    registry: tuple[int, int]  # epoch and serial of the servers' list that it has
-    stock: tuple[int, int]  # the same of what stores keep
-    peers: tuple[int, int]  # and of the members
+    registry_version: tuple[int, int]  # epoch and serial of the servers' list that it has
+    prefix_holdings_version: tuple[int, int]  # the same of what stores keep
+    peers_version: tuple[int, int]  # and of the members
     long_poll_ms: int  # how long the poll may be held while there is nothing newer; 0: answer at once
 
 
@@ -68,8 +68,8 @@
     To a primary that may be new it tells the named versions whose dates it knows.
     """
 
-    names_serial: tuple[int, int] = (0, 0)  # epoch and serial of the dates that it has
-    names: tuple[NamedVersion, ...] = ()
+    announcements_version: tuple[int, int] = (0, 0)  # epoch and serial of the dates that it has
+    announcements: tuple[ModelVersionAnnouncement, ...] = ()
 
 
 @dataclass(slots=True, frozen=True)
@@ -77,48 +77,54 @@
     """A poll of routers up to 0.2, held as long as the primary likes."""
 
     machine: int
-    started: int
-    version: tuple[int, int]
+    incarnation: int
+    state_version: tuple[int, int]
     fingerprint: int
-    registry: tuple[int, int]
-    stock: tuple[int, int]
-    peers: tuple[int, int]
+    registry_version: tuple[int, int]
+    prefix_holdings_version: tuple[int, int]
+    peers_version: tuple[int, int]
 
     def upgraded(self, long_poll_ms: int) -> PollOfFormat2:
         """The same question with the time that it may be held."""
-        has = self.version, self.fingerprint, self.registry, self.stock, self.peers
-        return PollOfFormat2(self.machine, self.started, *has, long_poll_ms)
+        has = (
+            self.state_version,
+            self.fingerprint,
+            self.registry_version,
+            self.prefix_holdings_version,
+            self.peers_version,
+        )
+        return PollOfFormat2(self.machine, self.incarnation, *has, long_poll_ms)
 
 
 @dataclass(slots=True, frozen=True)
 class UpdateOfFormat1:
     """The answer to ``PollOfFormat1`` and ``PollOfFormat2``: whatever is newer than what the router has."""
 
-    version: tuple[int, int]
+    state_version: tuple[int, int]
     fingerprint: int
     has_state: bool  # else the router has this very one
     revision: int
     config: bytes  # compressed
     versions: dict[str, int]  # named, of each model
-    registry: tuple[int, int]
-    has_rows: bool
-    rows: tuple[ServerRecord, ...] = field(default=())
-    members: int = 1  # routers that share budgets; 0: not known yet
-    stock: tuple[int, int] = (0, 0)
-    stock_whole: bool = False  # else what changed
-    kept: bytes = b""  # marks of parts that stores keep, 8 bytes each
-    dropped: bytes = b""  # and of those that they no longer do
-    peers: tuple[int, int] = (0, 0)
+    registry_version: tuple[int, int]
+    has_server_records: bool
+    server_records: tuple[ServerRecord, ...] = field(default=())
+    member_count: int = 1  # routers that share budgets; 0: not known yet
+    prefix_holdings_version: tuple[int, int] = (0, 0)
+    prefix_holdings_complete: bool = False  # else what changed
+    stored_block_hashes: bytes = b""  # marks of parts that stores keep, 8 bytes each
+    removed_block_hashes: bytes = b""  # and of those that they no longer do
+    peers_version: tuple[int, int] = (0, 0)
     has_peers: bool = False
-    machines: tuple[int, ...] = ()  # routers that are members now
-    core: tuple[int, ...] = ()  # machines of the core that may be asked next time
+    peer_machines: tuple[int, ...] = ()  # routers that are members now
+    core_machines: tuple[int, ...] = ()  # machines of the core that may be asked next time
 
 
 @dataclass(slots=True, frozen=True)
 class UpdateOfFormat2(UpdateOfFormat1):
     """The answer to ``PollOfFormat3``: with the state, all named versions whose deadlines may still be to come."""
 
-    names: tuple[NamedVersionOfFormat1, ...] = ()
+    announcements: tuple[ModelVersionAnnouncementOfFormat1, ...] = ()
 
 
 @dataclass(slots=True, frozen=True)
@@ -126,9 +132,9 @@
     """The answer to ``Poll``: all named versions whose deadlines may still be to come, where the asker lacks any of
     them or its date."""
 
-    names_serial: tuple[int, int] = (0, 0)
-    has_names: bool = False
-    names: tuple[NamedVersion, ...] = ()
+    announcements_version: tuple[int, int] = (0, 0)
+    has_announcements: bool = False
+    announcements: tuple[ModelVersionAnnouncement, ...] = ()
 
     def of_format_1(self) -> UpdateOfFormat1:
         """The same answer for a router that knows of no ages."""
@@ -136,7 +142,9 @@
 
     def of_format_2(self) -> UpdateOfFormat2:
         """The same answer for a router that knows of no dates."""
-        names = [NamedVersionOfFormat1(name.model, name.version, name.age_ms) for name in self.names]
+        names = [
+            ModelVersionAnnouncementOfFormat1(name.model, name.version, name.age_ms) for name in self.announcements
+        ]
         return UpdateOfFormat2(*self._former_fields(), tuple(names) if self.has_state else ())
 
     def _former_fields(self) -> list[Any]:
@@ -148,7 +156,7 @@
     """The machine asked is not the primary."""
 
     primary: int  # its IP as a number, 0: not known
-    core: tuple[int, ...]
+    core_machines: tuple[int, ...]
 
 
 KINDS: dict[int, tuple[type, str]] = {
@@ -163,7 +171,7 @@
 }
 NESTED: dict[str, tuple[type, str]] = {
     "o": (ServerRecord, "ssssqqv"),
-    "n": (NamedVersionOfFormat1, "sqq"),
-    "y": (NamedVersion, "sqq?"),
+    "n": (ModelVersionAnnouncementOfFormat1, "sqq"),
+    "y": (ModelVersionAnnouncement, "sqq?"),
 }
 CODEC = Codec(KINDS, NESTED)  # all that a router needs
--- a/rowanshift/wire/delta.py
+++ b/rowanshift/wire/delta.py
@@ -16,7 +16,7 @@
 BLOCK_END = re.compile(rb"\},")
 
 
-class BadDelta(ValueError):
+class MalformedDelta(ValueError):
     """Bytes that are no delta of these old bytes."""
 
 
@@ -65,25 +65,25 @@
 
 
 def apply_delta(old: bytes, delta: bytes, most: int) -> bytes:
-    """The new bytes, ``most`` at most. Raises ``BadDelta``."""
+    """The new bytes, ``most`` at most. Raises ``MalformedDelta``."""
     made, at, size = [], 0, 0
     while at < len(delta):
         try:
             kind, offset, length = OPERATION.unpack_from(delta, at)
         except StructError as error:
-            raise BadDelta(f"{len(delta) - at} bytes at the end") from error
+            raise MalformedDelta(f"{len(delta) - at} bytes at the end") from error
         at += OPERATION.size
         size += length
         if size > most:
-            raise BadDelta(f"over {most} bytes")
+            raise MalformedDelta(f"over {most} bytes")
         if kind == COPY:
             piece = old[offset : offset + length]
         elif kind == LITERAL:
             piece = delta[at : at + length]
             at += length
         else:
-            raise BadDelta(f"operation {kind}")
+            raise MalformedDelta(f"operation {kind}")
         if len(piece) != length:
-            raise BadDelta(f"{length} bytes wanted, {len(piece)} there")
+            raise MalformedDelta(f"{length} bytes wanted, {len(piece)} there")
         made.append(piece)
     return b"".join(made)
--- a/rowanshift/wire/table.py
+++ b/rowanshift/wire/record_kinds.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from rowanshift.controlplane import replication
-from rowanshift.wire import delivery
+from rowanshift.wire import control_updates
 from rowanshift.wire.codec import Codec
 
 
@@ -38,4 +38,4 @@
 }
 NESTED = {"r": (replication.EpochRecord, "qqttt"), "w": (replication.StateVersion, "qq")}
 
-CODEC = Codec(delivery.KINDS | KINDS, delivery.NESTED | NESTED)
+CODEC = Codec(control_updates.KINDS | KINDS, control_updates.NESTED | NESTED)
--- a/tests/admin/test_commands.py
+++ b/tests/admin/test_commands.py
@@ -31,7 +31,7 @@
 from rowanshift.transport.http_connection import Message
 from rowanshift.transport.memory_budget import Memory
 from rowanshift.transport.runtime import SYSTEM
-from rowanshift.wire.table import CODEC, Hello
+from rowanshift.wire.record_kinds import CODEC, Hello
 from tests.support.helpers import invoke
 
 ROOT = Path(__file__).parents[2]
@@ -43,7 +43,7 @@
     "transport/record_links.py",
     "transport/calls.py",
     "dataplane/retry_budget.py",
-    "wire/named_versions.py",
+    "wire/version_announcements.py",
 )
 WHERE_EVENTS = "dataplane/*.py", "controlplane/**/*.py", "transport/record_links.py", "transport/calls.py"
 
--- a/tests/capacity/test_capacity.py
+++ b/tests/capacity/test_capacity.py
@@ -30,8 +30,8 @@
 from rowanshift.controlplane.configuration import parse
 from rowanshift.controlplane.control_state import unpack
 from rowanshift.controlplane.replication import EpochRecord, Heartbeat, HeartbeatReply, StateVersion, Store, Stored
-from rowanshift.wire.delivery import Redirect, Update
-from rowanshift.wire.table import CODEC
+from rowanshift.wire.control_updates import Redirect, Update
+from rowanshift.wire.record_kinds import CODEC
 
 ROUTERS, SERVERS, TENANTS, ROUTES, POOLS = 3, 5, 4, 3, 2
 
@@ -71,11 +71,11 @@
 
 def length(answer: Update) -> int:
     """What the formulas say of an answer's frame."""
-    rows = sum(sizes.row(r.id, r.service, r.address, r.zone, r.versions) for r in answer.rows)
+    rows = sum(sizes.row(r.id, r.service, r.address, r.zone, r.versions) for r in answer.server_records)
     members = len(getattr(answer, "machines", ()))
-    marks = (len(answer.kept) + len(answer.dropped)) // 8
-    names = [name.model for name in answer.names]
-    return sizes.update(len(answer.core), len(answer.config), answer.versions, rows, marks, members, names)
+    marks = (len(answer.stored_block_hashes) + len(answer.removed_block_hashes)) // 8
+    names = [name.model for name in answer.announcements]
+    return sizes.update(len(answer.core_machines), len(answer.config), answer.versions, rows, marks, members, names)
 
 
 class FormulasTest(unittest.TestCase):
@@ -94,8 +94,8 @@
     def test_the_small_run_carried_what_it_is_to_prove(self) -> None:
         log = self.run_["log"]
         self.assertEqual(sum(answer.has_state for answer in log), 2 * ROUTERS)
-        self.assertEqual(sum(answer.has_rows for answer in log), 2 * ROUTERS)
-        self.assertEqual({len(answer.rows) for answer in log}, {0, SERVERS})
+        self.assertEqual(sum(answer.has_server_records for answer in log), 2 * ROUTERS)
+        self.assertEqual({len(answer.server_records) for answer in log}, {0, SERVERS})
 
     def test_both_ends_count_the_same_bytes(self) -> None:
         self.assertEqual(self.run_["at_ledger"], (self.run_["sent"], self.run_["received"]))
--- a/tests/controlplane/replication/test_fault_domains.py
+++ b/tests/controlplane/replication/test_fault_domains.py
@@ -22,7 +22,7 @@
 from rowanshift.simulation.fleet import Fleet, config_of, play
 from rowanshift.simulation.fleet_settings import CONTROL
 from rowanshift.simulation.fleet_troubles import Unit
-from rowanshift.wire.machines import machine_of
+from rowanshift.wire.machine_ids import machine_id_from_ip
 
 SETTLES = 12.0  # seconds in which copies and witnesses are spread
 READ_WITHIN = 30.0  # seconds
@@ -41,7 +41,7 @@
     """The machines that hold the newest state, the primary first."""
     primary = fleet.primary()
     in_sync = primary.program.replica_host.replica.record.in_sync
-    holding = [unit for unit in fleet.cores if machine_of(unit.machine.address) in in_sync]
+    holding = [unit for unit in fleet.cores if machine_id_from_ip(unit.machine.address) in in_sync]
     return sorted(holding, key=lambda unit: unit is not primary)
 
 
@@ -116,7 +116,9 @@
             spare = fleet.spare(counts=False)
             await trio.sleep(2 * REPLACED_WITHIN)
             self.assertTrue(takes_part(fleet, spare))
-            return fleet.primary().program.replica_host.replica.record.members() & {machine_of(spare.machine.address)}
+            return fleet.primary().program.replica_host.replica.record.members() & {
+                machine_id_from_ip(spare.machine.address)
+            }
 
         self.assertEqual(play(main, "stays out", routers=1, strict=False)[0], set())
 
--- a/tests/controlplane/test_control_state.py
+++ b/tests/controlplane/test_control_state.py
@@ -164,7 +164,7 @@
         with self.assertRaises(StaleMatch):
             put_config(state, "4", body(5))
 
-    def test_named_versions_stay(self) -> None:
+    def test_version_announcements_stay(self) -> None:
         sheet = put_version(ControlState(), "m", 4)
         assert sheet is not None
         self.assertEqual(after(sheet, "0", body(1)).versions, {"m": 4})
--- a/tests/controlplane/test_graceful_shutdown.py
+++ b/tests/controlplane/test_graceful_shutdown.py
@@ -24,8 +24,8 @@
 from rowanshift.transport.http_connection import Message
 from rowanshift.transport.record_links import ConnectionFailed, RecordClient
 from rowanshift.transport.runtime import connect, send_all
-from rowanshift.wire.delivery import Poll, Update
-from rowanshift.wire.table import CODEC
+from rowanshift.wire.control_updates import Poll, Update
+from rowanshift.wire.record_kinds import CODEC
 
 ROOT = Path(__file__).parents[2]
 PORT = 700
@@ -297,8 +297,12 @@
                     unanswered.append(held)
                 return
             if isinstance(answer, Update):
-                known = dict(fingerprint=answer.fingerprint, registry=answer.registry, stock=answer.stock)
-                poll = replace(poll, version=answer.version, peers=answer.peers, **known)
+                known = dict(
+                    fingerprint=answer.fingerprint,
+                    registry_version=answer.registry_version,
+                    prefix_holdings_version=answer.prefix_holdings_version,
+                )
+                poll = replace(poll, state_version=answer.state_version, peers_version=answer.peers_version, **known)
             else:
                 await trio.sleep(0.05)
 
--- a/tests/controlplane/test_inherited_versions.py
+++ b/tests/controlplane/test_inherited_versions.py
@@ -12,8 +12,8 @@
 from rowanshift.simulation.fleet import Fleet, play
 from rowanshift.simulation.fleet_settings import MODEL
 from rowanshift.simulation.fleet_troubles import Unit
-from rowanshift.wire.delivery import NamedVersion
-from rowanshift.wire.named_versions import VersionName
+from rowanshift.wire.control_updates import ModelVersionAnnouncement
+from rowanshift.wire.version_announcements import VersionAnnouncement
 
 CLOSE = 0.3  # seconds by which a date may differ from when the name was acknowledged
 AGE = 2.5  # seconds from a name to the trouble
@@ -50,39 +50,41 @@
         made.note({"m": 5}, 100.0)
         return made
 
-    def told(self, registry: ServerRegistry, *names: NamedVersion) -> bool:
+    def told(self, registry: ServerRegistry, *names: ModelVersionAnnouncement) -> bool:
         return registry.take_dates(names, {"m": 5}, 100.0)
 
     def test_the_date_of_an_inherited_name(self) -> None:
         registry = self.registry()
-        self.assertTrue(self.told(registry, NamedVersion("m", 5, 3000)))
-        self.assertEqual(registry.names.named("m", 5), VersionName(5, 97.0))
+        self.assertTrue(self.told(registry, ModelVersionAnnouncement("m", 5, 3000)))
+        self.assertEqual(registry.names.find("m", 5), VersionAnnouncement(5, 97.0))
         registry.note({"m": 5}, 101.0)
-        self.assertEqual(registry.names.named("m", 5), VersionName(5, 97.0))
+        self.assertEqual(registry.names.find("m", 5), VersionAnnouncement(5, 97.0))
 
     def test_older_names_that_the_takeover_had_hidden(self) -> None:
         registry = self.registry()
-        self.told(registry, NamedVersion("m", 4, 6000), NamedVersion("m", 5, 3000))
+        self.told(registry, ModelVersionAnnouncement("m", 4, 6000), ModelVersionAnnouncement("m", 5, 3000))
         self.assertEqual([name.version for _, name in registry.names.all()], [4, 5])
 
     def test_what_is_not_in_force_or_not_dated_is_left(self) -> None:
         registry = self.registry()
-        self.assertFalse(self.told(registry, NamedVersion("m", 6, 3000), NamedVersion("n", 1, 3000)))
-        self.assertFalse(self.told(registry, NamedVersion("m", 5, 3000, is_dated=False)))
+        self.assertFalse(
+            self.told(registry, ModelVersionAnnouncement("m", 6, 3000), ModelVersionAnnouncement("n", 1, 3000))
+        )
+        self.assertFalse(self.told(registry, ModelVersionAnnouncement("m", 5, 3000, is_dated=False)))
 
     def test_small_differences_are_no_news(self) -> None:
         registry = self.registry()
-        self.told(registry, NamedVersion("m", 5, 3000))
+        self.told(registry, ModelVersionAnnouncement("m", 5, 3000))
         serial = registry.names_serial
-        self.assertFalse(self.told(registry, NamedVersion("m", 5, 3000 + int(900 * DATED_EARLIER))))
+        self.assertFalse(self.told(registry, ModelVersionAnnouncement("m", 5, 3000 + int(900 * DATED_EARLIER))))
         self.assertEqual(registry.names_serial, serial)
-        self.assertTrue(self.told(registry, NamedVersion("m", 5, 3000 + int(1100 * DATED_EARLIER))))
+        self.assertTrue(self.told(registry, ModelVersionAnnouncement("m", 5, 3000 + int(1100 * DATED_EARLIER))))
         self.assertEqual(registry.names_serial, serial + 1)
 
     def test_so_many_are_looked_at(self) -> None:
-        others = [NamedVersion(f"m{n}", 1, 0) for n in range(MOST_TOLD)]
-        self.assertFalse(self.told(self.registry(), *others, NamedVersion("m", 5, 3000)))
-        self.assertTrue(self.told(self.registry(), *others[1:], NamedVersion("m", 5, 3000)))
+        others = [ModelVersionAnnouncement(f"m{n}", 1, 0) for n in range(MOST_TOLD)]
+        self.assertFalse(self.told(self.registry(), *others, ModelVersionAnnouncement("m", 5, 3000)))
+        self.assertTrue(self.told(self.registry(), *others[1:], ModelVersionAnnouncement("m", 5, 3000)))
 
 
 def named_at(fleet: Fleet) -> float:
@@ -93,7 +95,7 @@
 def dated_at(unit: Unit) -> float:
     """When a program takes version 2 to have been named."""
     holder = unit.program.tasks.registry if unit.core else unit.program.control_client
-    return holder.names.lacking_since(MODEL, 1) or 0.0
+    return holder.names.missing_since(MODEL, 1) or 0.0
 
 
 class Takeovers(unittest.TestCase):
--- a/tests/controlplane/test_server_registry.py
+++ b/tests/controlplane/test_server_registry.py
@@ -12,7 +12,7 @@
     ServerRegistry,
     known_of,
 )
-from rowanshift.wire.delivery import CODEC, DRAINING, LOADING, UP, ServerRecord, Update
+from rowanshift.wire.control_updates import CODEC, DRAINING, LOADING, UP, ServerRecord, Update
 
 
 def entry(id="i-0-1", version=1, service="s", **more):
--- a/tests/dataplane/test_control_client.py
+++ b/tests/dataplane/test_control_client.py
@@ -15,7 +15,7 @@
 from rowanshift.invariants.system import Answered
 from rowanshift.process.node_settings import Bounds
 from rowanshift.simulation.fleet import ONCE, Fleet, Unit, config_of, play
-from rowanshift.wire.delivery import NamedVersion, Poll, Update
+from rowanshift.wire.control_updates import ModelVersionAnnouncement, Poll, Update
 
 APPLIED_WITHIN = 1.0  # seconds from a change's acknowledgement after a takeover; the operators' bound is 2
 
@@ -199,7 +199,7 @@
             take = control_client.ControlClient._take
 
             def noted(client: control_client.ControlClient, update: Update, asked_at: float) -> bool:
-                taken.append(update.version)
+                taken.append(update.state_version)
                 return take(client, update, asked_at)
 
             with mock.patch.object(control_client.ControlClient, "_take", noted):
@@ -280,7 +280,9 @@
     def test_heard_of_at_the_start_with_its_age(self) -> None:
         """Without a bound on sums a restart takes nothing away, and gives nothing: the name's own age counts."""
         client = self.client()
-        client._note_versions({"m": 3}, 100.0, [NamedVersion("m", 2, 9000), NamedVersion("m", 3, 4000)])
+        client._note_versions(
+            {"m": 3}, 100.0, [ModelVersionAnnouncement("m", 2, 9000), ModelVersionAnnouncement("m", 3, 4000)]
+        )
         client.routing_table = RoutingTable(revision=1, versions={"m": 3})
         self.assertEqual([client.version("m", at) for at in (103.9, 104.1, 108.9, 109.1)], [0, 2, 2, 3])
 
@@ -315,7 +317,7 @@
     def test_restarts_that_add_up_are_found(self) -> None:
         def anew(client: control_client.ControlClient, versions: dict[str, int], asked_at: float, names: tuple) -> None:
             for model, version in versions.items():
-                client.names.note(model, version, asked_at + control_client.VERSION_EARLY)
+                client.names.record(model, version, asked_at + control_client.VERSION_EARLY)
 
         with mock.patch.object(control_client.ControlClient, "_note_versions", anew):
             self.assertIn("VERSION", {breach.rule for breach in self.restarted("adds up")})
--- a/tests/dataplane/test_load_index.py
+++ b/tests/dataplane/test_load_index.py
@@ -24,7 +24,7 @@
 from rowanshift.placement.hash_ring import stable
 from rowanshift.simulation.clock import Determined, VirtualClock
 from rowanshift.simulation.network import Network, Paths
-from rowanshift.wire.machines import ip_of, machine_of
+from rowanshift.wire.machine_ids import ip_from_machine_id, machine_id_from_ip
 
 PORT = 7002
 PLAIN = dict(within=0.001, across=0.001, jitter=0.0, partial=0.0, lost=0.0, doubled=0.0, late=0.0)
@@ -169,7 +169,7 @@
 
 class Members(unittest.TestCase):
     def test_members_that_change_move_only_their_keys(self):
-        members = [machine_of(f"10.0.0.{n}") for n in range(1, 8)]
+        members = [machine_id_from_ip(f"10.0.0.{n}") for n in range(1, 8)]
         before = {f"k{n}": holder(f"k{n}", members) for n in range(2000)}
         for gone in members:
             left = [member for member in members if member != gone]
@@ -191,7 +191,9 @@
 
         async def all_of():
             machines = [network.machine(f"c{n}", n) for n in range(count)]
-            loads = [LoadIndex(machine, (machine.address, PORT), machine_of(machine.address)) for machine in machines]
+            loads = [
+                LoadIndex(machine, (machine.address, PORT), machine_id_from_ip(machine.address)) for machine in machines
+            ]
             async with trio.open_nursery() as nursery:
                 for machine, one in zip(machines, loads, strict=True):
                     one.meet(tuple(other.machine for other in loads))
@@ -378,7 +380,7 @@
 
     def test_addresses_and_machines(self):
         for ip in ("0.0.0.0", "10.0.0.1", "127.1.0.3", "255.255.255.255"):
-            self.assertEqual(ip_of(machine_of(ip)), ip)
+            self.assertEqual(ip_from_machine_id(machine_id_from_ip(ip)), ip)
 
 
 if __name__ == "__main__":
--- a/tests/simulation/test_fleet_faults.py
+++ b/tests/simulation/test_fleet_faults.py
@@ -101,7 +101,9 @@
             if update.has_state and update.revision == 1:
                 first[client] = update
             elif not update.has_state and client.routing_table.revision == 2:
-                older = replace(first[client], fingerprint=update.fingerprint, has_rows=False, has_peers=False)
+                older = replace(
+                    first[client], fingerprint=update.fingerprint, has_server_records=False, has_peers=False
+                )
                 true(client, older, asked_at)
             return taken
 
--- a/tests/transport/test_call_exchanges.py
+++ b/tests/transport/test_call_exchanges.py
@@ -17,8 +17,8 @@
 from rowanshift.transport.memory_budget import Memory
 from rowanshift.transport.record_links import ConnectionFailed, RecordClient
 from rowanshift.transport.runtime import send_all
-from rowanshift.wire.codec import HEAD
-from rowanshift.wire.delivery import CODEC, Redirect
+from rowanshift.wire.codec import FRAME_HEADER
+from rowanshift.wire.control_updates import CODEC, Redirect
 
 PORT = 80
 WITHIN = 0.05  # seconds that a call waits
@@ -103,7 +103,7 @@
 
 
 def record_whole(data: bytes) -> bool:
-    return len(data) >= HEAD.size and len(data) >= HEAD.size + HEAD.unpack_from(data)[-1]
+    return len(data) >= FRAME_HEADER.size and len(data) >= FRAME_HEADER.size + FRAME_HEADER.unpack_from(data)[-1]
 
 
 def play(whole: Any, answer: Any, main: Callable[[Peer], Awaitable[Any]]) -> Any:
--- a/tests/wire/test_delta.py
+++ b/tests/wire/test_delta.py
@@ -8,7 +8,16 @@
 
 from rowanshift.controlplane.configuration_change import put_config
 from rowanshift.controlplane.control_state import ControlState
-from rowanshift.wire.delta import COPY, LITERAL, LONGEST_BLOCK, OPERATION, BadDelta, apply_delta, blocks, make_delta
+from rowanshift.wire.delta import (
+    COPY,
+    LITERAL,
+    LONGEST_BLOCK,
+    OPERATION,
+    MalformedDelta,
+    apply_delta,
+    blocks,
+    make_delta,
+)
 
 MOST = 1 << 24
 
@@ -83,13 +92,13 @@
             OPERATION.pack(7, 0, 1),
             OPERATION.pack(COPY, 0, 6)[:-1],
         ):
-            with self.subTest(delta=delta), self.assertRaises(BadDelta):
+            with self.subTest(delta=delta), self.assertRaises(MalformedDelta):
                 apply_delta(old, delta, MOST)
 
     def test_no_more_than_is_allowed(self) -> None:
         delta = OPERATION.pack(COPY, 0, 6) * 3
         self.assertEqual(len(apply_delta(b"abcdef", delta, 18)), 18)
-        with self.assertRaises(BadDelta):
+        with self.assertRaises(MalformedDelta):
             apply_delta(b"abcdef", delta, 17)
 
     def test_any_bytes_changed_are_read_or_refused(self) -> None:
@@ -98,7 +107,7 @@
         for _ in range(2000):
             spoilt = bytearray(delta)
             spoilt[draw.randrange(len(spoilt))] = draw.randrange(256)
-            with suppress(BadDelta):
+            with suppress(MalformedDelta):
                 apply_delta(old, bytes(spoilt), MOST)
 
 
--- a/tests/wire/test_named_versions.py
+++ b/tests/wire/test_version_announcements.py
@@ -12,9 +12,9 @@
 from rowanshift.simulation.fleet import Fleet, play
 from rowanshift.simulation.fleet_settings import INNER
 from rowanshift.transport.record_links import RecordClient
-from rowanshift.wire.delivery import (
+from rowanshift.wire.control_updates import (
     CODEC,
-    NamedVersion,
+    ModelVersionAnnouncement,
     Poll,
     PollOfFormat2,
     PollOfFormat3,
@@ -22,7 +22,12 @@
     UpdateOfFormat1,
     UpdateOfFormat2,
 )
-from rowanshift.wire.named_versions import MOST_AGE_MS, MOST_MODELS, MOST_NAMES, VersionNames
+from rowanshift.wire.version_announcements import (
+    MAX_ANNOUNCED_AGE_MS,
+    MAX_ANNOUNCED_MODELS,
+    MAX_ANNOUNCEMENTS_PER_MODEL,
+    VersionAnnouncements,
+)
 
 
 def setUpModule() -> None:
@@ -33,24 +38,24 @@
     logger.enable("rowanshift")
 
 
-def names_of(*named: tuple[int, float]) -> VersionNames:
-    made = VersionNames()
-    for version, named_at in named:
-        made.note("m", version, named_at)
+def names_of(*named: tuple[int, float]) -> VersionAnnouncements:
+    made = VersionAnnouncements()
+    for version, announced_at in named:
+        made.record("m", version, announced_at)
     return made
 
 
 class Names(unittest.TestCase):
     def test_each_has_its_own_time(self) -> None:
         made = names_of((2, 10.0), (3, 12.0), (5, 20.0))
-        self.assertEqual([made.required("m", at) for at in (9.9, 10.0, 12.0, 19.9, 20.0)], [0, 2, 3, 3, 5])
-        self.assertEqual([made.lacking_since("m", version) for version in range(1, 6)], [10.0, 12.0, 20.0, 20.0, None])
-        self.assertEqual((made.required("n", 99.0), made.lacking_since("n", 0)), (0, None))
+        self.assertEqual([made.required_version("m", at) for at in (9.9, 10.0, 12.0, 19.9, 20.0)], [0, 2, 3, 3, 5])
+        self.assertEqual([made.missing_since("m", version) for version in range(1, 6)], [10.0, 12.0, 20.0, 20.0, None])
+        self.assertEqual((made.required_version("n", 99.0), made.missing_since("n", 0)), (0, None))
 
     def test_the_earlier_of_two_times_counts(self) -> None:
         for order in ((10.0, 11.0), (11.0, 10.0)):
             made = names_of(*((2, at) for at in order))
-            self.assertEqual(made.lacking_since("m", 1), 10.0)
+            self.assertEqual(made.missing_since("m", 1), 10.0)
 
     def test_a_newer_one_of_an_earlier_time_takes_the_place_of_an_older_one(self) -> None:
         for order in (((2, 10.0), (3, 9.0)), ((3, 9.0), (2, 10.0))):
@@ -65,33 +70,35 @@
             ]
             made = names_of(*named)
             for at in range(-1, 21):
-                newest = max((version for version, named_at in named if named_at <= at), default=0)
-                self.assertEqual(made.required("m", at), newest, (named, at))
+                newest = max((version for version, announced_at in named if announced_at <= at), default=0)
+                self.assertEqual(made.required_version("m", at), newest, (named, at))
             for version in range(12):
-                since = min((named_at for other, named_at in named if other > version), default=None)
-                self.assertEqual(made.lacking_since("m", version), since, (named, version))
+                since = min((announced_at for other, announced_at in named if other > version), default=None)
+                self.assertEqual(made.missing_since("m", version), since, (named, version))
 
     def test_one_too_many_makes_it_no_laxer(self) -> None:
-        named = [(version, float(version)) for version in range(1, MOST_NAMES + 2)]
+        named = [(version, float(version)) for version in range(1, MAX_ANNOUNCEMENTS_PER_MODEL + 2)]
         made = names_of(*named)
-        self.assertEqual(len(made.all()), MOST_NAMES)
-        self.assertEqual(made.required("m", 1.0), 2)  # version 1 was wanted from then on
-        self.assertEqual(made.lacking_since("m", 0), 1.0)
-        self.assertEqual(made.required("m", 3.0), 3)
+        self.assertEqual(len(made.all()), MAX_ANNOUNCEMENTS_PER_MODEL)
+        self.assertEqual(made.required_version("m", 1.0), 2)  # version 1 was wanted from then on
+        self.assertEqual(made.missing_since("m", 0), 1.0)
+        self.assertEqual(made.required_version("m", 3.0), 3)
 
     def test_models_beyond_the_limit_are_not_kept(self) -> None:
-        made = VersionNames()
-        for number in range(MOST_MODELS + 1):
-            made.note(f"m{number}", 1, 0.0)
-        self.assertEqual((len(made.all()), made.required(f"m{MOST_MODELS}", 1.0)), (MOST_MODELS, 0))
-        made.note("m0", 2, 1.0)
-        self.assertEqual(made.required("m0", 1.0), 2)
+        made = VersionAnnouncements()
+        for number in range(MAX_ANNOUNCED_MODELS + 1):
+            made.record(f"m{number}", 1, 0.0)
+        self.assertEqual(
+            (len(made.all()), made.required_version(f"m{MAX_ANNOUNCED_MODELS}", 1.0)), (MAX_ANNOUNCED_MODELS, 0)
+        )
+        made.record("m0", 2, 1.0)
+        self.assertEqual(made.required_version("m0", 1.0), 2)
 
     def test_what_is_forgotten_changes_no_later_answer(self) -> None:
         made = names_of((2, 10.0), (3, 12.0), (5, 20.0))
-        made.forget_before(12.5)
+        made.discard_superseded_before(12.5)
         self.assertEqual([name.version for _, name in made.all()], [3, 5])
-        self.assertEqual([made.required("m", at) for at in (12.5, 20.0)], [3, 5])
+        self.assertEqual([made.required_version("m", at) for at in (12.5, 20.0)], [3, 5])
 
 
 def server(id: str, version: int, **more: float) -> Known:
@@ -132,9 +139,11 @@
         service.tasks = SimpleNamespace(registry=self.registry())
         service.tasks.registry.note({"m": 2}, 10.0)  # a former primary named it
         told = [service._named_versions(now)[0] for now in (12.5, 9.0, 1e9)]
-        self.assertEqual(told, [NamedVersion("m", 2, age, is_dated=False) for age in (2500, 0, MOST_AGE_MS)])
+        self.assertEqual(
+            told, [ModelVersionAnnouncement("m", 2, age, is_dated=False) for age in (2500, 0, MAX_ANNOUNCED_AGE_MS)]
+        )
         service.tasks.registry.note({"m": 3}, 11.0)
-        self.assertEqual(service._named_versions(12.5)[1], NamedVersion("m", 3, 1500, is_dated=True))
+        self.assertEqual(service._named_versions(12.5)[1], ModelVersionAnnouncement("m", 3, 1500, is_dated=True))
 
 
 class FormerRouters(unittest.TestCase):
@@ -154,8 +163,8 @@
         self.assertEqual(
             [type(answer) for answer in (first, second, third)], [UpdateOfFormat1, UpdateOfFormat2, Update]
         )
-        self.assertEqual([(name.model, name.version) for name in second.names], [("m", 2)])
-        self.assertEqual([(name.version, name.is_dated) for name in third.names], [(2, True)])
+        self.assertEqual([(name.model, name.version) for name in second.announcements], [("m", 2)])
+        self.assertEqual([(name.version, name.is_dated) for name in third.announcements], [(2, True)])
 
     def test_a_poll_of_a_former_router_is_held_while_there_is_nothing_newer(self) -> None:
         async def main(fleet: Fleet) -> float:
@@ -164,7 +173,13 @@
             await trio.sleep(4.0)  # until its members have settled
             nothing = (0, 0), 0, (0, 0), (0, 0), (0, 0), 0
             found = await caller.ask(PollOfFormat3(1, 1, *nothing), 2.0)
-            has = found.version, found.fingerprint, found.registry, found.stock, found.peers
+            has = (
+                found.state_version,
+                found.fingerprint,
+                found.registry_version,
+                found.prefix_holdings_version,
+                found.peers_version,
+            )
             asked_at = fleet.now()
             await caller.ask(PollOfFormat3(1, 1, *has, 400), 2.0)
             caller.close()
--- a/tests/wire/test_wire_records.py
+++ b/tests/wire/test_wire_records.py
@@ -10,8 +10,8 @@
 
 from rowanshift.controlplane import replication
 from rowanshift.controlplane.control_state import unpack
-from rowanshift.wire import delivery, table
-from rowanshift.wire.codec import FORMAT, HEAD, LARGEST, MAGIC, BadRecord, Codec, Frames
+from rowanshift.wire import control_updates, record_kinds
+from rowanshift.wire.codec import FORMAT, FRAME_HEADER, MAGIC, MAX_RECORD_BYTES, Codec, FrameDecoder, MalformedRecord
 
 TOP = 2**64 - 1
 NUMBERS = (0, 1, 255, 2**32, 2**53, TOP)
@@ -52,8 +52,8 @@
 
 
 def records(random_source, count):
-    """Some of each kind of the whole table."""
-    codec = table.CODEC
+    """Some of each kind of the whole record_kinds."""
+    codec = record_kinds.CODEC
     return [
         cls(*(drawn(random_source, letter, codec.nested) for letter in spec))
         for cls, spec in codec.kinds.values()
@@ -62,78 +62,80 @@
 
 
 def unframed(data):
-    ((kind, call, body),) = Frames().feed(data)
-    return table.CODEC.unpack(kind, body), call
+    ((kind, call, body),) = FrameDecoder().feed(data)
+    return record_kinds.CODEC.unpack(kind, body), call
 
 
 class RoundTrip(unittest.TestCase):
     def test_every_kind_with_drawn_fields(self):
         for n, record in enumerate(records(random.Random(1), 40)):
-            self.assertEqual(unframed(table.CODEC.pack(record, n)), (record, n))
+            self.assertEqual(unframed(record_kinds.CODEC.pack(record, n)), (record, n))
 
     def test_every_kind_has_a_letter_for_each_field(self):
-        for cls, spec in (*table.CODEC.kinds.values(), *table.CODEC.nested.values()):
+        for cls, spec in (*record_kinds.CODEC.kinds.values(), *record_kinds.CODEC.nested.values()):
             self.assertEqual(len(fields(cls)), len(spec), cls.__name__)
 
     def test_counters_and_the_core_give_one_number_to_a_kind(self):
-        self.assertEqual({**table.CODEC.kinds, **delivery.KINDS}, table.CODEC.kinds)
-        self.assertEqual(len(table.CODEC.numbers), len(table.CODEC.kinds))
-        poll = delivery.Poll(1, 2, (3, 4), 5, (6, 7), (8, 9), (10, 11), 500)
-        self.assertEqual(delivery.CODEC.pack(poll, 9), table.CODEC.pack(poll, 9))
+        self.assertEqual({**record_kinds.CODEC.kinds, **control_updates.KINDS}, record_kinds.CODEC.kinds)
+        self.assertEqual(len(record_kinds.CODEC.numbers), len(record_kinds.CODEC.kinds))
+        poll = control_updates.Poll(1, 2, (3, 4), 5, (6, 7), (8, 9), (10, 11), 500)
+        self.assertEqual(control_updates.CODEC.pack(poll, 9), record_kinds.CODEC.pack(poll, 9))
 
     def test_whole_numbers_at_their_edges(self):
         for number in NUMBERS:
-            record = table.Hello(number)
-            self.assertEqual(unframed(table.CODEC.pack(record))[0], record)
+            record = record_kinds.Hello(number)
+            self.assertEqual(unframed(record_kinds.CODEC.pack(record))[0], record)
 
     def test_the_call_at_its_edges(self):
         for call in (0, 1, 2**32 - 1):
-            self.assertEqual(unframed(table.CODEC.pack(table.Hello(1), call))[1], call)
+            self.assertEqual(unframed(record_kinds.CODEC.pack(record_kinds.Hello(1), call))[1], call)
 
     def test_texts_at_their_edges(self):
         for text in TEXTS:
-            row = delivery.ServerRecord(text, "s", "a:1", "", 1, delivery.UP | delivery.LOADING, {text: TOP})
-            update = delivery.Update((0, 0), 0, False, 0, b"", {}, (1, 1), True, (row,))
-            self.assertEqual(unframed(delivery.CODEC.pack(update))[0], update)
+            row = control_updates.ServerRecord(
+                text, "s", "a:1", "", 1, control_updates.UP | control_updates.LOADING, {text: TOP}
+            )
+            update = control_updates.Update((0, 0), 0, False, 0, b"", {}, (1, 1), True, (row,))
+            self.assertEqual(unframed(control_updates.CODEC.pack(update))[0], update)
 
     def test_the_longest_tuple_and_dict(self):
-        whole = delivery.Redirect(0, tuple(range(65_535)))
-        self.assertEqual(unframed(table.CODEC.pack(whole))[0], whole)
+        whole = control_updates.Redirect(0, tuple(range(65_535)))
+        self.assertEqual(unframed(record_kinds.CODEC.pack(whole))[0], whole)
         versions = {str(n): n for n in range(65_535)}
-        update = delivery.Update((0, 0), 0, False, 0, b"", versions, (0, 0), False)
-        self.assertEqual(unframed(table.CODEC.pack(update))[0], update)
+        update = control_updates.Update((0, 0), 0, False, 0, b"", versions, (0, 0), False)
+        self.assertEqual(unframed(record_kinds.CODEC.pack(update))[0], update)
 
     def test_a_body_of_many_bytes(self):
         store = replication.Store(1, replication.StateVersion(2, 3), random.Random(1).randbytes(3 << 20))
-        self.assertEqual(unframed(table.CODEC.pack(store))[0], store)
+        self.assertEqual(unframed(record_kinds.CODEC.pack(store))[0], store)
 
     def test_floating_point_numbers(self):
         codec = Codec({1: (Measured, "d")}, {})
         for value in (0.0, -0.0, 1e-308, -1.5, 1.7976931348623157e308, float("inf")):
-            body = codec.pack(Measured(value))[HEAD.size :]
+            body = codec.pack(Measured(value))[FRAME_HEADER.size :]
             self.assertEqual(repr(codec.unpack(1, body).value), repr(value))
 
     def test_rows_packed_before_are_the_same_bytes(self):
-        row = delivery.ServerRecord("i", "s", "a:1", "z", 2, delivery.DRAINING, {"m": 3})
+        row = control_updates.ServerRecord("i", "s", "a:1", "z", 2, control_updates.DRAINING, {"m": 3})
         given = ((1, 2), 3, True, 4, b"c", {"m": 1}, (5, 6), True)
-        packed = delivery.CODEC.put("o", (row, row))
+        packed = control_updates.CODEC.put("o", (row, row))
         self.assertEqual(
-            delivery.CODEC.pack(delivery.Update(*given, packed)),
-            delivery.CODEC.pack(delivery.Update(*given, (row, row))),
+            control_updates.CODEC.pack(control_updates.Update(*given, packed)),
+            control_updates.CODEC.pack(control_updates.Update(*given, (row, row))),
         )
 
 
 class Pieces(unittest.TestCase):
     def setUp(self):
         self.records = records(random.Random(2), 4)
-        self.data = b"".join(table.CODEC.pack(record, n) for n, record in enumerate(self.records))
+        self.data = b"".join(record_kinds.CODEC.pack(record, n) for n, record in enumerate(self.records))
 
     def taken(self, pieces):
-        frames = Frames()
+        frames = FrameDecoder()
         made = [frame for piece in pieces for frame in frames.feed(piece)]
         self.assertEqual(bytes(frames.held), b"")
         self.assertEqual([call for _, call, _ in made], list(range(len(self.records))))
-        return [table.CODEC.unpack(kind, body) for kind, _, body in made]
+        return [record_kinds.CODEC.unpack(kind, body) for kind, _, body in made]
 
     def test_byte_by_byte(self):
         self.assertEqual(self.taken(self.data[at : at + 1] for at in range(len(self.data))), self.records)
@@ -151,15 +153,15 @@
             self.assertEqual(self.taken(pieces), self.records)
 
     def test_what_is_not_whole_gives_nothing_yet(self):
-        frame, frames = table.CODEC.pack(table.Hello(7)), Frames()
+        frame, frames = record_kinds.CODEC.pack(record_kinds.Hello(7)), FrameDecoder()
         self.assertEqual(frames.feed(frame[:-1]), [])
         self.assertEqual(len(frames.feed(frame[-1:])), 1)
 
 
 class NoFrames(unittest.TestCase):
     def refused(self, magic=MAGIC, form=FORMAT, size=8):
-        with self.assertRaises(BadRecord):
-            Frames().feed(HEAD.pack(magic, form, 16, 0, size))
+        with self.assertRaises(MalformedRecord):
+            FrameDecoder().feed(FRAME_HEADER.pack(magic, form, 16, 0, size))
 
     def test_another_magic(self):
         for magic in (b"RL", b"\0\0", b"SR", b"HT"):
@@ -168,29 +170,29 @@
     def test_another_format(self):
         for form in (0, FORMAT + 1, 255):
             self.refused(form=form)
-        frame = bytearray(table.CODEC.pack(table.Hello(7)))
+        frame = bytearray(record_kinds.CODEC.pack(record_kinds.Hello(7)))
         frame[2] = FORMAT + 1
-        with self.assertRaises(BadRecord):
-            Frames().feed(bytes(frame))
+        with self.assertRaises(MalformedRecord):
+            FrameDecoder().feed(bytes(frame))
 
     def test_one_of_another_format_after_good_ones(self):
-        frames, good = Frames(), table.CODEC.pack(table.Hello(7))
+        frames, good = FrameDecoder(), record_kinds.CODEC.pack(record_kinds.Hello(7))
         self.assertEqual(len(frames.feed(good)), 1)
-        with self.assertRaises(BadRecord):
+        with self.assertRaises(MalformedRecord):
             frames.feed(good[:2] + bytes([FORMAT + 1]) + good[3:])
 
     def test_too_long(self):
-        self.refused(size=LARGEST + 1)
+        self.refused(size=MAX_RECORD_BYTES + 1)
         self.refused(size=2**32 - 1)
-        frames = Frames()
-        self.assertEqual(frames.feed(HEAD.pack(MAGIC, FORMAT, 16, 0, LARGEST)), [])
+        frames = FrameDecoder()
+        self.assertEqual(frames.feed(FRAME_HEADER.pack(MAGIC, FORMAT, 16, 0, MAX_RECORD_BYTES)), [])
 
     def test_random_bytes(self):
         random_source, refused = random.Random(3), 0
         for _ in range(3000):
             try:
-                Frames().feed(random_source.randbytes(random_source.randrange(40)))
-            except BadRecord:
+                FrameDecoder().feed(random_source.randbytes(random_source.randrange(40)))
+            except MalformedRecord:
                 refused += 1
         self.assertGreater(refused, 1500)
 
@@ -198,56 +200,57 @@
 class NoRecords(unittest.TestCase):
     def bodies(self, count=3):
         return [
-            (*Frames().feed(table.CODEC.pack(record))[0][::2], record) for record in records(random.Random(4), count)
+            (*FrameDecoder().feed(record_kinds.CODEC.pack(record))[0][::2], record)
+            for record in records(random.Random(4), count)
         ]
 
     def test_unknown_kinds(self):
-        for kind in set(range(256)) - set(table.CODEC.kinds):
-            with self.assertRaises(BadRecord):
-                table.CODEC.unpack(kind, b"")
-        for kind in table.KINDS:
-            with self.assertRaises(BadRecord):
-                delivery.CODEC.unpack(kind, bytes(8))
+        for kind in set(range(256)) - set(record_kinds.CODEC.kinds):
+            with self.assertRaises(MalformedRecord):
+                record_kinds.CODEC.unpack(kind, b"")
+        for kind in record_kinds.KINDS:
+            with self.assertRaises(MalformedRecord):
+                control_updates.CODEC.unpack(kind, bytes(8))
 
     def test_cut_short_anywhere(self):
         for kind, body, _ in self.bodies():
             for end in range(len(body)):
-                with self.assertRaises(BadRecord):
-                    table.CODEC.unpack(kind, body[:end])
+                with self.assertRaises(MalformedRecord):
+                    record_kinds.CODEC.unpack(kind, body[:end])
 
     def test_bytes_too_many(self):
         for kind, body, _ in self.bodies():
             for more in (b"\0", b"\0" * 8, b"\xff" * 3):
-                with self.assertRaises(BadRecord):
-                    table.CODEC.unpack(kind, body + more)
+                with self.assertRaises(MalformedRecord):
+                    record_kinds.CODEC.unpack(kind, body + more)
 
     def test_lengths_that_lie(self):
         for body in (b"\0" * 8 + b"\xff\xff", b"\0" * 8 + b"\0\2" + bytes(8), b"\0" * 8 + b"\0\0" + bytes(8)):
-            with self.assertRaises(BadRecord):
-                table.CODEC.unpack(3, body)
+            with self.assertRaises(MalformedRecord):
+                record_kinds.CODEC.unpack(3, body)
         for lie in (b"\xff\xff\xff\xff", b"\0\0\1\0"):
-            with self.assertRaises(BadRecord):
-                table.CODEC.take(lie + bytes(40), 0, "o")
-            with self.assertRaises(BadRecord):
-                table.CODEC.take(lie + bytes(40), 0, "b")
+            with self.assertRaises(MalformedRecord):
+                record_kinds.CODEC.take(lie + bytes(40), 0, "o")
+            with self.assertRaises(MalformedRecord):
+                record_kinds.CODEC.take(lie + bytes(40), 0, "b")
 
     def test_text_that_is_none(self):
-        update = delivery.Update((0, 0), 0, False, 0, b"", {"ab": 1}, (0, 0), False)
-        ((kind, _, body),) = Frames().feed(delivery.CODEC.pack(update))
-        with self.assertRaises(BadRecord):
-            delivery.CODEC.unpack(kind, body.replace(b"ab", b"\xff\xfe"))
+        update = control_updates.Update((0, 0), 0, False, 0, b"", {"ab": 1}, (0, 0), False)
+        ((kind, _, body),) = FrameDecoder().feed(control_updates.CODEC.pack(update))
+        with self.assertRaises(MalformedRecord):
+            control_updates.CODEC.unpack(kind, body.replace(b"ab", b"\xff\xfe"))
 
     def test_random_bytes_of_each_kind(self):
-        random_source, refused, kinds = random.Random(5), 0, sorted(table.CODEC.kinds)
+        random_source, refused, kinds = random.Random(5), 0, sorted(record_kinds.CODEC.kinds)
         for _ in range(8000):
             kind = random_source.choice(kinds)
             body = random_source.randbytes(random_source.randrange(120))
             try:
-                record = table.CODEC.unpack(kind, body)
-            except BadRecord:
+                record = record_kinds.CODEC.unpack(kind, body)
+            except MalformedRecord:
                 refused += 1
             else:  # it is a record then, and has bytes of its own
-                self.assertEqual(unframed(table.CODEC.pack(record))[0], record)
+                self.assertEqual(unframed(record_kinds.CODEC.pack(record))[0], record)
         self.assertGreater(refused, 4000)
 
     def test_single_bytes_changed(self):
@@ -256,8 +259,8 @@
             kind, body, _ = random_source.choice(bodies)
             spoilt = bytearray(body)
             spoilt[random_source.randrange(len(spoilt))] = random_source.randrange(256)
-            with suppress(BadRecord):
-                table.CODEC.unpack(kind, bytes(spoilt))
+            with suppress(MalformedRecord):
+                record_kinds.CODEC.unpack(kind, bytes(spoilt))
 
 
 class WrittenBefore(unittest.TestCase):
@@ -269,7 +272,7 @@
         for name, frame in self.written.items():
             with self.subTest(name):
                 record, call = unframed(bytes.fromhex(frame))
-                self.assertEqual(table.CODEC.pack(record, call).hex(), frame)
+                self.assertEqual(record_kinds.CODEC.pack(record, call).hex(), frame)
 
     def test_what_a_disk_held_is_understood(self):
         durable, _ = unframed(bytes.fromhex(self.written["durable_state"]))
