--- a/benchmarks/changes.py
+++ b/benchmarks/changes.py
@@ -22,10 +22,10 @@
 sys.path.insert(0, str(Path(__file__).parents[1]))
 
 from rowanshift.controlplane.control_state import unpack
+from rowanshift.controlplane.record_kinds import CODEC
 from rowanshift.controlplane.replica_host import ReplicaHost
 from rowanshift.controlplane.replication.core import ReplicaCore
 from rowanshift.simulation.fleet import Fleet, Unit, config_of, play
-from rowanshift.wire.record_kinds import CODEC
 
 PACE = 0.1  # seconds from one change to the next
 TROUBLES = ("kill", "empty_disk", "replace")
--- a/rowanshift/cacheproxy/decision/router.py
+++ b/rowanshift/cacheproxy/decision/router.py
@@ -9,9 +9,9 @@
 from math import log, log2
 
 from rowanshift.cacheproxy.decision.shares import TELL, TICK, Shares
-from rowanshift.cacheproxy.model import Cache, Entry, Hot, Item, Learned, Results, Semantics, Settings, Tally, Verdict
+from rowanshift.cacheproxy.model import Cache, Entry, Item, Learned, Results, Semantics, Settings, Tally, Verdict
 from rowanshift.placement.hash_ring import HashRing, stable
-from rowanshift.placement.hot_keys import EPOCH, LEASE, TABLE
+from rowanshift.placement.hot_keys import EPOCH, LEASE, TABLE, Hot
 
 POINTS, WALK = 64, 6  # ring points of a cache of mean heft; distinct caches kept of a key's ring walk
 HOLD = 0.2  # of the due time, that a wi is held for at most; less where few may miss it
--- a/rowanshift/cacheproxy/model.py
+++ b/rowanshift/cacheproxy/model.py
@@ -250,14 +250,3 @@
             *(({}, caches) if kind & 1 else (caches, {})),
             bool(kind & 1),
         )
-
-
-@dataclass(slots=True)
-class Hot:
-    """A scored key: its streak of epochs over the mark and, while leased, its shadows."""
-
-    score: float = 0.0
-    streak: int = 0
-    lease: float = 0.0
-    shadows: int = 0
-    current: Cache | None = None  # the replica drawn
--- a/rowanshift/capacity/takeover.py
+++ b/rowanshift/capacity/takeover.py
@@ -12,9 +12,9 @@
 from itertools import count, pairwise
 from typing import Any
 
+from rowanshift.controlplane.record_kinds import CODEC
 from rowanshift.controlplane.replication import Committed, Replica, Save, Send
 from rowanshift.placement.hash_ring import HashRing, stable
-from rowanshift.wire.record_kinds import CODEC
 
 TICK = 0.05  # seconds
 DUTY_WAIT = 3.3  # seconds: the service's lease of 3 s and its margin
--- a/rowanshift/controlplane/replica_host.py
+++ b/rowanshift/controlplane/replica_host.py
@@ -10,6 +10,8 @@
 import trio
 from loguru import logger
 
+from rowanshift.controlplane.machine_disk import Disk
+from rowanshift.controlplane.record_kinds import CODEC, Hello
 from rowanshift.controlplane.replication import (
     Became,
     Busy,
@@ -28,10 +30,9 @@
 )
 from rowanshift.controlplane.store import StoreError
 from rowanshift.transport.record_links import MOST_QUEUED, STUCK, RecordReader, RecordSender
-from rowanshift.transport.runtime import Disk, Nursery, Runtime
+from rowanshift.transport.runtime import Nursery, Runtime
 from rowanshift.wire.codec import FRAME_HEADER, MalformedRecord
 from rowanshift.wire.machine_ids import ip_from_machine_id
-from rowanshift.wire.record_kinds import CODEC, Hello
 
 TICK = 0.05  # seconds
 UNHEARD = 0.9  # seconds without a word from a machine, after which its connection is dialled anew
--- a/rowanshift/controlplane/service.py
+++ b/rowanshift/controlplane/service.py
@@ -13,6 +13,8 @@
 from rowanshift.controlplane.api import ConfigResource, StatusResource, VersionResource
 from rowanshift.controlplane.change_loader import ChangeLoader
 from rowanshift.controlplane.control_state import ControlState, unpack
+from rowanshift.controlplane.machine_disk import SYSTEM_CORE_RUNTIME, CoreRuntime, Disk
+from rowanshift.controlplane.record_kinds import CODEC, Hello
 from rowanshift.controlplane.replica_host import ReplicaHost, durable_of
 from rowanshift.controlplane.replication import DurableState, FailureDomain, FaultTolerance, Replica
 from rowanshift.controlplane.server_registry import ServerRegistry
@@ -27,7 +29,7 @@
 from rowanshift.transport.calls import CallOutcomes, CallServer
 from rowanshift.transport.memory_budget import Memory
 from rowanshift.transport.record_links import ConnectionFailed, RecordReader
-from rowanshift.transport.runtime import SYSTEM, Disk, Listener, Runtime, Stream, send_all
+from rowanshift.transport.runtime import Listener, Stream, send_all
 from rowanshift.transport.signals import ReceivedSignal
 from rowanshift.wire.codec import MalformedRecord
 from rowanshift.wire.control_updates import (
@@ -41,7 +43,6 @@
     UpdateOfFormat1,
 )
 from rowanshift.wire.machine_ids import ip_from_machine_id, machine_id_from_ip
-from rowanshift.wire.record_kinds import CODEC, Hello
 from rowanshift.wire.version_announcements import age_ms
 
 LONG_POLL_SECONDS = 1.0  # seconds that a poll is held at most
@@ -67,7 +68,7 @@
 class ControlPlaneService:
     """One core machine: its replica, the operator's API, routers' polls and the singleton tasks."""
 
-    def __init__(self, boot: NodeSettings, host: Runtime = SYSTEM, seed: int | None = None) -> None:
+    def __init__(self, boot: NodeSettings, host: CoreRuntime = SYSTEM_CORE_RUNTIME, seed: int | None = None) -> None:
         self.boot, self.host = boot, host
         self.random_source = random.Random(seed)
         self.machine = machine_id_from_ip(boot.ip)
--- a/rowanshift/emulation/cluster.py
+++ b/rowanshift/emulation/cluster.py
@@ -21,6 +21,7 @@
 import trio
 from loguru import logger
 
+from rowanshift.controlplane.machine_disk import SystemCoreRuntime
 from rowanshift.controlplane.service import ControlPlaneService
 from rowanshift.dataplane.service import DataPlaneService
 from rowanshift.emulation.model_server import ModelServer, Registry
@@ -29,7 +30,7 @@
 from rowanshift.process.error_groups import first_of
 from rowanshift.process.logs import log_to_stderr
 from rowanshift.process.node_settings import load_node_settings
-from rowanshift.transport.runtime import Address, Listener, Stream, System, connect, send_all
+from rowanshift.transport.runtime import Address, Listener, Stream, connect, send_all
 from rowanshift.wire.machine_ids import ip_from_machine_id
 
 NET = "127.0.0."  # the addresses' beginning
@@ -74,7 +75,7 @@
 say = partial(print, flush=True)  # also into a pipe, while it goes on
 
 
-class Inside(System):
+class Inside(SystemCoreRuntime):
     """The machine, for services that share a process and are ended by it; ``close`` closes what they left."""
 
     def __init__(self) -> None:
--- a/rowanshift/placement/hot_keys.py
+++ b/rowanshift/placement/hot_keys.py
@@ -1,14 +1,25 @@
 """Which keys are hot, and how many shadows (further replicas) each has."""
 
 from collections.abc import Mapping
-
-from rowanshift.cacheproxy.model import Hot
+from dataclasses import dataclass
+from typing import Any
 
 EPOCH, LEASE, HOT_EPOCHS = 1.0, 5.0, 4  # seconds, seconds, epochs
 TABLE = 512  # keys scored at once
 EVIDENCE = 24  # samples that an epoch and its past hold at least
 
 
+@dataclass(slots=True)
+class Hot:
+    """A scored key: its streak of epochs over the mark and, while leased, its shadows."""
+
+    score: float = 0.0
+    streak: int = 0
+    lease: float = 0.0
+    shadows: int = 0
+    current: Any = None  # the replica drawn, of the type that the front uses for servers
+
+
 class Hotness:
     """Scores keys by their hashes. A key over one server's share of the samples for four epochs is hot."""
 
--- a/rowanshift/transport/runtime.py
+++ b/rowanshift/transport/runtime.py
@@ -82,21 +82,6 @@
     def close(self) -> None: ...
 
 
-class Disk(Protocol):
-    """One record on a machine's disk. Its calls block, so they are made in ``Runtime.in_thread``; they raise
-    what ``rowanshift/controlplane/store.py`` tells of."""
-
-    damage: str  # what the last read found, empty if nothing
-
-    def open(self) -> None: ...
-
-    def read(self) -> bytes | None: ...  # none: nothing was ever written
-
-    def write(self, record: bytes, /) -> None: ...  # it is on the disk afterwards, also after a loss of power
-
-    def close(self) -> None: ...
-
-
 class Nursery(Protocol):
     """What is used of ``trio.Nursery``."""
 
@@ -126,8 +111,6 @@
 
     def in_thread(self, work: Callable[[], Any]) -> Awaitable[Any]: ...  # what blocks on a disk
 
-    def disk(self, path: Path) -> Disk: ...  # what is kept in a directory, not open yet
-
     def descriptors(self, allowed: int) -> int: ...  # what a process may hold of those that it is allowed
 
     def settled(self) -> None: ...  # the start is over
@@ -272,11 +255,6 @@
     def in_thread(self, work: Callable[[], Any]) -> Awaitable[Any]:
         return trio.to_thread.run_sync(work)
 
-    def disk(self, path: Path) -> Disk:
-        from rowanshift.controlplane.store import Store  # only a ledger has a disk, and needs lmdb
-
-        return Store(path)
-
     def descriptors(self, allowed: int) -> int:
         soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
         return allowed if soft == resource.RLIM_INFINITY else min(allowed, soft)
--- a/tests/admin/test_commands.py
+++ b/tests/admin/test_commands.py
@@ -23,6 +23,7 @@
 from rowanshift.admin import commands as staff
 from rowanshift.controlplane.api import ConfigResource
 from rowanshift.controlplane.change_loader import ChangeLoader
+from rowanshift.controlplane.record_kinds import CODEC, Hello
 from rowanshift.controlplane.replication import StateTooLarge
 from rowanshift.controlplane.store import Store
 from rowanshift.emulation import cluster
@@ -31,7 +32,6 @@
 from rowanshift.transport.http_connection import Message
 from rowanshift.transport.memory_budget import Memory
 from rowanshift.transport.runtime import SYSTEM
-from rowanshift.wire.record_kinds import CODEC, Hello
 from tests.support.helpers import invoke
 
 ROOT = Path(__file__).parents[2]
--- a/tests/cacheproxy/test_handover.py
+++ b/tests/cacheproxy/test_handover.py
@@ -10,8 +10,8 @@
 
 from rowanshift.cacheproxy.control import CALLERS
 from rowanshift.cacheproxy.handover import MEET_WITHIN, Handover
-from rowanshift.cacheproxy.model import Hot
 from rowanshift.cacheproxy.service import Phase
+from rowanshift.placement.hot_keys import Hot
 from rowanshift.transport.memory_budget import LEAST, OWN, Budget, Memory
 from rowanshift.transport.runtime import SYSTEM
 from tests.support.cache_proxy_rig import Rig, free, played
--- a/tests/cacheproxy/test_router_decisions.py
+++ b/tests/cacheproxy/test_router_decisions.py
@@ -2,9 +2,9 @@
 
 import pytest
 
-from rowanshift.cacheproxy.model import Answer, Hot, Item, Tally, Verdict
+from rowanshift.cacheproxy.model import Answer, Item, Tally, Verdict
 from rowanshift.placement.hash_ring import stable
-from rowanshift.placement.hot_keys import LEASE
+from rowanshift.placement.hot_keys import LEASE, Hot
 from tests.support.helpers import (
     CATEGORIES,
     EXCLUSIVE,
--- a/tests/capacity/test_capacity.py
+++ b/tests/capacity/test_capacity.py
@@ -29,9 +29,9 @@
 from rowanshift.cli import main
 from rowanshift.controlplane.configuration import parse
 from rowanshift.controlplane.control_state import unpack
+from rowanshift.controlplane.record_kinds import CODEC
 from rowanshift.controlplane.replication import EpochRecord, Heartbeat, HeartbeatReply, StateVersion, Store, Stored
 from rowanshift.wire.control_updates import Redirect, Update
-from rowanshift.wire.record_kinds import CODEC
 
 ROUTERS, SERVERS, TENANTS, ROUTES, POOLS = 3, 5, 4, 3, 2
 
--- a/tests/controlplane/test_data_folder_of_34514ad.py
+++ b/tests/controlplane/test_data_folder_of_34514ad.py
@@ -18,10 +18,10 @@
 import pytest
 
 from rowanshift.controlplane.control_state import unpack
+from rowanshift.controlplane.record_kinds import CODEC
 from rowanshift.controlplane.replica_host import durable_of
 from rowanshift.controlplane.replication import DurableState, EpochRecord, StateVersion
 from rowanshift.controlplane.store import Store
-from rowanshift.wire.record_kinds import CODEC
 
 ROOT = Path(__file__).parents[2]
 DATA = ROOT / "tests" / "data" / "data-folder-of-34514ad"
--- a/tests/controlplane/test_graceful_shutdown.py
+++ b/tests/controlplane/test_graceful_shutdown.py
@@ -15,6 +15,7 @@
 from loguru import logger
 
 from rowanshift.admin import commands as staff
+from rowanshift.controlplane.record_kinds import CODEC
 from rowanshift.simulation.fleet import Fleet, config_of, play
 from rowanshift.simulation.fleet_machines import Unit
 from rowanshift.simulation.fleet_settings import BOUNDS, CONTROL, INNER
@@ -25,7 +26,6 @@
 from rowanshift.transport.record_links import ConnectionFailed, RecordClient
 from rowanshift.transport.runtime import connect, send_all
 from rowanshift.wire.control_updates import Poll, Update
-from rowanshift.wire.record_kinds import CODEC
 
 ROOT = Path(__file__).parents[2]
 PORT = 700
--- a/tests/wire/test_wire_records.py
+++ b/tests/wire/test_wire_records.py
@@ -8,9 +8,9 @@
 
 import orjson
 
-from rowanshift.controlplane import replication
+from rowanshift.controlplane import record_kinds, replication
 from rowanshift.controlplane.control_state import unpack
-from rowanshift.wire import control_updates, record_kinds
+from rowanshift.wire import control_updates
 from rowanshift.wire.codec import FORMAT, FRAME_HEADER, MAGIC, MAX_RECORD_BYTES, Codec, FrameDecoder, MalformedRecord
 
 TOP = 2**64 - 1
