--- a/rowanshift/admin/commands.py
+++ b/rowanshift/admin/commands.py
@@ -319,7 +319,8 @@
 
 def config_changed(method: bytes, at: str, file: Path, if_match: int | None) -> Shown:
     """Sends a change of the configuration, whole or as a patch, until it is settled."""
-    from rowanshift.controlplane.configuration import InvalidConfiguration, load
+    from rowanshift.controlplane.configuration import load
+    from rowanshift.controlplane.errors import InvalidConfiguration
 
     body = read(file)
     try:
@@ -365,7 +366,8 @@
 
 
 def parsed(place: object, body: bytes) -> Any:
-    from rowanshift.controlplane.configuration import InvalidConfiguration, parse
+    from rowanshift.controlplane.configuration import parse
+    from rowanshift.controlplane.errors import InvalidConfiguration
 
     try:
         return parse(body)
@@ -415,8 +417,9 @@
 
 def config_diff(at: str, file: Path, patch: bool = False) -> Shown:
     """How the configuration in ``file``, or the one that the patch there makes, differs from the one in force."""
-    from rowanshift.controlplane.configuration import InvalidConfiguration, configuration_of, load
+    from rowanshift.controlplane.configuration import configuration_of, load
     from rowanshift.controlplane.configuration_patch import patched
+    from rowanshift.controlplane.errors import InvalidConfiguration
 
     body = read(file)
     if not patch:
@@ -495,20 +498,21 @@
 
 def store_check(folder: Path) -> Shown:
     """What the store in a folder holds, or in ``ledger`` within it, where a core machine keeps it."""
-    from rowanshift.controlplane.store import DATA_FILE
-    from rowanshift.controlplane.store_check import report
+    from rowanshift.controlplane.store import DATA_FILE, STORE_DIRECTORY
+    from rowanshift.controlplane.store_check import check_store
 
-    if not (folder / DATA_FILE).is_file() and (folder / "ledger" / DATA_FILE).is_file():
-        folder = folder / "ledger"
+    if not (folder / DATA_FILE).is_file() and (folder / STORE_DIRECTORY / DATA_FILE).is_file():
+        folder = folder / STORE_DIRECTORY
     if not (folder / DATA_FILE).is_file():
         raise UnusableInput(f"{folder}: no store here ({DATA_FILE} is absent)")
-    found = report(folder, durable_told)
+    found = check_store(folder, durable_told)
     return Shown(found.text.splitlines(), found.sound)
 
 
 def durable_told(record: bytes) -> str:
     """Lines about what a core machine's disk holds. ``DamagedRecord`` if it can't be read."""
-    from rowanshift.controlplane.control_state import BadControlState, unpack
+    from rowanshift.controlplane.control_state import unpack
+    from rowanshift.controlplane.errors import BadControlState
     from rowanshift.controlplane.replica_host import durable_of
     from rowanshift.controlplane.replication import DurableState
     from rowanshift.controlplane.store import DamagedRecord
--- a/rowanshift/capacity/hollow.py
+++ b/rowanshift/capacity/hollow.py
@@ -14,7 +14,7 @@
 from rowanshift.capacity.meter import Loopback, free_port
 from rowanshift.controlplane.configuration_change import put_config
 from rowanshift.controlplane.control_state import put_version, unpack
-from rowanshift.controlplane.replica_host import NotConfirmed, OutcomeUnknown
+from rowanshift.controlplane.errors import NotConfirmed, OutcomeUnknown
 from rowanshift.controlplane.replication import NotPrimary
 from rowanshift.controlplane.server_registry import Known, known_of
 from rowanshift.controlplane.service import ControlPlaneService
--- a/rowanshift/capacity/roles.py
+++ b/rowanshift/capacity/roles.py
@@ -7,7 +7,7 @@
 from rowanshift.capacity.hollow import listing
 from rowanshift.capacity.results import Results, Sweep
 from rowanshift.capacity.sizes import BUDGET, DAY, TARGET, Size
-from rowanshift.controlplane.order_history import MOST_ORDERS
+from rowanshift.controlplane.order_history import MAX_REMEMBERED_ORDERS
 from rowanshift.controlplane.replication.timing import HEARTBEAT
 from rowanshift.controlplane.service import LINKS
 from rowanshift.controlplane.singleton_tasks import LIST_EVERY, MOST_PAGES
@@ -348,7 +348,7 @@
     if body is not None and not body.lines["body"].refused:
         config = round(body.lines["body"].at(size.tenants))
         named = {f"model-{i:02d}": 1 for i in range(size.models)}
-        frame = sizes.store(sizes.sheet(config, named, MOST_ORDERS))
+        frame = sizes.store(sizes.sheet(config, named, MAX_REMEMBERED_ORDERS))
         run = "delivery-tenants body"
         made.append(
             Figure("backup", "a change", f"{FRAME_HEADER.size + 28} + sheet", frame, "bytes", run, MAX_RECORD_BYTES)
--- a/rowanshift/controlplane/api.py
+++ b/rowanshift/controlplane/api.py
@@ -4,11 +4,17 @@
 
 import orjson
 
-from rowanshift.controlplane.change_errors import InvalidConfiguration, StaleMatch
 from rowanshift.controlplane.change_loader import ChangeLoader
-from rowanshift.controlplane.control_state import ControlState, InvalidVersion, put_version, unpack
-from rowanshift.controlplane.order_history import OrderTooOld
-from rowanshift.controlplane.replica_host import NotConfirmed, OutcomeUnknown, ReplicaHost
+from rowanshift.controlplane.control_state import ControlState, put_version, unpack
+from rowanshift.controlplane.errors import (
+    InvalidConfiguration,
+    InvalidVersion,
+    NotConfirmed,
+    OrderTooOld,
+    OutcomeUnknown,
+    StaleMatch,
+)
+from rowanshift.controlplane.replica_host import ReplicaHost
 from rowanshift.controlplane.replication import STATE_LIMIT, NotPrimary, StateTooLarge
 from rowanshift.transport.calls import Answer, said
 from rowanshift.transport.http_connection import Message
--- a/rowanshift/controlplane/configuration.py
+++ b/rowanshift/controlplane/configuration.py
@@ -25,7 +25,6 @@
 import orjson
 from serde import disabled, serde
 
-from rowanshift.controlplane.change_errors import MOST_REVISION, InvalidConfiguration, StaleMatch
 from rowanshift.controlplane.configuration_fields import (
     an,
     each,
@@ -38,6 +37,8 @@
     whole,
     wire,
 )
+from rowanshift.controlplane.control_state import MAX_REVISION
+from rowanshift.controlplane.errors import InvalidConfiguration, StaleMatch
 
 
 @serde(type_check=disabled)
@@ -278,8 +279,8 @@
 
 def check_bounds(revision: int) -> None:
     """Raise ``InvalidConfiguration`` for a revision that can't be kept."""
-    if not 0 < revision <= MOST_REVISION:
-        raise InvalidConfiguration("revision", f"a number from 1 to {MOST_REVISION} expected")
+    if not 0 < revision <= MAX_REVISION:
+        raise InvalidConfiguration("revision", f"a number from 1 to {MAX_REVISION} expected")
 
 
 def digest_of(raw: dict[str, Any]) -> bytes:
--- a/rowanshift/controlplane/configuration_change.py
+++ b/rowanshift/controlplane/configuration_change.py
@@ -33,10 +33,10 @@
     """
     raw = load(body)
     digest = digest_of(raw)
-    if state.orders.holds(digest):
+    if state.orders.contains(digest):
         return None
     config = configuration_of(raw)
-    state.orders.check_remembered(config.revision)
+    state.orders.check_not_dropped(config.revision)
     check_change(state.revision, if_match, config)
     return _with_config(state, config, bytes(body), digest), config
 
@@ -50,9 +50,9 @@
     """
     raw = load(body)
     digest = digest_of({"patch": raw})
-    if state.orders.holds(digest):
+    if state.orders.contains(digest):
         return None
-    state.orders.check_remembered(revision_of(raw))
+    state.orders.check_not_dropped(revision_of(raw))
     check_match(state.revision, if_match)
     whole = patched(load(state.config) if state.config else {}, raw)
     config = configuration_of(whole)
@@ -62,7 +62,7 @@
 
 def _with_config(state: ControlState, config: Configuration, body: bytes, digest: bytes) -> ControlState:
     """The state once a configuration has been taken; ``digest`` is that of the order that brought it."""
-    orders = state.orders.added(config.revision, digest)
+    orders = state.orders.with_order(config.revision, digest)
     return replace(state, revision=config.revision, config=body, orders=orders)
 
 
--- a/rowanshift/controlplane/configuration_fields.py
+++ b/rowanshift/controlplane/configuration_fields.py
@@ -7,7 +7,7 @@
 
 from serde import SerdeError, disabled, field, from_dict, serde
 
-from rowanshift.controlplane.change_errors import InvalidConfiguration
+from rowanshift.controlplane.errors import InvalidConfiguration
 
 T = TypeVar("T")
 
@@ -110,8 +110,8 @@
 
 def inside(outer: str, error: InvalidConfiguration) -> InvalidConfiguration:
     """The same error, its place told from further out."""
-    joint = "." if error.place and not error.place.startswith("[") else ""
-    return InvalidConfiguration(f"{outer}{joint}{error.place}", error.reason)
+    joint = "." if error.path and not error.path.startswith("[") else ""
+    return InvalidConfiguration(f"{outer}{joint}{error.path}", error.reason)
 
 
 ABSENT: Any = object()
--- a/rowanshift/controlplane/configuration_patch.py
+++ b/rowanshift/controlplane/configuration_patch.py
@@ -16,7 +16,7 @@
 
 from typing import Any
 
-from rowanshift.controlplane.change_errors import InvalidConfiguration
+from rowanshift.controlplane.errors import InvalidConfiguration
 
 NAMED_LISTS = ("routes", "backends", "tenants")
 MOST_NAME = 200  # characters of a name that an error repeats
--- a/rowanshift/controlplane/replica_host.py
+++ b/rowanshift/controlplane/replica_host.py
@@ -10,6 +10,7 @@
 import trio
 from loguru import logger
 
+from rowanshift.controlplane.errors import NotConfirmed, OutcomeUnknown
 from rowanshift.controlplane.machine_disk import Disk
 from rowanshift.controlplane.record_kinds import CODEC, Hello
 from rowanshift.controlplane.replication import (
@@ -42,14 +43,6 @@
 LARGE_STUCK = 5.0  # seconds that writing a large state may take
 
 
-class OutcomeUnknown(Exception):
-    """The change may or may not be in force."""
-
-
-class NotConfirmed(Exception):
-    """Nobody could confirm that this machine is the primary."""
-
-
 class Channel(Enum):
     """The connections to another core machine, by what they carry."""
 
--- a/rowanshift/controlplane/server_registry.py
+++ b/rowanshift/controlplane/server_registry.py
@@ -8,6 +8,7 @@
 from math import ceil
 from typing import Any
 
+from rowanshift.controlplane.errors import BadEndpointList
 from rowanshift.wire.control_updates import DRAINING, LOADING, UP, ModelVersionAnnouncement, ServerRecord
 from rowanshift.wire.version_announcements import VersionAnnouncement, VersionAnnouncements
 
@@ -22,10 +23,6 @@
 MOST_TOLD = 256  # names of one router's poll that are looked at
 
 
-class BadList(ValueError):
-    """An answer of the platform that is no list."""
-
-
 @dataclass(slots=True, frozen=True)
 class FailedLoads:
     """Loads of one model that failed at a server since the last that went well."""
@@ -59,7 +56,7 @@
 
 
 def known_of(entry: dict[str, Any]) -> Known:
-    """``BadList`` if the entry can't be read."""
+    """``BadEndpointList`` if the entry can't be read."""
     try:
         versions = {str(model["name"]): int(model.get("revision") or 0) for model in entry.get("models") or ()}
         known = Known(
@@ -72,12 +69,12 @@
             versions,
         )
     except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
-        raise BadList(repr(error)) from error
+        raise BadEndpointList(repr(error)) from error
     texts = (known.id, known.service, known.address, known.zone, *versions)
     if any(len(text) > MOST_TEXT for text in texts):
-        raise BadList(f"a text of over {MOST_TEXT} characters")
+        raise BadEndpointList(f"a text of over {MOST_TEXT} characters")
     if not all(0 <= number < MOST_NUMBER for number in (known.slots, *versions.values())):
-        raise BadList(f"{known.id}: slots or a revision out of range")
+        raise BadEndpointList(f"{known.id}: slots or a revision out of range")
     return known
 
 
--- a/rowanshift/controlplane/singleton_tasks.py
+++ b/rowanshift/controlplane/singleton_tasks.py
@@ -10,8 +10,9 @@
 import trio
 from loguru import logger
 
+from rowanshift.controlplane.errors import BadEndpointList
 from rowanshift.controlplane.replica_host import ReplicaHost
-from rowanshift.controlplane.server_registry import BadList, Known, ServerRegistry, known_of
+from rowanshift.controlplane.server_registry import Known, ServerRegistry, known_of
 from rowanshift.kv_index.index import BadEvents, KvIndex, Source
 from rowanshift.transport.calls import CallFailed, Line, call
 from rowanshift.transport.memory_budget import Memory
@@ -76,7 +77,7 @@
                     entries = await self._pages()
                     if self.replica_host.holds() and self.registry.take(entries):
                         self.changed()
-                except (CallFailed, BadList) as error:
+                except (CallFailed, BadEndpointList) as error:
                     logger.info("event=list_failed why={!r}", str(error))
             every = LIST_EVERY if self.replica_host.holds() else 0.1
             await self.host.pause(max(0.05, at + every - trio.current_time()))
@@ -88,16 +89,16 @@
             self.calls += 1
             answer = await call(self.host, self.memory, self.cloud, b"GET", target, within=LIST_WITHIN)
             if answer.status != 200:
-                raise BadList(f"status {answer.status}")
+                raise BadEndpointList(f"status {answer.status}")
             try:
                 data = orjson.loads(answer.body)
                 rows, token = data["instances"], data.get("nextToken")
             except (ValueError, KeyError, TypeError, AttributeError) as error:
-                raise BadList(repr(error)) from error
+                raise BadEndpointList(repr(error)) from error
             entries += [known_of(row) for row in rows]
             if not token:
                 return entries
-        raise BadList(f"over {MOST_PAGES} pages")
+        raise BadEndpointList(f"over {MOST_PAGES} pages")
 
     # what stores keep -------------------------------------
 
--- a/rowanshift/controlplane/store_check.py
+++ b/rowanshift/controlplane/store_check.py
@@ -1,4 +1,4 @@
-"""``rowanshift ledger check DIR``: says what a store holds and never changes it."""
+"""``rowanshift ledger check DIR``: reports what a store holds and never changes it."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -9,65 +9,67 @@
 from rowanshift.controlplane.store import (
     DATA_FILE,
     FORMAT,
-    Copy,
+    Slot,
     StoreError,
-    check_size,
-    copies_in,
-    damage_of,
-    newest,
+    check_file_size,
+    describe_damage,
+    newest_slot,
+    read_slots,
 )
 
 
-def described(copy: Copy) -> str:
-    """A line about one copy."""
-    if copy.damage:
-        return f"{copy.key.decode()}: damaged: {copy.damage}"
-    if copy.format > FORMAT:
-        return f"{copy.key.decode()}: format {copy.format}, newer than this program's {FORMAT}"
-    return f"{copy.key.decode()}: whole, generation {copy.generation}, {len(copy.record)} bytes"
-
-
 @dataclass(frozen=True, slots=True)
-class Report:
-    """What was found: ``sound`` if the store can be used and no copy in it is damaged."""
+class StoreReport:
+    """What was found: ``sound`` if the store can be used and no slot in it is damaged."""
 
     text: str
     sound: bool
 
 
-def check(path: str | Path, describe: Callable[[bytes], str] | None = None) -> str:
-    """The text of ``report``."""
-    return report(path, describe).text
+def describe_slot(slot: Slot) -> str:
+    """A line about one slot."""
+    key = slot.key.decode()
+    if slot.damage:
+        return f"{key}: damaged: {slot.damage}"
+    if slot.format > FORMAT:
+        return f"{key}: format {slot.format}, newer than this program's {FORMAT}"
+    return f"{key}: whole, generation {slot.generation}, {len(slot.record)} bytes"
 
 
-def report(path: str | Path, describe: Callable[[bytes], str] | None = None) -> Report:
+def check_store(path: str | Path, describe_record: Callable[[bytes], str] | None = None) -> StoreReport:
     """A report on the store in the directory ``path``, whatever its state; no file is changed or made.
 
-    ``describe`` adds lines about the record itself, and raises ``StoreError`` where it can't be read. No lock
-    is taken: where a program writes at the same time, a copy may be told as damaged that is not.
+    ``describe_record`` adds lines about the record itself, and raises ``StoreError`` where it can't be read. No lock
+    is taken: where a program writes at the same time, a slot may be reported as damaged that is not.
     """
     path = Path(path)
     if not (path / DATA_FILE).is_file():
-        return Report(f"{path}: no store here ({DATA_FILE} is absent)", False)
+        return StoreReport(f"{path}: no store here ({DATA_FILE} is absent)", False)
     try:
-        env = lmdb.open(str(path), readonly=True, lock=False, create=False, max_dbs=0)
+        environment = lmdb.open(str(path), readonly=True, lock=False, create=False, max_dbs=0)
     except (lmdb.Error, OSError) as error:
-        return Report(f"{path}: can't be opened: {error}", False)
-    lines, sound = [], False
+        return StoreReport(f"{path}: can't be opened: {error}", False)
+    lines: list[str] = []
+    sound = False
     try:
-        check_size(env, path)
-        copies = copies_in(env)
-        lines += [described(copy) for copy in copies]
-        copy = newest(copies)
-        if copy is None:
-            lines.append("nothing stored yet")
-        else:
-            lines.append(f"in force: {copy.key.decode()}, generation {copy.generation}")
-            if describe is not None:
-                lines += describe(copy.record).splitlines()
-        sound = not damage_of(copies)
+        check_file_size(environment, path)
+        slots = read_slots(environment)
+        lines += [describe_slot(slot) for slot in slots]
+        lines += _describe_newest(slots, describe_record)
+        sound = not describe_damage(slots)
     except (StoreError, lmdb.Error, OSError) as error:
         lines.append(f"can't be used: {error}")
     finally:
-        env.close()
-    return Report("\n".join(f"{path}: {line}" for line in lines), sound)
+        environment.close()
+    return StoreReport("\n".join(f"{path}: {line}" for line in lines), sound)
+
+
+def _describe_newest(slots: list[Slot], describe_record: Callable[[bytes], str] | None) -> list[str]:
+    """Lines about the slot in force. Raises ``StoreError`` where there is no intact one."""
+    slot = newest_slot(slots)
+    if slot is None:
+        return ["nothing stored yet"]
+    lines = [f"in force: {slot.key.decode()}, generation {slot.generation}"]
+    if describe_record is not None:
+        lines += describe_record(slot.record).splitlines()
+    return lines
--- a/rowanshift/modelcheck/control_service.py
+++ b/rowanshift/modelcheck/control_service.py
@@ -10,10 +10,9 @@
 from dataclasses import dataclass
 
 from rowanshift.controlplane import replication as p
-from rowanshift.controlplane.change_errors import InvalidConfiguration, StaleMatch
 from rowanshift.controlplane.configuration_change import put_config
 from rowanshift.controlplane.control_state import ControlState, unpack
-from rowanshift.controlplane.order_history import OrderTooOld
+from rowanshift.controlplane.errors import InvalidConfiguration, OrderTooOld, StaleMatch
 from rowanshift.modelcheck.client_invariants import ClientInvariants
 from rowanshift.modelcheck.client_messages import (
     ClientMessage,
--- a/rowanshift/modelcheck/files.py
+++ b/rowanshift/modelcheck/files.py
@@ -72,7 +72,7 @@
 
 
 class StoreModel:
-    """The steps of `controlplane.store.Store.up`; a crash may come between any two."""
+    """The steps of `controlplane.store.Store.open`; a crash may come between any two."""
 
     @staticmethod
     def open(files: FileSystem) -> Iterator[None]:
--- a/tests/controlplane/test_configuration.py
+++ b/tests/controlplane/test_configuration.py
@@ -83,7 +83,7 @@
     def refused(self, body: bytes, place: str, reason: str = "") -> None:
         with self.assertRaises(InvalidConfiguration) as caught:
             parse(body)
-        self.assertEqual(caught.exception.place, place, str(caught.exception))
+        self.assertEqual(caught.exception.path, place, str(caught.exception))
         self.assertIn(reason, caught.exception.reason)
         self.assertTrue(caught.exception.reason)
         self.assertEqual(caught.exception.status, 400)
@@ -334,7 +334,7 @@
         for current in (3, 4):
             with self.assertRaises(InvalidConfiguration) as caught:
                 check_change(current, str(current), config)
-            self.assertEqual(caught.exception.place, "revision")
+            self.assertEqual(caught.exception.path, "revision")
             self.assertIn("not above", caught.exception.reason)
 
     def test_stale_goes_before_the_revision(self) -> None:
--- a/tests/controlplane/test_configuration_patch.py
+++ b/tests/controlplane/test_configuration_patch.py
@@ -10,11 +10,10 @@
 import trio
 
 from rowanshift.controlplane import configuration_change, control_state
-from rowanshift.controlplane.configuration import InvalidConfiguration, StaleMatch
 from rowanshift.controlplane.configuration_change import patch_config, put_config
 from rowanshift.controlplane.configuration_patch import MOST_NAME, NAMED_LISTS, patched
 from rowanshift.controlplane.control_state import ControlState, unpack
-from rowanshift.controlplane.order_history import OrderTooOld
+from rowanshift.controlplane.errors import InvalidConfiguration, OrderTooOld, StaleMatch
 from rowanshift.invariants.facts import ConfigAnswered, ConfigRead, OrderReplied
 from rowanshift.simulation.fleet import Fleet, config_of, play, routes_of
 
@@ -231,7 +230,7 @@
     def test_what_is_too_old_to_be_known(self) -> None:
         state = state_of()
         sent = {"revision": 2, "remove": {"routes": ["a"]}}
-        with mock.patch("rowanshift.controlplane.order_history.MOST_ORDERS", 2):
+        with mock.patch("rowanshift.controlplane.order_history.MAX_REMEMBERED_ORDERS", 2):
             for revision in (2, 3, 4, 5):
                 state = patch(state, sent | {"revision": revision})
             with self.assertRaises(OrderTooOld):
--- a/tests/controlplane/test_data_folder_of_34514ad.py
+++ b/tests/controlplane/test_data_folder_of_34514ad.py
@@ -102,7 +102,7 @@
     assert hashlib.sha256(state.config).hexdigest() == CONFIGURATION_SHA256[name]
     assert state.versions == VERSIONS[name]
     entries = [entry for revision, entry in ORDER_ENTRIES.items() if revision <= REVISIONS[name]]
-    assert (state.orders.entries.hex(), state.orders.forgotten) == ("".join(entries), 0)
+    assert (state.orders.entries.hex(), state.orders.highest_dropped) == ("".join(entries), 0)
 
 
 def test_the_configuration_made_by_a_patch_has_its_very_bytes(tmp_path: Path) -> None:
--- a/tests/controlplane/test_server_registry.py
+++ b/tests/controlplane/test_server_registry.py
@@ -6,7 +6,7 @@
 from rowanshift.controlplane.server_registry import (
     AGAIN,
     AT_ONCE,
-    BadList,
+    BadEndpointList,
     FailedLoads,
     Known,
     ServerRegistry,
@@ -73,7 +73,7 @@
             entry(slots=float("nan")),
             entry(models=[{"name": "m", "revision": "x"}]),
         ):
-            with self.assertRaises(BadList, msg=repr(junk)):
+            with self.assertRaises(BadEndpointList, msg=repr(junk)):
                 known_of(junk)
 
     def drawn(self, random_source, deep=2):
@@ -96,7 +96,7 @@
                     junk[name] = self.drawn(random_source)
             try:
                 self.assertIsInstance(known_of(junk), Known)
-            except BadList:
+            except BadEndpointList:
                 refused += 1
         self.assertGreater(refused, 500)
 
@@ -113,7 +113,7 @@
             with self.subTest(str(junk)[:200]):
                 try:
                     row = known_of(junk).row()
-                except BadList:
+                except BadEndpointList:
                     continue
                 CODEC.pack(Update((0, 0), 0, False, 0, b"", {}, (1, 1), True, (row,)))
 
--- a/tests/controlplane/test_store.py
+++ b/tests/controlplane/test_store.py
@@ -16,56 +16,56 @@
 from rowanshift.controlplane.store import (
     DATA_FILE,
     HEADER,
-    KEYS,
+    SLOT_KEYS,
     DamagedRecord,
     NewerFormat,
     Store,
     StoreClosed,
     StoreWriteFailed,
-    encoded,
+    encode_slot,
 )
-from rowanshift.controlplane.store_check import check
+from rowanshift.controlplane.store_check import check_store
 
 PAGE = 4096
 METAS = 2  # lmdb's first pages; one of them is written last, and says which pages count
 
 
-class FaultyTxn:
+class FaultyTransaction:
     """A write transaction that stops at each numbered point."""
 
-    def __init__(self, txn: Any, point: Callable[[str], None]) -> None:
-        self.txn = txn
+    def __init__(self, transaction: Any, point: Callable[[str], None]) -> None:
+        self.transaction = transaction
         self.point = point
 
     def put(self, key: bytes, value: bytes) -> None:
         self.point("before put")
-        self.txn.put(key, value)
+        self.transaction.put(key, value)
         self.point("after put")
 
     def commit(self) -> None:
         self.point("before commit")
-        self.txn.commit()
+        self.transaction.commit()
         self.point("after commit")
 
     def abort(self) -> None:
-        self.txn.abort()
+        self.transaction.abort()
 
 
-class FaultyEnv:
+class FaultyEnvironment:
     """An lmdb environment whose write transactions stop at each numbered point."""
 
-    def __init__(self, env: Any, point: Callable[[str], None]) -> None:
-        self.env = env
+    def __init__(self, environment: Any, point: Callable[[str], None]) -> None:
+        self.environment = environment
         self.point = point
 
     def begin(self, write: bool = False) -> Any:
         if not write:
-            return self.env.begin()
+            return self.environment.begin()
         self.point("before begin")
-        return FaultyTxn(self.env.begin(write=True), self.point)
+        return FaultyTransaction(self.environment.begin(write=True), self.point)
 
     def __getattr__(self, name: str) -> Any:
-        return getattr(self.env, name)
+        return getattr(self.environment, name)
 
 
 class InDirectory(unittest.TestCase):
@@ -93,20 +93,20 @@
         finally:
             store.close()
 
-    def raw(self, *puts: tuple[bytes, bytes]) -> None:
+    def put_raw(self, *puts: tuple[bytes, bytes]) -> None:
         """Put stored bytes past the store."""
         self.path.mkdir(parents=True, exist_ok=True)
-        env = lmdb.open(str(self.path), map_size=64 << 20)
-        with env.begin(write=True) as txn:
+        environment = lmdb.open(str(self.path), map_size=64 << 20)
+        with environment.begin(write=True) as transaction:
             for key, value in puts:
-                txn.put(key, value)
-        env.close()
+                transaction.put(key, value)
+        environment.close()
 
     def stored(self) -> dict[bytes, bytes]:
-        env = lmdb.open(str(self.path), readonly=True, lock=False)
-        with env.begin() as txn:
-            found = {bytes(key): bytes(value) for key, value in txn.cursor()}
-        env.close()
+        environment = lmdb.open(str(self.path), readonly=True, lock=False)
+        with environment.begin() as transaction:
+            found = {bytes(key): bytes(value) for key, value in transaction.cursor()}
+        environment.close()
         return found
 
 
@@ -129,7 +129,7 @@
     def test_copies_alternate_and_generations_rise(self) -> None:
         self.written(b"one", b"two")
         self.written(b"three")
-        self.assertEqual(self.stored(), {KEYS[0]: encoded(3, b"three"), KEYS[1]: encoded(2, b"two")})
+        self.assertEqual(self.stored(), {SLOT_KEYS[0]: encode_slot(3, b"three"), SLOT_KEYS[1]: encode_slot(2, b"two")})
 
     def test_closed(self) -> None:
         store = Store(self.path)
@@ -150,7 +150,7 @@
             options.update(given)
             return lmdb.open(path, **given)
 
-        self.opened(opened=remember)
+        self.opened(open_lmdb=remember)
         self.assertTrue(options["sync"] and options["metasync"])
         self.assertFalse(options["writemap"] or options["map_async"])
         self.assertEqual(options["map_size"], 64 << 20)
@@ -167,7 +167,7 @@
             shutil.copytree(self.path, image)
             images.append((name, image, {self.record} if name == "after commit" else set(allowed)))
 
-        store = self.opened(opened=lambda path, **given: FaultyEnv(lmdb.open(path, **given), point))
+        store = self.opened(open_lmdb=lambda path, **given: FaultyEnvironment(lmdb.open(path, **given), point))
         draw = random.Random(11)
         for number in range(8):
             self.record = b"%d " % number + draw.randbytes(draw.choice((10, 3000, 30_000)))
@@ -240,7 +240,7 @@
         """One life of a process, which ends at a sync of its opening or after a write."""
         self.stop_at = stop_at
         store = store_type(self.path)
-        with mock.patch.object(store_module, "sync", self.sync), suppress(Killed):
+        with mock.patch.object(store_module, "sync_directory", self.sync), suppress(Killed):
             store.open()
             store.write(b"acknowledged")
         store.close()
@@ -270,16 +270,16 @@
 
 
 class WritesRefused(InDirectory):
-    def failing(self, wanted: str) -> tuple[Store, list[str]]:
+    def failing(self, message: str) -> tuple[Store, list[str]]:
         """A store whose disk fails at the point in the list, once."""
         plan: list[str] = []
 
         def point(name: str) -> None:
             if plan and plan[0] == name:
                 plan.pop()
-                raise lmdb.DiskError(wanted)
+                raise lmdb.DiskError(message)
 
-        return self.opened(opened=lambda path, **given: FaultyEnv(lmdb.open(path, **given), point)), plan
+        return self.opened(open_lmdb=lambda path, **given: FaultyEnvironment(lmdb.open(path, **given), point)), plan
 
     def test_at_each_numbered_point(self) -> None:
         for name in ("before begin", "before put", "after put", "before commit", "after commit"):
@@ -299,7 +299,7 @@
                 self.assertEqual(self.read(), b"third")
 
     def test_larger_than_the_map(self) -> None:
-        store = self.opened(map_mb=1)
+        store = self.opened(map_size_mib=1)
         store.write(b"old")
         with self.assertRaises(StoreWriteFailed):
             store.write(bytes(2 << 20))
@@ -357,17 +357,17 @@
             self.assertEqual(self.read(), b"and on")
 
     def test_any_bit_of_a_copy(self) -> None:
-        stored = encoded(5, b"record")
+        stored = encode_slot(5, b"record")
         for bit in range(len(stored) * 8):
             broken = bytearray(stored)
             broken[bit // 8] ^= 1 << bit % 8
-            self.assertTrue(store_module.decoded(KEYS[0], bytes(broken)).damage, bit)
+            self.assertTrue(store_module.decode_slot(SLOT_KEYS[0], bytes(broken)).damage, bit)
         for length in range(len(stored)):
-            self.assertTrue(store_module.decoded(KEYS[0], stored[:length]).damage, length)
-        self.assertTrue(store_module.decoded(KEYS[0], stored + b"\0").damage)
+            self.assertTrue(store_module.decode_slot(SLOT_KEYS[0], stored[:length]).damage, length)
+        self.assertTrue(store_module.decode_slot(SLOT_KEYS[0], stored + b"\0").damage)
 
     def test_one_copy_alone_and_damaged(self) -> None:
-        self.raw((KEYS[0], b"rubbish"))
+        self.put_raw((SLOT_KEYS[0], b"rubbish"))
         with self.assertRaises(DamagedRecord):
             self.read()
 
@@ -392,18 +392,18 @@
     def newer(self, payload: bytes) -> bytes:
         """A whole copy of the next format: its header is as ever, what follows may be anything."""
         version = store_module.FORMAT + 1
-        covered = store_module.COVERED.pack(version, len(payload)) + payload
+        covered = store_module.CHECKSUMMED_FIELDS.pack(version, len(payload)) + payload
         return HEADER.pack(store_module.MAGIC, version, store_module.crc32(covered), len(payload)) + payload
 
     def test_left_untouched(self) -> None:
         cases = {
-            "both": ((KEYS[0], self.newer(b"x")), (KEYS[1], self.newer(b"another shape"))),
-            "beside an older one": ((KEYS[0], self.newer(b"")), (KEYS[1], encoded(900, b"old"))),
+            "both": ((SLOT_KEYS[0], self.newer(b"x")), (SLOT_KEYS[1], self.newer(b"another shape"))),
+            "beside an older one": ((SLOT_KEYS[0], self.newer(b"")), (SLOT_KEYS[1], encode_slot(900, b"old"))),
         }
         for name, puts in cases.items():
             with self.subTest(name):
                 shutil.rmtree(self.path, ignore_errors=True)
-                self.raw(*puts)
+                self.put_raw(*puts)
                 before = (self.path / DATA_FILE).read_bytes()
                 store = Store(self.path)
                 with self.assertRaises(NewerFormat) as caught:
@@ -412,7 +412,7 @@
                 with self.assertRaises(StoreClosed):
                     store.write(b"x")
                 self.assertEqual((self.path / DATA_FILE).read_bytes(), before)
-                self.assertIn("newer", check(self.path))
+                self.assertIn("newer", check_store(self.path).text)
 
 
 class Checked(InDirectory):
@@ -424,7 +424,7 @@
             return {str(path): (path.read_bytes(), path.stat().st_mtime_ns) for path in files}
 
         before = state()
-        report = check(self.path, describe)
+        report = check_store(self.path, describe).text
         self.assertEqual(state(), before)
         return report
 
@@ -439,11 +439,11 @@
         self.assertIn("copy-0: whole, generation 1, 3 bytes", report)
         self.assertIn("in force: copy-1, generation 2", report)
         self.assertIn("record b'three'", report)
-        self.raw((KEYS[1], b"rubbish"))
+        self.put_raw((SLOT_KEYS[1], b"rubbish"))
         report = self.unchanged()
         self.assertIn("copy-1: damaged: 7 bytes, shorter than its header", report)
         self.assertIn("in force: copy-0, generation 1", report)
-        self.raw((KEYS[0], b"rubbish"))
+        self.put_raw((SLOT_KEYS[0], b"rubbish"))
         self.assertIn("can't be used", self.unchanged())
         (self.path / DATA_FILE).write_bytes(b"rubbish" * 5000)
         self.assertIn("can't be opened", self.unchanged())
--- a/tests/modelcheck/test_modelcheck.py
+++ b/tests/modelcheck/test_modelcheck.py
@@ -44,7 +44,7 @@
         self.walk(range(2000, 2012), 5, 2, 2, 70)
 
     def test_orders_that_nobody_remembers_are_neither_refused_nor_taken_again(self):
-        with mock.patch.object(order_history, "MOST_ORDERS", 3):
+        with mock.patch.object(order_history, "MAX_REMEMBERED_ORDERS", 3):
             self.walk(range(2020, 2036), 3, 1, 0, 100)
 
     def test_an_order_of_the_model_is_a_valid_configuration(self):
--- a/tests/simulation/test_core_scenarios.py
+++ b/tests/simulation/test_core_scenarios.py
@@ -11,7 +11,7 @@
 from loguru import logger
 
 from rowanshift.controlplane.configuration_change import CHANGES
-from rowanshift.controlplane.order_history import NO_ORDERS
+from rowanshift.controlplane.order_history import EMPTY_ORDER_HISTORY
 from rowanshift.simulation.core_draw import KINDS, MORE, ORDERS, WHOLE, core_scenario
 from rowanshift.simulation.core_play import CorePlayer, play_core
 from rowanshift.simulation.core_scenario import WHAT, CoreScenario, CoreTrouble, core_scenario_of, is_core, load_core
@@ -111,7 +111,7 @@
         true = CHANGES[b"PUT"]
 
         def forgetting(state, if_match, body):
-            return true(replace(state, orders=NO_ORDERS), if_match, body)
+            return true(replace(state, orders=EMPTY_ORDER_HISTORY), if_match, body)
 
         trouble = [CoreTrouble(2.0, "send_again", value=1.0)]
         scenario = CoreScenario(seconds=6.0, trouble=trouble)
--- a/tests/simulation/test_fleet_faults.py
+++ b/tests/simulation/test_fleet_faults.py
@@ -9,7 +9,7 @@
 from loguru import logger
 
 from rowanshift.controlplane.configuration_change import CHANGES
-from rowanshift.controlplane.order_history import NO_ORDERS
+from rowanshift.controlplane.order_history import EMPTY_ORDER_HISTORY
 from rowanshift.controlplane.replica_host import ReplicaHost
 from rowanshift.controlplane.replication.core import ReplicaCore
 from rowanshift.controlplane.replication.timing import Timing
@@ -121,7 +121,7 @@
         true = CHANGES[b"PUT"]
 
         def forgetting(state, if_match, body):
-            return true(replace(state, orders=NO_ORDERS), if_match, body)
+            return true(replace(state, orders=EMPTY_ORDER_HISTORY), if_match, body)
 
         async def scenario(fleet):
             await fleet.put(config_of(2))
@@ -134,7 +134,7 @@
         true = CHANGES[b"PUT"]
 
         def forgetting(state, if_match, body):
-            return true(replace(state, orders=NO_ORDERS), if_match, body)
+            return true(replace(state, orders=EMPTY_ORDER_HISTORY), if_match, body)
 
         async def scenario(fleet):
             fleet.operator.lost_acknowledgements = 1.0
--- a/tests/support/planted_client_faults.py
+++ b/tests/support/planted_client_faults.py
@@ -7,7 +7,7 @@
 from rowanshift.controlplane import replication as p
 from rowanshift.controlplane.configuration_change import put_config
 from rowanshift.controlplane.control_state import unpack
-from rowanshift.controlplane.order_history import NO_ORDERS
+from rowanshift.controlplane.order_history import EMPTY_ORDER_HISTORY
 from rowanshift.modelcheck.client_messages import Status
 from rowanshift.modelcheck.control_service import ControlService
 from rowanshift.modelcheck.files import DIRECTORY, FILE, StoreModel
@@ -35,8 +35,8 @@
         if self.known_before is None:
             self.known_before = state.orders.entries
         entries = state.orders.entries.removeprefix(self.known_before)
-        following = super()._put(replace(state, orders=replace(NO_ORDERS, entries=entries)), order)
-        return following and replace(following, orders=state.orders.added(order.revision, bytes(32)))
+        following = super()._put(replace(state, orders=replace(EMPTY_ORDER_HISTORY, entries=entries)), order)
+        return following and replace(following, orders=state.orders.with_order(order.revision, bytes(32)))
 
 
 class RefusesUnconfirmed(ControlService):
--- a/tests/wire/test_delta.py
+++ b/tests/wire/test_delta.py
@@ -68,7 +68,7 @@
     def test_a_change_costs_what_it_changes(self) -> None:
         before, _ = put_config(ControlState(), "0", configuration(1))
         for revision in range(2, 400):
-            before = ControlState(before.revision, before.config, {}, before.orders.added(revision, bytes(32)))
+            before = ControlState(before.revision, before.config, {}, before.orders.with_order(revision, bytes(32)))
         after, _ = put_config(before, "1", configuration(500, timeout=7000))
         old, new = before.pack(), after.pack()
         delta = make_delta(old, new)
