--- a/benchmarks/changes.py
+++ b/benchmarks/changes.py
@@ -23,7 +23,7 @@
 
 from rowanshift.controlplane.control_state import unpack
 from rowanshift.controlplane.record_kinds import CODEC
-from rowanshift.controlplane.replica_host import ReplicaHost
+from rowanshift.controlplane.replica_runner import ReplicaRunner
 from rowanshift.controlplane.replication.core import ReplicaCore
 from rowanshift.simulation.fleet import Fleet, Unit, config_of, play
 
@@ -56,8 +56,8 @@
 
 def is_full(fleet: Fleet) -> bool:
     """Whether the primary sees all copies and witnesses."""
-    hosts = [unit.program.replica_host for unit in fleet.cores if unit.machine.running and unit.program]
-    return any(host is not None and host.holds() and host.replica.redundancy().full for host in hosts)
+    hosts = [unit.program.replica_runner for unit in fleet.cores if unit.machine.running and unit.program]
+    return any(host is not None and host.lease_remaining() and host.replica.redundancy().full for host in hosts)
 
 
 async def suffer(fleet: Fleet, trouble: str, measured: Measured) -> None:
@@ -90,9 +90,9 @@
 
 def measure(count: int, routes: int, tenants: int, whole: bool) -> Measured:
     """Plays it and counts."""
-    measured, send = Measured(), ReplicaHost._send
+    measured, send = Measured(), ReplicaRunner._send
 
-    def counted(host: ReplicaHost, to: int, message: Any) -> None:
+    def counted(host: ReplicaRunner, to: int, message: Any) -> None:
         measured.bytes_sent[type(message).__name__] += len(CODEC.pack(message))
         send(host, to, message)
 
@@ -108,7 +108,7 @@
         compare(fleet, measured)
 
     with (
-        mock.patch.object(ReplicaHost, "_send", counted),
+        mock.patch.object(ReplicaRunner, "_send", counted),
         mock.patch.object(ReplicaCore, "delta_from", 1 << 40 if whole else ReplicaCore.delta_from),
     ):
         play(main, "changes", within=100 + 20 * count * PACE)
@@ -117,12 +117,12 @@
 
 def compare(fleet: Fleet, measured: Measured) -> None:
     """Which in-sync machines do not hold the newest acknowledged configuration."""
-    primary = fleet.primary().program.replica_host.replica
+    primary = fleet.primary().program.replica_runner.replica
     measured.state_bytes = len(primary.committed_state)
     for unit in fleet.cores:
         if unit.program is None or not unit.machine.running or unit.program.machine not in primary.record.in_sync:
             continue
-        held = unit.program.replica_host.replica._durable
+        held = unit.program.replica_runner.replica._durable
         if unpack(held.state).revision < fleet.revision:
             measured.behind.append(unit.name)
 
--- a/benchmarks/primary_gap.py
+++ b/benchmarks/primary_gap.py
@@ -111,15 +111,15 @@
 def holder(fleet: Fleet) -> Unit | None:
     """The core machine that holds the lease."""
     for unit in fleet.cores:
-        host = getattr(unit.program, "replica_host", None)
-        if host is not None and unit.machine.running and not unit.machine.away and host.holds() > 0:
+        host = getattr(unit.program, "replica_runner", None)
+        if host is not None and unit.machine.running and not unit.machine.away and host.lease_remaining() > 0:
             return unit
     return None
 
 
 def may_order(unit: Unit | None, now: float) -> bool:
     """Whether a machine may give orders."""
-    return unit is not None and unit.program.replica_host.replica.duty_from <= now
+    return unit is not None and unit.program.replica_runner.replica.duty_from <= now
 
 
 def played(name: str, seed: int) -> Gaps:
--- a/rowanshift/admin/commands.py
+++ b/rowanshift/admin/commands.py
@@ -513,14 +513,14 @@
     """Lines about what a core machine's disk holds. ``DamagedRecord`` if it can't be read."""
     from rowanshift.controlplane.control_state import unpack
     from rowanshift.controlplane.errors import BadControlState
-    from rowanshift.controlplane.replica_host import durable_of
+    from rowanshift.controlplane.replica_runner import decode_durable_state
     from rowanshift.controlplane.replication import DurableState
     from rowanshift.controlplane.store import DamagedRecord
     from rowanshift.wire.codec import MalformedRecord
     from rowanshift.wire.machine_ids import ip_from_machine_id
 
     try:
-        durable = durable_of(record)
+        durable = decode_durable_state(record)
         if not isinstance(durable, DurableState):
             raise MalformedRecord(f"{type(durable).__name__} where a DurableState belongs")
         sheet = unpack(durable.state)
--- a/rowanshift/capacity/hollow.py
+++ b/rowanshift/capacity/hollow.py
@@ -16,7 +16,7 @@
 from rowanshift.controlplane.control_state import put_version, unpack
 from rowanshift.controlplane.errors import NotConfirmed, OutcomeUnknown
 from rowanshift.controlplane.replication import NotPrimary
-from rowanshift.controlplane.server_registry import Known, known_of
+from rowanshift.controlplane.server_registry import RegisteredServer, parse_registered_server
 from rowanshift.controlplane.service import ControlPlaneService
 from rowanshift.controlplane.singleton_tasks import LIST_EVERY
 from rowanshift.dataplane.control_client import LONG_POLL_SECONDS, ControlClient
@@ -172,7 +172,7 @@
         """Returns once it is primary and filled."""
         nursery.start_soon(self.core_service.run)
         with trio.fail_after(SERVES_WITHIN):
-            while not hasattr(self.core_service, "tasks") or not self.core_service.replica_host.holds():
+            while not hasattr(self.core_service, "tasks") or not self.core_service.replica_runner.lease_remaining():
                 await trio.sleep(0.02)
         await self.put(self.config)
         for name in self.models:
@@ -185,14 +185,14 @@
         """Takes the list in where it is not known: at first, and after the primacy was lost."""
         while True:
             self.core_service.refresh()
-            if not self.core_service.tasks.registry.serial and self.core_service.replica_host.holds():
+            if not self.core_service.tasks.registry.serial and self.core_service.replica_runner.lease_remaining():
                 self.core_service.tasks.registry.take(self.known())
                 self.core_service._tell()
             await trio.sleep(LIST_EVERY if self.core_service.tasks.registry.serial else 0.1)
 
     def state(self) -> dict[str, Any]:
         """What routers are to know now, and how often the primacy was taken."""
-        core_service, number = self.core_service, self.core_service.replica_host.replica.record.number
+        core_service, number = self.core_service, self.core_service.replica_runner.replica.record.number
         return {
             "registry": (number, core_service.tasks.registry.serial),
             "mark": core_service.fingerprint,
@@ -204,13 +204,13 @@
         with trio.fail_after(CHANGE_WITHIN):
             while True:
                 try:
-                    await self.core_service.replica_host.change(made, CHANGE_WITHIN)
+                    await self.core_service.replica_runner.change(made, CHANGE_WITHIN)
                     return
                 except (NotPrimary, NotConfirmed, OutcomeUnknown):
                     await trio.sleep(AGAIN)
 
-    def known(self) -> list[Known]:
-        return [known_of(entry) for entry in self.entries]
+    def known(self) -> list[RegisteredServer]:
+        return [parse_registered_server(entry) for entry in self.entries]
 
     async def put(self, config: dict[str, Any]) -> None:
         body = orjson.dumps(config)
@@ -237,7 +237,7 @@
         """A reading of the list that shows nothing new, without the calls: decoding and comparing."""
         entries = []
         for body in self.pages or pages(self.entries):
-            entries += [known_of(entry) for entry in orjson.loads(body)["instances"]]
+            entries += [parse_registered_server(entry) for entry in orjson.loads(body)["instances"]]
         self.core_service.tasks.registry.take(entries)
 
     async def nothing(self) -> None:
--- a/rowanshift/controlplane/api.py
+++ b/rowanshift/controlplane/api.py
@@ -14,7 +14,7 @@
     OutcomeUnknown,
     StaleMatch,
 )
-from rowanshift.controlplane.replica_host import ReplicaHost
+from rowanshift.controlplane.replica_runner import ReplicaRunner
 from rowanshift.controlplane.replication import STATE_LIMIT, NotPrimary, StateTooLarge
 from rowanshift.transport.calls import Answer, said
 from rowanshift.transport.http_connection import Message
@@ -28,14 +28,14 @@
 class OnPrimary:
     """A resource that only the primary serves; others say where it is."""
 
-    def __init__(self, node: ReplicaHost, port: int) -> None:
-        self.replica_host, self.port = node, port
+    def __init__(self, node: ReplicaRunner, port: int) -> None:
+        self.replica_runner, self.port = node, port
 
     async def call(self, message: Message) -> Answer:
         try:
             return await self.served(message)
         except NotPrimary as error:
-            if error.hint and error.hint != self.replica_host.machine:
+            if error.hint and error.hint != self.replica_runner.machine:
                 at = f"http://{ip_from_machine_id(error.hint)}:{self.port}".encode() + message.target
                 return Answer(307, b"", [(LOCATION, at)])
             return Answer(503, said("no primary is known"), [(b"Retry-After", b"0.3")])
@@ -59,14 +59,14 @@
 class ConfigResource(OnPrimary):
     """``/config``: the operator's configuration, read, put whole, or patched by the names of its items."""
 
-    def __init__(self, node: ReplicaHost, port: int, changes: ChangeLoader) -> None:
+    def __init__(self, node: ReplicaRunner, port: int, changes: ChangeLoader) -> None:
         super().__init__(node, port)
         self.changes = changes
 
     async def served(self, message: Message) -> Answer:
         """200 with the configuration or the revision taken; 400, 404, 405 or 412 otherwise."""
         if message.method == b"GET":
-            state = unpack(await self.replica_host.read())
+            state = unpack(await self.replica_runner.read())
             return Answer(200, state.config) if state.revision else Answer(404, said("no configuration yet"))
         if message.method not in CHANGING:
             return Answer(405, said("GET, PUT and PATCH"))
@@ -78,7 +78,7 @@
             return None if changed is None else changed[0].pack()
 
         try:
-            state = unpack(await self.replica_host.change(made, WITHIN))
+            state = unpack(await self.replica_runner.change(made, WITHIN))
         except InvalidConfiguration as error:
             return Answer(400, said(str(error)))
         except StaleMatch as error:
@@ -104,7 +104,7 @@
             return None if changed is None else changed.pack()
 
         try:
-            await self.replica_host.change(made, WITHIN)
+            await self.replica_runner.change(made, WITHIN)
         except InvalidVersion as error:
             return Answer(400, said(str(error)))
         return Answer(200, b"{}")
--- a/rowanshift/controlplane/replica_host.py
+++ b/rowanshift/controlplane/replica_runner.py
@@ -66,7 +66,7 @@
     succeeded: bool = False
 
 
-class ReplicaHost:
+class ReplicaRunner:
     """Carries out what a ``Replica`` decides: sends, saves, time; and offers reads and changes to callers."""
 
     def __init__(
@@ -138,7 +138,7 @@
             await self.host.pause(TICK / 5)
         return self.replica.released
 
-    def holds(self) -> float:
+    def lease_remaining(self) -> float:
         """Seconds for which this machine may still act as the single holder; 0 if it may not."""
         now = trio.current_time()
         return max(0.0, self.replica.lease_until(now) - now) if self.replica.is_primary else 0.0
@@ -268,7 +268,7 @@
             self.act()
 
 
-def durable_of(record: bytes | None) -> DurableState | None:
+def decode_durable_state(record: bytes | None) -> DurableState | None:
     """What a disk holds, ``MalformedRecord`` if it can't be read."""
     if record is None:
         return None
--- a/rowanshift/controlplane/server_registry.py
+++ b/rowanshift/controlplane/server_registry.py
@@ -35,7 +35,7 @@
 
 
 @dataclass(slots=True)
-class Known:
+class RegisteredServer:
     """One incarnation of a server."""
 
     id: str
@@ -55,11 +55,11 @@
         return ServerRecord(self.id, self.service, self.address, self.zone, self.slots, state, dict(self.versions))
 
 
-def known_of(entry: dict[str, Any]) -> Known:
+def parse_registered_server(entry: dict[str, Any]) -> RegisteredServer:
     """``BadEndpointList`` if the entry can't be read."""
     try:
         versions = {str(model["name"]): int(model.get("revision") or 0) for model in entry.get("models") or ()}
-        known = Known(
+        known = RegisteredServer(
             str(entry["id"]),
             str(entry["backend"]),
             str(entry["address"]),
@@ -93,7 +93,7 @@
 class ServerRegistry:
     """All servers that the platform's list names, with the version that each has."""
 
-    servers: dict[str, Known] = field(default_factory=dict)
+    servers: dict[str, RegisteredServer] = field(default_factory=dict)
     serial: int = 0  # of its changes; 0: the list was not read yet
     roll_out_within: float = 0.0  # seconds in which all servers should have a named version; 0: as soon as may be
     load_takes: float = FIRST_LOAD  # seconds, smoothed
@@ -103,7 +103,7 @@
     inherited: dict[str, int] | None = None  # of the first call, until the servers of the model were looked at
     late_models: set[str] = field(default_factory=set)  # whose inherited version a former primary had begun to roll out
 
-    def take(self, entries: list[Known]) -> bool:
+    def take(self, entries: list[RegisteredServer]) -> bool:
         """Takes a whole list in; whether anything changed."""
         before = {id: known.row() for id, known in self.servers.items()}
         made = {}
@@ -155,7 +155,7 @@
         known = self.names.find(model, told.version)
         return known is None or not known.is_dated or told.announced_at < known.announced_at - DATED_EARLIER
 
-    def next_load(self, named: dict[str, int], now: float) -> tuple[Known, str, int] | None:
+    def next_load(self, named: dict[str, int], now: float) -> tuple[RegisteredServer, str, int] | None:
         """The next server to be ordered, with the model and version; None if none should be now.
 
         It is the one whose time to have a newer version ends first, whatever was named since.
@@ -174,7 +174,9 @@
         _, _, known, model, version = min(urgent, key=lambda load: load[:2])
         return known, model, version
 
-    def _most_urgent(self, model: str, version: int, fellows: list[Known], now: float) -> Known | None:
+    def _most_urgent(
+        self, model: str, version: int, fellows: list[RegisteredServer], now: float
+    ) -> RegisteredServer | None:
         """The server of a service that should be ordered now; None if none should be."""
         lacking = [known for known in fellows if known.versions[model] < version]
         behind = [known for known in lacking if not known.loading and failed_loads(known, model).not_before <= now]
@@ -185,14 +187,14 @@
             return None
         return min(behind, key=lambda known: (self._due(model, known), known.id))
 
-    def _note_late(self, model: str, fellows: list[Known]) -> None:
+    def _note_late(self, model: str, fellows: list[RegisteredServer]) -> None:
         """A roll-out that was begun by another primary may be late already: it goes on as fast as may be, unless
         somebody knows when its version was named."""
         version = (self.inherited or {}).pop(model, None)
         if version is not None and any(known.versions[model] >= version for known in fellows):
             self.late_models.add(model)
 
-    def _due(self, model: str, known: Known) -> float:
+    def _due(self, model: str, known: RegisteredServer) -> float:
         """When a server should have a newer version: ``roll_out_within`` after the first name that it lacks; somewhat
         later where loads failed, so that one which fails for good doesn't keep the others waiting."""
         name = self.names.first_missing(model, known.versions[model])
@@ -221,7 +223,7 @@
                     found.append(ServerBehind(known.id, model, known.versions[model], lacks_for, known.loading))
         return sorted(found, key=lambda server: -server.lacks_for)
 
-    def begin(self, known: Known, now: float) -> None:
+    def begin(self, known: RegisteredServer, now: float) -> None:
         """A server is given an order to load: it gets no requests meanwhile."""
         known.loading, known.began_at = True, now
         self.serial += 1
@@ -244,6 +246,6 @@
             self.serial += 1
 
 
-def failed_loads(known: Known, model: str) -> FailedLoads:
+def failed_loads(known: RegisteredServer, model: str) -> FailedLoads:
     """The loads of a model that failed at a server since the last that went well."""
     return known.failed_loads.get(model, NO_FAILED_LOADS)
--- a/rowanshift/controlplane/service.py
+++ b/rowanshift/controlplane/service.py
@@ -15,7 +15,7 @@
 from rowanshift.controlplane.control_state import ControlState, unpack
 from rowanshift.controlplane.machine_disk import SYSTEM_CORE_RUNTIME, CoreRuntime, Disk
 from rowanshift.controlplane.record_kinds import CODEC, Hello
-from rowanshift.controlplane.replica_host import ReplicaHost, durable_of
+from rowanshift.controlplane.replica_runner import ReplicaRunner, decode_durable_state
 from rowanshift.controlplane.replication import DurableState, FailureDomain, FaultTolerance, Replica
 from rowanshift.controlplane.server_registry import ServerRegistry
 from rowanshift.controlplane.settings_doubts import fault_tolerance_doubts
@@ -74,7 +74,7 @@
         self.machine = machine_id_from_ip(boot.ip)
         self.shutdown_requested = trio.Event()
         self.shutdown_requested_at: float | None = None  # trio's time at which the signal was handled
-        self.replica_host: ReplicaHost | None = None  # until the disk has been read
+        self.replica_runner: ReplicaRunner | None = None  # until the disk has been read
         self.state, self.fingerprint, self.packed = ControlState(), 0, b""
         self.raw: bytes | None = None
         self.store_addresses: set[tuple[str, int]] = set()
@@ -106,7 +106,7 @@
                 record = await self.host.in_thread(store.read)
                 if store.damage:  # what is left may be older than what was promised
                     raise DamagedRecord(store.damage)
-                return store, durable_of(record)
+                return store, decode_durable_state(record)
             except NewerFormat:
                 raise
             except (DamagedRecord, MalformedRecord) as error:
@@ -131,7 +131,7 @@
 
     def refresh(self) -> None:
         """Takes the committed state up."""
-        replica = self.replica_host.replica
+        replica = self.replica_runner.replica
         if replica.committed_state is self.raw or not replica.is_primary:
             return
         self.raw = replica.committed_state
@@ -160,7 +160,7 @@
 
     def status(self) -> dict:
         """What this machine knows, for staff."""
-        replica, now = self.replica_host.replica, trio.current_time()
+        replica, now = self.replica_runner.replica, trio.current_time()
         record = replica.record
         return {
             "name": self.boot.name,
@@ -171,7 +171,7 @@
             "inSync": [ip_from_machine_id(m) for m in record.in_sync],
             "witnesses": [ip_from_machine_id(m) for m in record.witnesses],
             "amnesic": replica.is_amnesic,
-            "leaseS": round(self.replica_host.holds(), 3),
+            "leaseS": round(self.replica_runner.lease_remaining(), 3),
             "redundancy": self._redundancy(now) if replica.is_primary else None,
             "revision": self.state.revision if replica.is_primary else None,
             "versions": self.state.versions if replica.is_primary else None,
@@ -180,9 +180,9 @@
             "memberAgeS": {
                 ip_from_machine_id(m): round(now - at, 3) for m, at in self.members.items() if now - at < MEMBER_FOR
             },
-            "readsList": self.boot.cloud is not None and self.replica_host.holds() > 0,
+            "readsList": self.boot.cloud is not None and self.replica_runner.lease_remaining() > 0,
             "listRead": self.tasks.registry.serial > 0,
-            "mayOrder": replica.duty_from <= now and self.replica_host.holds() > 0,
+            "mayOrder": replica.duty_from <= now and self.replica_runner.lease_remaining() > 0,
             "servers": [
                 {
                     "id": row.id,
@@ -205,13 +205,13 @@
             ],
             "calls": self.tasks.calls,
             "orders": self.tasks.orders,
-            "saves": self.replica_host.saves,
-            "saveSeconds": round(self.replica_host.save_seconds, 4),
+            "saves": self.replica_runner.saves,
+            "saveSeconds": round(self.replica_runner.save_seconds, 4),
         }
 
     def _redundancy(self, now: float) -> dict[str, Any]:
         """What the primary sees of copies and witnesses, for staff."""
-        found, lacking = self.replica_host.replica.redundancy(), self.replica_host.watch.lacking_for(now)
+        found, lacking = self.replica_runner.replica.redundancy(), self.replica_runner.watch.lacking_for(now)
         return {
             "copies": found.copies,
             "copiesWanted": found.copies_wanted,
@@ -236,7 +236,7 @@
             now = trio.current_time()
             if self.leaving:
                 return self._elsewhere()
-            if not self.replica_host.holds():
+            if not self.replica_runner.lease_remaining():
                 if self._names_another() or now >= search_until:
                     return self._elsewhere()
                 await self.host.pause(LOOK)
@@ -252,11 +252,11 @@
 
     def _names_another(self) -> bool:
         """Whether this machine is sure of not being the primary and has heard the primary lately."""
-        replica = self.replica_host.replica
+        replica = self.replica_runner.replica
         return not replica.is_primary and replica.primary_hint != 0
 
     def _elsewhere(self) -> Redirect:
-        replica = self.replica_host.replica
+        replica = self.replica_runner.replica
         return Redirect(0 if replica.is_primary else replica.primary_hint, self._core())
 
     def _take_dates(self, poll: PollOfFormat3) -> None:
@@ -267,7 +267,7 @@
 
     def _has_update(self, poll: PollOfFormat3) -> bool:
         """Whether there is anything that the asker lacks."""
-        epoch, registry = self.replica_host.replica.record.number, self.tasks.registry
+        epoch, registry = self.replica_runner.replica.record.number, self.tasks.registry
         return (
             poll.fingerprint != self.fingerprint
             or (registry.serial > 0 and poll.registry_version != (epoch, registry.serial))
@@ -278,7 +278,7 @@
 
     def _update(self, poll: PollOfFormat3, now: float) -> Update:
         """All that the asker lacks, as it is committed."""
-        replica, registry, stock = self.replica_host.replica, self.tasks.registry, self.tasks.stock
+        replica, registry, stock = self.replica_runner.replica, self.tasks.registry, self.tasks.stock
         epoch, state = replica.record.number, self.state
         version = replica.committed_version
         has_state = poll.fingerprint != self.fingerprint
@@ -343,7 +343,7 @@
             await self.host.pause(MEMBERS_EVERY)
 
     def _core(self) -> tuple[int, ...]:
-        record = self.replica_host.replica.record
+        record = self.replica_runner.replica.record
         return tuple(sorted({*record.witnesses, *record.in_sync}))
 
     async def _link(self, stream: Stream) -> None:
@@ -353,7 +353,7 @@
         try:
             number, record = await inbox.next()
             if isinstance(record, Hello):
-                await self.replica_host.hear(inbox, record)
+                await self.replica_runner.hear(inbox, record)
             while True:
                 await self._answer_poll(stream, number, record)
                 number, record = await inbox.next()
@@ -436,13 +436,13 @@
                 )
                 for doubt in fault_tolerance_doubts(file):
                     logger.warning("event=tolerance_not_met why={!r}", doubt)
-                self.replica_host = ReplicaHost(
+                self.replica_runner = ReplicaRunner(
                     host, self.machine, boot.inner[1], replica, store, nursery, self._on_role_change, self.refresh
                 )
                 self.tasks = SingletonTasks(
                     host,
                     memory,
-                    self.replica_host,
+                    self.replica_runner,
                     boot.cloud,
                     boot.name,
                     self.named,
@@ -452,8 +452,8 @@
                 control, changes = boot.want("controlPlane"), ChangeLoader(host)
                 calls = CallServer(
                     {
-                        b"/config": ConfigResource(self.replica_host, control[1], changes),
-                        b"/version-put": VersionResource(self.replica_host, control[1]),
+                        b"/config": ConfigResource(self.replica_runner, control[1], changes),
+                        b"/version-put": VersionResource(self.replica_runner, control[1]),
                         b"/status": StatusResource(self.status),
                     },
                     memory,
@@ -463,7 +463,7 @@
                 inner = host.listen(boot.inner, 256)
                 nursery.start_soon(self._accept, inner, nursery)
                 nursery.start_soon(calls.serve, host.listen(control, 256), nursery, host.pause)
-                nursery.start_soon(self.replica_host.run)
+                nursery.start_soon(self.replica_runner.run)
                 nursery.start_soon(changes.load_later)
                 nursery.start_soon(self._tell_members)
                 nursery.start_soon(self.tasks.read_list)
@@ -478,7 +478,7 @@
                 )
                 await self.shutdown_requested.wait()
                 logger.info("event=stopping primary={}", replica.is_primary)
-                released = await self.replica_host.leave(self._grace_ends_at() - GRACE_LEFT)
+                released = await self.replica_runner.leave(self._grace_ends_at() - GRACE_LEFT)
                 logger.info("event=left released={}", released)
                 await self._finish(calls)
                 nursery.cancel_scope.cancel()
@@ -507,14 +507,14 @@
         async for received in signals:
             if received.number != signal.SIGHUP:
                 self.request_shutdown(received.at)
-                if self.replica_host is None:
+                if self.replica_runner is None:
                     scope.cancel()
             elif self.boot.path is not None:
                 try:
                     self.boot = load_node_settings(self.boot.path)
-                    if self.replica_host is not None:
-                        self.replica_host.replica.known |= {*self._seeds()} - {self.machine}
-                        self.replica_host.replica.counts = self.boot.file.quorum_member
+                    if self.replica_runner is not None:
+                        self.replica_runner.replica.known |= {*self._seeds()} - {self.machine}
+                        self.replica_runner.replica.counts = self.boot.file.quorum_member
                 except NodeSettingsError as error:
                     logger.warning("event=settings_kept why={!r}", str(error))
 
--- a/rowanshift/controlplane/singleton_tasks.py
+++ b/rowanshift/controlplane/singleton_tasks.py
@@ -11,8 +11,8 @@
 from loguru import logger
 
 from rowanshift.controlplane.errors import BadEndpointList
-from rowanshift.controlplane.replica_host import ReplicaHost
-from rowanshift.controlplane.server_registry import Known, ServerRegistry, known_of
+from rowanshift.controlplane.replica_runner import ReplicaRunner
+from rowanshift.controlplane.server_registry import RegisteredServer, ServerRegistry, parse_registered_server
 from rowanshift.kv_index.index import BadEvents, KvIndex, Source
 from rowanshift.transport.calls import CallFailed, Line, call
 from rowanshift.transport.memory_budget import Memory
@@ -44,7 +44,7 @@
         self,
         host: Runtime,
         memory: Memory,
-        node: ReplicaHost,
+        node: ReplicaRunner,
         cloud: Address | None,
         name: str,
         named: Callable[[], dict[str, int]],
@@ -53,7 +53,7 @@
     ) -> None:
         """``version_within``: seconds in which servers must have a version that was named."""
         self.roll_out_within = ROLL_OUT_PART * version_within
-        self.host, self.memory, self.replica_host, self.cloud, self.name = host, memory, node, cloud, name
+        self.host, self.memory, self.replica_runner, self.cloud, self.name = host, memory, node, cloud, name
         self.named, self.changed = named, changed
         self.registry, self.stock = ServerRegistry(roll_out_within=self.roll_out_within), KvIndex()
         self.sources: dict[Address, Source] = {}
@@ -72,17 +72,17 @@
         """Read the platform's list again and again."""
         while True:
             at = trio.current_time()
-            if self.cloud is not None and self.replica_host.holds():
+            if self.cloud is not None and self.replica_runner.lease_remaining():
                 try:
                     entries = await self._pages()
-                    if self.replica_host.holds() and self.registry.take(entries):
+                    if self.replica_runner.lease_remaining() and self.registry.take(entries):
                         self.changed()
                 except (CallFailed, BadEndpointList) as error:
                     logger.info("event=list_failed why={!r}", str(error))
-            every = LIST_EVERY if self.replica_host.holds() else 0.1
+            every = LIST_EVERY if self.replica_runner.lease_remaining() else 0.1
             await self.host.pause(max(0.05, at + every - trio.current_time()))
 
-    async def _pages(self) -> list[Known]:
+    async def _pages(self) -> list[RegisteredServer]:
         entries, token = [], None
         for _ in range(MOST_PAGES):
             target = b"/instances" if token is None else b"/instances?pageToken=" + token.encode()
@@ -95,7 +95,7 @@
                 rows, token = data["instances"], data.get("nextToken")
             except (ValueError, KeyError, TypeError, AttributeError) as error:
                 raise BadEndpointList(repr(error)) from error
-            entries += [known_of(row) for row in rows]
+            entries += [parse_registered_server(row) for row in rows]
             if not token:
                 return entries
         raise BadEndpointList(f"over {MOST_PAGES} pages")
@@ -105,7 +105,7 @@
     async def follow_stores(self, nursery: Nursery, named: Callable[[], set[Address]]) -> None:
         """Follows the events of each store that the configuration names, while this machine is primary."""
         while True:
-            wanted = named() if self.replica_host.holds() else set()
+            wanted = named() if self.replica_runner.lease_remaining() else set()
             for address in wanted - self.sources.keys():
                 self.sources[address] = Source("{}:{}".format(*address))
                 nursery.start_soon(self._follow, address, self.sources[address])
@@ -149,7 +149,10 @@
 
     def _may_order(self) -> bool:
         """Whether an order may go out now and still arrive while this machine is the only holder."""
-        return self.replica_host.replica.duty_from <= trio.current_time() and self.replica_host.holds() > SPARE
+        return (
+            self.replica_runner.replica.duty_from <= trio.current_time()
+            and self.replica_runner.lease_remaining() > SPARE
+        )
 
     async def roll_out(self, nursery: Nursery) -> None:
         """Order servers to load named versions, for good."""
@@ -163,7 +166,7 @@
                     continue
             await self.host.pause(LOOK)
 
-    async def _load(self, registry: ServerRegistry, known: Known, model: str, version: int) -> None:
+    async def _load(self, registry: ServerRegistry, known: RegisteredServer, model: str, version: int) -> None:
         """Brings one server to a version, or to a newer one that is named while its requests end."""
         well = False
         try:
@@ -180,7 +183,7 @@
                 registry.failed(known.id, model, trio.current_time())
             self.changed()
 
-    async def _left_alone(self, known: Known) -> None:
+    async def _left_alone(self, known: RegisteredServer) -> None:
         """Waits until the streams that run there have ended, as the routers send no more: only where they
         are few, since what waits elsewhere meanwhile loses more than they do, and not for long."""
         until = trio.current_time() + DRAIN_WITHIN
@@ -190,7 +193,7 @@
             if report is None or not 0 < report.get("active", 0) <= FEW or report.get("queued"):
                 return
 
-    async def _report(self, known: Known) -> dict | None:
+    async def _report(self, known: RegisteredServer) -> dict | None:
         """What a server says of itself; None if it says nothing that can be read."""
         host, _, port = known.address.rpartition(":")
         expected = [(b"Expect-Instance", known.id.encode())]
@@ -204,7 +207,7 @@
             logger.info("event=report_failed server={} why={!r}", known.id, str(error))
             return None
 
-    async def _ordered(self, known: Known, model: str, version: int) -> bool:
+    async def _ordered(self, known: RegisteredServer, model: str, version: int) -> bool:
         host, _, port = known.address.rpartition(":")
         address = host, int(port)
         if not self._may_order():
@@ -216,7 +219,7 @@
                 "revision": version,
                 "method": "retain",
                 "leaseHolder": self.name,
-                "fenceToken": self.replica_host.replica.record.number,
+                "fenceToken": self.replica_runner.replica.record.number,
             }
         )
         expected = [(b"Expect-Instance", known.id.encode())]
@@ -230,7 +233,7 @@
                 b"/order",
                 order,
                 expected,
-                min(ORDER_WITHIN, self.replica_host.holds()),
+                min(ORDER_WITHIN, self.replica_runner.lease_remaining()),
             )
             status = answer.status
         except CallFailed as error:
@@ -243,7 +246,9 @@
         if status not in (0, 202, 409):
             return False
         until, unheard = trio.current_time() + LOAD_WITHIN, 0
-        while trio.current_time() < until and self.replica_host.holds() and known.id in self.registry.servers:
+        while (
+            trio.current_time() < until and self.replica_runner.lease_remaining() and known.id in self.registry.servers
+        ):
             await self.host.pause(REPORT_EVERY)
             report = await self._report(known)
             if report is None:
--- a/rowanshift/emulation/cluster.py
+++ b/rowanshift/emulation/cluster.py
@@ -164,7 +164,7 @@
                     self.platform.add(server)
         finally:
             for core_service in self.core_services:
-                if (node := getattr(core_service, "replica_host", None)) is not None and node.store is not None:
+                if (node := getattr(core_service, "replica_runner", None)) is not None and node.store is not None:
                     node.store.close()
             self.host.close()
 
@@ -174,7 +174,7 @@
         """The core machine that is primary, once there is one that may also order."""
         while True:
             for core_service in self.core_services:
-                if (node := getattr(core_service, "replica_host", None)) is not None and node.holds():
+                if (node := getattr(core_service, "replica_runner", None)) is not None and node.lease_remaining():
                     return core_service
             await trio.sleep(LOOK)
 
@@ -232,7 +232,7 @@
         f"platform's list start at {system.net}x"
     )
     core_service = await system.primary()
-    record = core_service.replica_host.replica.record
+    record = core_service.replica_runner.replica.record
     say(
         f"Primary: {core_service.boot.ip}, epoch {record.number}; "
         f"in sync: {', '.join(map(ip_from_machine_id, record.in_sync))}; "
--- a/rowanshift/modelcheck/control_service.py
+++ b/rowanshift/modelcheck/control_service.py
@@ -1,4 +1,4 @@
-"""The service on top of a replica: changes as `ReplicaHost.change` makes them, polls as the control plane answers.
+"""The service on top of a replica: changes as `ReplicaRunner.change` makes them, polls as the control plane answers.
 
 The real `put_config` works on packed states. All of it is lost when the process ends.
 """
--- a/rowanshift/simulation/fleet_machines.py
+++ b/rowanshift/simulation/fleet_machines.py
@@ -73,7 +73,7 @@
 
     def _on_role_change(self, primary: bool) -> None:
         if primary:
-            self.told(self.replica_host.replica.record.number)
+            self.told(self.replica_runner.replica.record.number)
         super()._on_role_change(primary)
 
 
@@ -167,8 +167,8 @@
                 for unit in self.cores
                 if unit.machine.running
                 and not unit.machine.away
-                and getattr(unit.program, "replica_host", None) is not None
-                and unit.program.replica_host.replica.is_primary
+                and getattr(unit.program, "replica_runner", None) is not None
+                and unit.program.replica_runner.replica.is_primary
             ),
             None,
         )
@@ -176,7 +176,7 @@
     def backups(self) -> list[Unit]:
         """The other machines in sync with the primary, and then the rest."""
         primary = self.primary()
-        in_sync = primary.program.replica_host.replica.record.in_sync if primary else ()
+        in_sync = primary.program.replica_runner.replica.record.in_sync if primary else ()
         return sorted(
             (unit for unit in self.cores if unit is not primary),
             key=lambda unit: machine_id_from_ip(unit.machine.address) not in in_sync,
--- a/tests/capacity/test_capacity.py
+++ b/tests/capacity/test_capacity.py
@@ -54,7 +54,7 @@
                 await fleet.until(None, 10)
                 await ledger.change_config()
                 await ledger.change_roster()
-        sheet = ledger.core_service.replica_host.replica.committed_state
+        sheet = ledger.core_service.replica_runner.replica.committed_state
         counts = {
             "log": fleet.log,
             "polls": fleet.polls,
--- a/tests/controlplane/replication/test_fault_domains.py
+++ b/tests/controlplane/replication/test_fault_domains.py
@@ -40,7 +40,7 @@
 def copies(fleet: Fleet) -> list[Unit]:
     """The machines that hold the newest state, the primary first."""
     primary = fleet.primary()
-    in_sync = primary.program.replica_host.replica.record.in_sync
+    in_sync = primary.program.replica_runner.replica.record.in_sync
     holding = [unit for unit in fleet.cores if machine_id_from_ip(unit.machine.address) in in_sync]
     return sorted(holding, key=lambda unit: unit is not primary)
 
@@ -116,7 +116,7 @@
             spare = fleet.spare(counts=False)
             await trio.sleep(2 * REPLACED_WITHIN)
             self.assertTrue(takes_part(fleet, spare))
-            return fleet.primary().program.replica_host.replica.record.members() & {
+            return fleet.primary().program.replica_runner.replica.record.members() & {
                 machine_id_from_ip(spare.machine.address)
             }
 
@@ -126,7 +126,7 @@
         async def main(fleet: Fleet) -> str:
             await fleet.start()
             await trio.sleep(REPLACED_WITHIN)
-            return fleet.primary().program.replica_host.replica.lacking_spread()
+            return fleet.primary().program.replica_runner.replica.lacking_spread()
 
         self.assertIn("no core machine counts", play(main, "told", routers=1, counts=False)[0])
         self.assertEqual(play(main, "told", routers=1)[0], "")
@@ -254,7 +254,7 @@
 
 def takes_part(fleet: Fleet, unit: Unit) -> bool:
     """Whether a machine that was started has recovered, and its vote is wanted or it has one."""
-    host = getattr(unit.program, "replica_host", None)
+    host = getattr(unit.program, "replica_runner", None)
     return host is not None and not host.replica.is_amnesic
 
 
--- a/tests/controlplane/replication/test_membership.py
+++ b/tests/controlplane/replication/test_membership.py
@@ -196,8 +196,8 @@
 
 def full(fleet: Fleet) -> bool:
     """Whether the primary that holds the lease sees all copies and witnesses that are wanted."""
-    hosts = [unit.program.replica_host for unit in fleet.cores if unit.machine.running and unit.program is not None]
-    return any(host is not None and host.holds() and host.replica.redundancy().full for host in hosts)
+    hosts = [unit.program.replica_runner for unit in fleet.cores if unit.machine.running and unit.program is not None]
+    return any(host is not None and host.lease_remaining() and host.replica.redundancy().full for host in hosts)
 
 
 class RepairTime(unittest.TestCase):
--- a/tests/controlplane/test_data_folder_of_34514ad.py
+++ b/tests/controlplane/test_data_folder_of_34514ad.py
@@ -19,7 +19,7 @@
 
 from rowanshift.controlplane.control_state import unpack
 from rowanshift.controlplane.record_kinds import CODEC
-from rowanshift.controlplane.replica_host import durable_of
+from rowanshift.controlplane.replica_runner import decode_durable_state
 from rowanshift.controlplane.replication import DurableState, EpochRecord, StateVersion
 from rowanshift.controlplane.store import Store
 
@@ -74,7 +74,7 @@
 
 @pytest.mark.parametrize("name", FOLDERS)
 def test_the_durable_state_is_read_as_it_was_stored(name: str, tmp_path: Path) -> None:
-    durable = durable_of(stored_record(copied(name, tmp_path)))
+    durable = decode_durable_state(stored_record(copied(name, tmp_path)))
     assert isinstance(durable, DurableState)
     assert durable.promised == EPOCH
     assert durable.accepted == EpochRecord(EPOCH, MACHINE, (MACHINE,), (MACHINE,), ())
@@ -86,7 +86,7 @@
 def test_the_durable_state_is_written_back_with_identical_bytes(name: str, tmp_path: Path) -> None:
     folder = copied(name, tmp_path)
     record = stored_record(folder)
-    packed = CODEC.pack(durable_of(record))
+    packed = CODEC.pack(decode_durable_state(record))
     assert packed == record
     store = Store(folder / "ledger")
     store.open()
@@ -97,7 +97,7 @@
 
 @pytest.mark.parametrize("name", FOLDERS)
 def test_configuration_versions_and_orders_are_read_as_they_were_stored(name: str, tmp_path: Path) -> None:
-    state = unpack(durable_of(stored_record(copied(name, tmp_path))).state)
+    state = unpack(decode_durable_state(stored_record(copied(name, tmp_path))).state)
     assert state.revision == REVISIONS[name]
     assert hashlib.sha256(state.config).hexdigest() == CONFIGURATION_SHA256[name]
     assert state.versions == VERSIONS[name]
@@ -106,22 +106,24 @@
 
 
 def test_the_configuration_made_by_a_patch_has_its_very_bytes(tmp_path: Path) -> None:
-    assert unpack(durable_of(stored_record(copied("format-2", tmp_path))).state).config == PATCHED_CONFIGURATION
+    assert (
+        unpack(decode_durable_state(stored_record(copied("format-2", tmp_path))).state).config == PATCHED_CONFIGURATION
+    )
 
 
 def test_a_control_state_of_format_1_holds_the_body_as_it_was_put(tmp_path: Path) -> None:
-    state = unpack(durable_of(stored_record(copied("format-1", tmp_path))).state)
+    state = unpack(decode_durable_state(stored_record(copied("format-1", tmp_path))).state)
     assert json.loads(state.config) == ORDERS[1]["body"]
 
 
 def test_a_control_state_of_format_2_is_packed_with_identical_bytes(tmp_path: Path) -> None:
-    packed = durable_of(stored_record(copied("format-2", tmp_path))).state
+    packed = decode_durable_state(stored_record(copied("format-2", tmp_path))).state
     assert packed[:6] == b"RSSH\0\2"
     assert unpack(packed).pack() == packed
 
 
 def test_a_control_state_of_format_1_is_packed_in_format_2(tmp_path: Path) -> None:
-    packed = durable_of(stored_record(copied("format-1", tmp_path))).state
+    packed = decode_durable_state(stored_record(copied("format-1", tmp_path))).state
     assert packed[:6] == b"RSSH\0\1"
     state = unpack(packed)
     assert state.pack()[:6] == b"RSSH\0\2"
@@ -222,7 +224,7 @@
 @pytest.mark.parametrize("name", FOLDERS)
 def test_a_core_machine_serves_from_the_data_folder(name: str, tmp_path: Path) -> None:
     folder = copied(name, tmp_path)
-    packed = durable_of(stored_record(folder)).state
+    packed = decode_durable_state(stored_record(folder)).state
     config = unpack(packed).config
     acknowledged = (200, b'{"revision":%d}' % REVISIONS[name])
     with core_on(folder) as core:
@@ -236,7 +238,7 @@
         assert (status["versions"], status["revision"]) == (VERSIONS[name], REVISIONS[name])
         assert status["epoch"] > EPOCH
         assert core.call("GET", "/config") == (200, config)
-    assert durable_of(stored_record(folder)).state == packed
+    assert decode_durable_state(stored_record(folder)).state == packed
 
 
 def test_a_change_rewrites_a_control_state_of_format_1_in_format_2(tmp_path: Path) -> None:
@@ -245,5 +247,5 @@
         assert core.call("POST", "/version-put", {"model": "embed-model", "revision": 9})[0] == 200
         third = ORDERS[2]
         assert core.call("PATCH", "/config", third["body"], third["ifMatch"]) == (200, b'{"revision":7}')
-    packed = durable_of(stored_record(folder)).state
-    assert packed == durable_of(stored_record(copied("format-2", tmp_path))).state
+    packed = decode_durable_state(stored_record(folder)).state
+    assert packed == decode_durable_state(stored_record(copied("format-2", tmp_path))).state
--- a/tests/controlplane/test_inherited_versions.py
+++ b/tests/controlplane/test_inherited_versions.py
@@ -7,7 +7,7 @@
 from loguru import logger
 
 from rowanshift.controlplane import singleton_tasks
-from rowanshift.controlplane.server_registry import DATED_EARLIER, MOST_TOLD, Known, ServerRegistry
+from rowanshift.controlplane.server_registry import DATED_EARLIER, MOST_TOLD, RegisteredServer, ServerRegistry
 from rowanshift.invariants.facts import VersionNamed
 from rowanshift.simulation.fleet import Fleet, play
 from rowanshift.simulation.fleet_settings import MODEL
@@ -27,8 +27,8 @@
     logger.enable("rowanshift")
 
 
-def server(id: str, service: str, **versions: int) -> Known:
-    return Known(id, service, "10.0.0.1:80", "z", 1, False, versions)
+def server(id: str, service: str, **versions: int) -> RegisteredServer:
+    return RegisteredServer(id, service, "10.0.0.1:80", "z", 1, False, versions)
 
 
 class LateLook(unittest.TestCase):
--- a/tests/controlplane/test_server_registry.py
+++ b/tests/controlplane/test_server_registry.py
@@ -8,9 +8,9 @@
     AT_ONCE,
     BadEndpointList,
     FailedLoads,
-    Known,
+    RegisteredServer,
     ServerRegistry,
-    known_of,
+    parse_registered_server,
 )
 from rowanshift.wire.control_updates import CODEC, DRAINING, LOADING, UP, ServerRecord, Update
 
@@ -29,7 +29,7 @@
 
 
 def known(id, version=1, service="s", draining=False, **more):
-    return Known(id, service, f"10.0.0.1:{id[-1]}", "z", 1, draining, {"m": version}, **more)
+    return RegisteredServer(id, service, f"10.0.0.1:{id[-1]}", "z", 1, draining, {"m": version}, **more)
 
 
 def registry(*servers):
@@ -40,21 +40,24 @@
 
 class Entries(unittest.TestCase):
     def test_one(self):
-        self.assertEqual(known_of(entry()).row(), ServerRecord("i-0-1", "s", "10.0.0.1:80", "z", 4, UP, {"m": 1}))
+        self.assertEqual(
+            parse_registered_server(entry()).row(), ServerRecord("i-0-1", "s", "10.0.0.1:80", "z", 4, UP, {"m": 1})
+        )
 
     def test_what_may_be_missing(self):
-        made = known_of({"id": "i", "backend": "s", "address": "a:1"})
+        made = parse_registered_server({"id": "i", "backend": "s", "address": "a:1"})
         self.assertEqual(made.row(), ServerRecord("i", "s", "a:1", "", 1, UP, {}))
         self.assertEqual(
-            known_of(entry(models=[{"name": "m"}, {"name": "n", "revision": None}])).versions, {"m": 0, "n": 0}
+            parse_registered_server(entry(models=[{"name": "m"}, {"name": "n", "revision": None}])).versions,
+            {"m": 0, "n": 0},
         )
 
     def test_states(self):
-        made = known_of(entry(state="draining"))
+        made = parse_registered_server(entry(state="draining"))
         self.assertEqual(made.row().state, DRAINING)
         made.loading = True
         self.assertEqual(made.row().state, DRAINING | LOADING)
-        self.assertEqual(known_of(entry(state="unheard of")).row().state, UP)
+        self.assertEqual(parse_registered_server(entry(state="unheard of")).row().state, UP)
 
     def test_junk(self):
         for junk in (
@@ -74,7 +77,7 @@
             entry(models=[{"name": "m", "revision": "x"}]),
         ):
             with self.assertRaises(BadEndpointList, msg=repr(junk)):
-                known_of(junk)
+                parse_registered_server(junk)
 
     def drawn(self, random_source, deep=2):
         kind = random_source.randrange(8 if deep else 6)
@@ -95,7 +98,7 @@
                 else:
                     junk[name] = self.drawn(random_source)
             try:
-                self.assertIsInstance(known_of(junk), Known)
+                self.assertIsInstance(parse_registered_server(junk), RegisteredServer)
             except BadEndpointList:
                 refused += 1
         self.assertGreater(refused, 500)
@@ -112,7 +115,7 @@
         ):
             with self.subTest(str(junk)[:200]):
                 try:
-                    row = known_of(junk).row()
+                    row = parse_registered_server(junk).row()
                 except BadEndpointList:
                     continue
                 CODEC.pack(Update((0, 0), 0, False, 0, b"", {}, (1, 1), True, (row,)))
--- a/tests/dataplane/test_control_client.py
+++ b/tests/dataplane/test_control_client.py
@@ -113,7 +113,7 @@
 
 def another_holds(fleet: Fleet, first: Unit) -> bool:
     """Whether a core machine other than this one holds the primary's lease."""
-    return any(unit.program.replica_host.holds() for unit in fleet.cores if unit is not first)
+    return any(unit.program.replica_runner.lease_remaining() for unit in fleet.cores if unit is not first)
 
 
 class Takeover(unittest.TestCase):
--- a/tests/dataplane/test_revocation.py
+++ b/tests/dataplane/test_revocation.py
@@ -128,7 +128,9 @@
                 fleet.freeze(unit)
             else:
                 fleet.cut(unit, fleet.cores, ways)
-        await fleet.until(lambda: any(unit.program.replica_host.holds() for unit in fleet.cores if unit not in units))
+        await fleet.until(
+            lambda: any(unit.program.replica_runner.lease_remaining() for unit in fleet.cores if unit not in units)
+        )
         keys = KEYS | {"t1": KEYS["t1"][1:]}
         assert await fleet.put(config_of(2, keys)) == 200
         await trio.sleep(6.0)
--- a/tests/simulation/test_fleet_faults.py
+++ b/tests/simulation/test_fleet_faults.py
@@ -10,7 +10,7 @@
 
 from rowanshift.controlplane.configuration_change import CHANGES
 from rowanshift.controlplane.order_history import EMPTY_ORDER_HISTORY
-from rowanshift.controlplane.replica_host import ReplicaHost
+from rowanshift.controlplane.replica_runner import ReplicaRunner
 from rowanshift.controlplane.replication.core import ReplicaCore
 from rowanshift.controlplane.replication.timing import Timing
 from rowanshift.dataplane import drain
@@ -146,13 +146,13 @@
         self.found("CONFIG", "sent again", scenario, mock.patch.dict(CHANGES, {b"PUT": forgetting}))
 
     def test_a_primary_that_is_cut_off_acknowledges_alone(self):
-        true = ReplicaHost.change
+        true = ReplicaRunner.change
 
-        async def alone(replica_host, made, within):
-            replica = replica_host.replica
-            if replica.is_primary and replica_host.holds() == 0.0:
+        async def alone(replica_runner, made, within):
+            replica = replica_runner.replica
+            if replica.is_primary and replica_runner.lease_remaining() == 0.0:
                 return made(replica.committed_state) or replica.committed_state
-            return await true(replica_host, made, within)
+            return await true(replica_runner, made, within)
 
         async def scenario(fleet):
             unit = fleet.primary()
@@ -167,7 +167,7 @@
             "CONFIG",
             "is primary of epoch",
             scenario,
-            mock.patch.object(ReplicaHost, "change", alone),
+            mock.patch.object(ReplicaRunner, "change", alone),
             timing(lapse=1000.0),
         )
 
--- a/tests/simulation/test_protocol_rules.py
+++ b/tests/simulation/test_protocol_rules.py
@@ -5,7 +5,7 @@
 import trio
 from loguru import logger
 
-from rowanshift.controlplane.server_registry import Known
+from rowanshift.controlplane.server_registry import RegisteredServer
 from rowanshift.dataplane.routing_table import RoutingTable
 from rowanshift.invariants.facts import Ordered
 from rowanshift.simulation import fleet as fleets
@@ -112,7 +112,7 @@
             await trio.sleep(CONTACT + 1.0)  # until the primary may give orders
             tasks, server = fleet.primary().program.tasks, fleet.servers[0]
             fleet.registry.newest[MODEL] = 2
-            known = Known(server.instance_id, SERVICE, server.name, "z", 1, False, {MODEL: 1})
+            known = RegisteredServer(server.instance_id, SERVICE, server.name, "z", 1, False, {MODEL: 1})
             tasks.registry.servers[known.id] = known
             prepare(server, known)
             tasks.registry.servers.setdefault(known.id, known)
@@ -121,7 +121,7 @@
         return fleets.play(main, "orders", routers=1, load=1.0)[0]
 
     def test_one_that_is_meant_for_an_earlier_incarnation_is_not_taken(self) -> None:
-        def gone(server, known: Known) -> None:
+        def gone(server, known: RegisteredServer) -> None:
             known.id = "i-earlier"
 
         well, orders = self.orders(gone)
@@ -132,7 +132,7 @@
         self.assertEqual((well, len(orders)), (True, 1))
 
     def test_one_that_meets_another_under_way_waits_for_it(self) -> None:
-        def busy(server, known: Known) -> None:
+        def busy(server, known: RegisteredServer) -> None:
             earlier = {"operation": "revision", "model": MODEL, "revision": 2, "method": "retain"}
             server._take_order(earlier | {"leaseHolder": "core-0", "fenceToken": 1})
 
--- a/tests/simulation/test_system_simulation.py
+++ b/tests/simulation/test_system_simulation.py
@@ -384,7 +384,7 @@
                 await trio.sleep(0.5)
                 unit.machine.signal(number)
                 await trio.sleep(2)
-            return ends, core_service.replica_host is not None
+            return ends, core_service.replica_runner is not None
 
         return play(main)[0]
 
--- a/tests/simulation/test_versions_in_series.py
+++ b/tests/simulation/test_versions_in_series.py
@@ -7,7 +7,7 @@
 from loguru import logger
 
 from rowanshift.controlplane import singleton_tasks
-from rowanshift.controlplane.server_registry import Known, ServerRegistry
+from rowanshift.controlplane.server_registry import RegisteredServer, ServerRegistry
 from rowanshift.invariants.facts import Loaded
 from rowanshift.simulation.fleet import ONCE, Fleet, play
 from rowanshift.simulation.fleet_settings import CONTACT, MODEL, VERSION
@@ -89,7 +89,9 @@
     def longest_behind(self, names: int) -> float:
         """The longest time in seconds for which any server lacked a version that was named."""
         registry = ServerRegistry(roll_out_within=ROLL_OUT_WITHIN)
-        registry.take([Known(f"i{n}", "s", f"10.0.0.1:{n}", "z", 1, False, {MODEL: 1}) for n in range(SERVERS)])
+        registry.take(
+            [RegisteredServer(f"i{n}", "s", f"10.0.0.1:{n}", "z", 1, False, {MODEL: 1}) for n in range(SERVERS)]
+        )
         named_at = {2 + n: n * NAMES_APART for n in range(names)}
         loads: dict[str, tuple[float, int]] = {}  # when the load of a server ends, and its version
         longest, step, now = 0.0, 0.05, 0.0
--- a/tests/wire/test_version_announcements.py
+++ b/tests/wire/test_version_announcements.py
@@ -7,7 +7,7 @@
 import trio
 from loguru import logger
 
-from rowanshift.controlplane.server_registry import FAILED_LATER, NAMES_KEPT_FOR, Known, ServerRegistry
+from rowanshift.controlplane.server_registry import FAILED_LATER, NAMES_KEPT_FOR, RegisteredServer, ServerRegistry
 from rowanshift.controlplane.service import ControlPlaneService
 from rowanshift.simulation.fleet import Fleet, play
 from rowanshift.simulation.fleet_settings import INNER
@@ -101,12 +101,12 @@
         self.assertEqual([made.required_version("m", at) for at in (12.5, 20.0)], [3, 5])
 
 
-def server(id: str, version: int, **more: float) -> Known:
-    return Known(id, "s", "10.0.0.1:80", "z", 1, False, {"m": version}, **more)
+def server(id: str, version: int, **more: float) -> RegisteredServer:
+    return RegisteredServer(id, "s", "10.0.0.1:80", "z", 1, False, {"m": version}, **more)
 
 
 class AtThePrimary(unittest.TestCase):
-    def registry(self, *servers: Known) -> ServerRegistry:
+    def registry(self, *servers: RegisteredServer) -> ServerRegistry:
         made = ServerRegistry(roll_out_within=5.0)
         made.take([*servers])
         return made
