--- a/rowanshift/simulation/machine.py
+++ b/rowanshift/simulation/machine.py
@@ -13,19 +13,17 @@
 from contextlib import asynccontextmanager, contextmanager
 from pathlib import Path
 from types import coroutine
-from typing import TYPE_CHECKING, Any
+from typing import Any, Protocol
 
 import outcome
 import trio
 from trio.lowlevel import Abort
 
+from rowanshift.simulation.clock import VirtualClock
 from rowanshift.simulation.disk import VirtualDisk
 from rowanshift.transport.runtime import Address, Listener, Port, Stream
 from rowanshift.transport.signals import ReceivedSignal
 
-if TYPE_CHECKING:
-    from rowanshift.simulation.network import Network
-
 Trap = Any  # what a coroutine of trio's yields
 
 
@@ -117,11 +115,30 @@
         return self.queue.popleft()
 
 
+class MachineNetwork(Protocol):
+    """What a machine asks of the virtual network; ``rowanshift/simulation/network.py`` has it."""
+
+    clock: VirtualClock
+    seed: str
+
+    def wall(self) -> float:
+        """Return Unix seconds of a clock that is right."""
+
+    def stream(self, machine: "Machine") -> Stream:
+        """Open a stream that is not connected yet."""
+
+    def listen(self, machine: "Machine", address: Address, backlog: int) -> Listener:
+        """Listen at an address; ``OSError`` if it is in use."""
+
+    def port(self, machine: "Machine", address: Address) -> Port:
+        """Open a datagram port; ``OSError`` if the address is in use."""
+
+
 class Machine:
     """One process at a time, at one address."""
 
     def __init__(
-        self, network: "Network", name: str, address: str, site: int, allowed: int = 1024, skew: float = 0.0
+        self, network: MachineNetwork, name: str, address: str, site: int, allowed: int = 1024, skew: float = 0.0
     ) -> None:
         self.network, self.name, self.address, self.site = network, name, address, site
         self.allowed, self.skew = allowed, skew  # descriptors; seconds that its clock is ahead
