--- a/rowanshift/modelcheck/__main__.py
+++ b/rowanshift/modelcheck/__main__.py
@@ -11,9 +11,9 @@
 import runpy
 import time
 
-from rowanshift.modelcheck.breadth import breadth
-from rowanshift.modelcheck.hunt import WALKS, find
-from rowanshift.modelcheck.starts import STARTS
+from rowanshift.modelcheck.breadth_first_search import search_breadth_first
+from rowanshift.modelcheck.fault_search import WALKS, find_fault
+from rowanshift.modelcheck.search_starts import STARTS
 
 DEFAULT_PLANTED = "tests/support/planted_replication_faults.py"
 
@@ -24,9 +24,9 @@
     longest_calm = 0.0
     for seed in range(given.first, given.first + given.seeds):
         outcome = WALKS[given.kind](seed, given.machines, given.f, given.spares).run(given.steps)
-        commits, epochs = commits + outcome.committed, epochs + outcome.epochs
+        commits, epochs = commits + outcome.commits, epochs + outcome.epochs
         longest_calm = max(longest_calm, outcome.longest_calm)
-        if outcome.broken or outcome.stalled:
+        if outcome.violation or outcome.stall:
             bad += 1
             print(outcome)
     print(
@@ -40,8 +40,8 @@
     bad = False
     for start in STARTS:
         if given.start in ("", start):
-            result = breadth(given.states, start, most_events=given.events)
-            bad |= bool(result.broken)
+            result = search_breadth_first(given.states, start, most_events=given.events)
+            bad |= bool(result.violation)
             print(f"{start:20} {result}", flush=True)
     return bad
 
@@ -52,9 +52,9 @@
     for fault, hunt in runpy.run_path(given.planted)["FAULTS"].items():
         if given.fault in ("", fault.__name__):
             began = time.monotonic()
-            found = find(fault, hunt, range(given.first, given.first + given.seeds), given.steps)
+            found = find_fault(fault, hunt, range(given.first, given.first + given.seeds), given.steps)
             missed, took = missed + (found is None), time.monotonic() - began
-            at = f"{took:7.2f} s seed {found.seed} step {found.steps} {found.broken}" if found else "-"
+            at = f"{took:7.2f} s seed {found.seed} step {found.steps} {found.violation}" if found else "-"
             print(f"{fault.__name__:24} {at}", flush=True)
     return bool(missed)
 
--- a/rowanshift/modelcheck/client_invariants.py
+++ b/rowanshift/modelcheck/client_invariants.py
@@ -4,7 +4,7 @@
 
 from bisect import bisect_left
 
-from rowanshift.modelcheck.client_messages import Order, Status, Update
+from rowanshift.modelcheck.client_messages import ConfigChange, Status, Update
 from rowanshift.modelcheck.invariants import ControlState, Invariants, InvariantViolation
 
 KEY_BYTES = 4
@@ -18,25 +18,25 @@
 class ClientInvariants:
     """Checked at each answer, at the moment it is given, whether or not it arrives."""
 
-    def __init__(self, checks: Invariants) -> None:
-        self.checks = checks
+    def __init__(self, invariants: Invariants) -> None:
+        self.invariants = invariants
         self.acknowledged: list[bytes] = []
         self.acknowledged_at: list[float] = []  # seconds of the world, rising
-        self.acknowledged_on: dict[int, Order] = {}  # base -> the order acknowledged on it
+        self.acknowledged_on: dict[int, ConfigChange] = {}  # base -> the order acknowledged on it
         self.refused: set[bytes] = set()
         self.in_force: set[bytes] = set()  # orders in the longest state committed
         self._seen = b""
 
-    def proposed(self, base: ControlState, order: Order, state: ControlState) -> None:
+    def check_proposal(self, base: ControlState, order: ConfigChange, state: ControlState) -> None:
         """A state with the order taken is proposed."""
-        history = self.checks.history(base)
+        history = self.invariants.history(base)
         if order.key in keys(history):
             raise InvariantViolation(f"TAKEN-ONCE: {order} is taken a second time")
-        self.checks.lineage[state] = history + order.key
+        self.invariants.lineage[state] = history + order.key
 
     def look(self) -> None:
         """Look at what has been committed since."""
-        history = self.checks.history(self.checks.longest)
+        history = self.invariants.history(self.invariants.longest)
         if history is self._seen:
             return
         new = keys(history)[len(self.in_force) :]
@@ -47,17 +47,17 @@
         if not self.in_force.issuperset(self.acknowledged):
             raise InvariantViolation("ACKNOWLEDGED: an order that was acknowledged is in force no more")
 
-    def replied(self, order: Order, status: Status, now: float) -> None:
+    def replied(self, order: ConfigChange, status: Status, now: float) -> None:
         """A machine gives an order's answer."""
         self.look()
-        if status is Status.TAKEN:
+        if status is Status.ACCEPTED:
             self._acknowledge(order, now)
-        elif status in (Status.STALE, Status.INVALID):
+        elif status in (Status.PRECONDITION_FAILED, Status.INVALID):
             if order.key in self.in_force:
                 raise InvariantViolation(f"REFUSED: {order} is in force and is answered {status.value}")
             self.refused.add(order.key)
 
-    def _acknowledge(self, order: Order, now: float) -> None:
+    def _acknowledge(self, order: ConfigChange, now: float) -> None:
         if order.key not in self.in_force:
             raise InvariantViolation(f"ACKNOWLEDGED: {order} is acknowledged and not in force")
         if self.acknowledged_on.setdefault(order.base, order) != order:
@@ -76,10 +76,10 @@
 
     def taken(self, before: ControlState, state: ControlState) -> None:
         """A router takes a state in place of another."""
-        if not self.checks.builds_on(state, before):
+        if not self.invariants.builds_on(state, before):
             raise InvariantViolation("MONOTONIC: a router went back")
 
     def _holds_all(self, state: ControlState, as_of: float, who: str) -> None:
         before = self.acknowledged[: bisect_left(self.acknowledged_at, as_of)]
-        if not set(keys(self.checks.history(state))).issuperset(before):
+        if not set(keys(self.invariants.history(state))).issuperset(before):
             raise InvariantViolation(f"{who} lacks what was acknowledged before {as_of:.3f} s")
--- a/rowanshift/modelcheck/client_messages.py
+++ b/rowanshift/modelcheck/client_messages.py
@@ -12,14 +12,14 @@
 class Status(Enum):
     """The answers of ``PUT /config`` that the model tells apart."""
 
-    TAKEN = 200
+    ACCEPTED = 200
     INVALID = 400
-    STALE = 412
+    PRECONDITION_FAILED = 412
     UNAVAILABLE = 503  # nobody knows: the order may or may not be in force
 
 
 @dataclass(frozen=True, slots=True)
-class Order:
+class ConfigChange:
     """One configuration. ``number`` is unknown to the control plane but as a field that tells contents apart."""
 
     number: int
@@ -41,7 +41,7 @@
 class PutConfig:
     """An operator's order."""
 
-    order: Order
+    order: ConfigChange
 
 
 @dataclass(frozen=True, slots=True)
--- a/rowanshift/modelcheck/control_service.py
+++ b/rowanshift/modelcheck/control_service.py
@@ -9,15 +9,15 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from rowanshift.controlplane import replication as p
+from rowanshift.controlplane import replication
 from rowanshift.controlplane.configuration_change import put_config
 from rowanshift.controlplane.control_state import ControlState, unpack
 from rowanshift.controlplane.errors import InvalidConfiguration, OrderTooOld, StaleMatch
 from rowanshift.modelcheck.client_invariants import ClientInvariants
 from rowanshift.modelcheck.client_messages import (
     ClientMessage,
+    ConfigChange,
     GetConfig,
-    Order,
     Poll,
     PutConfig,
     Redirect,
@@ -26,7 +26,7 @@
     Update,
     Version,
 )
-from rowanshift.modelcheck.world import Host, World
+from rowanshift.modelcheck.cluster_model import ClusterModel, MachineModel
 
 CHANGE_LIMIT = 2.5  # seconds for a change, of which nobody knows the outcome afterwards
 POLL_HELD = 1.0  # seconds that a poll is held
@@ -37,7 +37,7 @@
     """A ``PUT /config`` that waits for its turn, for a confirmed read, or for its proposal."""
 
     operator: int
-    order: Order
+    order: ConfigChange
     deadline: float  # seconds of the machine's clock
     token: int = 0  # of what it waits for; 0: its turn
     proposed: bool = False
@@ -65,8 +65,8 @@
 class ControlService:
     """One machine's service, as long as its process lives."""
 
-    def __init__(self, me: int, world: World, checks: ClientInvariants) -> None:
-        self.me, self.world, self.checks = me, world, checks
+    def __init__(self, machine_id: int, cluster: ClusterModel, invariants: ClientInvariants) -> None:
+        self.machine_id, self.cluster, self.invariants = machine_id, cluster, invariants
         self.outbox: list[tuple[int, ClientMessage]] = []
         self.change: Change | None = None  # whose turn it is
         self.queue: deque[Change] = deque()
@@ -75,19 +75,19 @@
         self.outcomes: dict[int, bool] = {}
 
     @property
-    def host(self) -> Host:
+    def machine(self) -> MachineModel:
         """The machine."""
-        return self.world.hosts[self.me]
+        return self.cluster.machines[self.machine_id]
 
     @property
-    def replica(self) -> p.Replica:
+    def replica(self) -> replication.Replica:
         """The replica below."""
-        return self.host.replica
+        return self.machine.replica
 
     @property
     def now(self) -> float:
         """Seconds of the machine's clock."""
-        return self.world.clock(self.host)
+        return self.cluster.clock(self.machine)
 
     def outcome(self, token: int, succeeded: bool) -> None:
         """Note an outcome; who waits for it goes on some time later."""
@@ -101,7 +101,7 @@
             case GetConfig():
                 token = self._confirm_read()
                 if token:
-                    self.queries.append(Query(client, token, self.world.checks.longest))
+                    self.queries.append(Query(client, token, self.cluster.invariants.longest))
                 else:
                     self.outbox.append((client, Reply(Status.UNAVAILABLE)))
             case Poll():
@@ -122,23 +122,23 @@
     # changes
 
     def _new_token(self) -> int:
-        self.world.tokens += 1
-        return self.world.tokens
+        self.cluster.last_token += 1
+        return self.cluster.last_token
 
     def _confirm_read(self) -> int:
         """Ask for a confirmed read; its token, or 0 if this machine isn't the primary."""
         token = self._new_token()
-        self.world.checks.reads[token] = self.world.checks.longest
+        self.cluster.invariants.reads[token] = self.cluster.invariants.longest
         try:
             self.replica.confirm_read(token, self.now)
-        except p.NotPrimary:
+        except replication.NotPrimary:
             return 0
-        self.world.collect(self.me)
+        self.cluster.carry_out_actions(self.machine_id)
         return token
 
     def _begin(self, change: Change) -> None:
         """A change has its turn."""
-        change.committed_before = self.world.checks.longest
+        change.committed_before = self.cluster.invariants.longest
         change.token = self._confirm_read()
         if change.token:
             self.change = change
@@ -150,10 +150,10 @@
         if not succeeded:
             self._reply(change, Status.UNAVAILABLE)
         elif change.proposed:
-            self._reply(change, Status.TAKEN, change.order.revision)
+            self._reply(change, Status.ACCEPTED, change.order.revision)
         else:
             state = self.replica.committed_state
-            self.world.checks.read_given(change.committed_before, state)
+            self.cluster.invariants.read_given(change.committed_before, state)
             self._decide(change, state)
 
     def _decide(self, change: Change, state: bytes) -> None:
@@ -163,29 +163,29 @@
         except OrderTooOld:
             self._reply(change, Status.UNAVAILABLE)
         except StaleMatch:
-            self._reply(change, Status.STALE)
+            self._reply(change, Status.PRECONDITION_FAILED)
         except InvalidConfiguration:
             self._reply(change, Status.INVALID)
         else:
             if following is None:
-                self._reply(change, Status.TAKEN, unpack(state).revision)
+                self._reply(change, Status.ACCEPTED, unpack(state).revision)
             else:
                 self._propose(change, state, following.pack())
 
-    def _put(self, state: ControlState, order: Order) -> ControlState | None:
+    def _put(self, state: ControlState, order: ConfigChange) -> ControlState | None:
         changed = put_config(state, f'"{order.base}"', order.body)
         return None if changed is None else changed[0]
 
     def _propose(self, change: Change, base: bytes, state: bytes) -> None:
         change.token, change.proposed = self._new_token(), True
-        self.checks.proposed(base, change.order, state)
-        self.world.checks.proposed[change.token] = state
+        self.invariants.check_proposal(base, change.order, state)
+        self.cluster.invariants.proposed_states[change.token] = state
         try:
             self.replica.propose(change.token, state, self.now)
-        except p.ReplicationError:
+        except replication.ReplicationError:
             self._reply(change, Status.UNAVAILABLE)
             return
-        self.world.collect(self.me)
+        self.cluster.carry_out_actions(self.machine_id)
 
     def _end_late_changes(self) -> None:
         """Nobody waits longer than the limit; a proposal under way goes on all the same."""
@@ -198,7 +198,7 @@
             self.change = None
         elif change in self.queue:
             self.queue.remove(change)
-        self.checks.replied(change.order, status, self.world.now)
+        self.invariants.replied(change.order, status, self.cluster.now)
         self.outbox.append((change.operator, Reply(status, revision)))
 
     def _answer_query(self, query: Query) -> None:
@@ -207,8 +207,8 @@
             self.outbox.append((query.operator, Reply(Status.UNAVAILABLE)))
             return
         state = self.replica.committed_state
-        self.world.checks.read_given(query.committed_before, state)
-        self.outbox.append((query.operator, Reply(Status.TAKEN, unpack(state).revision)))
+        self.cluster.invariants.read_given(query.committed_before, state)
+        self.outbox.append((query.operator, Reply(Status.ACCEPTED, unpack(state).revision)))
 
     # polls
 
@@ -230,5 +230,5 @@
         if state != held.poll.state or self.now >= held.until:
             self.polls.remove(held)
             update = Update(held.poll, version, state)
-            self.checks.answered(update)
+            self.invariants.answered(update)
             self.outbox.append((held.router, update))
--- a/rowanshift/modelcheck/files.py
+++ b/rowanshift/modelcheck/file_system.py
@@ -11,21 +11,21 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from rowanshift.controlplane import replication as p
+from rowanshift.controlplane import replication
 
 Name = tuple[str, str]  # a directory, and a name in it
-DIRECTORY: Name = ("data", "store")
-FILE: Name = ("store", "data.mdb")
+STORE_DIRECTORY: Name = ("data", "store")
+DATA_FILE: Name = ("store", "data.mdb")
 
 
 @dataclass
-class FileSystem:
+class FileSystemModel:
     """Names and the one file's content, as shown and as they surely last."""
 
     shown: set[Name] = field(default_factory=set)
     lasting: set[Name] = field(default_factory=set)
-    content: p.DurableState | None = None
-    lasting_content: p.DurableState | None = None
+    content: replication.DurableState | None = None
+    lasting_content: replication.DurableState | None = None
 
     def make(self, name: Name) -> None:
         """Make a directory or a file."""
@@ -41,7 +41,7 @@
         others = {name for name in self.lasting if name[0] != directory}
         self.lasting = others | {name for name in self.shown if name[0] == directory}
 
-    def write_unsynced(self, content: p.DurableState) -> None:
+    def write_unsynced(self, content: replication.DurableState) -> None:
         """Write the file and leave it to the kernel when that reaches the disk."""
         self.content = content
 
@@ -49,24 +49,24 @@
         """What is written in the file lasts from now on."""
         self.lasting_content = self.content
 
-    def write(self, content: p.DurableState) -> None:
+    def write(self, content: replication.DurableState) -> None:
         """Write and sync the file."""
         self.write_unsynced(content)
         self.sync_file()
 
-    def read(self) -> p.DurableState | None:
+    def read(self) -> replication.DurableState | None:
         """What the file holds; None if there is none."""
-        return self.content if {DIRECTORY, FILE} <= self.shown else None
+        return self.content if {STORE_DIRECTORY, DATA_FILE} <= self.shown else None
 
-    def lose_power(self, draw: random.Random) -> None:
+    def lose_power(self, random_source: random.Random) -> None:
         """Each name and content that was not synced is kept or lost by itself."""
         unsure = sorted(self.shown ^ self.lasting)
-        self.shown = self.shown & self.lasting | {name for name in unsure if draw.random() < 0.5}
-        if self.content is not self.lasting_content and draw.random() < 0.5:
+        self.shown = self.shown & self.lasting | {name for name in unsure if random_source.random() < 0.5}
+        if self.content is not self.lasting_content and random_source.random() < 0.5:
             self.content = self.lasting_content
-        if DIRECTORY not in self.shown:
-            self.shown.discard(FILE)
-        if FILE not in self.shown:
+        if STORE_DIRECTORY not in self.shown:
+            self.shown.discard(DATA_FILE)
+        if DATA_FILE not in self.shown:
             self.content = None
         self.lasting, self.lasting_content = set(self.shown), self.content
 
@@ -75,11 +75,11 @@
     """The steps of `controlplane.store.Store.open`; a crash may come between any two."""
 
     @staticmethod
-    def open(files: FileSystem) -> Iterator[None]:
+    def open(files: FileSystemModel) -> Iterator[None]:
         """Make what is absent, then sync the directories, whoever made it."""
-        files.make(DIRECTORY)
+        files.make(STORE_DIRECTORY)
         yield
-        files.make(FILE)
+        files.make(DATA_FILE)
         yield
         files.sync_directory("store")
         yield
@@ -87,6 +87,6 @@
         yield
 
     @staticmethod
-    def write(files: FileSystem, content: p.DurableState) -> None:
+    def write(files: FileSystemModel, content: replication.DurableState) -> None:
         """Write a record and sync it."""
         files.write(content)
--- a/rowanshift/modelcheck/invariants.py
+++ b/rowanshift/modelcheck/invariants.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from rowanshift.controlplane import replication as p
+from rowanshift.controlplane import replication
 
 ControlState = bytes
 
@@ -14,12 +14,12 @@
 class Invariants:
     """What is checked over the whole of a run, whoever lives or dies; named as in docs/control-plane.md."""
 
-    def __init__(self, first: p.EpochRecord) -> None:
+    def __init__(self, first: replication.EpochRecord) -> None:
         self.last = first  # the newest record in force
-        self.values: dict[p.StateVersion, ControlState] = {}
-        self.proposed: dict[int, ControlState] = {}  # token -> state
-        self.commits: dict[p.StateVersion, ControlState] = {
-            p.NO_VERSION: b""
+        self.values: dict[replication.StateVersion, ControlState] = {}
+        self.proposed_states: dict[int, ControlState] = {}  # token -> state
+        self.commits: dict[replication.StateVersion, ControlState] = {
+            replication.NO_VERSION: b""
         }  # committed, by the version it was committed under
         self.longest: ControlState = b""
         self.epochs: dict[int, ControlState] = {}  # epoch number -> state it began with
@@ -36,36 +36,40 @@
         """Whether a state holds all changes of an earlier one, in their order."""
         return self.history(state).startswith(self.history(earlier))
 
-    def durable(self, durable: p.DurableState) -> None:
+    def durable(self, durable: replication.DurableState) -> None:
         """What a machine's disk holds is consistent."""
         self.value(durable.version, durable.state)
         if durable.promised < durable.accepted.number:
             raise InvariantViolation("PROMISE: a record is accepted above the promise")
 
-    def value(self, version: p.StateVersion, state: ControlState) -> None:
+    def value(self, version: replication.StateVersion, state: ControlState) -> None:
         """One state under one version."""
         if self.values.setdefault(version, state) != state:
             raise InvariantViolation(f"ONE-VALUE: two states under {version}")
 
-    def sent(self, message: p.Message, disk: p.DurableState | None) -> None:
+    def sent(self, message: replication.Message, disk: replication.DurableState | None) -> None:
         """What a machine says it holds is on its disk."""
-        if isinstance(message, p.Store):
+        if isinstance(message, replication.Store):
             self.value(message.version, message.state)
         match message:
-            case p.Promised(number, True) | p.Accepted(number, True) | p.Stored(number, _, True):
+            case (
+                replication.Promised(number, True)
+                | replication.Accepted(number, True)
+                | replication.Stored(number, _, True)
+            ):
                 held = disk is not None and disk.promised >= number
-            case p.HeartbeatReply(number, _, True):
+            case replication.HeartbeatReply(number, _, True):
                 held = disk is not None and disk.accepted.number >= number
             case _:
                 return
-        if isinstance(message, p.Accepted):
+        if isinstance(message, replication.Accepted):
             held = held and disk.accepted.number >= message.number
-        if isinstance(message, p.Stored):
+        if isinstance(message, replication.Stored):
             held = held and disk.version >= message.version
         if not held:
             raise InvariantViolation(f"DURABLE: {type(message).__name__} is sent before it is on disk")
 
-    def office(self, record: p.EpochRecord, state: ControlState, accepted: dict[int, int]) -> None:
+    def office(self, record: replication.EpochRecord, state: ControlState, accepted: dict[int, int]) -> None:
         """`accepted`: the number of the record on each machine's disk; of a lost one a high number."""
         number = record.number
         if number in self.epochs:
@@ -73,14 +77,14 @@
         before = self.last
         if number > before.number:
             self.last = record
-            voters = {machine for machine, held in accepted.items() if held >= number}
+            voters = {machine_id for machine_id, held in accepted.items() if held >= number}
             for members in (record.witnesses, before.witnesses):
-                if not p.has_majority(voters, members):
+                if not replication.has_majority(voters, members):
                     raise InvariantViolation(f"DECIDED: {record} is in force and on the disks of {voters} alone")
         self.epochs[number] = state
-        self.committed(p.StateVersion(number, 0), state)
+        self.check_commit(replication.StateVersion(number, 0), state)
 
-    def committed(self, version: p.StateVersion, state: ControlState) -> None:
+    def check_commit(self, version: replication.StateVersion, state: ControlState) -> None:
         """Whatever is committed under a lower version is part of it, and it is part of what comes after."""
         for other, value in self.commits.items():
             low, high = (value, state) if other <= version else (state, value)
--- a/rowanshift/modelcheck/routers.py
+++ b/rowanshift/modelcheck/router_model.py
@@ -10,11 +10,11 @@
 REFUSE_WITHIN = 7.5  # seconds: the age of what is known up to which a client is refused by it
 
 
-class Router:
+class RouterModel:
     """What one router knows. Answers to polls it has given up are taken, too: more than a real one does."""
 
-    def __init__(self, number: int, checks: ClientInvariants) -> None:
-        self.number, self.checks = number, checks
+    def __init__(self, number: int, invariants: ClientInvariants) -> None:
+        self.number, self.invariants = number, invariants
         self.version: Version = NO_VERSION
         self.state = b""
         self.freshness = Freshness(0.0, REFUSE_WITHIN)
@@ -49,12 +49,12 @@
 
     def _take(self, update: Update, now: float) -> None:
         self.updates += 1
-        self.checks.taken(self.state, update.state)
+        self.invariants.taken(self.state, update.state)
         self.version, self.state = update.version, update.state
         self.freshness.confirmed(self._confirmed_at(update, now))
-        self.checks.counted_fresh(self.state, self.freshness.known_as_of)
+        self.invariants.counted_fresh(self.state, self.freshness.known_as_of)
         if not self.freshness.in_doubt:
-            self.checks.counted_fresh(self.state, self.stood_still_until)
+            self.invariants.counted_fresh(self.state, self.stood_still_until)
 
     def _confirmed_at(self, update: Update, now: float) -> float:
         """The time as of which an answer makes what it says fresh."""
--- a/tests/controlplane/replication/test_membership.py
+++ b/tests/controlplane/replication/test_membership.py
@@ -29,12 +29,12 @@
     def leave(self, rig: Rig, machine: int, seconds: float = 2.0) -> float:
         """Have a machine leave; the seconds until it was released."""
         replica = rig.ledger(machine)
-        replica.leave(rig.world.now)
-        rig.world.collect(machine)
+        replica.leave(rig.cluster.now)
+        rig.cluster.carry_out_actions(machine)
         return rig.run(seconds, lambda: replica.released)
 
     def end(self, rig: Rig, machine: int) -> None:
-        rig.world.crash(machine, landed=False)
+        rig.cluster.crash(machine, save_persisted=False)
 
     def test_a_backup_is_replaced_before_it_is_released(self) -> None:
         rig = Rig()
@@ -56,7 +56,7 @@
         record = rig.ledger(rig.primary()).record
         self.assertNotIn(first, record.in_sync)
         for member in record.in_sync:
-            self.assertEqual(rig.world.hosts[member].disk.state, kept)
+            self.assertEqual(rig.cluster.machines[member].disk.state, kept)
         self.end(rig, first)
         self.assertEqual(rig.commit(), 2)
 
@@ -143,7 +143,7 @@
         replica = rig.ledger(primary)
         self.assertEqual(replica.redundancy(), p.Redundancy(2, 2, 3, 3, changing=False))
         backup = next(m for m in replica.record.in_sync if m != primary)
-        rig.world.crash(backup, landed=False)
+        rig.cluster.crash(backup, save_persisted=False)
         rig.run(0.65)
         self.assertFalse(replica.redundancy().full)
         rig.run(1.0)
@@ -176,8 +176,8 @@
     def restarted(self, bootstrap: bool) -> Rig:
         rig = Rig()
         for machine in (1, 2, 3):
-            rig.world.crash(machine, landed=False)
-            rig.world.hosts[machine].disk = None
+            rig.cluster.crash(machine, save_persisted=False)
+            rig.cluster.machines[machine].disk = None
         for machine in (1, 2, 3):
             rig.start(machine, bootstrap)
         rig.run(30.0, lambda: rig.primary() != 0)
--- a/tests/controlplane/replication/test_replication.py
+++ b/tests/controlplane/replication/test_replication.py
@@ -8,10 +8,10 @@
 from rowanshift.controlplane import replication as p
 from rowanshift.controlplane.replication import timing
 from rowanshift.controlplane.replication.timing import BLOCK, PRE_VOTE_RETRY
-from rowanshift.modelcheck.breadth import breadth
-from rowanshift.modelcheck.hunt import find
-from rowanshift.modelcheck.walk import Walk
-from rowanshift.modelcheck.world import Host, World, half
+from rowanshift.modelcheck.breadth_first_search import search_breadth_first
+from rowanshift.modelcheck.cluster_model import ClusterModel, MachineModel, fixed_random
+from rowanshift.modelcheck.fault_search import find_fault
+from rowanshift.modelcheck.random_walk import RandomWalk
 from tests.support.planted_replication_faults import FAULTS
 
 ME, OTHER, THIRD, FOURTH = 1, 2, 3, 4
@@ -26,68 +26,70 @@
 
     def __init__(self, machines: int = 3, f: int = 1, spares: int = 0, duty_wait: float = 0.0) -> None:
         seeds = tuple(range(1, machines + 1))
-        self.world = World({}, f, seeds)
+        self.cluster = ClusterModel({}, f, seeds)
         self.duty_wait = duty_wait
         self.drop: Callable[[int, int, p.Message], bool] = never
         self.stuck: set[int] = set()  # machines whose saves don't land
         self.paused: set[int] = set()
         self.events: list[tuple[float, int, p.Action]] = []
         for me in range(1, machines + spares + 1):
-            self.world.hosts[me] = Host(None)
+            self.cluster.machines[me] = MachineModel(None)
             self.start(me, bootstrap=me <= machines)
 
     def start(self, me: int, bootstrap: bool = False) -> None:
-        host, world = self.world.hosts[me], self.world
-        ledger = p.Replica(me, world.f, world.seeds, bootstrap, host.disk, world.now, half, self.duty_wait)
+        machine, cluster = self.cluster.machines[me], self.cluster
+        ledger = p.Replica(
+            me, cluster.max_failures, cluster.seeds, bootstrap, machine.disk, cluster.now, fixed_random, self.duty_wait
+        )
         drain = ledger.drain
 
         def noted() -> list[p.Action]:
             actions = drain()
-            self.events += [(world.now, me, a) for a in actions if not isinstance(a, p.Send | p.Save)]
+            self.events += [(cluster.now, me, a) for a in actions if not isinstance(a, p.Send | p.Save)]
             return actions
 
         ledger.drain = noted
-        host.replica = ledger
-        world.collect(me)
+        machine.replica = ledger
+        cluster.carry_out_actions(me)
 
     def settle(self) -> None:
-        world = self.world
+        cluster = self.cluster
         for _ in range(2000):
-            saving = [m for m, h in world.hosts.items() if h.save is not None and m not in self.stuck]
-            moving = [i for i, entry in enumerate(world.net) if entry[1] not in self.paused]
+            saving = [m for m, h in cluster.machines.items() if h.pending_save is not None and m not in self.stuck]
+            moving = [i for i, entry in enumerate(cluster.in_flight) if entry[1] not in self.paused]
             if moving:
-                sender, to, message = world.net[moving[0]]
-                if world.hosts[to].replica is None or self.drop(sender, to, message):
-                    world.net.pop(moving[0])
+                sender, to, message = cluster.in_flight[moving[0]]
+                if cluster.machines[to].replica is None or self.drop(sender, to, message):
+                    cluster.in_flight.pop(moving[0])
                 else:
-                    world.deliver(moving[0])
+                    cluster.deliver(moving[0])
             elif saving:
-                world.sync(saving[0])
+                cluster.complete_save(saving[0])
             else:
-                world.check_leases()
+                cluster.check_leases()
                 return
         raise AssertionError("the machines never come to rest")
 
     def run(self, seconds: float, until: Callable[[], bool] = lambda: False) -> float:
         """Let `seconds` pass, or fewer once `until` holds; the seconds that passed."""
-        began = self.world.now
+        began = self.cluster.now
         self.settle()
-        while self.world.now < began + seconds and not until():
-            self.world.now += 0.05
-            for me, host in self.world.hosts.items():
-                if host.replica is not None and me not in self.paused:
-                    self.world.tick(me)
+        while self.cluster.now < began + seconds and not until():
+            self.cluster.now += 0.05
+            for me, machine in self.cluster.machines.items():
+                if machine.replica is not None and me not in self.paused:
+                    self.cluster.tick(me)
             self.settle()
-        return self.world.now - began
+        return self.cluster.now - began
 
     def ledger(self, me: int) -> p.Replica:
-        return self.world.hosts[me].replica
+        return self.cluster.machines[me].replica
 
     def primary(self) -> int:
         """The machine that is primary by the highest number, or 0."""
         found = [
             (h.replica.record.number, me)
-            for me, h in self.world.hosts.items()
+            for me, h in self.cluster.machines.items()
             if h.replica is not None and h.replica.is_primary
         ]
         return max(found, default=(0, 0))[1]
@@ -99,9 +101,9 @@
 
     def commit(self) -> int:
         """Propose at the primary and settle; how many are committed."""
-        self.world.propose(self.primary())
+        self.cluster.propose(self.primary())
         self.settle()
-        return self.world.committed
+        return self.cluster.commit_count
 
     def of(self, kind: type) -> list[tuple[float, int, p.Action]]:
         return [event for event in self.events if isinstance(event[2], kind)]
@@ -113,7 +115,7 @@
 
 def single(durable: p.DurableState | None = None, bootstrap: bool = True, now: float = 0.0) -> p.Replica:
     """One machine of three, its first save landed."""
-    ledger = p.Replica(ME, 1, (ME, OTHER, THIRD), bootstrap, durable, now, half)
+    ledger = p.Replica(ME, 1, (ME, OTHER, THIRD), bootstrap, durable, now, fixed_random)
     for action in ledger.drain():
         if isinstance(action, p.Save):
             ledger.saved(action.token, now)
@@ -255,17 +257,17 @@
         rig = Rig()
         primary = rig.elect()
         self.assertEqual(1, rig.commit())
-        rig.world.read(primary)
+        rig.cluster.read(primary)
         rig.settle()
         self.assertEqual(1, len(rig.of(p.ReadConfirmed)))
         self.assertEqual(2, len(rig.ledger(primary).record.in_sync))
-        now = rig.world.now
+        now = rig.cluster.now
         self.assertGreater(rig.ledger(primary).lease_until(now), now)
 
     def test_one_machine_alone_with_no_faults_to_bear(self):
         rig = Rig(machines=1, f=0)
         rig.elect()
-        rig.world.read(1)
+        rig.cluster.read(1)
         self.assertEqual((1, 1), (rig.commit(), len(rig.of(p.ReadConfirmed))))
 
     def test_a_takeover_keeps_what_was_committed(self):
@@ -273,12 +275,12 @@
         first = rig.elect()
         rig.commit()
         kept = rig.ledger(first).committed_state
-        rig.world.crash(first, landed=False)
+        rig.cluster.crash(first, save_persisted=False)
         took = rig.run(5, lambda: bool(rig.primary()))
         self.assertLess(took, 2.0)
         second = rig.ledger(rig.primary())
         self.assertEqual(kept, second.committed_state)
-        self.assertAlmostEqual(rig.world.now + 4.0, second.duty_from, delta=0.01)
+        self.assertAlmostEqual(rig.cluster.now + 4.0, second.duty_from, delta=0.01)
         self.assertEqual(2, rig.commit())
 
     def test_an_old_primary_confirms_no_read_after_a_takeover(self):
@@ -289,13 +291,15 @@
         self.assertNotEqual(first, rig.primary())
         rig.commit()
         rig.paused = set()
-        rig.world.net = [entry for entry in rig.world.net if entry[1] != first]  # it has heard nothing of it
+        rig.cluster.in_flight = [
+            entry for entry in rig.cluster.in_flight if entry[1] != first
+        ]  # it has heard nothing of it
         self.assertTrue(rig.ledger(first).is_primary)
-        now = rig.world.now
+        now = rig.cluster.now
         self.assertLess(rig.ledger(first).lease_until(now), now)
-        rig.world.read(first)
-        rig.world.propose(first)
-        token = rig.world.tokens
+        rig.cluster.read(first)
+        rig.cluster.propose(first)
+        token = rig.cluster.last_token
         rig.run(2)
         self.assertFalse(rig.ledger(first).is_primary)
         self.assertEqual([], [e for e in rig.of(p.ReadConfirmed) if e[1] == first])
@@ -314,10 +318,10 @@
         primary = rig.elect()
         record = rig.ledger(primary).record
         backup = next(m for m in record.in_sync if m != primary)
-        rig.world.crash(backup, landed=False)
+        rig.cluster.crash(backup, save_persisted=False)
         self.assertEqual(0, rig.commit())
-        rig.run(1.5, lambda: rig.world.committed == 1)
-        self.assertEqual(1, rig.world.committed)
+        rig.run(1.5, lambda: rig.cluster.commit_count == 1)
+        self.assertEqual(1, rig.cluster.commit_count)
         after = rig.ledger(primary).record
         self.assertGreater(after.number, record.number)
         self.assertNotIn(backup, after.in_sync)
@@ -329,8 +333,8 @@
         backup = next(m for m in rig.ledger(primary).record.in_sync if m != primary)
         rig.stuck = {backup}
         rig.commit()
-        rig.run(1.5, lambda: rig.world.committed == 1)
-        self.assertEqual(1, rig.world.committed)
+        rig.run(1.5, lambda: rig.cluster.commit_count == 1)
+        self.assertEqual(1, rig.cluster.commit_count)
         self.assertNotIn(backup, rig.ledger(primary).record.in_sync)
 
     def test_a_candidate_not_in_sync_nominates_one_that_is(self):
@@ -339,7 +343,7 @@
         rig.commit()
         record = rig.ledger(primary).record
         backup = next(m for m in record.in_sync if m != primary)
-        rig.world.crash(primary, landed=False)
+        rig.cluster.crash(primary, save_persisted=False)
         rig.ledger(backup)._stand_at = float("inf")
         rig.run(4, lambda: bool(rig.primary()))
         self.assertEqual(backup, rig.primary())
@@ -349,7 +353,7 @@
         first = rig.elect()
         rig.stuck = {first}
         rig.commit()
-        rig.world.sync(first, ok=False)
+        rig.cluster.complete_save(first, succeeded=False)
         self.assertEqual([False], [e[2].primary for e in rig.of(p.Became)][1:])
         self.assertEqual(1, len(rig.of(p.Failed)))
         rig.run(1.0, lambda: bool(rig.primary()))
@@ -369,14 +373,14 @@
         primary = rig.elect()
         rig.commit()
         backup = next(m for m in rig.ledger(primary).record.in_sync if m != primary)
-        rig.world.crash(backup, landed=False)
-        rig.world.hosts[backup].disk = None
+        rig.cluster.crash(backup, save_persisted=False)
+        rig.cluster.machines[backup].disk = None
         rig.start(backup)
         rig.run(6)
         self.assertFalse(rig.ledger(backup).is_amnesic)
         record = rig.ledger(primary).record
         for member in record.in_sync:
-            self.assertEqual(rig.ledger(primary).committed_state, rig.world.hosts[member].disk.state)
+            self.assertEqual(rig.ledger(primary).committed_state, rig.cluster.machines[member].disk.state)
 
     def test_an_in_sync_machine_that_lost_its_disk_gets_the_sheet_anew(self):
         rig = Rig()
@@ -384,12 +388,12 @@
         rig.commit()
         record = rig.ledger(primary).record
         backup = next(m for m in record.in_sync if m != primary)
-        rig.world.crash(backup, landed=False)
-        rig.world.hosts[backup].disk = p.DurableState(record.number, record, p.NO_VERSION, b"", False)
+        rig.cluster.crash(backup, save_persisted=False)
+        rig.cluster.machines[backup].disk = p.DurableState(record.number, record, p.NO_VERSION, b"", False)
         rig.start(backup)
         rig.run(0.5)
         self.assertEqual(record, rig.ledger(primary).record)
-        self.assertEqual(rig.ledger(primary).committed_state, rig.world.hosts[backup].disk.state)
+        self.assertEqual(rig.ledger(primary).committed_state, rig.cluster.machines[backup].disk.state)
 
     def test_a_witness_that_is_gone_is_replaced_by_a_spare(self):
         rig = Rig(spares=1)
@@ -397,7 +401,7 @@
         rig.run(4)
         self.assertFalse(rig.ledger(FOURTH).is_amnesic)
         gone = next(m for m in (1, 2, 3) if m not in rig.ledger(primary).record.in_sync)
-        rig.world.crash(gone, landed=False)
+        rig.cluster.crash(gone, save_persisted=False)
         rig.run(5)
         record = rig.ledger(primary).record
         self.assertEqual(({1, 2, 3, 4} - {gone}, ()), (set(record.witnesses), record.former))
@@ -418,15 +422,15 @@
         primary = rig.elect()
         other = next(m for m in (1, 2, 3) if m != primary)
         with self.assertRaises(p.NotPrimary) as caught:
-            rig.ledger(other).propose(1, b"", rig.world.now)
+            rig.ledger(other).propose(1, b"", rig.cluster.now)
         self.assertEqual(primary, caught.exception.hint)
         with self.assertRaises(p.NotPrimary):
-            rig.ledger(other).confirm_read(1, rig.world.now)
+            rig.ledger(other).confirm_read(1, rig.cluster.now)
         with self.assertRaises(p.StateTooLarge):
-            rig.ledger(primary).propose(1, bytes(p.STATE_LIMIT + 1), rig.world.now)
-        rig.ledger(primary).propose(1, b"aaaa", rig.world.now)
+            rig.ledger(primary).propose(1, bytes(p.STATE_LIMIT + 1), rig.cluster.now)
+        rig.ledger(primary).propose(1, b"aaaa", rig.cluster.now)
         with self.assertRaises(p.Busy):
-            rig.ledger(primary).propose(2, b"bbbb", rig.world.now)
+            rig.ledger(primary).propose(2, b"bbbb", rig.cluster.now)
         self.assertEqual(b"", rig.ledger(primary).committed_state)
 
 
@@ -434,17 +438,17 @@
     def walk(self, seeds: range, machines: int, f: int, spares: int) -> None:
         committed = 0
         for seed in seeds:
-            outcome = Walk(seed, machines, f, spares).run(5000)
-            self.assertEqual(("", ""), (outcome.broken, outcome.stalled), outcome)
-            committed += outcome.committed
+            outcome = RandomWalk(seed, machines, f, spares).run(5000)
+            self.assertEqual(("", ""), (outcome.violation, outcome.stall), outcome)
+            committed += outcome.commits
         self.assertGreater(committed, 10 * len(seeds))
 
     def test_a_pre_vote_is_asked_again_soon(self):
         rig = Rig()
         rig.elect()
         for me in (1, 2, 3):
-            rig.world.crash(me, landed=False)
-        former = next(me for me in (1, 2, 3) if rig.world.hosts[me].disk.accepted.primary == me)
+            rig.cluster.crash(me, save_persisted=False)
+        former = next(me for me in (1, 2, 3) if rig.cluster.machines[me].disk.accepted.primary == me)
         rig.start(former)
         rig.run(0.25)
         self.assertEqual(rig.ledger(former)._candidacy.phase, "pre-vote")
@@ -457,7 +461,7 @@
         first = rig.elect()
         others = {1, 2, 3} - {first}
         for me in (1, 2, 3):
-            rig.world.crash(me, landed=False)
+            rig.cluster.crash(me, save_persisted=False)
         for me in others:
             rig.start(me)
         self.assertGreaterEqual(rig.run(3.0, lambda: rig.primary() != 0), BLOCK)
@@ -472,12 +476,12 @@
         self.walk(range(1000, 1020), 5, 2, 2)
 
     def test_breadth(self):
-        self.assertEqual("", breadth(1500).broken)
+        self.assertEqual("", search_breadth_first(1500).violation)
 
     def test_planted_faults_are_found(self):
         for fault, hunt in FAULTS.items():
             with self.subTest(fault=fault.__name__):
-                self.assertIsNotNone(find(fault, hunt, [hunt.seed, *range(60)]), "not found")
+                self.assertIsNotNone(find_fault(fault, hunt, [hunt.seed, *range(60)]), "not found")
 
 
 if __name__ == "__main__":
--- a/tests/controlplane/replication/test_state_delta.py
+++ b/tests/controlplane/replication/test_state_delta.py
@@ -3,8 +3,8 @@
 import unittest
 
 from rowanshift.controlplane import replication as p
-from rowanshift.modelcheck.walk import Walk
-from rowanshift.modelcheck.world import half
+from rowanshift.modelcheck.cluster_model import fixed_random
+from rowanshift.modelcheck.random_walk import RandomWalk
 from rowanshift.wire.delta import COPY, LITERAL, OPERATION
 from tests.controlplane.replication.test_replication import Rig
 
@@ -44,18 +44,18 @@
 
     def propose(self, rig: Rig, made: bytes) -> None:
         primary = rig.primary()
-        rig.world.tokens += 1
-        rig.ledger(primary).propose(rig.world.tokens, made, rig.world.now)
-        rig.world.checks.proposed[rig.world.tokens] = made
+        rig.cluster.last_token += 1
+        rig.ledger(primary).propose(rig.cluster.last_token, made, rig.cluster.now)
+        rig.cluster.invariants.proposed_states[rig.cluster.last_token] = made
         for action in rig.ledger(primary).drain():
             self.carry(rig, primary, action)
         rig.run(0.05)
 
     def carry(self, rig: Rig, me: int, action: p.Action) -> None:
         if isinstance(action, p.Send):
-            rig.world.net.append((me, action.to, action.message))
+            rig.cluster.in_flight.append((me, action.to, action.message))
         elif isinstance(action, p.Save):
-            rig.world.hosts[me].save = action
+            rig.cluster.machines[me].pending_save = action
 
     def backup(self, rig: Rig) -> int:
         return next(m for m in rig.ledger(rig.primary()).record.in_sync if m != rig.primary())
@@ -64,7 +64,7 @@
 class Differences(Backups):
     def test_the_first_state_goes_whole_and_changes_by_their_difference(self) -> None:
         rig = Rig()
-        rig.world.checks.committed = lambda *_: None  # these states don't grow, as the model's do
+        rig.cluster.invariants.check_commit = lambda *_: None  # these states don't grow, as the model's do
         rig.elect()
         kinds = self.sent(rig)
         self.propose(rig, state(90001))
@@ -73,23 +73,23 @@
         self.propose(rig, state(90002))
         self.assertEqual(kinds, [p.StoreDelta])
         for member in rig.ledger(rig.primary()).record.in_sync:
-            self.assertEqual(rig.world.hosts[member].disk.state, state(90002))
+            self.assertEqual(rig.cluster.machines[member].disk.state, state(90002))
 
     def test_one_that_is_lost_is_followed_by_the_whole_state(self) -> None:
         rig = Rig()
-        rig.world.checks.committed = lambda *_: None
+        rig.cluster.invariants.check_commit = lambda *_: None
         rig.elect()
         self.propose(rig, state(90001))
         rig.drop = lambda sender, to, message: isinstance(message, p.StoreDelta)
         self.propose(rig, state(90002))
-        self.assertEqual(rig.world.hosts[self.backup(rig)].disk.state, state(90001))
+        self.assertEqual(rig.cluster.machines[self.backup(rig)].disk.state, state(90001))
         rig.run(0.3)
-        self.assertEqual(rig.world.hosts[self.backup(rig)].disk.state, state(90002))
+        self.assertEqual(rig.cluster.machines[self.backup(rig)].disk.state, state(90002))
         self.assertEqual(rig.ledger(rig.primary()).committed_state, state(90002))
 
     def test_a_small_state_or_one_that_is_all_new_goes_whole(self) -> None:
         rig = Rig()
-        rig.world.checks.committed = lambda *_: None
+        rig.cluster.invariants.check_commit = lambda *_: None
         rig.elect()
         kinds = self.sent(rig)
         for made in (b"small", b"smaller", state(90001), bytes(100_000), state(90002)):
@@ -99,7 +99,7 @@
     def test_one_to_another_state_than_is_held_is_left_and_not_answered(self) -> None:
         """The walks don't come to it: a backup that lost its disk is replaced before it may answer again."""
         rig = Rig()
-        rig.world.checks.committed = lambda *_: None
+        rig.cluster.invariants.check_commit = lambda *_: None
         rig.elect()
         self.propose(rig, state(90001))
         replica, primary = rig.ledger(self.backup(rig)), rig.primary()
@@ -107,19 +107,19 @@
         base = p.StateVersion(held.version.epoch, held.version.sequence + 1)
         version = p.StateVersion(held.version.epoch, held.version.sequence + 2)
         delta = OPERATION.pack(COPY, 0, 10)
-        replica.receive(primary, p.StoreDelta(held.version.epoch, version, base, delta), rig.world.now)
+        replica.receive(primary, p.StoreDelta(held.version.epoch, version, base, delta), rig.cluster.now)
         self.assertEqual((replica.drain(), replica._durable), ([], held))
-        replica.receive(primary, p.StoreDelta(held.version.epoch, base, held.version, delta), rig.world.now)
+        replica.receive(primary, p.StoreDelta(held.version.epoch, base, held.version, delta), rig.cluster.now)
         self.assertEqual(replica._durable.state, state(90001)[:10])
 
     def test_below_its_promise_none_is_taken(self) -> None:
         rig = Rig()
-        rig.world.checks.committed = lambda *_: None
+        rig.cluster.invariants.check_commit = lambda *_: None
         rig.elect()
         self.propose(rig, state(90001))
         replica = rig.ledger(self.backup(rig))
         version = p.StateVersion(0, 5)
-        replica.receive(rig.primary(), p.StoreDelta(0, version, replica._durable.version, b""), rig.world.now)
+        replica.receive(rig.primary(), p.StoreDelta(0, version, replica._durable.version, b""), rig.cluster.now)
         answers = [a.message for a in replica.drain() if isinstance(a, p.Send)]
         self.assertEqual([(type(m), m.ok) for m in answers], [(p.Stored, False)])
 
@@ -136,7 +136,7 @@
     def state_after(self, replica_class: type[p.Replica]) -> bytes:
         """What a backup holds after a difference to a version that it never stored."""
         epoch = 1 << 32 | 2
-        replica = replica_class(1, 1, (1, 2, 3), True, None, 0.0, half)
+        replica = replica_class(1, 1, (1, 2, 3), True, None, 0.0, fixed_random)
         replica.receive(2, p.Store(epoch, p.StateVersion(epoch, 1), state(1)), 1.0)
         delta = OPERATION.pack(COPY, 0, 10)
         replica.receive(2, p.StoreDelta(epoch, p.StateVersion(epoch, 3), p.StateVersion(epoch, 2), delta), 1.1)
@@ -153,9 +153,9 @@
     def test_walks_in_which_all_changes_go_by_their_difference(self) -> None:
         committed = 0
         for seed in range(3000, 3012):
-            outcome = Walk(seed, 3, 1, 1, replica_class=AlwaysByDelta).run(5000)
-            self.assertEqual((outcome.broken, outcome.stalled), ("", ""))
-            committed += outcome.committed
+            outcome = RandomWalk(seed, 3, 1, 1, replica_class=AlwaysByDelta).run(5000)
+            self.assertEqual((outcome.violation, outcome.stall), ("", ""))
+            committed += outcome.commits
         self.assertGreater(committed, 300)
 
 
--- a/tests/modelcheck/test_closing_fault.py
+++ b/tests/modelcheck/test_closing_fault.py
@@ -6,8 +6,8 @@
 import trio
 from loguru import logger
 
-from rowanshift.controlplane import replication as p
-from rowanshift.modelcheck.closing_walk import ClosingWalk, UncountedWalk
+from rowanshift.controlplane import replication
+from rowanshift.modelcheck.worst_case_walk import ObserverWalk, WorstCaseWalk
 from rowanshift.simulation.fleet import Fleet, config_of, play
 from rowanshift.simulation.fleet_machines import Unit
 from rowanshift.simulation.fleet_settings import MODEL
@@ -41,12 +41,12 @@
 
     def strike(self, wiped: int, gone: int = 0) -> None:
         """Disks keep what was synced, but for the one that is wiped; a machine that is gone stays away."""
-        hosts = self.world.hosts
-        for machine in hosts:
-            self.world.crash(machine, landed=False)
-        self.world.net.clear()
-        hosts[wiped].disk = None
-        for machine in hosts:
+        machines = self.cluster.machines
+        for machine in machines:
+            self.cluster.crash(machine, save_persisted=False)
+        self.cluster.in_flight.clear()
+        machines[wiped].disk = None
+        for machine in machines:
             if machine != gone:
                 self.start(machine)
 
@@ -74,8 +74,8 @@
 
     def leave(self, rig: Rig, leaving: int) -> None:
         replica = rig.ledger(leaving)
-        replica.leave(rig.world.now)
-        rig.world.collect(leaving)
+        replica.leave(rig.cluster.now)
+        rig.cluster.carry_out_actions(leaving)
         rig.run(3.0, lambda: replica.released)
         self.assertTrue(replica.released)
 
@@ -93,17 +93,17 @@
         for (machines, f, spares), seeds in SEEDS.items():
             for seed in seeds:
                 with self.subTest(machines=machines, seed=seed):
-                    self.lose_nothing(ClosingWalk(seed, machines, f, spares))
+                    self.lose_nothing(WorstCaseWalk(seed, machines, f, spares))
 
     def test_nothing_is_lost_with_a_machine_that_does_not_count(self) -> None:
         for seed in range(5000, 5004):
             with self.subTest(seed=seed):
-                self.lose_nothing(UncountedWalk(seed, 3, 1, 1))
+                self.lose_nothing(ObserverWalk(seed, 3, 1, 1))
 
-    def lose_nothing(self, walk: ClosingWalk) -> None:
+    def lose_nothing(self, walk: WorstCaseWalk) -> None:
         outcome = walk.run(STEPS)
-        self.assertEqual("", outcome.broken)
-        self.assertGreater(outcome.committed, 0)
+        self.assertEqual("", outcome.violation)
+        self.assertGreater(outcome.commits, 0)
 
 
 class Uncounted(unittest.TestCase):
@@ -118,14 +118,14 @@
         rig.commit()
         return rig
 
-    def record(self, rig: Rig) -> p.EpochRecord:
+    def record(self, rig: Rig) -> replication.EpochRecord:
         return rig.ledger(rig.primary()).record
 
     def test_it_takes_neither_copy_nor_vote_whoever_is_away(self) -> None:
         for away in (1, 2, 3):
             with self.subTest(away=away):
                 rig = self.rig()
-                rig.world.crash(away, landed=False)
+                rig.cluster.crash(away, save_persisted=False)
                 rig.run(6.0)
                 self.assertEqual(rig.commit(), 2)
                 self.assertNotIn(FOURTH, self.record(rig).members())
@@ -135,7 +135,7 @@
             for wiped in (1, 2, 3):
                 with self.subTest(away=away, wiped=wiped):
                     rig = self.rig()
-                    rig.world.crash(away, landed=False)
+                    rig.cluster.crash(away, save_persisted=False)
                     rig.run(6.0)
                     rig.start(away)
                     rig.run(6.0)
@@ -146,7 +146,7 @@
 
     def test_it_knows_the_record_and_the_primary(self) -> None:
         rig = self.rig()
-        rig.world.crash(rig.primary(), landed=False)
+        rig.cluster.crash(rig.primary(), save_persisted=False)
         rig.run(6.0)
         replica = rig.ledger(FOURTH)
         self.assertFalse(replica.is_amnesic)
@@ -154,7 +154,7 @@
 
     def test_it_may_end_at_once(self) -> None:
         rig = self.rig()
-        rig.ledger(FOURTH).leave(rig.world.now)
+        rig.ledger(FOURTH).leave(rig.cluster.now)
         self.assertTrue(rig.ledger(FOURTH).released)
 
     def test_one_of_the_first_members_makes_room_for_a_spare_that_counts(self) -> None:
@@ -169,7 +169,7 @@
         for machine in (1, 2, 3):
             rig.ledger(machine).counts = False
         rig.elect()
-        rig.world.crash(self.record(rig).in_sync[0], landed=False)
+        rig.cluster.crash(self.record(rig).in_sync[0], save_persisted=False)
         rig.run(6.0)
         self.assertEqual(rig.commit(), 1)
 
--- a/tests/modelcheck/test_modelcheck.py
+++ b/tests/modelcheck/test_modelcheck.py
@@ -6,18 +6,17 @@
 import unittest
 from unittest import mock
 
-from rowanshift.controlplane import order_history
-from rowanshift.controlplane import replication as p
+from rowanshift.controlplane import order_history, replication
 from rowanshift.controlplane.configuration import parse
-from rowanshift.modelcheck.breadth import breadth
-from rowanshift.modelcheck.client_messages import Order, Status
+from rowanshift.modelcheck.breadth_first_search import search_breadth_first
+from rowanshift.modelcheck.client_messages import ConfigChange, Status
 from rowanshift.modelcheck.client_walk import ClientWalk
-from rowanshift.modelcheck.files import DIRECTORY, FILE, FileSystem, StoreModel
-from rowanshift.modelcheck.hunt import find
-from rowanshift.modelcheck.member_walk import MemberWalk
+from rowanshift.modelcheck.fault_search import find_fault
+from rowanshift.modelcheck.file_system import DATA_FILE, STORE_DIRECTORY, FileSystemModel, StoreModel
+from rowanshift.modelcheck.membership_walk import MembershipWalk
 from tests.support.planted_client_faults import FAULTS
 
-RECORD = p.DurableState(1, p.NO_RECORD, p.NO_VERSION, b"abcd", False)
+RECORD = replication.DurableState(1, replication.NO_RECORD, replication.NO_VERSION, b"abcd", False)
 
 
 class ClientWalks(unittest.TestCase):
@@ -28,7 +27,7 @@
         for seed in seeds:
             walk = ClientWalk(seed, machines, f, spares)
             outcome = walk.run(5000)
-            self.assertEqual(("", ""), (outcome.broken, outcome.stalled), outcome)
+            self.assertEqual(("", ""), (outcome.violation, outcome.stall), outcome)
             acknowledged += len(walk.client_checks.acknowledged)
             updates += sum(router.updates for router in walk.routers.values())
         self.assertGreater(acknowledged, least_acknowledged)
@@ -48,8 +47,8 @@
             self.walk(range(2020, 2036), 3, 1, 0, 100)
 
     def test_an_order_of_the_model_is_a_valid_configuration(self):
-        self.assertEqual(7, parse(Order(3, 6, 7).body).revision)
-        self.assertNotEqual(Order(3, 6, 7).body, Order(4, 6, 7).body)
+        self.assertEqual(7, parse(ConfigChange(3, 6, 7).body).revision)
+        self.assertNotEqual(ConfigChange(3, 6, 7).body, ConfigChange(4, 6, 7).body)
 
     def test_statuses_are_those_of_the_api(self):
         self.assertEqual([200, 400, 412, 503], [status.value for status in Status])
@@ -60,10 +59,10 @@
 
     def walk(self, seeds: range, machines: int, f: int, spares: int) -> None:
         for seed in seeds:
-            walk = MemberWalk(seed, machines, f, spares)
+            walk = MembershipWalk(seed, machines, f, spares)
             outcome = walk.run(8000)
-            self.assertEqual("", outcome.broken, outcome)
-            self.assertGreater(len(walk.world.hosts), machines + spares)
+            self.assertEqual("", outcome.violation, outcome)
+            self.assertGreater(len(walk.cluster.machines), machines + spares)
 
     def test_three_machines_and_a_spare(self):
         self.walk(range(3000, 3010), 3, 1, 1)
@@ -76,8 +75,8 @@
     """All orders of events up to three from each start."""
 
     def search(self, start: str) -> None:
-        result = breadth(100_000, start, most_events=3)
-        self.assertEqual(("", 3), (result.broken, result.depth), result)
+        result = search_breadth_first(100_000, start, most_events=3)
+        self.assertEqual(("", 3), (result.violation, result.depth), result)
 
     def test_from_a_quiet_primary(self):
         self.search("quiet-primary")
@@ -98,7 +97,7 @@
     def test_each_is_found(self):
         for fault, hunt in FAULTS.items():
             with self.subTest(fault=fault.__name__):
-                self.assertIsNotNone(find(fault, hunt, [hunt.seed, *range(40)]), "not found")
+                self.assertIsNotNone(find_fault(fault, hunt, [hunt.seed, *range(40)]), "not found")
 
 
 class Files(unittest.TestCase):
@@ -113,9 +112,9 @@
             kept.add(files.read() == RECORD)
         return kept
 
-    def opened(self, steps: int) -> FileSystem:
+    def opened(self, steps: int) -> FileSystemModel:
         """A record, synced, after so many steps of opening."""
-        files = FileSystem()
+        files = FileSystemModel()
         opening = StoreModel.open(files)
         for _ in range(steps):
             next(opening, None)
@@ -128,7 +127,7 @@
         self.assertEqual({True}, self.outcomes(lambda: self.opened(4)))
 
     def test_a_directory_synced_by_a_later_life_keeps_an_earlier_ones_names(self):
-        def reopened() -> FileSystem:
+        def reopened() -> FileSystemModel:
             files = self.opened(2)
             for _ in StoreModel.open(files):
                 pass
@@ -137,9 +136,11 @@
         self.assertEqual({True}, self.outcomes(reopened))
 
     def test_what_is_written_lasts_only_once_it_is_synced(self):
-        def unsynced() -> FileSystem:
+        def unsynced() -> FileSystemModel:
             files = self.opened(4)
-            files.write_unsynced(p.DurableState(2, p.NO_RECORD, p.NO_VERSION, b"efgh", False))
+            files.write_unsynced(
+                replication.DurableState(2, replication.NO_RECORD, replication.NO_VERSION, b"efgh", False)
+            )
             return files
 
         self.assertEqual({True, False}, self.outcomes(unsynced))
@@ -148,14 +149,16 @@
         found = set()
         for seed in range(40):
             files = self.opened(4)
-            files.rename(FILE, ("store", "other"))
+            files.rename(DATA_FILE, ("store", "other"))
             if seed % 2:
                 files.sync_directory("store")
             files.lose_power(random.Random(seed))
             found.add((seed % 2, frozenset(files.shown)))
-        self.assertIn((0, frozenset({DIRECTORY, FILE})), found)
-        self.assertIn((0, frozenset({DIRECTORY, ("store", "other")})), found)
-        self.assertEqual({frozenset({DIRECTORY, ("store", "other")})}, {shown for synced, shown in found if synced})
+        self.assertIn((0, frozenset({STORE_DIRECTORY, DATA_FILE})), found)
+        self.assertIn((0, frozenset({STORE_DIRECTORY, ("store", "other")})), found)
+        self.assertEqual(
+            {frozenset({STORE_DIRECTORY, ("store", "other")})}, {shown for synced, shown in found if synced}
+        )
 
 
 if __name__ == "__main__":
--- a/tests/support/planted_client_faults.py
+++ b/tests/support/planted_client_faults.py
@@ -4,16 +4,16 @@
 
 from dataclasses import replace
 
-from rowanshift.controlplane import replication as p
+from rowanshift.controlplane import replication
 from rowanshift.controlplane.configuration_change import put_config
 from rowanshift.controlplane.control_state import unpack
 from rowanshift.controlplane.order_history import EMPTY_ORDER_HISTORY
 from rowanshift.modelcheck.client_messages import Status
 from rowanshift.modelcheck.control_service import ControlService
-from rowanshift.modelcheck.files import DIRECTORY, FILE, StoreModel
-from rowanshift.modelcheck.hunt import Hunt
-from rowanshift.modelcheck.routers import Router
-from rowanshift.modelcheck.walk import STUBBORN
+from rowanshift.modelcheck.fault_search import FaultSearch
+from rowanshift.modelcheck.file_system import DATA_FILE, STORE_DIRECTORY, StoreModel
+from rowanshift.modelcheck.random_walk import STUBBORN
+from rowanshift.modelcheck.router_model import RouterModel
 
 
 class TakesOrderOnUsedBase(ControlService):
@@ -47,7 +47,7 @@
             try:
                 self._put(unpack(self.replica.committed_state), change.order)
             except ValueError:
-                self._reply(change, Status.STALE)
+                self._reply(change, Status.PRECONDITION_FAILED)
                 return
         super()._begin(change)
 
@@ -58,7 +58,7 @@
     def _decide(self, change, state):
         proposal = self.replica._proposal
         if proposal is not None and unpack(proposal.state).revision != change.order.base:
-            self._reply(change, Status.STALE)
+            self._reply(change, Status.PRECONDITION_FAILED)
         else:
             super()._decide(change, state)
 
@@ -69,7 +69,7 @@
     def _propose(self, change, base, state):
         super()._propose(change, base, state)
         if change is self.change:
-            self._reply(change, Status.TAKEN, change.order.revision)
+            self._reply(change, Status.ACCEPTED, change.order.revision)
 
 
 class AcknowledgesUnknown(ControlService):
@@ -84,7 +84,7 @@
 
     def _reply(self, change, status, revision=0):
         unknown = status is Status.UNAVAILABLE and change.proposed
-        super()._reply(change, Status.STALE if unknown else status, revision)
+        super()._reply(change, Status.PRECONDITION_FAILED if unknown else status, revision)
 
 
 class AnswersPollsWithoutLease(ControlService):
@@ -103,28 +103,28 @@
         return (version, state) if proposal is None else ((version[0], version[1] + 1), proposal.state)
 
 
-class RouterTakesOlderEpoch(Router):
+class RouterTakesOlderEpoch(RouterModel):
     """A router takes whatever comes."""
 
     def _is_newer(self, update):
         return True
 
 
-class RouterOrdersBySequence(Router):
+class RouterOrdersBySequence(RouterModel):
     """A router orders by the sequence alone, so that a new epoch's first answers look old."""
 
     def _is_newer(self, update):
         return update.version[1] <= self.version[1] or update.version >= self.version
 
 
-class RouterFreshFromAnswer(Router):
+class RouterFreshFromAnswer(RouterModel):
     """A router counts itself fresh as of when an answer came."""
 
     def _confirmed_at(self, update, now):
         return now
 
 
-class LeaseFromAnswer(p.Replica):
+class LeaseFromAnswer(replication.Replica):
     """The lease counts from when a majority's answers came, not from when they were asked for."""
 
     def _on_heartbeat_reply(self, sender, message):
@@ -134,20 +134,20 @@
             self._lease_from = self._now
 
 
-class GoneWitnessKept(p.Replica):
+class GoneWitnessKept(replication.Replica):
     """A witness that is gone is never replaced by a spare."""
 
     def _witnesses_wanted(self):
         return ()
 
 
-class ReleasesCopies(p.Replica):
+class ReleasesCopies(replication.Replica):
     """The primary releases a leaving machine although it is one of its backups."""
 
     def _on_leave(self, sender, message):
         super()._on_leave(sender, message)
         if self._epoch is not None:
-            self._send(sender, p.LeaveReply(self._epoch.number, True))
+            self._send(sender, replication.LeaveReply(self._epoch.number, True))
 
 
 class DirectoriesSyncedOnlyWhenNew(StoreModel):
@@ -155,10 +155,10 @@
 
     @staticmethod
     def open(files):
-        new = FILE not in files.shown
-        files.make(DIRECTORY)
+        new = DATA_FILE not in files.shown
+        files.make(STORE_DIRECTORY)
         yield
-        files.make(FILE)
+        files.make(DATA_FILE)
         yield
         if new:
             files.sync_directory("store")
@@ -172,9 +172,9 @@
 
     @staticmethod
     def open(files):
-        files.make(DIRECTORY)
+        files.make(STORE_DIRECTORY)
         yield
-        files.make(FILE)
+        files.make(DATA_FILE)
         yield
         files.sync_directory("store")
         yield
@@ -189,22 +189,22 @@
 
 
 FAULTS = {
-    TakesOrderOnUsedBase: Hunt(0, kind="clients"),
-    ForgetsOrdersAtTakeover: Hunt(0, kind="clients"),
-    RefusesUnconfirmed: Hunt(40, faults=("cut", "split", "deaf"), kind="clients", timing=STUBBORN, busy=True),
-    RefusesByProposal: Hunt(2, faults=("slow", "fail", "pause", "cut"), kind="clients", busy=True),
-    AcknowledgesProposed: Hunt(0, kind="clients"),
-    AcknowledgesUnknown: Hunt(4, kind="clients"),
-    RefusesUnknown: Hunt(4, kind="clients"),
-    AnswersPollsWithoutLease: Hunt(4, faults=("pause",), kind="clients", busy=True),
-    AnswersPollsWithProposed: Hunt(8, faults=("slow", "pause", "cut"), kind="clients", busy=True),
-    RouterTakesOlderEpoch: Hunt(0, kind="clients"),
-    RouterOrdersBySequence: Hunt(0, kind="clients"),
-    RouterFreshFromAnswer: Hunt(0, kind="clients"),
-    LeaseFromAnswer: Hunt(256, faults=("pause",)),
-    GoneWitnessKept: Hunt(0, spares=1, kind="members"),
-    ReleasesCopies: Hunt(3, spares=1, kind="members"),
-    DirectoriesSyncedOnlyWhenNew: Hunt(10, spares=1, kind="members"),
-    ParentDirectoryNotSynced: Hunt(0, spares=1, kind="members"),
-    RecordNotSynced: Hunt(0, spares=1, kind="members"),
+    TakesOrderOnUsedBase: FaultSearch(0, kind="clients"),
+    ForgetsOrdersAtTakeover: FaultSearch(0, kind="clients"),
+    RefusesUnconfirmed: FaultSearch(40, faults=("cut", "split", "deaf"), kind="clients", timing=STUBBORN, busy=True),
+    RefusesByProposal: FaultSearch(2, faults=("slow", "fail", "pause", "cut"), kind="clients", busy=True),
+    AcknowledgesProposed: FaultSearch(0, kind="clients"),
+    AcknowledgesUnknown: FaultSearch(4, kind="clients"),
+    RefusesUnknown: FaultSearch(4, kind="clients"),
+    AnswersPollsWithoutLease: FaultSearch(4, faults=("pause",), kind="clients", busy=True),
+    AnswersPollsWithProposed: FaultSearch(8, faults=("slow", "pause", "cut"), kind="clients", busy=True),
+    RouterTakesOlderEpoch: FaultSearch(0, kind="clients"),
+    RouterOrdersBySequence: FaultSearch(0, kind="clients"),
+    RouterFreshFromAnswer: FaultSearch(0, kind="clients"),
+    LeaseFromAnswer: FaultSearch(256, faults=("pause",)),
+    GoneWitnessKept: FaultSearch(0, spares=1, kind="members"),
+    ReleasesCopies: FaultSearch(3, spares=1, kind="members"),
+    DirectoriesSyncedOnlyWhenNew: FaultSearch(10, spares=1, kind="members"),
+    ParentDirectoryNotSynced: FaultSearch(0, spares=1, kind="members"),
+    RecordNotSynced: FaultSearch(0, spares=1, kind="members"),
 }
--- a/tests/support/planted_replication_faults.py
+++ b/tests/support/planted_replication_faults.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-from rowanshift.controlplane import replication as p
-from rowanshift.modelcheck.hunt import Hunt
+from rowanshift.controlplane import replication
+from rowanshift.modelcheck.fault_search import FaultSearch
 
 
-class AcknowledgesAlone(p.Replica):
+class AcknowledgesAlone(replication.Replica):
     """The primary commits when its own disk has the state."""
 
     def _on_stored(self, sender, message):
@@ -16,52 +16,54 @@
             self._commit()
 
 
-class EmptyDiskVotes(p.Replica):
+class EmptyDiskVotes(replication.Replica):
     """A machine that lost its disk starts as if it were the first start."""
 
-    def __init__(self, me, f, seeds, bootstrap, durable, now, random_source, duty_wait=0.0, timing=p.DEFAULT_TIMING):
+    def __init__(
+        self, me, f, seeds, bootstrap, durable, now, random_source, duty_wait=0.0, timing=replication.DEFAULT_TIMING
+    ):
         super().__init__(me, f, seeds, True, durable, now, random_source, duty_wait, timing)
 
 
-class AcceptsBeforeSave(p.Replica):
+class AcceptsBeforeSave(replication.Replica):
     def _send_saved(self, to, message):
-        (self._send if isinstance(message, p.Accepted) else super()._send_saved)(to, message)
+        (self._send if isinstance(message, replication.Accepted) else super()._send_saved)(to, message)
 
 
-class PromiseNotDurable(p.Replica):
+class PromiseNotDurable(replication.Replica):
     def _send_saved(self, to, message):
-        (self._send if isinstance(message, p.Promised) else super()._send_saved)(to, message)
+        (self._send if isinstance(message, replication.Promised) else super()._send_saved)(to, message)
 
 
-class CommitsBeforeOwnSave(p.Replica):
+class CommitsBeforeOwnSave(replication.Replica):
     """What is stored is acknowledged before it is on the disk of the one that stored it."""
 
     def _send_saved(self, to, message):
-        (self._send if isinstance(message, p.Stored) else super()._send_saved)(to, message)
+        (self._send if isinstance(message, replication.Stored) else super()._send_saved)(to, message)
 
 
-class OutOfSyncCandidateGoesOn(p.Replica):
+class OutOfSyncCandidateGoesOn(replication.Replica):
     """A candidate goes on although it isn't in sync."""
 
     def _has_state(self, record):
         return True
 
 
-class LostStateGoesOn(p.Replica):
+class LostStateGoesOn(replication.Replica):
     """An in-sync machine stands although its disk was lost since."""
 
     def _has_state(self, record):
         return self.me in record.in_sync
 
 
-class ReadsUnconfirmed(p.Replica):
+class ReadsUnconfirmed(replication.Replica):
     def confirm_read(self, token, now):
         if self._epoch is None:
-            raise p.NotPrimary(0)
-        self._actions.append(p.ReadConfirmed(token))
+            raise replication.NotPrimary(0)
+        self._actions.append(replication.ReadConfirmed(token))
 
 
-class ReadsProposed(p.Replica):
+class ReadsProposed(replication.Replica):
     """A read gives the state that is proposed and not committed."""
 
     def _send_proposal(self):
@@ -69,22 +71,22 @@
         super()._send_proposal()
 
 
-class AcceptsLowerNumber(p.Replica):
+class AcceptsLowerNumber(replication.Replica):
     def _on_accept(self, sender, message):
         self._adopt(message.record)
         self._hold(sender)
-        self._send_saved(sender, p.Accepted(message.number, True, message.number))
+        self._send_saved(sender, replication.Accepted(message.number, True, message.number))
 
 
-class IgnoresRecordsRead(p.Replica):
+class IgnoresRecordsRead(replication.Replica):
     """A candidate goes by the record it knew before."""
 
     def _on_promised(self, sender, message):
         own = self._candidacy.base if self._candidacy is not None else message.accepted
-        super()._on_promised(sender, p.Promised(message.number, message.ok, message.promised, own))
+        super()._on_promised(sender, replication.Promised(message.number, message.ok, message.promised, own))
 
 
-class NewSetAlone(p.Replica):
+class NewSetAlone(replication.Replica):
     """A change of witnesses is decided by the new set, and the record names no former one."""
 
     def _deciding(self, c):
@@ -94,7 +96,7 @@
         return super()._next_witnesses(c)[0], ()
 
 
-class OldSetAlone(p.Replica):
+class OldSetAlone(replication.Replica):
     """A change of witnesses is decided by the old set, and the record names no former one."""
 
     def _deciding(self, c):
@@ -104,14 +106,14 @@
         return super()._next_witnesses(c)[0], ()
 
 
-class LeaseNotAwaited(p.Replica):
+class LeaseNotAwaited(replication.Replica):
     """A witness promises to a candidate at any time."""
 
     def _blocked(self, candidate):
         return False
 
 
-class RestartedDoesNotWait(p.Replica):
+class RestartedDoesNotWait(replication.Replica):
     """A witness that was started anew promises at once."""
 
     def __init__(self, *args, **options):
@@ -120,7 +122,7 @@
         self._stand_at = self._now
 
 
-class CopiesGoOnAtOnce(p.Replica):
+class CopiesGoOnAtOnce(replication.Replica):
     """Whoever holds a copy goes on at once in a new life, as only the former primary may; witnesses in a new life let
     it."""
 
@@ -132,15 +134,15 @@
         return super()._blocked(candidate) and not (unheard and candidate in self._durable.accepted.in_sync)
 
 
-class StoresBelowPromise(p.Replica):
+class StoresBelowPromise(replication.Replica):
     def _on_store(self, sender, message):
         if message.version > self._durable.version:
             promised = max(self._durable.promised, message.number)
             self._change(promised=promised, version=message.version, state=message.state)
-        self._send_saved(sender, p.Stored(message.number, message.version, True, message.number))
+        self._send_saved(sender, replication.Stored(message.number, message.version, True, message.number))
 
 
-class RecoversFromOne(p.Replica):
+class RecoversFromOne(replication.Replica):
     """One answer is enough to vote again after the disk was lost."""
 
     def _on_recovery_reply(self, sender, message):
@@ -149,40 +151,41 @@
             self._start_save()
 
 
-class CountsAnyStored(p.Replica):
+class CountsAnyStored(replication.Replica):
     """An answer to an earlier Store counts for the present proposal."""
 
     def _on_stored(self, sender, message):
         if self._proposal is not None and self._candidacy is None and message.ok:
-            message = p.Stored(message.number, self._proposal.version, True, message.promised)
+            message = replication.Stored(message.number, self._proposal.version, True, message.promised)
         super()._on_stored(sender, message)
 
 
-class CountsAnyHeartbeatReply(p.Replica):
+class CountsAnyHeartbeatReply(replication.Replica):
     """An answer to an earlier Confirm counts for the round last asked."""
 
     def _on_heartbeat_reply(self, sender, message):
         super()._on_heartbeat_reply(
-            sender, p.HeartbeatReply(message.number, self._serial, message.ok, message.promised, message.version)
+            sender,
+            replication.HeartbeatReply(message.number, self._serial, message.ok, message.promised, message.version),
         )
 
 
-class KeepsLeaseTransferring(p.Replica):
+class KeepsLeaseTransferring(replication.Replica):
     """A primary with a slow disk nominates its backups and stays."""
 
     def _transfer_leadership(self):
         for member in sorted({*self._epoch.witnesses, *self._epoch.in_sync} - {self.me}):
-            self._send(member, p.TransferLeadership(self._epoch.number))
+            self._send(member, replication.TransferLeadership(self._epoch.number))
 
 
-class ReleasesFormerWitness(p.Replica):
+class ReleasesFormerWitness(replication.Replica):
     """A leaving witness may end as soon as a spare has its place, while its former vote is still asked for."""
 
     def _vote_is_being_given(self, machine):
         return machine in self._epoch.witnesses and bool(self._live_spares())
 
 
-class CountsEveryMachine(p.Replica):
+class CountsEveryMachine(replication.Replica):
     """A machine that doesn't count takes copies and votes like any other."""
 
     def _observes(self):
@@ -192,28 +195,28 @@
         return False
 
 
-FAULTS: dict[type[p.Replica], Hunt] = {
-    AcknowledgesAlone: Hunt(0),
-    EmptyDiskVotes: Hunt(2),
-    AcceptsBeforeSave: Hunt(0, 5, 1, 0, ("stand", "power", "power", "deaf")),
-    PromiseNotDurable: Hunt(0, 5, 1, 0, ("stand", "power", "power", "deaf")),
-    CommitsBeforeOwnSave: Hunt(0),
-    OutOfSyncCandidateGoesOn: Hunt(1),
-    LostStateGoesOn: Hunt(2),
-    ReadsUnconfirmed: Hunt(81),
-    ReadsProposed: Hunt(3),
-    AcceptsLowerNumber: Hunt(29, 5),
-    IgnoresRecordsRead: Hunt(2, 3),
-    NewSetAlone: Hunt(16, 3, 1, 1, ("pause", "cut", "deaf", "stand")),
-    OldSetAlone: Hunt(1, 3, 1, 1, ("pause", "pause", "cut", "deaf")),
-    LeaseNotAwaited: Hunt(4, 3, 1, 0, ("stand", "stand", "pause", "cut")),
-    RestartedDoesNotWait: Hunt(4, 3, 1, 0, ("quake", "quake", "cut")),
-    CopiesGoOnAtOnce: Hunt(0, 3, 1, 0, ("quake", "quake", "cut")),
-    StoresBelowPromise: Hunt(16, 3, 1, 0, ("pause", "stand", "deaf")),
-    RecoversFromOne: Hunt(74, 3, 1, 0, ("empty", "cut", "stand")),
-    CountsAnyStored: Hunt(192, 3, 1, 0, ("cut", "deaf", "power", "slow")),
-    CountsAnyHeartbeatReply: Hunt(240, 3, 1, 0, ("pause", "cut", "deaf")),
-    KeepsLeaseTransferring: Hunt(130, 3, 1, 0, ("slow", "fail", "pause")),
-    ReleasesFormerWitness: Hunt(0, 3, 1, 1, kind="closing"),
-    CountsEveryMachine: Hunt(0, 3, 1, 1, kind="uncounted"),
+FAULTS: dict[type[replication.Replica], FaultSearch] = {
+    AcknowledgesAlone: FaultSearch(0),
+    EmptyDiskVotes: FaultSearch(2),
+    AcceptsBeforeSave: FaultSearch(0, 5, 1, 0, ("stand", "power", "power", "deaf")),
+    PromiseNotDurable: FaultSearch(0, 5, 1, 0, ("stand", "power", "power", "deaf")),
+    CommitsBeforeOwnSave: FaultSearch(0),
+    OutOfSyncCandidateGoesOn: FaultSearch(1),
+    LostStateGoesOn: FaultSearch(2),
+    ReadsUnconfirmed: FaultSearch(81),
+    ReadsProposed: FaultSearch(3),
+    AcceptsLowerNumber: FaultSearch(29, 5),
+    IgnoresRecordsRead: FaultSearch(2, 3),
+    NewSetAlone: FaultSearch(16, 3, 1, 1, ("pause", "cut", "deaf", "stand")),
+    OldSetAlone: FaultSearch(1, 3, 1, 1, ("pause", "pause", "cut", "deaf")),
+    LeaseNotAwaited: FaultSearch(4, 3, 1, 0, ("stand", "stand", "pause", "cut")),
+    RestartedDoesNotWait: FaultSearch(4, 3, 1, 0, ("quake", "quake", "cut")),
+    CopiesGoOnAtOnce: FaultSearch(0, 3, 1, 0, ("quake", "quake", "cut")),
+    StoresBelowPromise: FaultSearch(16, 3, 1, 0, ("pause", "stand", "deaf")),
+    RecoversFromOne: FaultSearch(74, 3, 1, 0, ("empty", "cut", "stand")),
+    CountsAnyStored: FaultSearch(192, 3, 1, 0, ("cut", "deaf", "power", "slow")),
+    CountsAnyHeartbeatReply: FaultSearch(240, 3, 1, 0, ("pause", "cut", "deaf")),
+    KeepsLeaseTransferring: FaultSearch(130, 3, 1, 0, ("slow", "fail", "pause")),
+    ReleasesFormerWitness: FaultSearch(0, 3, 1, 1, kind="closing"),
+    CountsEveryMachine: FaultSearch(0, 3, 1, 1, kind="uncounted"),
 }
