--- a/rowanshift/capacity/hollow.py
+++ b/rowanshift/capacity/hollow.py
@@ -15,8 +15,8 @@
 from rowanshift.controlplane.configuration_change import put_config
 from rowanshift.controlplane.control_state import put_version, unpack
 from rowanshift.controlplane.errors import NotConfirmed, OutcomeUnknown
+from rowanshift.controlplane.registered_server import RegisteredServer, parse_registered_server
 from rowanshift.controlplane.replication import NotPrimary
-from rowanshift.controlplane.server_registry import RegisteredServer, parse_registered_server
 from rowanshift.controlplane.service import ControlPlaneService
 from rowanshift.controlplane.singleton_tasks import LIST_EVERY
 from rowanshift.dataplane.control_client import LONG_POLL_SECONDS, ControlClient
@@ -186,7 +186,7 @@
         while True:
             self.core_service.refresh()
             if not self.core_service.tasks.registry.serial and self.core_service.replica_runner.lease_remaining():
-                self.core_service.tasks.registry.take(self.known())
+                self.core_service.tasks.registry.apply_list(self.known())
                 self.core_service._tell()
             await trio.sleep(LIST_EVERY if self.core_service.tasks.registry.serial else 0.1)
 
@@ -230,7 +230,7 @@
         """One server's state turns, as the next reading of the list shows it."""
         entry = self.entries[0]
         entry["state"] = "up" if entry["state"] == "draining" else "draining"
-        if self.core_service.tasks.registry.take(self.known()):
+        if self.core_service.tasks.registry.apply_list(self.known()):
             self.core_service._tell()
 
     async def read_list(self) -> None:
@@ -238,7 +238,7 @@
         entries = []
         for body in self.pages or pages(self.entries):
             entries += [parse_registered_server(entry) for entry in orjson.loads(body)["instances"]]
-        self.core_service.tasks.registry.take(entries)
+        self.core_service.tasks.registry.apply_list(entries)
 
     async def nothing(self) -> None:
         """For what a command costs by itself."""
--- a/rowanshift/controlplane/service.py
+++ b/rowanshift/controlplane/service.py
@@ -139,7 +139,7 @@
         text = b"%d|%s|%r" % (self.state.revision, self.state.config, sorted(self.state.versions.items()))
         self.fingerprint = int.from_bytes(blake2b(text, digest_size=8).digest(), "big") | 1
         self.packed = zlib.compress(self.state.config, 1)
-        self.tasks.registry.note(self.state.versions, trio.current_time())
+        self.tasks.registry.record_versions(self.state.versions, trio.current_time())
         routing_table = routing_table_of(self.state.revision, self.state.config, self.state.versions)
         self.store_addresses = set()
         for service in routing_table.services.values():
@@ -191,17 +191,17 @@
                     "state": row.state,
                     "versions": row.versions,
                 }
-                for row in self.tasks.registry.rows()
+                for row in self.tasks.registry.records()
             ],
             "behind": [
                 {
                     "id": server.id,
                     "model": server.model,
                     "version": server.version,
-                    "lacksForS": round(server.lacks_for, 3),
+                    "lacksForS": round(server.lag_seconds, 3),
                     "loading": server.loading,
                 }
-                for server in self.tasks.registry.behind(self.state.versions, now)[:MOST_BEHIND]
+                for server in self.tasks.registry.servers_behind(self.state.versions, now)[:MOST_BEHIND]
             ],
             "calls": self.tasks.calls,
             "orders": self.tasks.orders,
@@ -262,7 +262,7 @@
     def _take_dates(self, poll: PollOfFormat3) -> None:
         """Takes in when versions were named, if the asker tells it."""
         told = poll.announcements if isinstance(poll, Poll) else ()
-        if told and self.tasks.registry.take_dates(told, self.state.versions, trio.current_time()):
+        if told and self.tasks.registry.apply_announcements(told, self.state.versions, trio.current_time()):
             self._tell()
 
     def _has_update(self, poll: PollOfFormat3) -> bool:
@@ -273,7 +273,7 @@
             or (registry.serial > 0 and poll.registry_version != (epoch, registry.serial))
             or poll.prefix_holdings_version != (epoch, self.tasks.stock.serial)
             or (self.peers_serial > 0 and poll.peers_version != (epoch, self.peers_serial))
-            or (isinstance(poll, Poll) and poll.announcements_version != (epoch, registry.names_serial))
+            or (isinstance(poll, Poll) and poll.announcements_version != (epoch, registry.announcements_serial))
         )
 
     def _update(self, poll: PollOfFormat3, now: float) -> Update:
@@ -284,8 +284,8 @@
         has_state = poll.fingerprint != self.fingerprint
         has_rows = registry.serial > 0 and poll.registry_version != (epoch, registry.serial)
         has_peers = self.peers_serial > 0 and poll.peers_version != (epoch, self.peers_serial)
-        names_serial = epoch, registry.names_serial
-        has_names = has_state or not isinstance(poll, Poll) or poll.announcements_version != names_serial
+        announcements_serial = epoch, registry.announcements_serial
+        has_names = has_state or not isinstance(poll, Poll) or poll.announcements_version != announcements_serial
         counted = sum(now - at < COUNTED_FOR for at in self.members.values())
         known = self.primary_since is not None and now - self.primary_since > MEMBER_FOR
         whole, kept, dropped = stock.since(
@@ -310,7 +310,7 @@
             has_peers=has_peers,
             peer_machines=self.peers if has_peers else (),
             core_machines=self._core(),
-            announcements_version=names_serial,
+            announcements_version=announcements_serial,
             has_announcements=has_names,
             announcements=self._named_versions(now) if has_names else (),
         )
@@ -320,13 +320,13 @@
         each as it was committed or as a router told it; else since this machine became primary, undated."""
         return tuple(
             ModelVersionAnnouncement(model, name.version, age_ms(now - name.announced_at), name.is_dated)
-            for model, name in self.tasks.registry.names.all()
+            for model, name in self.tasks.registry.announcements.all()
         )
 
     def _rows(self, registry: ServerRegistry) -> bytes:
         """The registry's rows, packed once for all routers that ask."""
         if self.rows_of != (registry, registry.serial):
-            self.rows_of, self.rows = (registry, registry.serial), CODEC.put("o", registry.rows())
+            self.rows_of, self.rows = (registry, registry.serial), CODEC.put("o", registry.records())
         return self.rows
 
     async def _tell_members(self) -> None:
--- a/rowanshift/controlplane/singleton_tasks.py
+++ b/rowanshift/controlplane/singleton_tasks.py
@@ -11,8 +11,9 @@
 from loguru import logger
 
 from rowanshift.controlplane.errors import BadEndpointList
+from rowanshift.controlplane.registered_server import RegisteredServer, parse_registered_server
 from rowanshift.controlplane.replica_runner import ReplicaRunner
-from rowanshift.controlplane.server_registry import RegisteredServer, ServerRegistry, parse_registered_server
+from rowanshift.controlplane.server_registry import ServerRegistry
 from rowanshift.kv_index.index import BadEvents, KvIndex, Source
 from rowanshift.transport.calls import CallFailed, Line, call
 from rowanshift.transport.memory_budget import Memory
@@ -55,7 +56,7 @@
         self.roll_out_within = ROLL_OUT_PART * version_within
         self.host, self.memory, self.replica_runner, self.cloud, self.name = host, memory, node, cloud, name
         self.named, self.changed = named, changed
-        self.registry, self.stock = ServerRegistry(roll_out_within=self.roll_out_within), KvIndex()
+        self.registry, self.stock = ServerRegistry(rollout_seconds=self.roll_out_within), KvIndex()
         self.sources: dict[Address, Source] = {}
         self.calls = 0
         self.orders = 0
@@ -63,8 +64,11 @@
     def forget(self) -> None:
         """Another machine is primary, or this one has just become it: the list is read anew. When versions were named
         is not forgotten."""
-        names = self.registry.names
-        self.registry, self.stock = ServerRegistry(roll_out_within=self.roll_out_within, names=names), KvIndex()
+        announcements = self.registry.announcements
+        self.registry, self.stock = (
+            ServerRegistry(rollout_seconds=self.roll_out_within, announcements=announcements),
+            KvIndex(),
+        )
 
     # the list ---------------------------------------------
 
@@ -75,7 +79,7 @@
             if self.cloud is not None and self.replica_runner.lease_remaining():
                 try:
                     entries = await self._pages()
-                    if self.replica_runner.lease_remaining() and self.registry.take(entries):
+                    if self.replica_runner.lease_remaining() and self.registry.apply_list(entries):
                         self.changed()
                 except (CallFailed, BadEndpointList) as error:
                     logger.info("event=list_failed why={!r}", str(error))
@@ -160,7 +164,7 @@
             if self._may_order():
                 due = self.registry.next_load(self.named(), trio.current_time())
                 if due is not None:
-                    self.registry.begin(due[0], trio.current_time())
+                    self.registry.load_started(due[0], trio.current_time())
                     self.changed()
                     nursery.start_soon(self._load, self.registry, *due)
                     continue
@@ -177,10 +181,10 @@
             logger.info("event=order_failed server={} why={!r}", known.id, str(error))
         if registry is self.registry:
             if well:
-                registry.loaded(known.id, model, version, trio.current_time())
+                registry.load_succeeded(known.id, model, version, trio.current_time())
                 logger.info("event=loaded server={} model={} version={}", known.id, model, version)
             else:
-                registry.failed(known.id, model, trio.current_time())
+                registry.load_failed(known.id, model, trio.current_time())
             self.changed()
 
     async def _left_alone(self, known: RegisteredServer) -> None:
--- a/tests/admin/test_commands.py
+++ b/tests/admin/test_commands.py
@@ -208,7 +208,7 @@
         self.assertRegex(said, r"2 routers hold a lease of 127\.")
 
     def test_duties_and_a_version_that_is_rolled_out(self) -> None:
-        self.until(lambda: any(core_service.tasks.registry.rows() for core_service in self.system.core_services))
+        self.until(lambda: any(core_service.tasks.registry.records() for core_service in self.system.core_services))
         code, said = self.ask("duties")
         self.assertEqual(code, 0, said)
         self.assertRegex(said, r"(?m)^reads the list  127\.\S+ +\d+ calls")
--- a/tests/controlplane/test_inherited_versions.py
+++ b/tests/controlplane/test_inherited_versions.py
@@ -7,7 +7,12 @@
 from loguru import logger
 
 from rowanshift.controlplane import singleton_tasks
-from rowanshift.controlplane.server_registry import DATED_EARLIER, MOST_TOLD, RegisteredServer, ServerRegistry
+from rowanshift.controlplane.registered_server import RegisteredServer
+from rowanshift.controlplane.server_registry import (
+    DATE_TOLERANCE_SECONDS,
+    MAX_ANNOUNCEMENTS_PER_POLL,
+    ServerRegistry,
+)
 from rowanshift.invariants.facts import VersionNamed
 from rowanshift.simulation.fleet import Fleet, play
 from rowanshift.simulation.fleet_settings import MODEL
@@ -35,10 +40,10 @@
     """A primary that first looks at the servers long after its takeover."""
 
     def test_an_inherited_version_is_due_since_the_takeover(self) -> None:
-        registry = ServerRegistry(roll_out_within=5.0)
-        registry.note({"m": 2}, 0.0)  # named by a former primary
-        registry.note({"m": 2, "n": 2}, 1.0)
-        registry.take([server("z", "s", m=1), server("y", "s", m=2), server("a", "t", n=1)])
+        registry = ServerRegistry(rollout_seconds=5.0)
+        registry.record_versions({"m": 2}, 0.0)  # named by a former primary
+        registry.record_versions({"m": 2, "n": 2}, 1.0)
+        registry.apply_list([server("z", "s", m=1), server("y", "s", m=2), server("a", "t", n=1)])
         self.assertEqual(registry.next_load({"m": 2, "n": 2}, 20.0)[0].id, "z")
 
 
@@ -46,24 +51,24 @@
     """What a primary takes of the dates that routers tell."""
 
     def registry(self) -> ServerRegistry:
-        made = ServerRegistry(roll_out_within=5.0)
-        made.note({"m": 5}, 100.0)
+        made = ServerRegistry(rollout_seconds=5.0)
+        made.record_versions({"m": 5}, 100.0)
         return made
 
     def told(self, registry: ServerRegistry, *names: ModelVersionAnnouncement) -> bool:
-        return registry.take_dates(names, {"m": 5}, 100.0)
+        return registry.apply_announcements(names, {"m": 5}, 100.0)
 
     def test_the_date_of_an_inherited_name(self) -> None:
         registry = self.registry()
         self.assertTrue(self.told(registry, ModelVersionAnnouncement("m", 5, 3000)))
-        self.assertEqual(registry.names.find("m", 5), VersionAnnouncement(5, 97.0))
-        registry.note({"m": 5}, 101.0)
-        self.assertEqual(registry.names.find("m", 5), VersionAnnouncement(5, 97.0))
+        self.assertEqual(registry.announcements.find("m", 5), VersionAnnouncement(5, 97.0))
+        registry.record_versions({"m": 5}, 101.0)
+        self.assertEqual(registry.announcements.find("m", 5), VersionAnnouncement(5, 97.0))
 
     def test_older_names_that_the_takeover_had_hidden(self) -> None:
         registry = self.registry()
         self.told(registry, ModelVersionAnnouncement("m", 4, 6000), ModelVersionAnnouncement("m", 5, 3000))
-        self.assertEqual([name.version for _, name in registry.names.all()], [4, 5])
+        self.assertEqual([name.version for _, name in registry.announcements.all()], [4, 5])
 
     def test_what_is_not_in_force_or_not_dated_is_left(self) -> None:
         registry = self.registry()
@@ -75,14 +80,18 @@
     def test_small_differences_are_no_news(self) -> None:
         registry = self.registry()
         self.told(registry, ModelVersionAnnouncement("m", 5, 3000))
-        serial = registry.names_serial
-        self.assertFalse(self.told(registry, ModelVersionAnnouncement("m", 5, 3000 + int(900 * DATED_EARLIER))))
-        self.assertEqual(registry.names_serial, serial)
-        self.assertTrue(self.told(registry, ModelVersionAnnouncement("m", 5, 3000 + int(1100 * DATED_EARLIER))))
-        self.assertEqual(registry.names_serial, serial + 1)
+        serial = registry.announcements_serial
+        self.assertFalse(
+            self.told(registry, ModelVersionAnnouncement("m", 5, 3000 + int(900 * DATE_TOLERANCE_SECONDS)))
+        )
+        self.assertEqual(registry.announcements_serial, serial)
+        self.assertTrue(
+            self.told(registry, ModelVersionAnnouncement("m", 5, 3000 + int(1100 * DATE_TOLERANCE_SECONDS)))
+        )
+        self.assertEqual(registry.announcements_serial, serial + 1)
 
     def test_so_many_are_looked_at(self) -> None:
-        others = [ModelVersionAnnouncement(f"m{n}", 1, 0) for n in range(MOST_TOLD)]
+        others = [ModelVersionAnnouncement(f"m{n}", 1, 0) for n in range(MAX_ANNOUNCEMENTS_PER_POLL)]
         self.assertFalse(self.told(self.registry(), *others, ModelVersionAnnouncement("m", 5, 3000)))
         self.assertTrue(self.told(self.registry(), *others[1:], ModelVersionAnnouncement("m", 5, 3000)))
 
@@ -94,8 +103,9 @@
 
 def dated_at(unit: Unit) -> float:
     """When a program takes version 2 to have been named."""
-    holder = unit.program.tasks.registry if unit.core else unit.program.control_client
-    return holder.names.missing_since(MODEL, 1) or 0.0
+    program = unit.program
+    announcements = program.tasks.registry.announcements if unit.core else program.control_client.names
+    return announcements.missing_since(MODEL, 1) or 0.0
 
 
 class Takeovers(unittest.TestCase):
--- a/tests/controlplane/test_server_registry.py
+++ b/tests/controlplane/test_server_registry.py
@@ -3,14 +3,12 @@
 import random
 import unittest
 
+from rowanshift.controlplane.errors import BadEndpointList
+from rowanshift.controlplane.registered_server import FailedLoads, RegisteredServer, parse_registered_server
 from rowanshift.controlplane.server_registry import (
-    AGAIN,
-    AT_ONCE,
-    BadEndpointList,
-    FailedLoads,
-    RegisteredServer,
+    FAILED_LOAD_RETRY_SECONDS,
+    MAX_LOADING_FRACTION,
     ServerRegistry,
-    parse_registered_server,
 )
 from rowanshift.wire.control_updates import CODEC, DRAINING, LOADING, UP, ServerRecord, Update
 
@@ -34,19 +32,19 @@
 
 def registry(*servers):
     made = ServerRegistry()
-    made.take(list(servers))
+    made.apply_list(list(servers))
     return made
 
 
 class Entries(unittest.TestCase):
     def test_one(self):
         self.assertEqual(
-            parse_registered_server(entry()).row(), ServerRecord("i-0-1", "s", "10.0.0.1:80", "z", 4, UP, {"m": 1})
+            parse_registered_server(entry()).record(), ServerRecord("i-0-1", "s", "10.0.0.1:80", "z", 4, UP, {"m": 1})
         )
 
     def test_what_may_be_missing(self):
         made = parse_registered_server({"id": "i", "backend": "s", "address": "a:1"})
-        self.assertEqual(made.row(), ServerRecord("i", "s", "a:1", "", 1, UP, {}))
+        self.assertEqual(made.record(), ServerRecord("i", "s", "a:1", "", 1, UP, {}))
         self.assertEqual(
             parse_registered_server(entry(models=[{"name": "m"}, {"name": "n", "revision": None}])).versions,
             {"m": 0, "n": 0},
@@ -54,10 +52,10 @@
 
     def test_states(self):
         made = parse_registered_server(entry(state="draining"))
-        self.assertEqual(made.row().state, DRAINING)
+        self.assertEqual(made.record().state, DRAINING)
         made.loading = True
-        self.assertEqual(made.row().state, DRAINING | LOADING)
-        self.assertEqual(parse_registered_server(entry(state="unheard of")).row().state, UP)
+        self.assertEqual(made.record().state, DRAINING | LOADING)
+        self.assertEqual(parse_registered_server(entry(state="unheard of")).record().state, UP)
 
     def test_junk(self):
         for junk in (
@@ -115,7 +113,7 @@
         ):
             with self.subTest(str(junk)[:200]):
                 try:
-                    row = parse_registered_server(junk).row()
+                    row = parse_registered_server(junk).record()
                 except BadEndpointList:
                     continue
                 CODEC.pack(Update((0, 0), 0, False, 0, b"", {}, (1, 1), True, (row,)))
@@ -124,18 +122,18 @@
 class Lists(unittest.TestCase):
     def test_a_list_is_taken(self):
         made = registry(known("a"), known("b"))
-        self.assertEqual([row.id for row in made.rows()], ["a", "b"])
+        self.assertEqual([row.id for row in made.records()], ["a", "b"])
         self.assertEqual(made.serial, 1)
 
     def test_an_empty_first_list_counts_as_read(self):
         made = ServerRegistry()
-        self.assertTrue(made.take([]))
+        self.assertTrue(made.apply_list([]))
         self.assertEqual(made.serial, 1)
-        self.assertFalse(made.take([]))
+        self.assertFalse(made.apply_list([]))
 
     def test_the_same_list_changes_nothing(self):
         made = registry(known("a"), known("b"))
-        self.assertFalse(made.take([known("b"), known("a")]))
+        self.assertFalse(made.apply_list([known("b"), known("a")]))
         self.assertEqual(made.serial, 1)
 
     def test_what_changes_the_serial(self):
@@ -147,20 +145,20 @@
             [known("a"), known("b", service="t")],
         ):
             made = registry(known("a"), known("b"))
-            self.assertTrue(made.take(servers))
+            self.assertTrue(made.apply_list(servers))
             self.assertEqual(made.serial, 2)
 
     def test_versions_never_go_back_for_an_incarnation(self):
         made = registry(known("a", 3))
-        self.assertFalse(made.take([known("a", 2)]))
+        self.assertFalse(made.apply_list([known("a", 2)]))
         self.assertEqual(made.servers["a"].versions, {"m": 3})
-        made.loaded("a", "m", 5, 0.0)
-        made.loaded("a", "m", 4, 0.0)
-        made.take([known("a", 3)])
+        made.load_succeeded("a", "m", 5, 0.0)
+        made.load_succeeded("a", "m", 4, 0.0)
+        made.apply_list([known("a", 3)])
         self.assertEqual(made.servers["a"].versions, {"m": 5})
-        made.take([known("b", 1)])  # the next one begins as it says
+        made.apply_list([known("b", 1)])  # the next one begins as it says
         self.assertEqual(made.servers["b"].versions, {"m": 1})
-        made.take([known("a", 2)])
+        made.apply_list([known("a", 2)])
         self.assertEqual(made.servers["a"].versions, {"m": 2})
 
     def test_versions_never_go_back_whatever_comes(self):
@@ -168,9 +166,9 @@
         for _ in range(2000):
             id, version = random_source.choice("abc"), random_source.randrange(50)
             if random_source.random() < 0.5:
-                made.take([known(each, random_source.randrange(50)) for each in "abc"])
+                made.apply_list([known(each, random_source.randrange(50)) for each in "abc"])
             else:
-                made.loaded(id, "m", version, 0.0)
+                made.load_succeeded(id, "m", version, 0.0)
             for each, server in made.servers.items():
                 self.assertGreaterEqual(server.versions["m"], best.get(each, 0))
                 best[each] = server.versions["m"]
@@ -179,23 +177,25 @@
         made = registry(known("a", 3))
         one = known("a")
         one.versions = {}
-        made.take([one])
+        made.apply_list([one])
         self.assertEqual(made.servers["a"].versions, {"m": 3})
 
     def test_what_a_load_left_outlives_a_list(self):
         made = registry(known("a"))
-        made.begin(made.servers["a"], 0.0)
-        made.take([known("a")])
+        made.load_started(made.servers["a"], 0.0)
+        made.apply_list([known("a")])
         self.assertTrue(made.servers["a"].loading)
-        made.failed("a", "m", 10.0)
-        made.take([known("a")])
+        made.load_failed("a", "m", 10.0)
+        made.apply_list([known("a")])
         server = made.servers["a"]
-        self.assertEqual((server.loading, server.failed_loads), (False, {"m": FailedLoads(1, 10.0 + AGAIN)}))
+        self.assertEqual(
+            (server.loading, server.failed_loads), (False, {"m": FailedLoads(1, 10.0 + FAILED_LOAD_RETRY_SECONDS)})
+        )
 
     def test_ends_of_loads_of_servers_that_are_gone(self):
         made = registry(known("a"))
-        made.failed("gone", "m", 1.0)
-        made.loaded("gone", "m", 2, 0.0)
+        made.load_failed("gone", "m", 1.0)
+        made.load_succeeded("gone", "m", 2, 0.0)
         self.assertEqual((made.serial, set(made.servers)), (1, {"a"}))
 
 
@@ -204,28 +204,28 @@
         ids = []
         while (order := made.next_load({"m": version}, now)) is not None:
             self.assertEqual(order[1:], ("m", version))
-            made.begin(order[0], 0.0)
+            made.load_started(order[0], 0.0)
             ids.append(order[0].id)
         return ids
 
     def test_at_most_a_part_at_once_and_one_at_least(self):
         for count in range(1, 30):
             made = registry(*(known(f"i{n:02}") for n in range(count)))
-            self.assertEqual(len(self.begun(made)), max(1, int(AT_ONCE * count)))
+            self.assertEqual(len(self.begun(made)), max(1, int(MAX_LOADING_FRACTION * count)))
 
     def rolled_out(self, count, takes, within, ends_at=1000.0):
         """The most that loaded at once, and when the last had loaded, where each load takes so long."""
         made = registry(*(known(f"i{n:02}") for n in range(count)))
-        made.roll_out_within = within
+        made.rollout_seconds = within
         ends, most, now = {}, 0, 0.0
         while any(server.versions["m"] < 2 for server in made.servers.values()):
             while (order := made.next_load({"m": 2}, now)) is not None:
-                made.begin(order[0], now)
+                made.load_started(order[0], now)
                 ends[order[0].id] = now + takes
             most = max(most, len(ends))
             now = min(ends.values())
             for id in [id for id, at in ends.items() if at <= now]:
-                made.loaded(id, "m", 2, now)
+                made.load_succeeded(id, "m", 2, now)
                 del ends[id]
         return most, now
 
@@ -242,16 +242,16 @@
 
     def test_without_a_bound_as_fast_as_may_be(self):
         most, _ = self.rolled_out(20, 1.0, 0.0)
-        self.assertEqual(most, int(AT_ONCE * 20))
+        self.assertEqual(most, int(MAX_LOADING_FRACTION * 20))
 
     def test_loads_that_take_longer_than_there_is_time(self):
         most, _ = self.rolled_out(20, 30.0, 9.0)
-        self.assertEqual(most, int(AT_ONCE * 20))
+        self.assertEqual(most, int(MAX_LOADING_FRACTION * 20))
 
     def test_a_roll_out_that_another_primary_began_goes_on_as_fast_as_may_be(self):
         made = registry(known("a", 2), *(known(f"i{n:02}") for n in range(19)))
-        made.roll_out_within = 1000.0
-        self.assertEqual(len(self.begun(made)), int(AT_ONCE * 20))
+        made.rollout_seconds = 1000.0
+        self.assertEqual(len(self.begun(made)), int(MAX_LOADING_FRACTION * 20))
 
     def test_each_service_has_its_own_part(self):
         made = registry(*(known(f"{service}{n}", service=service) for service in "st" for n in range(5)))
@@ -261,9 +261,9 @@
         made, rounds = registry(*(known(f"i{n:02}") for n in range(17))), 0
         while ids := self.begun(made):
             rounds += 1
-            self.assertLessEqual(len(ids), int(AT_ONCE * 17))
+            self.assertLessEqual(len(ids), int(MAX_LOADING_FRACTION * 17))
             for id in ids:
-                made.loaded(id, "m", 2, 0.0)
+                made.load_succeeded(id, "m", 2, 0.0)
         self.assertEqual({server.versions["m"] for server in made.servers.values()}, {2})
         self.assertEqual(rounds, 3)
 
@@ -286,42 +286,42 @@
     def test_failures_come_last(self):
         made = registry(known("a"), known("b"), known("c"))
         for id in "aab":
-            made.failed(id, "m", 0.0)
+            made.load_failed(id, "m", 0.0)
         order = []
         while (found := made.next_load({"m": 2}, 100.0)) is not None:
             order.append(found[0].id)
-            made.begin(found[0], 0.0)
-            made.loaded(found[0].id, "m", 2, 0.0)
+            made.load_started(found[0], 0.0)
+            made.load_succeeded(found[0].id, "m", 2, 0.0)
         self.assertEqual(order, ["c", "b", "a"])
 
     def test_not_before_its_time(self):
         made = registry(known("a"))
-        made.begin(made.servers["a"], 0.0)
-        made.failed("a", "m", 5.0)
+        made.load_started(made.servers["a"], 0.0)
+        made.load_failed("a", "m", 5.0)
         self.assertIsNone(made.next_load({"m": 2}, 5.0))
-        self.assertIsNone(made.next_load({"m": 2}, 5.0 + AGAIN - 0.01))
-        self.assertEqual(made.next_load({"m": 2}, 5.0 + AGAIN)[0].id, "a")
+        self.assertIsNone(made.next_load({"m": 2}, 5.0 + FAILED_LOAD_RETRY_SECONDS - 0.01))
+        self.assertEqual(made.next_load({"m": 2}, 5.0 + FAILED_LOAD_RETRY_SECONDS)[0].id, "a")
 
     def test_a_failed_load_lets_another_begin(self):
         made = registry(known("a"), known("b"))
         self.assertEqual(self.begun(made), ["a"])
-        made.failed("a", "m", 0.0)
+        made.load_failed("a", "m", 0.0)
         self.assertEqual(self.begun(made), ["b"])
 
     def test_a_failed_load_of_one_model_holds_up_no_other(self):
         one = known("a")
         one.versions["n"] = 1
         made = registry(one)
-        made.failed("a", "n", 5.0)
+        made.load_failed("a", "n", 5.0)
         self.assertEqual((made.next_load({"m": 2, "n": 2}, 5.0) or (None, None))[1], "m")
         self.assertEqual(made.next_load({"n": 2}, 5.0), None)
-        self.assertEqual(made.next_load({"n": 2}, 5.0 + AGAIN)[1], "n")
+        self.assertEqual(made.next_load({"n": 2}, 5.0 + FAILED_LOAD_RETRY_SECONDS)[1], "n")
 
     def test_failures_of_one_model_put_a_server_back_for_no_other(self):
         first, second = known("a"), known("b")
         first.versions["n"] = second.versions["n"] = 1
         made = registry(first, second)
-        made.failed("a", "n", 0.0)
+        made.load_failed("a", "n", 0.0)
         self.assertEqual(made.next_load({"m": 2}, 100.0)[0].id, "a")
         self.assertEqual(made.next_load({"n": 2}, 100.0)[0].id, "b")
 
@@ -329,8 +329,8 @@
         one = known("a")
         one.versions["n"] = 1
         made = registry(one)
-        made.failed("a", "n", 0.0)
-        made.loaded("a", "m", 2, 0.1)
+        made.load_failed("a", "n", 0.0)
+        made.load_succeeded("a", "m", 2, 0.1)
         self.assertIsNone(made.next_load({"n": 2}, 0.2))
 
     def test_a_second_model(self):
--- a/tests/simulation/test_protocol_rules.py
+++ b/tests/simulation/test_protocol_rules.py
@@ -5,7 +5,7 @@
 import trio
 from loguru import logger
 
-from rowanshift.controlplane.server_registry import RegisteredServer
+from rowanshift.controlplane.registered_server import RegisteredServer
 from rowanshift.dataplane.routing_table import RoutingTable
 from rowanshift.invariants.facts import Ordered
 from rowanshift.simulation import fleet as fleets
--- a/tests/simulation/test_versions_in_series.py
+++ b/tests/simulation/test_versions_in_series.py
@@ -7,7 +7,8 @@
 from loguru import logger
 
 from rowanshift.controlplane import singleton_tasks
-from rowanshift.controlplane.server_registry import RegisteredServer, ServerRegistry
+from rowanshift.controlplane.registered_server import RegisteredServer
+from rowanshift.controlplane.server_registry import ServerRegistry
 from rowanshift.invariants.facts import Loaded
 from rowanshift.simulation.fleet import ONCE, Fleet, play
 from rowanshift.simulation.fleet_settings import CONTACT, MODEL, VERSION
@@ -88,8 +89,8 @@
 
     def longest_behind(self, names: int) -> float:
         """The longest time in seconds for which any server lacked a version that was named."""
-        registry = ServerRegistry(roll_out_within=ROLL_OUT_WITHIN)
-        registry.take(
+        registry = ServerRegistry(rollout_seconds=ROLL_OUT_WITHIN)
+        registry.apply_list(
             [RegisteredServer(f"i{n}", "s", f"10.0.0.1:{n}", "z", 1, False, {MODEL: 1}) for n in range(SERVERS)]
         )
         named_at = {2 + n: n * NAMES_APART for n in range(names)}
@@ -97,11 +98,11 @@
         longest, step, now = 0.0, 0.05, 0.0
         while now < names * NAMES_APART:
             for id in [id for id, (ends_at, _) in loads.items() if ends_at <= now]:
-                registry.loaded(id, MODEL, loads.pop(id)[1], now)
+                registry.load_succeeded(id, MODEL, loads.pop(id)[1], now)
             newest = max(version for version, at in named_at.items() if at <= now)
             while (order := registry.next_load({MODEL: newest}, now)) is not None:
                 server, _, version = order
-                registry.begin(server, now)
+                registry.load_started(server, now)
                 loads[server.id] = now + LOAD_TAKES, version
             for server in registry.servers.values():
                 lacking = [at for version, at in named_at.items() if version > server.versions[MODEL] and at <= now]
