--- a/rowanshift/admin/commands.py
+++ b/rowanshift/admin/commands.py
@@ -20,7 +20,7 @@
 from rowanshift.transport.http_connection import Fields, Message
 from rowanshift.transport.memory_budget import Memory
 from rowanshift.transport.runtime import SYSTEM, Address, Runtime
-from rowanshift.wire.control_updates import DRAINING, LOADING
+from rowanshift.wire.control_updates import SERVER_DRAINING, SERVER_LOADING
 from rowanshift.wire.machine_ids import machine_id_from_ip
 
 T = TypeVar("T")
@@ -262,12 +262,13 @@
     )
     listed = f"{len(row['servers'])} servers listed" if row["listRead"] else "the list was not read yet"
     lines.append(f"fence {row['epoch']}; the lease holds for {row['leaseS']} s; {listed}")
-    loading = [server["id"] for server in row["servers"] if server["state"] & LOADING]
+    loading = [server["id"] for server in row["servers"] if server["state"] & SERVER_LOADING]
     lines.append(f"loading: {', '.join(loading) or 'none'}")
     for model, version in sorted((row["versions"] or {}).items()):
         having = [server for server in row["servers"] if model in server["versions"]]
         behind = [
-            f"{server['id']} ({server['versions'][model]}" + (", draining)" if server["state"] & DRAINING else ")")
+            f"{server['id']} ({server['versions'][model]}"
+            + (", draining)" if server["state"] & SERVER_DRAINING else ")")
             for server in having
             if server["versions"][model] < version
         ]
@@ -516,7 +517,7 @@
     from rowanshift.controlplane.replica_runner import decode_durable_state
     from rowanshift.controlplane.replication import DurableState
     from rowanshift.controlplane.store import DamagedRecord
-    from rowanshift.wire.codec import MalformedRecord
+    from rowanshift.wire.errors import MalformedRecord
     from rowanshift.wire.machine_ids import ip_from_machine_id
 
     try:
--- a/rowanshift/capacity/hollow.py
+++ b/rowanshift/capacity/hollow.py
@@ -24,7 +24,7 @@
 from rowanshift.transport.buffer import Ring
 from rowanshift.transport.runtime import Address, Stream, connect, receive, send_all
 from rowanshift.wire.codec import FrameDecoder
-from rowanshift.wire.control_updates import CODEC, Poll, Update
+from rowanshift.wire.control_updates import CONTROL_UPDATE_CODEC, Poll, Update
 
 MACHINE = 127 << 24 | 1 << 16  # the first hollow router's
 SERVES_WITHIN = 10.0  # seconds for the ledger to be primary
@@ -262,11 +262,11 @@
 def unpacked(kind: int, body: bytes) -> Any:
     """The record in an answer; those alike are read once, as the routers' own work isn't measured."""
     if len(body) < 4096:
-        return CODEC.unpack(kind, body)
+        return CONTROL_UPDATE_CODEC.unpack(kind, body)
     if body not in UNPACKED:
         if len(UNPACKED) >= MOST_UNPACKED:
             UNPACKED.clear()
-        UNPACKED[body] = CODEC.unpack(kind, body)
+        UNPACKED[body] = CONTROL_UPDATE_CODEC.unpack(kind, body)
     return UNPACKED[body]
 
 
@@ -297,7 +297,7 @@
             while most is None or self.polls < most:
                 self.polls += 1
                 poll = Poll(self.machine, 1, **self.has, long_poll_ms=int(1000 * LONG_POLL_SECONDS))
-                await send_all(stream, CODEC.pack(poll, self.polls & 0xFFFFFFFF))
+                await send_all(stream, CONTROL_UPDATE_CODEC.pack(poll, self.polls & 0xFFFFFFFF))
                 answer = await self._answer(stream, frames, ring)
                 if answer is None:
                     return
--- a/rowanshift/capacity/sizes.py
+++ b/rowanshift/capacity/sizes.py
@@ -7,22 +7,9 @@
 from dataclasses import dataclass
 
 from rowanshift.wire.codec import FRAME_HEADER
-from rowanshift.wire.control_updates import CODEC, KINDS, Poll, Update
+from rowanshift.wire.control_updates import CONTROL_UPDATE_CODEC, Poll, Update
 
 DAY = 86400  # seconds
-FIXED = {
-    "q": 8,
-    "?": 1,
-    "d": 8,
-    "p": 16,
-    "s": 2,
-    "b": 4,
-    "t": 2,
-    "v": 2,
-    "o": 4,
-    "n": 4,
-    "y": 4,
-}  # bytes of a field, empty
 
 
 @dataclass(frozen=True, slots=True)
@@ -81,7 +68,7 @@
 
 def empty(record: type) -> int:
     """Bytes of a record's frame with nothing in its texts, bytes, tuples, dicts and rows."""
-    return FRAME_HEADER.size + sum(FIXED[letter] for letter in KINDS[CODEC.numbers[record]][1])
+    return FRAME_HEADER.size + CONTROL_UPDATE_CODEC.layouts[CONTROL_UPDATE_CODEC.kinds[record]].minimum_size
 
 
 def poll() -> int:
--- a/rowanshift/controlplane/record_kinds.py
+++ b/rowanshift/controlplane/record_kinds.py
@@ -1,41 +1,62 @@
-"""The one table of kinds that processes of one system say to each other, and of records on disk."""
+"""The registry of all kinds of records: those between processes of one system, and the one on disk.
+
+A kind's number and layout never change: machines of two releases talk to each other, and read each other's disks. What
+has to change becomes a new kind.
+"""
 
 from dataclasses import dataclass
 
 from rowanshift.controlplane import replication
-from rowanshift.wire import control_updates
 from rowanshift.wire.codec import Codec
+from rowanshift.wire.control_updates import CONTROL_UPDATE_LAYOUTS
+from rowanshift.wire.field_types import BOOL, BYTES, TEXT, UINT64, UINT64_LIST, RecordLayout
 
 
 @dataclass(slots=True, frozen=True)
 class Hello:
-    """The first record on a connection between core machines: who says what follows."""
-
-    machine: int
-
-
-KINDS = {
-    16: (Hello, "q"),
-    17: (replication.PreVote, "q"),
-    18: (replication.PreVoted, "q?"),
-    19: (replication.Prepare, "q"),
-    20: (replication.Promised, "q?qr"),
-    21: (replication.Store, "qwb"),
-    22: (replication.Stored, "qw?q"),
-    23: (replication.Accept, "qr"),
-    24: (replication.Accepted, "q?q"),
-    25: (replication.Heartbeat, "qqr"),
-    26: (replication.HeartbeatReply, "qq?qw"),
-    27: (replication.TransferLeadership, "q"),
-    28: (replication.RecoveryRequest, "q"),
-    29: (replication.RecoveryReply, "qqr?"),
-    30: (replication.Join, "q"),
-    31: (replication.Leave, "q"),
-    32: (replication.LeaveReply, "q?"),
-    33: (replication.StoreDelta, "qwwb"),
-    34: (replication.Located, "ss??"),
-    64: (replication.DurableState, "qrwb?"),
-}
-NESTED = {"r": (replication.EpochRecord, "qqttt"), "w": (replication.StateVersion, "qq")}
-
-CODEC = Codec(control_updates.KINDS | KINDS, control_updates.NESTED | NESTED)
+    """The first record on a connection between replicas of the control plane: which machine sends what follows."""
+
+    machine: int  # its id
+
+
+EPOCH_RECORD = RecordLayout(
+    replication.EpochRecord,
+    number=UINT64,
+    primary=UINT64,
+    in_sync=UINT64_LIST,
+    witnesses=UINT64_LIST,
+    former=UINT64_LIST,
+)
+STATE_VERSION = RecordLayout(replication.StateVersion, epoch=UINT64, sequence=UINT64)
+REPLICATION_LAYOUTS = {
+    16: RecordLayout(Hello, machine=UINT64),
+    17: RecordLayout(replication.PreVote, number=UINT64),
+    18: RecordLayout(replication.PreVoted, number=UINT64, ok=BOOL),
+    19: RecordLayout(replication.Prepare, number=UINT64),
+    20: RecordLayout(replication.Promised, number=UINT64, ok=BOOL, promised=UINT64, accepted=EPOCH_RECORD),
+    21: RecordLayout(replication.Store, number=UINT64, version=STATE_VERSION, state=BYTES),
+    22: RecordLayout(replication.Stored, number=UINT64, version=STATE_VERSION, ok=BOOL, promised=UINT64),
+    23: RecordLayout(replication.Accept, number=UINT64, record=EPOCH_RECORD),
+    24: RecordLayout(replication.Accepted, number=UINT64, ok=BOOL, promised=UINT64),
+    25: RecordLayout(replication.Heartbeat, number=UINT64, serial=UINT64, record=EPOCH_RECORD),
+    26: RecordLayout(
+        replication.HeartbeatReply, number=UINT64, serial=UINT64, ok=BOOL, promised=UINT64, version=STATE_VERSION
+    ),
+    27: RecordLayout(replication.TransferLeadership, number=UINT64),
+    28: RecordLayout(replication.RecoveryRequest, serial=UINT64),
+    29: RecordLayout(replication.RecoveryReply, serial=UINT64, promised=UINT64, accepted=EPOCH_RECORD, amnesic=BOOL),
+    30: RecordLayout(replication.Join, machine=UINT64),
+    31: RecordLayout(replication.Leave, machine=UINT64),
+    32: RecordLayout(replication.LeaveReply, number=UINT64, released=BOOL),
+    33: RecordLayout(replication.StoreDelta, number=UINT64, version=STATE_VERSION, base=STATE_VERSION, delta=BYTES),
+    34: RecordLayout(replication.Located, zone=TEXT, region=TEXT, counts=BOOL, nobody_counts=BOOL),
+    64: RecordLayout(
+        replication.DurableState,
+        promised=UINT64,
+        accepted=EPOCH_RECORD,
+        version=STATE_VERSION,
+        state=BYTES,
+        amnesic=BOOL,
+    ),
+}  # by the number of the kind
+CODEC = Codec(CONTROL_UPDATE_LAYOUTS | REPLICATION_LAYOUTS)
--- a/rowanshift/controlplane/registered_server.py
+++ b/rowanshift/controlplane/registered_server.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from rowanshift.controlplane.errors import BadEndpointList
-from rowanshift.wire.control_updates import DRAINING, LOADING, UP, ServerRecord
+from rowanshift.wire.control_updates import SERVER_DRAINING, SERVER_LOADING, SERVER_UP, ServerRecord
 
 MAX_LISTED_TEXT_CHARACTERS = 1024  # of an id, an address or another text in the list
 LISTED_NUMBER_LIMIT = 1 << 53  # what slots and revisions in the list stay under
@@ -40,7 +40,7 @@
 
     def record(self) -> ServerRecord:
         """The server as routers receive it."""
-        state = (DRAINING if self.draining else UP) | (LOADING if self.loading else 0)
+        state = (SERVER_DRAINING if self.draining else SERVER_UP) | (SERVER_LOADING if self.loading else 0)
         return ServerRecord(self.id, self.service, self.address, self.zone, self.slots, state, dict(self.versions))
 
     def failed_loads_of(self, model: str) -> FailedLoads:
--- a/rowanshift/controlplane/replica_runner.py
+++ b/rowanshift/controlplane/replica_runner.py
@@ -32,7 +32,8 @@
 from rowanshift.controlplane.store import StoreError
 from rowanshift.transport.record_links import MOST_QUEUED, STUCK, RecordReader, RecordSender
 from rowanshift.transport.runtime import Nursery, Runtime
-from rowanshift.wire.codec import FRAME_HEADER, MalformedRecord
+from rowanshift.wire.codec import FRAME_HEADER
+from rowanshift.wire.errors import MalformedRecord
 from rowanshift.wire.machine_ids import ip_from_machine_id
 
 TICK = 0.05  # seconds
--- a/rowanshift/controlplane/service.py
+++ b/rowanshift/controlplane/service.py
@@ -31,8 +31,8 @@
 from rowanshift.transport.record_links import ConnectionFailed, RecordReader
 from rowanshift.transport.runtime import Listener, Stream, send_all
 from rowanshift.transport.signals import ReceivedSignal
-from rowanshift.wire.codec import MalformedRecord
 from rowanshift.wire.control_updates import (
+    SERVER_RECORDS,
     ModelVersionAnnouncement,
     Poll,
     PollOfFormat1,
@@ -42,6 +42,7 @@
     Update,
     UpdateOfFormat1,
 )
+from rowanshift.wire.errors import MalformedRecord
 from rowanshift.wire.machine_ids import ip_from_machine_id, machine_id_from_ip
 from rowanshift.wire.version_announcements import age_ms
 
@@ -326,7 +327,7 @@
     def _rows(self, registry: ServerRegistry) -> bytes:
         """The registry's rows, packed once for all routers that ask."""
         if self.rows_of != (registry, registry.serial):
-            self.rows_of, self.rows = (registry, registry.serial), CODEC.put("o", registry.records())
+            self.rows_of, self.rows = (registry, registry.serial), SERVER_RECORDS.encode(registry.records())
         return self.rows
 
     async def _tell_members(self) -> None:
@@ -370,7 +371,7 @@
     async def _answer_poll(self, stream: Stream, number: int, record: Any) -> None:
         """Answer one question of a router on its connection."""
         if isinstance(record, PollOfFormat1):
-            record = record.upgraded(int(1000 * LONG_POLL_SECONDS))
+            record = record.as_format_2(int(1000 * LONG_POLL_SECONDS))
         if not isinstance(record, PollOfFormat3):
             raise MalformedRecord(f"{type(record).__name__} was not expected")
         self.polls += 1
@@ -523,7 +524,7 @@
     """An answer in the form that the router which asked knows."""
     if isinstance(poll, Poll) or isinstance(found, Redirect):
         return found
-    return found.of_format_1() if isinstance(poll, PollOfFormat2) else found.of_format_2()
+    return found.as_format_1() if isinstance(poll, PollOfFormat2) else found.as_format_2()
 
 
 def run(boot: NodeSettings, level: str = "INFO", former_role: str = "") -> int:
--- a/rowanshift/dataplane/control_client.py
+++ b/rowanshift/dataplane/control_client.py
@@ -22,9 +22,9 @@
 from rowanshift.transport.record_links import ConnectionFailed, RecordClient
 from rowanshift.transport.runtime import Address, Runtime
 from rowanshift.wire.control_updates import (
-    CODEC,
-    DRAINING,
-    LOADING,
+    CONTROL_UPDATE_CODEC,
+    SERVER_DRAINING,
+    SERVER_LOADING,
     ModelVersionAnnouncement,
     Poll,
     Redirect,
@@ -235,7 +235,7 @@
 
     async def _ask_for_primary(self, search: Search, machine: int, scope: trio.CancelScope) -> None:
         """Asks one machine; ends the search if it is the primary."""
-        caller = RecordClient(self.host, CODEC, (ip_from_machine_id(machine), self.port))
+        caller = RecordClient(self.host, CONTROL_UPDATE_CODEC, (ip_from_machine_id(machine), self.port))
         try:
             if await self._ask(machine, caller, hold=0.0) and search.found is None:
                 search.found = Primary(machine, caller)
@@ -346,7 +346,7 @@
 
     def _take_servers(self, update: Update) -> None:
         self.registry = update.registry_version
-        for endpoint in self.servers.update([endpoint_of(row) for row in update.server_records]):
+        for endpoint in self.servers.update([endpoint_of(row) for row in update.received_server_records()]):
             self.gone(endpoint)
         for endpoint in self.servers.engines.values():
             if endpoint.draining:
@@ -356,7 +356,7 @@
 
 def endpoint_of(row: ServerRecord) -> Endpoint:
     """A server of the list as requests are sent to it."""
-    draining, loading = bool(row.state & DRAINING), bool(row.state & LOADING)
+    draining, loading = bool(row.state & SERVER_DRAINING), bool(row.state & SERVER_LOADING)
     return Endpoint(
         row.id, row.service, row.address, row.zone, row.slots, dict(row.versions), draining=draining, loading=loading
     )
--- a/rowanshift/transport/record_links.py
+++ b/rowanshift/transport/record_links.py
@@ -9,7 +9,8 @@
 
 from rowanshift.transport.buffer import Ring
 from rowanshift.transport.runtime import Address, Runtime, Stream, connect, receive, send_all
-from rowanshift.wire.codec import Codec, FrameDecoder, MalformedRecord
+from rowanshift.wire.codec import Codec, Frame, FrameDecoder
+from rowanshift.wire.errors import MalformedRecord
 
 DIAL_WITHIN = 0.4  # seconds
 DIAL_ANEW = 0.25  # seconds that a sender waits for a connection: a machine that just gets power back misses the first
@@ -28,7 +29,7 @@
     def __init__(self, stream: Stream, codec: Codec) -> None:
         self.stream, self.codec = stream, codec
         self.frames, self.ring = FrameDecoder(), Ring()
-        self.ready: deque[tuple[int, int, bytes]] = deque()
+        self.ready: deque[Frame] = deque()
 
     async def next(self) -> tuple[int, Any]:
         """The call's number and the record; ``MalformedRecord``, or ``ConnectionFailed`` at the end."""
--- a/rowanshift/wire/control_updates.py
+++ b/rowanshift/wire/control_updates.py
@@ -1,177 +1,259 @@
-"""What routers and the control plane say to each other."""
+"""Long polls of routers and the control plane's updates: their records, and the layouts of those in bytes.
 
-from dataclasses import dataclass, field, fields
+A router polls the primary with the versions of what it has. The update carries whatever is newer; a machine that is not
+the primary answers with a ``Redirect``. Routers up to release 0.2 poll in former formats, which lack some fields: they
+are answered in the format that they know.
+
+What a router has is identified by pairs: the primary's epoch, and a serial number that counts the changes within it.
+(0, 0) stands for having nothing yet.
+"""
+
+from dataclasses import dataclass, fields
 from typing import Any
 
 from rowanshift.wire.codec import Codec
-
-UP, DRAINING = 1, 2  # states of a server
-LOADING = 4  # it takes new weights
+from rowanshift.wire.field_types import (
+    BOOL,
+    BYTES,
+    TEXT,
+    UINT64,
+    UINT64_LIST,
+    UINT64_PAIR,
+    VERSION_MAP,
+    FieldType,
+    RecordLayout,
+    RecordListType,
+)
+
+SERVER_UP, SERVER_DRAINING = 1, 2  # states of a server
+SERVER_LOADING = 4  # a flag beside them: the server is loading new weights
 
 
 @dataclass(slots=True, frozen=True)
 class ServerRecord:
-    """One server as the registry names it."""
+    """One server as the primary's registry lists it."""
 
     id: str
     service: str
     address: str  # IP:PORT
     zone: str
-    slots: int
-    state: int  # UP or DRAINING, with LOADING
-    versions: dict[str, int]  # of each model
+    slots: int  # requests that it runs at once
+    state: int  # SERVER_UP or SERVER_DRAINING, with SERVER_LOADING
+    versions: dict[str, int]  # of the weights of each model
 
 
 @dataclass(slots=True, frozen=True)
 class ModelVersionAnnouncementOfFormat1:
-    """A version of a model's weights, and how long ago it was named."""
+    """A version of a model's weights that was announced, and how long before the update was made."""
 
     model: str
     version: int
-    age_ms: int  # at least so long ago, when the answer was made
+    age_ms: int  # at least so long ago
 
 
 @dataclass(slots=True, frozen=True)
 class ModelVersionAnnouncement:
-    """A version of a model's weights, and how long ago it was named, when the message was made."""
+    """A version of a model's weights that was announced, and how long before the record was made."""
 
     model: str
     version: int
     age_ms: int
-    is_dated: bool = True  # else it was named so long ago or longer, and nobody who was asked knows when
+    is_dated: bool = True  # else it was announced so long ago or longer, and no machine that was asked knows when
+
+
+@dataclass(slots=True, frozen=True)
+class PollOfFormat1:
+    """A poll of routers up to 0.2, which leave the time that it is held to the primary."""
+
+    machine: int  # the router's id
+    incarnation: int  # drawn when the router started
+    state_version: tuple[int, int]  # epoch and sequence number of the control state that it has
+    fingerprint: int  # of that state's content, 0: it has none
+    registry_version: tuple[int, int]  # of the list of servers
+    prefix_holdings_version: tuple[int, int]  # of what stores hold in their prefix caches
+    peers_version: tuple[int, int]  # of the list of routers
+
+    def as_format_2(self, long_poll_ms: int) -> "PollOfFormat2":
+        """The same poll with the time that it may be held, in milliseconds."""
+        return PollOfFormat2(
+            self.machine,
+            self.incarnation,
+            self.state_version,
+            self.fingerprint,
+            self.registry_version,
+            self.prefix_holdings_version,
+            self.peers_version,
+            long_poll_ms,
+        )
 
 
 @dataclass(slots=True, frozen=True)
 class PollOfFormat3:
-    """A poll of routers up to 0.2, which tell no dates of named versions: what a router has, and its lease renewed."""
-
-    machine: int  # its IP as a number
-    incarnation: int  # drawn at its start
-    state_version: tuple[int, int]  # epoch and sequence of the control state that it has; (0, 0): none
-    fingerprint: int  # of that state's content
-    registry_version: tuple[int, int]  # epoch and serial of the servers' list that it has
-    prefix_holdings_version: tuple[int, int]  # the same of what stores keep
-    peers_version: tuple[int, int]  # and of the members
+    """A poll of routers up to 0.2, which report no times of announcements."""
+
+    machine: int  # the router's id
+    incarnation: int  # drawn when the router started
+    state_version: tuple[int, int]  # epoch and sequence number of the control state that it has
+    fingerprint: int  # of that state's content, 0: it has none
+    registry_version: tuple[int, int]  # of the list of servers
+    prefix_holdings_version: tuple[int, int]  # of what stores hold in their prefix caches
+    peers_version: tuple[int, int]  # of the list of routers
     long_poll_ms: int  # how long the poll may be held while there is nothing newer; 0: answer at once
 
 
 class PollOfFormat2(PollOfFormat3):
-    """A poll of routers up to 0.2, which know of no ages of named versions; the same fields."""
+    """A poll of routers up to 0.2, which don't know the age of announcements; the same fields."""
 
     __slots__ = ()
 
 
 @dataclass(slots=True, frozen=True)
 class Poll(PollOfFormat3):
-    """A router asks with what it has, and renews its lease with that.
+    """A router asks for what is newer than what it has, and renews its membership.
 
-    To a primary that may be new it tells the named versions whose dates it knows.
+    A primary that may be new is sent the announcements whose times the router knows.
     """
 
-    announcements_version: tuple[int, int] = (0, 0)  # epoch and serial of the dates that it has
+    announcements_version: tuple[int, int] = (0, 0)  # of the announcements and their times
     announcements: tuple[ModelVersionAnnouncement, ...] = ()
 
 
-@dataclass(slots=True, frozen=True)
-class PollOfFormat1:
-    """A poll of routers up to 0.2, held as long as the primary likes."""
-
-    machine: int
-    incarnation: int
-    state_version: tuple[int, int]
-    fingerprint: int
-    registry_version: tuple[int, int]
-    prefix_holdings_version: tuple[int, int]
-    peers_version: tuple[int, int]
-
-    def upgraded(self, long_poll_ms: int) -> PollOfFormat2:
-        """The same question with the time that it may be held."""
-        has = (
-            self.state_version,
-            self.fingerprint,
-            self.registry_version,
-            self.prefix_holdings_version,
-            self.peers_version,
-        )
-        return PollOfFormat2(self.machine, self.incarnation, *has, long_poll_ms)
-
-
 @dataclass(slots=True, frozen=True)
 class UpdateOfFormat1:
-    """The answer to ``PollOfFormat1`` and ``PollOfFormat2``: whatever is newer than what the router has."""
+    """The answer to ``PollOfFormat1`` and ``PollOfFormat2``: what is newer than what the router has."""
 
     state_version: tuple[int, int]
     fingerprint: int
-    has_state: bool  # else the router has this very one
-    revision: int
-    config: bytes  # compressed
-    versions: dict[str, int]  # named, of each model
+    has_state: bool  # else the router has this very state, and the next three fields are empty
+    revision: int  # of the configuration
+    config: bytes  # the configuration's JSON, compressed by zlib
+    versions: dict[str, int]  # the newest that was announced, of each model
     registry_version: tuple[int, int]
     has_server_records: bool
-    server_records: tuple[ServerRecord, ...] = field(default=())
+    # All servers. A primary may put in the bytes of ``SERVER_RECORDS.encode``, made once for many routers; an update
+    # that was received holds the records.
+    server_records: tuple[ServerRecord, ...] | bytes = ()
     member_count: int = 1  # routers that share budgets; 0: not known yet
     prefix_holdings_version: tuple[int, int] = (0, 0)
-    prefix_holdings_complete: bool = False  # else what changed
-    stored_block_hashes: bytes = b""  # marks of parts that stores keep, 8 bytes each
-    removed_block_hashes: bytes = b""  # and of those that they no longer do
+    prefix_holdings_complete: bool = False  # the hashes are all that is stored; else they are what changed
+    stored_block_hashes: bytes = b""  # of prefix blocks that stores hold, 8 bytes each
+    removed_block_hashes: bytes = b""  # of those that they no longer hold, 8 bytes each
     peers_version: tuple[int, int] = (0, 0)
     has_peers: bool = False
-    peer_machines: tuple[int, ...] = ()  # routers that are members now
-    core_machines: tuple[int, ...] = ()  # machines of the core that may be asked next time
+    peer_machines: tuple[int, ...] = ()  # the routers that are members now
+    core_machines: tuple[int, ...] = ()  # replicas of the control plane that may be asked next time
 
 
 @dataclass(slots=True, frozen=True)
 class UpdateOfFormat2(UpdateOfFormat1):
-    """The answer to ``PollOfFormat3``: with the state, all named versions whose deadlines may still be to come."""
+    """The answer to ``PollOfFormat3``: with a state come all announcements whose deadlines may still be to come."""
 
     announcements: tuple[ModelVersionAnnouncementOfFormat1, ...] = ()
 
 
 @dataclass(slots=True, frozen=True)
 class Update(UpdateOfFormat1):
-    """The answer to ``Poll``: all named versions whose deadlines may still be to come, where the asker lacks any of
-    them or its date."""
+    """The answer to ``Poll``: all announcements whose deadlines may still be to come, where the router lacks one of
+    them or its time."""
 
     announcements_version: tuple[int, int] = (0, 0)
     has_announcements: bool = False
     announcements: tuple[ModelVersionAnnouncement, ...] = ()
 
-    def of_format_1(self) -> UpdateOfFormat1:
-        """The same answer for a router that knows of no ages."""
-        return UpdateOfFormat1(*self._former_fields())
-
-    def of_format_2(self) -> UpdateOfFormat2:
-        """The same answer for a router that knows of no dates."""
-        names = [
-            ModelVersionAnnouncementOfFormat1(name.model, name.version, name.age_ms) for name in self.announcements
+    def received_server_records(self) -> tuple[ServerRecord, ...]:
+        """The servers of an update that was received. Raises ``TypeError`` if they are encoded for sending."""
+        if isinstance(self.server_records, bytes):
+            raise TypeError("the servers of this update are encoded for sending")
+        return self.server_records
+
+    def as_format_1(self) -> UpdateOfFormat1:
+        """The same update for a router that doesn't know the age of announcements."""
+        return UpdateOfFormat1(*self._fields_of_format_1())
+
+    def as_format_2(self) -> UpdateOfFormat2:
+        """The same update for a router that doesn't know whether announcements are dated."""
+        announcements = [
+            ModelVersionAnnouncementOfFormat1(announcement.model, announcement.version, announcement.age_ms)
+            for announcement in self.announcements
+            if self.has_state
         ]
-        return UpdateOfFormat2(*self._former_fields(), tuple(names) if self.has_state else ())
+        values = [*self._fields_of_format_1(), tuple(announcements)]
+        return UpdateOfFormat2(*values)
 
-    def _former_fields(self) -> list[Any]:
+    def _fields_of_format_1(self) -> list[Any]:
         return [getattr(self, field.name) for field in fields(UpdateOfFormat1)]
 
 
 @dataclass(slots=True, frozen=True)
 class Redirect:
-    """The machine asked is not the primary."""
-
-    primary: int  # its IP as a number, 0: not known
-    core_machines: tuple[int, ...]
-
-
-KINDS: dict[int, tuple[type, str]] = {
-    1: (PollOfFormat1, "qqpqppp"),
-    2: (UpdateOfFormat1, "pq?qbvp?oqp?bbp?tt"),
-    3: (Redirect, "qt"),
-    4: (PollOfFormat2, "qqpqpppq"),
-    5: (PollOfFormat3, "qqpqpppq"),
-    6: (UpdateOfFormat2, "pq?qbvp?oqp?bbp?ttn"),
-    7: (Poll, "qqpqpppqpy"),
-    8: (Update, "pq?qbvp?oqp?bbp?ttp?y"),
+    """The answer of a machine that is not the primary."""
+
+    primary: int  # the primary's id as far as this machine knows, 0: not known
+    core_machines: tuple[int, ...]  # replicas of the control plane that may be asked next time
+
+
+SERVER_RECORDS = RecordListType(
+    RecordLayout(
+        ServerRecord,
+        id=TEXT,
+        service=TEXT,
+        address=TEXT,
+        zone=TEXT,
+        slots=UINT64,
+        state=UINT64,
+        versions=VERSION_MAP,
+    )
+)
+ANNOUNCEMENTS_OF_FORMAT_1 = RecordListType(
+    RecordLayout(ModelVersionAnnouncementOfFormat1, model=TEXT, version=UINT64, age_ms=UINT64)
+)
+ANNOUNCEMENTS = RecordListType(
+    RecordLayout(ModelVersionAnnouncement, model=TEXT, version=UINT64, age_ms=UINT64, is_dated=BOOL)
+)
+POLL_FIELDS_OF_FORMAT_1: dict[str, FieldType] = {
+    "machine": UINT64,
+    "incarnation": UINT64,
+    "state_version": UINT64_PAIR,
+    "fingerprint": UINT64,
+    "registry_version": UINT64_PAIR,
+    "prefix_holdings_version": UINT64_PAIR,
+    "peers_version": UINT64_PAIR,
 }
-NESTED: dict[str, tuple[type, str]] = {
-    "o": (ServerRecord, "ssssqqv"),
-    "n": (ModelVersionAnnouncementOfFormat1, "sqq"),
-    "y": (ModelVersionAnnouncement, "sqq?"),
+POLL_FIELDS_OF_FORMAT_3: dict[str, FieldType] = {**POLL_FIELDS_OF_FORMAT_1, "long_poll_ms": UINT64}
+UPDATE_FIELDS_OF_FORMAT_1: dict[str, FieldType] = {
+    "state_version": UINT64_PAIR,
+    "fingerprint": UINT64,
+    "has_state": BOOL,
+    "revision": UINT64,
+    "config": BYTES,
+    "versions": VERSION_MAP,
+    "registry_version": UINT64_PAIR,
+    "has_server_records": BOOL,
+    "server_records": SERVER_RECORDS,
+    "member_count": UINT64,
+    "prefix_holdings_version": UINT64_PAIR,
+    "prefix_holdings_complete": BOOL,
+    "stored_block_hashes": BYTES,
+    "removed_block_hashes": BYTES,
+    "peers_version": UINT64_PAIR,
+    "has_peers": BOOL,
+    "peer_machines": UINT64_LIST,
+    "core_machines": UINT64_LIST,
 }
-CODEC = Codec(KINDS, NESTED)  # all that a router needs
+CONTROL_UPDATE_LAYOUTS = {
+    1: RecordLayout(PollOfFormat1, **POLL_FIELDS_OF_FORMAT_1),
+    2: RecordLayout(UpdateOfFormat1, **UPDATE_FIELDS_OF_FORMAT_1),
+    3: RecordLayout(Redirect, primary=UINT64, core_machines=UINT64_LIST),
+    4: RecordLayout(PollOfFormat2, **POLL_FIELDS_OF_FORMAT_3),
+    5: RecordLayout(PollOfFormat3, **POLL_FIELDS_OF_FORMAT_3),
+    6: RecordLayout(UpdateOfFormat2, **UPDATE_FIELDS_OF_FORMAT_1, announcements=ANNOUNCEMENTS_OF_FORMAT_1),
+    7: RecordLayout(Poll, **POLL_FIELDS_OF_FORMAT_3, announcements_version=UINT64_PAIR, announcements=ANNOUNCEMENTS),
+    8: RecordLayout(
+        Update,
+        **UPDATE_FIELDS_OF_FORMAT_1,
+        announcements_version=UINT64_PAIR,
+        has_announcements=BOOL,
+        announcements=ANNOUNCEMENTS,
+    ),
+}  # by the number of the kind, which never changes its meaning
+CONTROL_UPDATE_CODEC = Codec(CONTROL_UPDATE_LAYOUTS)  # for a router, which exchanges no other records
--- a/rowanshift/wire/machine_ids.py
+++ b/rowanshift/wire/machine_ids.py
@@ -1,12 +1,12 @@
-"""Machines by their IPv4 address as a number, and back."""
+"""Ids of machines: their IPv4 address as an integer."""
 
 
 def machine_id_from_ip(ip: str) -> int:
-    """An IPv4 address as a number."""
-    a, b, c, d = (int(part) for part in ip.split("."))
+    """The id of the machine with this IPv4 address. Raises ``ValueError`` if the text isn't four numbers."""
+    a, b, c, d = (int(octet) for octet in ip.split("."))
     return a << 24 | b << 16 | c << 8 | d
 
 
-def ip_from_machine_id(machine: int) -> str:
-    """The IPv4 address of a number."""
-    return ".".join(str(machine >> shift & 255) for shift in (24, 16, 8, 0))
+def ip_from_machine_id(machine_id: int) -> str:
+    """The IPv4 address of a machine."""
+    return ".".join(str(machine_id >> shift & 255) for shift in (24, 16, 8, 0))
--- a/tests/controlplane/test_server_registry.py
+++ b/tests/controlplane/test_server_registry.py
@@ -10,7 +10,14 @@
     MAX_LOADING_FRACTION,
     ServerRegistry,
 )
-from rowanshift.wire.control_updates import CODEC, DRAINING, LOADING, UP, ServerRecord, Update
+from rowanshift.wire.control_updates import (
+    CONTROL_UPDATE_CODEC,
+    SERVER_DRAINING,
+    SERVER_LOADING,
+    SERVER_UP,
+    ServerRecord,
+    Update,
+)
 
 
 def entry(id="i-0-1", version=1, service="s", **more):
@@ -38,13 +45,12 @@
 
 class Entries(unittest.TestCase):
     def test_one(self):
-        self.assertEqual(
-            parse_registered_server(entry()).record(), ServerRecord("i-0-1", "s", "10.0.0.1:80", "z", 4, UP, {"m": 1})
-        )
+        record = ServerRecord("i-0-1", "s", "10.0.0.1:80", "z", 4, SERVER_UP, {"m": 1})
+        self.assertEqual(parse_registered_server(entry()).record(), record)
 
     def test_what_may_be_missing(self):
         made = parse_registered_server({"id": "i", "backend": "s", "address": "a:1"})
-        self.assertEqual(made.record(), ServerRecord("i", "s", "a:1", "", 1, UP, {}))
+        self.assertEqual(made.record(), ServerRecord("i", "s", "a:1", "", 1, SERVER_UP, {}))
         self.assertEqual(
             parse_registered_server(entry(models=[{"name": "m"}, {"name": "n", "revision": None}])).versions,
             {"m": 0, "n": 0},
@@ -52,10 +58,10 @@
 
     def test_states(self):
         made = parse_registered_server(entry(state="draining"))
-        self.assertEqual(made.record().state, DRAINING)
+        self.assertEqual(made.record().state, SERVER_DRAINING)
         made.loading = True
-        self.assertEqual(made.record().state, DRAINING | LOADING)
-        self.assertEqual(parse_registered_server(entry(state="unheard of")).record().state, UP)
+        self.assertEqual(made.record().state, SERVER_DRAINING | SERVER_LOADING)
+        self.assertEqual(parse_registered_server(entry(state="unheard of")).record().state, SERVER_UP)
 
     def test_junk(self):
         for junk in (
@@ -116,7 +122,7 @@
                     row = parse_registered_server(junk).record()
                 except BadEndpointList:
                     continue
-                CODEC.pack(Update((0, 0), 0, False, 0, b"", {}, (1, 1), True, (row,)))
+                CONTROL_UPDATE_CODEC.pack(Update((0, 0), 0, False, 0, b"", {}, (1, 1), True, (row,)))
 
 
 class Lists(unittest.TestCase):
--- a/tests/simulation/test_system_simulation.py
+++ b/tests/simulation/test_system_simulation.py
@@ -693,7 +693,7 @@
             mock.patch.object(
                 control_client,
                 "endpoint_of",
-                lambda row: true(replace(row, state=row.state & ~control_client.DRAINING)),
+                lambda row: true(replace(row, state=row.state & ~control_client.SERVER_DRAINING)),
             ),
         )
 
--- a/tests/transport/test_call_exchanges.py
+++ b/tests/transport/test_call_exchanges.py
@@ -18,7 +18,7 @@
 from rowanshift.transport.record_links import ConnectionFailed, RecordClient
 from rowanshift.transport.runtime import send_all
 from rowanshift.wire.codec import FRAME_HEADER
-from rowanshift.wire.control_updates import CODEC, Redirect
+from rowanshift.wire.control_updates import CONTROL_UPDATE_CODEC, Redirect
 
 PORT = 80
 WITHIN = 0.05  # seconds that a call waits
@@ -202,11 +202,11 @@
 class Records(unittest.TestCase):
     """``RecordClient``: records between processes, each answered under its number."""
 
-    SIZE = len(CODEC.pack(Redirect(1, ()), 1))
+    SIZE = len(CONTROL_UPDATE_CODEC.pack(Redirect(1, ()), 1))
 
     def sweep(self, *delayed: Delayed, rest: float = 0.0) -> list[tuple[str, ...]]:
         async def main(peer: Peer) -> list[tuple[str, ...]]:
-            made, caller = [], RecordClient(peer.caller_machine, CODEC, peer.address)
+            made, caller = [], RecordClient(peer.caller_machine, CONTROL_UPDATE_CODEC, peer.address)
             for n, each in enumerate(delayed):
                 peer.delayed[:] = [each]
                 got = []
@@ -232,13 +232,13 @@
 
     def test_a_surplus_answer_is_known_by_its_number(self) -> None:
         for number in (0, 1, 2, 77):
-            surplus = CODEC.pack(Redirect(999, ()), number)
+            surplus = CONTROL_UPDATE_CODEC.pack(Redirect(999, ()), number)
             for got in self.sweep(*(Delayed(self.SIZE, 0.001, surplus) for _ in range(3)), rest=0.01)[1:]:
                 self.assertEqual(got, ("own", "own", "own"), number)
 
     def test_a_part_of_a_surplus_answer(self) -> None:
         """The next call fails or gets its own answer: it never gets another's."""
-        surplus = CODEC.pack(Redirect(999, ()), 77)
+        surplus = CONTROL_UPDATE_CODEC.pack(Redirect(999, ()), 77)
         for rest in (0.0, 0.01):
             for got in self.sweep(*(Delayed(self.SIZE, 0.001, surplus[:k]) for k in range(1, len(surplus))), rest=rest):
                 self.assertEqual(set(got) - {"own", "failed"}, set())
--- a/tests/wire/test_version_announcements.py
+++ b/tests/wire/test_version_announcements.py
@@ -18,7 +18,7 @@
 from rowanshift.simulation.fleet_settings import INNER
 from rowanshift.transport.record_links import RecordClient
 from rowanshift.wire.control_updates import (
-    CODEC,
+    CONTROL_UPDATE_CODEC,
     ModelVersionAnnouncement,
     Poll,
     PollOfFormat2,
@@ -155,7 +155,7 @@
     def test_each_gets_the_answer_that_it_can_read(self) -> None:
         async def main(fleet: Fleet) -> list[UpdateOfFormat1]:
             await fleet.start()
-            caller = RecordClient(fleet.outside, CODEC, (fleet.primary().machine.address, INNER[0]))
+            caller = RecordClient(fleet.outside, CONTROL_UPDATE_CODEC, (fleet.primary().machine.address, INNER[0]))
             nothing = (0, 0), 0, (0, 0), (0, 0), (0, 0), 0
             await fleet.name_version(2)
             kinds = PollOfFormat2, PollOfFormat3, Poll
@@ -174,7 +174,7 @@
     def test_a_poll_of_a_former_router_is_held_while_there_is_nothing_newer(self) -> None:
         async def main(fleet: Fleet) -> float:
             await fleet.start()
-            caller = RecordClient(fleet.outside, CODEC, (fleet.primary().machine.address, INNER[0]))
+            caller = RecordClient(fleet.outside, CONTROL_UPDATE_CODEC, (fleet.primary().machine.address, INNER[0]))
             await trio.sleep(4.0)  # until its members have settled
             nothing = (0, 0), 0, (0, 0), (0, 0), (0, 0), 0
             found = await caller.ask(PollOfFormat3(1, 1, *nothing), 2.0)
--- a/tests/wire/test_wire_records.py
+++ b/tests/wire/test_wire_records.py
@@ -11,7 +11,21 @@
 from rowanshift.controlplane import record_kinds, replication
 from rowanshift.controlplane.control_state import unpack
 from rowanshift.wire import control_updates
-from rowanshift.wire.codec import FORMAT, FRAME_HEADER, MAGIC, MAX_RECORD_BYTES, Codec, FrameDecoder, MalformedRecord
+from rowanshift.wire.codec import FORMAT, FRAME_HEADER, MAGIC, MAX_RECORD_BYTES, Codec, FrameDecoder
+from rowanshift.wire.errors import MalformedRecord
+from rowanshift.wire.field_types import (
+    BOOL,
+    BYTES,
+    FLOAT64,
+    TEXT,
+    UINT64,
+    UINT64_LIST,
+    UINT64_PAIR,
+    VERSION_MAP,
+    ByteReader,
+    RecordLayout,
+    RecordListType,
+)
 
 TOP = 2**64 - 1
 NUMBERS = (0, 1, 255, 2**32, 2**53, TOP)
@@ -20,45 +34,50 @@
 
 @dataclass(slots=True, frozen=True)
 class Measured:
-    """No kind of the table has a plain ``d`` yet."""
+    """No kind of the registry has a floating-point number yet."""
 
     value: float
 
 
-def drawn(random_source, letter, nested):
-    match letter:
-        case "q":
-            return random_source.choice((*NUMBERS, random_source.getrandbits(64)))
-        case "?":
-            return random_source.random() < 0.5
-        case "s":
-            return random_source.choice(TEXTS[:4])
-        case "b":
-            return random_source.randbytes(random_source.choice((0, 1, 7, 300)))
-        case "p":
-            return random_source.choice(NUMBERS), random_source.getrandbits(64)
-        case "t":
-            return tuple(random_source.choice(NUMBERS) for _ in range(random_source.choice((0, 1, 5))))
-        case "v":
-            return {f"m{n}": random_source.choice(NUMBERS) for n in range(random_source.choice((0, 1, 4)))}
-        case "o" | "n" | "y":
-            cls, spec = nested[letter]
-            return tuple(
-                cls(*(drawn(random_source, part, nested) for part in spec))
-                for _ in range(random_source.choice((0, 1, 3)))
-            )
-    cls, spec = nested[letter]
-    return cls(*(drawn(random_source, part, nested) for part in spec))
+def drawn(random_source, field_type):
+    match field_type:
+        case RecordLayout():
+            return field_type.record_type(*(drawn(random_source, part) for part in field_type.field_types.values()))
+        case RecordListType():
+            return tuple(drawn(random_source, field_type.layout) for _ in range(random_source.choice((0, 1, 3))))
+    if field_type is UINT64:
+        return random_source.choice((*NUMBERS, random_source.getrandbits(64)))
+    if field_type is BOOL:
+        return random_source.random() < 0.5
+    if field_type is TEXT:
+        return random_source.choice(TEXTS[:4])
+    if field_type is BYTES:
+        return random_source.randbytes(random_source.choice((0, 1, 7, 300)))
+    if field_type is UINT64_PAIR:
+        return random_source.choice(NUMBERS), random_source.getrandbits(64)
+    if field_type is UINT64_LIST:
+        return tuple(random_source.choice(NUMBERS) for _ in range(random_source.choice((0, 1, 5))))
+    if field_type is VERSION_MAP:
+        return {f"m{n}": random_source.choice(NUMBERS) for n in range(random_source.choice((0, 1, 4)))}
+    raise TypeError(f"no values for {field_type}")
 
 
 def records(random_source, count):
     """Some of each kind of the whole record_kinds."""
-    codec = record_kinds.CODEC
-    return [
-        cls(*(drawn(random_source, letter, codec.nested) for letter in spec))
-        for cls, spec in codec.kinds.values()
-        for _ in range(count)
-    ]
+    return [drawn(random_source, layout) for layout in record_kinds.CODEC.layouts.values() for _ in range(count)]
+
+
+def layouts_of(codec):
+    """Those of all kinds, and of the records within them."""
+    waiting, found = [*codec.layouts.values()], []
+    while waiting:
+        layout = waiting.pop()
+        found.append(layout)
+        for field_type in layout.field_types.values():
+            inner = field_type.layout if isinstance(field_type, RecordListType) else field_type
+            if isinstance(inner, RecordLayout):
+                waiting.append(inner)
+    return found
 
 
 def unframed(data):
@@ -71,15 +90,27 @@
         for n, record in enumerate(records(random.Random(1), 40)):
             self.assertEqual(unframed(record_kinds.CODEC.pack(record, n)), (record, n))
 
-    def test_every_kind_has_a_letter_for_each_field(self):
-        for cls, spec in (*record_kinds.CODEC.kinds.values(), *record_kinds.CODEC.nested.values()):
-            self.assertEqual(len(fields(cls)), len(spec), cls.__name__)
-
-    def test_counters_and_the_core_give_one_number_to_a_kind(self):
-        self.assertEqual({**record_kinds.CODEC.kinds, **control_updates.KINDS}, record_kinds.CODEC.kinds)
-        self.assertEqual(len(record_kinds.CODEC.numbers), len(record_kinds.CODEC.kinds))
+    def test_a_layout_names_each_field_in_its_order(self):
+        for layout in layouts_of(record_kinds.CODEC):
+            self.assertEqual([field.name for field in fields(layout.record_type)], [*layout.field_types])
+        with self.assertRaisesRegex(TypeError, "Redirect"):
+            RecordLayout(control_updates.Redirect, core_machines=UINT64_LIST, primary=UINT64)
+        with self.assertRaisesRegex(TypeError, "Redirect"):
+            RecordLayout(control_updates.Redirect, primary=UINT64)
+
+    def test_routers_and_the_core_give_one_number_to_a_kind(self):
+        layouts = record_kinds.CODEC.layouts
+        self.assertEqual({**layouts, **control_updates.CONTROL_UPDATE_LAYOUTS}, layouts)
+        self.assertEqual(len(record_kinds.CODEC.kinds), len(layouts))
         poll = control_updates.Poll(1, 2, (3, 4), 5, (6, 7), (8, 9), (10, 11), 500)
-        self.assertEqual(control_updates.CODEC.pack(poll, 9), record_kinds.CODEC.pack(poll, 9))
+        self.assertEqual(control_updates.CONTROL_UPDATE_CODEC.pack(poll, 9), record_kinds.CODEC.pack(poll, 9))
+
+    def test_the_least_size_is_that_of_an_empty_record(self):
+        empty = {UINT64: 0, BOOL: False, TEXT: "", BYTES: b"", UINT64_PAIR: (0, 0), UINT64_LIST: (), VERSION_MAP: {}}
+        for layout in record_kinds.CODEC.layouts.values():
+            if not any(isinstance(field_type, RecordLayout) for field_type in layout.field_types.values()):
+                record = layout.record_type(*(empty.get(part, ()) for part in layout.field_types.values()))
+                self.assertEqual(len(layout.encode(record)), layout.minimum_size, layout.record_type)
 
     def test_whole_numbers_at_their_edges(self):
         for number in NUMBERS:
@@ -93,10 +124,10 @@
     def test_texts_at_their_edges(self):
         for text in TEXTS:
             row = control_updates.ServerRecord(
-                text, "s", "a:1", "", 1, control_updates.UP | control_updates.LOADING, {text: TOP}
+                text, "s", "a:1", "", 1, control_updates.SERVER_UP | control_updates.SERVER_LOADING, {text: TOP}
             )
             update = control_updates.Update((0, 0), 0, False, 0, b"", {}, (1, 1), True, (row,))
-            self.assertEqual(unframed(control_updates.CODEC.pack(update))[0], update)
+            self.assertEqual(unframed(control_updates.CONTROL_UPDATE_CODEC.pack(update))[0], update)
 
     def test_the_longest_tuple_and_dict(self):
         whole = control_updates.Redirect(0, tuple(range(65_535)))
@@ -110,18 +141,18 @@
         self.assertEqual(unframed(record_kinds.CODEC.pack(store))[0], store)
 
     def test_floating_point_numbers(self):
-        codec = Codec({1: (Measured, "d")}, {})
+        codec = Codec({1: RecordLayout(Measured, value=FLOAT64)})
         for value in (0.0, -0.0, 1e-308, -1.5, 1.7976931348623157e308, float("inf")):
             body = codec.pack(Measured(value))[FRAME_HEADER.size :]
             self.assertEqual(repr(codec.unpack(1, body).value), repr(value))
 
-    def test_rows_packed_before_are_the_same_bytes(self):
-        row = control_updates.ServerRecord("i", "s", "a:1", "z", 2, control_updates.DRAINING, {"m": 3})
+    def test_records_encoded_before_are_the_same_bytes(self):
+        row = control_updates.ServerRecord("i", "s", "a:1", "z", 2, control_updates.SERVER_DRAINING, {"m": 3})
         given = ((1, 2), 3, True, 4, b"c", {"m": 1}, (5, 6), True)
-        packed = control_updates.CODEC.put("o", (row, row))
+        encoded = control_updates.SERVER_RECORDS.encode((row, row))
         self.assertEqual(
-            control_updates.CODEC.pack(control_updates.Update(*given, packed)),
-            control_updates.CODEC.pack(control_updates.Update(*given, (row, row))),
+            control_updates.CONTROL_UPDATE_CODEC.pack(control_updates.Update(*given, encoded)),
+            control_updates.CONTROL_UPDATE_CODEC.pack(control_updates.Update(*given, (row, row))),
         )
 
 
@@ -133,7 +164,7 @@
     def taken(self, pieces):
         frames = FrameDecoder()
         made = [frame for piece in pieces for frame in frames.feed(piece)]
-        self.assertEqual(bytes(frames.held), b"")
+        self.assertEqual(bytes(frames.buffer), b"")
         self.assertEqual([call for _, call, _ in made], list(range(len(self.records))))
         return [record_kinds.CODEC.unpack(kind, body) for kind, _, body in made]
 
@@ -205,12 +236,12 @@
         ]
 
     def test_unknown_kinds(self):
-        for kind in set(range(256)) - set(record_kinds.CODEC.kinds):
+        for kind in set(range(256)) - set(record_kinds.CODEC.layouts):
             with self.assertRaises(MalformedRecord):
                 record_kinds.CODEC.unpack(kind, b"")
-        for kind in record_kinds.KINDS:
+        for kind in record_kinds.REPLICATION_LAYOUTS:
             with self.assertRaises(MalformedRecord):
-                control_updates.CODEC.unpack(kind, bytes(8))
+                control_updates.CONTROL_UPDATE_CODEC.unpack(kind, bytes(8))
 
     def test_cut_short_anywhere(self):
         for kind, body, _ in self.bodies():
@@ -230,18 +261,18 @@
                 record_kinds.CODEC.unpack(3, body)
         for lie in (b"\xff\xff\xff\xff", b"\0\0\1\0"):
             with self.assertRaises(MalformedRecord):
-                record_kinds.CODEC.take(lie + bytes(40), 0, "o")
+                control_updates.SERVER_RECORDS.decode(ByteReader(lie + bytes(40)))
             with self.assertRaises(MalformedRecord):
-                record_kinds.CODEC.take(lie + bytes(40), 0, "b")
+                BYTES.decode(ByteReader(lie + bytes(40)))
 
     def test_text_that_is_none(self):
         update = control_updates.Update((0, 0), 0, False, 0, b"", {"ab": 1}, (0, 0), False)
-        ((kind, _, body),) = FrameDecoder().feed(control_updates.CODEC.pack(update))
+        ((kind, _, body),) = FrameDecoder().feed(control_updates.CONTROL_UPDATE_CODEC.pack(update))
         with self.assertRaises(MalformedRecord):
-            control_updates.CODEC.unpack(kind, body.replace(b"ab", b"\xff\xfe"))
+            control_updates.CONTROL_UPDATE_CODEC.unpack(kind, body.replace(b"ab", b"\xff\xfe"))
 
     def test_random_bytes_of_each_kind(self):
-        random_source, refused, kinds = random.Random(5), 0, sorted(record_kinds.CODEC.kinds)
+        random_source, refused, kinds = random.Random(5), 0, sorted(record_kinds.CODEC.layouts)
         for _ in range(8000):
             kind = random_source.choice(kinds)
             body = random_source.randbytes(random_source.randrange(120))
