--- a/rowanshift/admin/commands.py
+++ b/rowanshift/admin/commands.py
@@ -19,7 +19,8 @@
 from rowanshift.transport.calls import CallFailed, call
 from rowanshift.transport.http_connection import Fields, Message
 from rowanshift.transport.memory_budget import Memory
-from rowanshift.transport.runtime import SYSTEM, Address, Runtime
+from rowanshift.transport.runtime import SYSTEM_RUNTIME, Runtime
+from rowanshift.transport.streams import Address
 from rowanshift.wire.control_updates import SERVER_DRAINING, SERVER_LOADING
 from rowanshift.wire.machine_ids import machine_id_from_ip
 
@@ -83,7 +84,7 @@
 class Control:
     """Calls of a system's control addresses."""
 
-    def __init__(self, addresses: Sequence[Address], host: Runtime = SYSTEM) -> None:
+    def __init__(self, addresses: Sequence[Address], host: Runtime = SYSTEM_RUNTIME) -> None:
         self.addresses, self.host = list(addresses), host
         self.memory = Memory(MEMORY)
 
--- a/rowanshift/cacheproxy/clients.py
+++ b/rowanshift/cacheproxy/clients.py
@@ -20,7 +20,8 @@
 from rowanshift.transport.flow import LAST_CHUNK, Flow, framed
 from rowanshift.transport.http_connection import BadMessage, Connection, Message
 from rowanshift.transport.memory_budget import Budget, Memory
-from rowanshift.transport.runtime import Listener, Nursery, Stream
+from rowanshift.transport.runtime import Nursery
+from rowanshift.transport.streams import Listener, Stream
 
 READY = b"/-/ready"
 ABSOLUTE = re.compile(rb"https?://[^/?#]*", re.IGNORECASE)  # before the path, in the absolute form
--- a/rowanshift/cacheproxy/clock.py
+++ b/rowanshift/cacheproxy/clock.py
@@ -2,7 +2,7 @@
 
 import trio
 
-from rowanshift.transport.runtime import SYSTEM, Runtime
+from rowanshift.transport.runtime import SYSTEM_RUNTIME, Runtime
 
 
 class Clock:
@@ -11,7 +11,7 @@
     Lists tell when a cache server came up by the same clock, and routers agree on the second by it.
     """
 
-    def __init__(self, host: Runtime = SYSTEM) -> None:
+    def __init__(self, host: Runtime = SYSTEM_RUNTIME) -> None:
         self.offset = host.wall() - trio.current_time()
 
     def now(self) -> float:
--- a/rowanshift/cacheproxy/control.py
+++ b/rowanshift/cacheproxy/control.py
@@ -5,7 +5,8 @@
 import trio
 from loguru import logger
 
-from rowanshift.transport.runtime import Listener, Nursery, Stream, accepted, send_all
+from rowanshift.transport.runtime import Nursery
+from rowanshift.transport.streams import Listener, Stream, accepted, send_all
 
 CALLERS = 16  # at once; beyond these the longest silent one is closed. Their descriptors are set aside
 BACKLOG = 64
--- a/rowanshift/cacheproxy/discovery.py
+++ b/rowanshift/cacheproxy/discovery.py
@@ -14,7 +14,8 @@
 from rowanshift.cacheproxy.membership import Membership
 from rowanshift.cacheproxy.model import Entry
 from rowanshift.transport.buffer import Ring
-from rowanshift.transport.runtime import SYSTEM, Runtime, Stream, connect, receive, send_all
+from rowanshift.transport.runtime import SYSTEM_RUNTIME, Runtime
+from rowanshift.transport.streams import Stream, connect, receive, send_all
 
 SILENCE = 3.0  # an empty line comes every 2 s
 LONGEST_LINE = 8 * 1024 * 1024
@@ -31,7 +32,7 @@
         random_: random.Random,
         members: Membership,
         list_changed: Callable[[str, list[Entry]], None],
-        host: Runtime = SYSTEM,
+        host: Runtime = SYSTEM_RUNTIME,
     ) -> None:
         self.address, self.names, self.ask, self.random = address, names, ask, random_
         self.members, self.list_changed, self.host = members, list_changed, host
--- a/rowanshift/cacheproxy/handover.py
+++ b/rowanshift/cacheproxy/handover.py
@@ -17,7 +17,8 @@
 from loguru import logger
 
 from rowanshift.cacheproxy.model import Learned
-from rowanshift.transport.runtime import Address, Listener, Nursery, Port, Runtime, Stream, accepted, send_all
+from rowanshift.transport.runtime import Nursery, Runtime
+from rowanshift.transport.streams import Address, Listener, Port, Stream, accepted, send_all
 
 HEAD = "rowanshift 1"
 FILE = b"rowanshift out 1"
--- a/rowanshift/cacheproxy/membership.py
+++ b/rowanshift/cacheproxy/membership.py
@@ -5,7 +5,7 @@
 from typing import Protocol
 
 from rowanshift.cacheproxy.model import Entry
-from rowanshift.transport.runtime import Address
+from rowanshift.transport.streams import Address
 
 MOST_OUT = 4096  # ids that may be out by hand at once
 
--- a/rowanshift/cacheproxy/peers.py
+++ b/rowanshift/cacheproxy/peers.py
@@ -5,7 +5,7 @@
 import trio
 from loguru import logger
 
-from rowanshift.transport.runtime import Address, Port
+from rowanshift.transport.streams import Address, Port
 
 LARGEST = 256
 
--- a/rowanshift/cacheproxy/servers.py
+++ b/rowanshift/cacheproxy/servers.py
@@ -15,7 +15,7 @@
 from rowanshift.transport.flow import LAST_CHUNK, Flow, framed
 from rowanshift.transport.http_connection import BadMessage, Connection, Message
 from rowanshift.transport.memory_budget import Budget, Memory
-from rowanshift.transport.runtime import SYSTEM, Nursery, Runtime
+from rowanshift.transport.runtime import SYSTEM_RUNTIME, Nursery, Runtime
 
 REMARKS = {b"hit": 1, b"miss": 2, b"pending": 3}
 OVERTAKEN = 8  # later hand-offs to a server that came back tell that a connection fell silent
@@ -81,7 +81,7 @@
         budget: Budget,
         memory: Memory,
         nursery: Nursery,
-        host: Runtime = SYSTEM,
+        host: Runtime = SYSTEM_RUNTIME,
     ) -> None:
         self.clock, self.budget, self.memory, self.nursery, self.host = clock, budget, memory, nursery, host
         self.dial_within, self.idle_for = dial_within, SPARE * idle_for
--- a/rowanshift/cacheproxy/service.py
+++ b/rowanshift/cacheproxy/service.py
@@ -22,8 +22,9 @@
 from rowanshift.cacheproxy.peers import Peers
 from rowanshift.cacheproxy.servers import Servers
 from rowanshift.transport.memory_budget import Budget, Memory
-from rowanshift.transport.runtime import SYSTEM, Listener, Nursery, Port, Runtime
+from rowanshift.transport.runtime import SYSTEM_RUNTIME, Nursery, Runtime
 from rowanshift.transport.signals import ReceivedSignal
+from rowanshift.transport.streams import Listener, Port
 
 STALL = 0.25  # of the due time, that an answer may stand still halfway
 BEAT, STOOD_STILL = 0.5, 0.4  # seconds; the latter is told of
@@ -41,7 +42,7 @@
 
 
 class Service:
-    def __init__(self, config: Config, path: Path | None = None, host: Runtime = SYSTEM) -> None:
+    def __init__(self, config: Config, path: Path | None = None, host: Runtime = SYSTEM_RUNTIME) -> None:
         self.config, self.path = config, path  # where it was read from
         self.host = host
         self.phase = Phase.STARTING
--- a/rowanshift/capacity/child.py
+++ b/rowanshift/capacity/child.py
@@ -11,7 +11,7 @@
 
 from rowanshift.capacity.hollow import HollowLedger, real_channel
 from rowanshift.capacity.meter import Loopback, rss
-from rowanshift.transport.runtime import Address
+from rowanshift.transport.streams import Address
 
 COMMANDS = ("change_config", "change_roster", "read_list", "nothing")
 WITHIN = 30.0  # seconds for a router to know what it is told to know
--- a/rowanshift/capacity/hollow.py
+++ b/rowanshift/capacity/hollow.py
@@ -22,7 +22,7 @@
 from rowanshift.dataplane.control_client import LONG_POLL_SECONDS, ControlClient
 from rowanshift.process.node_settings import Bounds, node_settings_of
 from rowanshift.transport.buffer import Ring
-from rowanshift.transport.runtime import Address, Stream, connect, receive, send_all
+from rowanshift.transport.streams import Address, Stream, connect, receive, send_all
 from rowanshift.wire.codec import FrameDecoder
 from rowanshift.wire.control_updates import CONTROL_UPDATE_CODEC, Poll, Update
 
--- a/rowanshift/capacity/meter.py
+++ b/rowanshift/capacity/meter.py
@@ -11,7 +11,9 @@
 import trio
 
 from rowanshift.capacity.errors import CapacityError
-from rowanshift.transport.runtime import Address, Listener, Socket, SocketListener, Stream, System, bound
+from rowanshift.transport.runtime import SystemRuntime
+from rowanshift.transport.sockets import Socket, SocketListener, bound
+from rowanshift.transport.streams import Address, Listener, Stream
 
 PAGE = resource.getpagesize()  # bytes
 
@@ -56,7 +58,7 @@
         return stream
 
 
-class Loopback(System):
+class Loopback(SystemRuntime):
     """The machine, loopback only, every byte counted; signals and the collector are left alone."""
 
     def __init__(self) -> None:
--- a/rowanshift/controlplane/machine_disk.py
+++ b/rowanshift/controlplane/machine_disk.py
@@ -4,7 +4,7 @@
 from typing import Protocol
 
 from rowanshift.controlplane.store import Store
-from rowanshift.transport.runtime import Runtime, System
+from rowanshift.transport.runtime import Runtime, SystemRuntime
 
 
 class Disk(Protocol):
@@ -35,7 +35,7 @@
         """Return what is kept in a directory, not open yet."""
 
 
-class SystemCoreRuntime(System):
+class SystemCoreRuntime(SystemRuntime):
     """The operating system of a core machine."""
 
     def disk(self, path: Path) -> Disk:
--- a/rowanshift/controlplane/service.py
+++ b/rowanshift/controlplane/service.py
@@ -29,8 +29,8 @@
 from rowanshift.transport.calls import CallOutcomes, CallServer
 from rowanshift.transport.memory_budget import Memory
 from rowanshift.transport.record_links import ConnectionFailed, RecordReader
-from rowanshift.transport.runtime import Listener, Stream, send_all
 from rowanshift.transport.signals import ReceivedSignal
+from rowanshift.transport.streams import Listener, Stream, send_all
 from rowanshift.wire.control_updates import (
     SERVER_RECORDS,
     ModelVersionAnnouncement,
--- a/rowanshift/controlplane/singleton_tasks.py
+++ b/rowanshift/controlplane/singleton_tasks.py
@@ -17,7 +17,8 @@
 from rowanshift.kv_index.index import BadEvents, KvIndex, Source
 from rowanshift.transport.calls import CallFailed, Line, call
 from rowanshift.transport.memory_budget import Memory
-from rowanshift.transport.runtime import Address, Nursery, Runtime
+from rowanshift.transport.runtime import Nursery, Runtime
+from rowanshift.transport.streams import Address
 
 LIST_EVERY = 0.8  # seconds between readings of the list
 LIST_WITHIN = 1.0  # seconds for a page
--- a/rowanshift/dataplane/control_client.py
+++ b/rowanshift/dataplane/control_client.py
@@ -20,7 +20,8 @@
 from rowanshift.kv_index.index import unpacked
 from rowanshift.process.node_settings import Bounds
 from rowanshift.transport.record_links import ConnectionFailed, RecordClient
-from rowanshift.transport.runtime import Address, Runtime
+from rowanshift.transport.runtime import Runtime
+from rowanshift.transport.streams import Address
 from rowanshift.wire.control_updates import (
     CONTROL_UPDATE_CODEC,
     SERVER_DRAINING,
--- a/rowanshift/dataplane/frontend.py
+++ b/rowanshift/dataplane/frontend.py
@@ -19,7 +19,8 @@
 from rowanshift.dataplane.upstream import Upstream
 from rowanshift.transport.http_connection import BadMessage, Connection, Message
 from rowanshift.transport.memory_budget import Budget, Memory
-from rowanshift.transport.runtime import Listener, Nursery, Stream
+from rowanshift.transport.runtime import Nursery
+from rowanshift.transport.streams import Listener, Stream
 
 BACKLOG, AT_ONCE = 1024, 16
 BODY_WITHIN = 10.0  # seconds for a body to come
--- a/rowanshift/dataplane/load_index.py
+++ b/rowanshift/dataplane/load_index.py
@@ -22,7 +22,8 @@
 from rowanshift.dataplane.ownership import holder
 from rowanshift.dataplane.server_progress import ServerProgress
 from rowanshift.placement.hash_ring import stable
-from rowanshift.transport.runtime import Address, Port, Runtime
+from rowanshift.transport.runtime import Runtime
+from rowanshift.transport.streams import Address, Port
 from rowanshift.wire.machine_ids import ip_from_machine_id
 
 RECORD = Struct(">2sBBIQI")  # magic, format, kind, call, server's mark, tokens
--- a/rowanshift/dataplane/service.py
+++ b/rowanshift/dataplane/service.py
@@ -20,7 +20,7 @@
 from rowanshift.transport.calls import Answer, CallServer
 from rowanshift.transport.http_connection import Message
 from rowanshift.transport.memory_budget import Budget, Memory
-from rowanshift.transport.runtime import SYSTEM, Runtime
+from rowanshift.transport.runtime import SYSTEM_RUNTIME, Runtime
 from rowanshift.transport.signals import ReceivedSignal
 from rowanshift.wire.machine_ids import machine_id_from_ip
 
@@ -51,7 +51,7 @@
 class DataPlaneService:
     """One router: its frontend, upstream connections, and what it knows of the control plane."""
 
-    def __init__(self, boot: NodeSettings, host: Runtime = SYSTEM, seed: int | None = None) -> None:
+    def __init__(self, boot: NodeSettings, host: Runtime = SYSTEM_RUNTIME, seed: int | None = None) -> None:
         self.boot, self.host = boot, host
         self.random_source = random.Random(seed)
         self.drain = Drain(boot.bounds.grace_s)
--- a/rowanshift/emulation/clients.py
+++ b/rowanshift/emulation/clients.py
@@ -18,7 +18,8 @@
 from rowanshift.invariants.events import Events
 from rowanshift.transport.http_connection import BadMessage, Connection, Message
 from rowanshift.transport.memory_budget import Memory
-from rowanshift.transport.runtime import Address, Nursery, Runtime, connect, send_all
+from rowanshift.transport.runtime import Nursery, Runtime
+from rowanshift.transport.streams import Address, connect, send_all
 
 READY = b"GET /-/ready HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"
 DIAL_WITHIN = 1.0
--- a/rowanshift/emulation/cluster.py
+++ b/rowanshift/emulation/cluster.py
@@ -30,7 +30,7 @@
 from rowanshift.process.error_groups import first_of
 from rowanshift.process.logs import log_to_stderr
 from rowanshift.process.node_settings import load_node_settings
-from rowanshift.transport.runtime import Address, Listener, Stream, connect, send_all
+from rowanshift.transport.streams import Address, Listener, Stream, connect, send_all
 from rowanshift.wire.machine_ids import ip_from_machine_id
 
 NET = "127.0.0."  # the addresses' beginning
--- a/rowanshift/emulation/demo.py
+++ b/rowanshift/emulation/demo.py
@@ -19,7 +19,8 @@
 from rowanshift.process.error_groups import first_of
 from rowanshift.transport.http_connection import Connection, Message
 from rowanshift.transport.memory_budget import Memory
-from rowanshift.transport.runtime import SYSTEM, Address, connect, send_all
+from rowanshift.transport.runtime import SYSTEM_RUNTIME
+from rowanshift.transport.streams import Address, connect, send_all
 
 CACHES, ORIGIN = (9001, 9002, 9003), 9000
 KEYS = ("hello", "hello", "perfume", "hello", "perfume", "lamp")
@@ -39,15 +40,21 @@
         rows.append(row_of("origin", (host, ORIGIN), "here", "origin"))
         common = time.monotonic, self.events
         self.servers = [
-            Cache(SYSTEM, address, *common, name, Kind(works), ledger, random.Random(name))
+            Cache(SYSTEM_RUNTIME, address, *common, name, Kind(works), ledger, random.Random(name))
             for name, address in caches.items()
         ]
         self.servers.append(
             Origin(
-                SYSTEM, (host, ORIGIN), *common, "origin", Kind(dict.fromkeys(works, fetch)), ledger, random.Random(0)
+                SYSTEM_RUNTIME,
+                (host, ORIGIN),
+                *common,
+                "origin",
+                Kind(dict.fromkeys(works, fetch)),
+                ledger,
+                random.Random(0),
             )
         )
-        self.agent = Agent(SYSTEM, discovery, *common, "demo", rows)
+        self.agent = Agent(SYSTEM_RUNTIME, discovery, *common, "demo", rows)
 
     async def run(self) -> None:
         async with trio.open_nursery() as nursery:
@@ -57,7 +64,7 @@
 
 async def ask(address: Address, method: str, target: str, txn: str, body: bytes = b"") -> Message:
     """One request on a connection of its own."""
-    connection = Connection(SYSTEM.stream(), httptools.HttpResponseParser, Memory(64))
+    connection = Connection(SYSTEM_RUNTIME.stream(), httptools.HttpResponseParser, Memory(64))
     try:
         await connect(connection.stream, address)
         head = (
--- a/rowanshift/emulation/discovery.py
+++ b/rowanshift/emulation/discovery.py
@@ -9,7 +9,8 @@
 from rowanshift.emulation.http import HttpServer, deserted
 from rowanshift.invariants.events import Events
 from rowanshift.transport.http_connection import Connection, Message
-from rowanshift.transport.runtime import Address, Runtime
+from rowanshift.transport.runtime import Runtime
+from rowanshift.transport.streams import Address
 
 EMPTY_LINE_EVERY = 2.0
 TICK = 0.25
--- a/rowanshift/emulation/http.py
+++ b/rowanshift/emulation/http.py
@@ -10,7 +10,8 @@
 from rowanshift.invariants.events import Events
 from rowanshift.transport.http_connection import BadMessage, Connection, Message
 from rowanshift.transport.memory_budget import Memory
-from rowanshift.transport.runtime import Address, Runtime, Stream, accepted
+from rowanshift.transport.runtime import Runtime
+from rowanshift.transport.streams import Address, Stream, accepted
 
 BACKLOG = 512
 REMEMBERED = 20_000  # hand-offs and misses that the stand-ins know of at once
--- a/rowanshift/emulation/model_server.py
+++ b/rowanshift/emulation/model_server.py
@@ -31,7 +31,8 @@
 )
 from rowanshift.transport.flow import LAST_CHUNK, framed
 from rowanshift.transport.http_connection import Connection, Message
-from rowanshift.transport.runtime import Address, Nursery, Runtime, Stream
+from rowanshift.transport.runtime import Nursery, Runtime
+from rowanshift.transport.streams import Address, Stream
 
 JSON = b"Content-Type: application/json"
 NOT_EXECUTED = b"Not-Executed: 1"
--- a/rowanshift/emulation/platform.py
+++ b/rowanshift/emulation/platform.py
@@ -11,7 +11,8 @@
 from rowanshift.invariants.events import Events
 from rowanshift.invariants.system import Fact, Listed, Listing
 from rowanshift.transport.http_connection import Connection, Message
-from rowanshift.transport.runtime import Address, Runtime
+from rowanshift.transport.runtime import Runtime
+from rowanshift.transport.streams import Address
 
 JSON = b"Content-Type: application/json"
 
--- a/rowanshift/emulation/servers.py
+++ b/rowanshift/emulation/servers.py
@@ -12,7 +12,8 @@
 from rowanshift.emulation.http import HttpServer, Ledger, answer, body_of, deserted, field_of, other
 from rowanshift.invariants.events import Events
 from rowanshift.transport.http_connection import Connection, Message
-from rowanshift.transport.runtime import Address, Runtime
+from rowanshift.transport.runtime import Runtime
+from rowanshift.transport.streams import Address
 
 PARTS = 5  # an overload lasts once so many equal parts of its time in a row were over
 MISS_WORK = 0.25  # of a read's, that a miss takes
--- a/rowanshift/emulation/system_clients.py
+++ b/rowanshift/emulation/system_clients.py
@@ -27,7 +27,8 @@
 )
 from rowanshift.transport.http_connection import BadMessage, Connection, Message
 from rowanshift.transport.memory_budget import Memory
-from rowanshift.transport.runtime import Address, Runtime, Stream, connect, send_all
+from rowanshift.transport.runtime import Runtime
+from rowanshift.transport.streams import Address, Stream, connect, send_all
 
 DIAL_WITHIN = 1.0
 PROMISES = (408, 421, 429, 503)
--- a/rowanshift/simulation/fleet_load.py
+++ b/rowanshift/simulation/fleet_load.py
@@ -24,7 +24,7 @@
 )
 from rowanshift.simulation.fleet_troubles import FleetTroubles
 from rowanshift.simulation.machine import Machine
-from rowanshift.transport.runtime import Address
+from rowanshift.transport.streams import Address
 
 
 class FleetLoad(FleetTroubles):
--- a/rowanshift/simulation/machine.py
+++ b/rowanshift/simulation/machine.py
@@ -21,8 +21,8 @@
 
 from rowanshift.simulation.clock import VirtualClock
 from rowanshift.simulation.disk import VirtualDisk
-from rowanshift.transport.runtime import Address, Listener, Port, Stream
 from rowanshift.transport.signals import ReceivedSignal
+from rowanshift.transport.streams import Address, Listener, Port, Stream
 
 Trap = Any  # what a coroutine of trio's yields
 
--- a/rowanshift/simulation/network.py
+++ b/rowanshift/simulation/network.py
@@ -17,7 +17,7 @@
 
 from rowanshift.simulation.clock import VirtualClock
 from rowanshift.simulation.machine import Machine, Slot
-from rowanshift.transport.runtime import Address
+from rowanshift.transport.streams import Address
 
 EPOCH = 1_700_000_000.0  # Unix time at which every run starts
 WINDOW = 64 * 1024  # bytes that may be sent and not yet read
--- a/rowanshift/soak/layout.py
+++ b/rowanshift/soak/layout.py
@@ -27,7 +27,8 @@
     server_name,
 )
 from rowanshift.soak.relay import DatagramRelay, Relay
-from rowanshift.transport.runtime import Address, Runtime
+from rowanshift.transport.runtime import Runtime
+from rowanshift.transport.streams import Address
 
 FIRST_CORE, FIRST_ROUTER, FIRST_SERVER, PLATFORM_NUMBER = 1, 11, 81, 91  # last numbers of the addresses
 INTERNAL, CONTROL = 7400, 8500  # ports; a machine's own is so much above as its last number
--- a/rowanshift/soak/load.py
+++ b/rowanshift/soak/load.py
@@ -26,7 +26,8 @@
 from rowanshift.soak.plan import Plan
 from rowanshift.transport.calls import CallFailed, call
 from rowanshift.transport.memory_budget import Memory
-from rowanshift.transport.runtime import Address, Runtime
+from rowanshift.transport.runtime import Runtime
+from rowanshift.transport.streams import Address
 
 OTHER = "other"  # the second service
 PROBE, MISSES = 0.5, 4  # seconds between looks whether a router is ready, and failures until clients leave it
--- a/rowanshift/soak/relay.py
+++ b/rowanshift/soak/relay.py
@@ -14,7 +14,8 @@
 import trio
 
 from rowanshift.soak.plan import Direction
-from rowanshift.transport.runtime import Address, Runtime, Stream, accepted, connect, send_all
+from rowanshift.transport.runtime import Runtime
+from rowanshift.transport.streams import Address, Stream, accepted, connect, send_all
 
 BACKLOG = 128
 MOST_CONNECTIONS = 512  # of a relay at once; more are reset
--- a/rowanshift/transport/calls.py
+++ b/rowanshift/transport/calls.py
@@ -14,7 +14,8 @@
 
 from rowanshift.transport.http_connection import BadMessage, Connection, Fields, Message
 from rowanshift.transport.memory_budget import Memory
-from rowanshift.transport.runtime import Address, Listener, Nursery, Runtime, Stream, connect, send_all
+from rowanshift.transport.runtime import Nursery, Runtime
+from rowanshift.transport.streams import Address, Listener, Stream, connect, send_all
 
 REASONS = {status.value: status.phrase.encode() for status in HTTPStatus}
 CALLERS = 256  # connections at once; more are closed
--- a/rowanshift/transport/http_connection.py
+++ b/rowanshift/transport/http_connection.py
@@ -9,7 +9,7 @@
 from rowanshift.transport.buffer import Ring
 from rowanshift.transport.flow import Flow
 from rowanshift.transport.memory_budget import Memory
-from rowanshift.transport.runtime import Stream
+from rowanshift.transport.streams import Stream
 
 LARGEST_HEAD = 16 * 1024
 WHOLE = 64 * 1024  # bytes of a body that is read whole, so that it can go again; longer ones flow
--- a/rowanshift/transport/record_links.py
+++ b/rowanshift/transport/record_links.py
@@ -8,7 +8,8 @@
 from loguru import logger
 
 from rowanshift.transport.buffer import Ring
-from rowanshift.transport.runtime import Address, Runtime, Stream, connect, receive, send_all
+from rowanshift.transport.runtime import Runtime
+from rowanshift.transport.streams import Address, Stream, connect, receive, send_all
 from rowanshift.wire.codec import Codec, Frame, FrameDecoder
 from rowanshift.wire.errors import MalformedRecord
 
--- a/rowanshift/transport/runtime.py
+++ b/rowanshift/transport/runtime.py
@@ -1,17 +1,13 @@
-"""Streams, listeners, datagram ports, and the machine that a router runs on: nothing else touches sockets.
+"""The machine that a process runs on: sockets, signals, time, threads, and files that two processes of one proxy share.
 
-Everything above asks a ``Runtime`` for what the system gives, so that the same code runs on real sockets
-(``System``) and in the virtual network (``rowanshift.simulation``). A ``Stream`` never blocks: ``send`` and
-``recv_into`` do what can be done in the turn that decides it and raise ``BlockingIOError`` otherwise, and
-the waits tell when to try again. On real sockets a stream is the socket itself, with a few methods more:
-the seam costs nothing where bytes move.
+Everything above asks a ``Runtime`` for these, so that the same code runs on the operating system
+(``SystemRuntime``) and in the virtual network (``rowanshift/simulation/machine.py``).
 """
 
 import errno
 import gc
 import os
 import resource
-import select
 import signal
 import socket
 import time
@@ -23,63 +19,12 @@
 
 import trio
 
-from rowanshift.transport.buffer import Ring
 from rowanshift.transport.signals import ReceivedSignal, received_signals
-
-Address = tuple[str, int]
+from rowanshift.transport.sockets import Socket, SocketListener, SocketPort, bound
+from rowanshift.transport.streams import Address, Listener, Port, Stream
 
 PEER = Struct("iII")  # pid, uid and gid of the other process, in Linux's order
 MOST_PASSED = 4  # sockets in one message
-RESET_AT_CLOSE = Struct("ii").pack(1, 0)  # lingers for 0 s
-LAST_DATA_RECEIVED = Struct("52xI")  # in Linux's tcp_info, milliseconds
-
-
-class Stream(Protocol):
-    """One end of a connection. It does not block; every call may raise ``OSError``."""
-
-    def connect_ex(self, address: Address, /) -> int: ...  # 0, EINPROGRESS or the error
-
-    def dialled(self) -> int: ...  # 0 or the error, once a dial in progress became writable
-
-    def send(self, data: bytes | memoryview, /) -> int: ...
-
-    def recv_into(self, space: memoryview, /) -> int: ...  # 0: the other side has ended its sending
-
-    def wait_readable(self) -> Awaitable[None]: ...
-
-    def wait_writable(self) -> Awaitable[None]: ...
-
-    def readable(self) -> bool: ...
-
-    def age(self) -> float: ...
-
-    def end(self) -> None: ...  # sends no more
-
-    def close(self) -> None: ...
-
-    def reset(self) -> None: ...  # closes it so that the other side sees an error, and no regular end
-
-    def closed(self) -> bool: ...
-
-
-class Listener(Protocol):
-    """Where connections come in. ``accept`` raises ``BlockingIOError`` when none waits."""
-
-    def accept(self) -> Stream: ...
-
-    def wait(self) -> Awaitable[None]: ...
-
-    def close(self) -> None: ...
-
-
-class Port(Protocol):
-    """Datagrams out and in, whole or not at all."""
-
-    def send(self, payload: bytes, address: Address) -> Awaitable[Any]: ...
-
-    def receive(self, most: int) -> Awaitable[tuple[bytes, Address]]: ...
-
-    def close(self) -> None: ...
 
 
 class Nursery(Protocol):
@@ -130,97 +75,7 @@
     def take_over(self, stream: Stream) -> tuple[bytes, list[Listener | Port]]: ...
 
 
-# real sockets -------------------------------------------------
-
-
-class Socket(socket.socket):
-    """A stream on a real socket."""
-
-    __slots__ = ()
-
-    @classmethod
-    def of(cls, sock: socket.socket) -> "Socket":
-        """Takes a socket over; the one given is left without a descriptor."""
-        made = cls(sock.family, sock.type, sock.proto, sock.detach())
-        made.setblocking(False)
-        return made
-
-    def dialled(self) -> int:
-        return self.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
-
-    def wait_readable(self) -> Awaitable[None]:
-        return trio.lowlevel.wait_readable(self)
-
-    def wait_writable(self) -> Awaitable[None]:
-        return trio.lowlevel.wait_writable(self)
-
-    def readable(self) -> bool:
-        """Whether bytes, or the other side's end, have come in and were not read yet."""
-        poll = select.poll()
-        poll.register(self, select.POLLIN)
-        return bool(poll.poll(0))
-
-    def age(self) -> float:
-        """Seconds since the last bytes came in, which a router that stood still reads late."""
-        if not hasattr(socket, "TCP_INFO"):
-            return 0.0
-        info = self.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, LAST_DATA_RECEIVED.size)
-        return LAST_DATA_RECEIVED.unpack(info)[0] / 1000
-
-    def end(self) -> None:
-        self.shutdown(socket.SHUT_WR)
-
-    def close(self) -> None:
-        if self.fileno() >= 0:
-            if trio.lowlevel.in_trio_run():
-                trio.lowlevel.notify_closing(self)
-            super().close()
-
-    def reset(self) -> None:
-        if self.fileno() >= 0:
-            with suppress(OSError):
-                self.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_AT_CLOSE)
-            self.close()
-
-    def closed(self) -> bool:
-        return self.fileno() < 0
-
-
-class SocketListener:
-    def __init__(self, sock: socket.socket) -> None:
-        sock.setblocking(False)
-        self.sock = sock
-
-    def accept(self) -> Stream:
-        stream = Socket.of(self.sock.accept()[0])
-        with suppress(OSError):  # it broke off already, which its first read tells
-            stream.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        return stream
-
-    def wait(self) -> Awaitable[None]:
-        return trio.lowlevel.wait_readable(self.sock)
-
-    def close(self) -> None:
-        if self.sock.fileno() >= 0:
-            trio.lowlevel.notify_closing(self.sock)
-            self.sock.close()
-
-
-class SocketPort:
-    def __init__(self, sock: socket.socket) -> None:
-        self.sock = trio.socket.from_stdlib_socket(sock)
-
-    def send(self, payload: bytes, address: Address) -> Awaitable[int]:
-        return self.sock.sendto(payload, address)
-
-    def receive(self, most: int) -> Awaitable[tuple[bytes, Address]]:
-        return self.sock.recvfrom(most)
-
-    def close(self) -> None:
-        self.sock.close()
-
-
-class System:
+class SystemRuntime:
     """The machine as it is."""
 
     def wall(self) -> float:
@@ -339,64 +194,4 @@
         os.close(number)
 
 
-SYSTEM = System()
-
-
-def bound(kind: int, address: Address, shared: bool = False) -> socket.socket:
-    sock = socket.socket(socket.AF_INET, kind)
-    try:
-        sock.setblocking(False)
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        if shared:
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-        sock.bind(address)
-    except OSError as error:
-        sock.close()
-        raise OSError(error.errno, "{}: {}:{}".format(error.strerror, *address)) from error
-    return sock
-
-
-# for those who may wait ---------------------------------------
-
-
-async def connect(stream: Stream, address: Address) -> None:
-    """Dials; an ``OSError`` if it fails. The caller limits the time."""
-    failed = stream.connect_ex(address)
-    if failed == errno.EINPROGRESS:
-        await stream.wait_writable()
-        failed = stream.dialled()
-    if failed:
-        raise OSError(failed, errno.errorcode.get(failed, str(failed)))
-
-
-async def accepted(listener: Listener, pause: Callable[[float], Awaitable[None]] = trio.sleep) -> Stream:
-    """Waits for the next connection; an error of one ``accept`` ends nothing."""
-    while True:
-        await listener.wait()
-        try:
-            return listener.accept()
-        except BlockingIOError:
-            continue
-        except OSError:
-            await pause(0.02)
-
-
-async def send_all(stream: Stream, data: bytes) -> None:
-    left = memoryview(data)
-    while left:
-        try:
-            left = left[stream.send(left) :]
-        except BlockingIOError:
-            await stream.wait_writable()
-
-
-async def receive(stream: Stream, ring: Ring) -> int:
-    """Waits for bytes and takes them into the ring; how many came, 0 at the other side's end."""
-    while True:
-        await stream.wait_readable()
-        try:
-            n = stream.recv_into(ring.space())
-        except BlockingIOError:
-            continue
-        ring.filled(n)
-        return n
+SYSTEM_RUNTIME = SystemRuntime()
--- /dev/null
+++ b/rowanshift/transport/sockets.py
@@ -0,0 +1,115 @@
+"""Streams, listeners and datagram ports on real sockets; a stream is the socket itself: bytes move at no extra cost."""
+
+import select
+import socket
+from collections.abc import Awaitable
+from contextlib import suppress
+from struct import Struct
+
+import trio
+
+from rowanshift.transport.streams import Address, Stream
+
+RESET_AT_CLOSE = Struct("ii").pack(1, 0)  # lingers for 0 s
+LAST_DATA_RECEIVED = Struct("52xI")  # in Linux's tcp_info, milliseconds
+
+
+class Socket(socket.socket):
+    """A stream on a real socket."""
+
+    __slots__ = ()
+
+    @classmethod
+    def of(cls, sock: socket.socket) -> "Socket":
+        """Takes a socket over; the one given is left without a descriptor."""
+        made = cls(sock.family, sock.type, sock.proto, sock.detach())
+        made.setblocking(False)
+        return made
+
+    def dialled(self) -> int:
+        return self.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+
+    def wait_readable(self) -> Awaitable[None]:
+        return trio.lowlevel.wait_readable(self)
+
+    def wait_writable(self) -> Awaitable[None]:
+        return trio.lowlevel.wait_writable(self)
+
+    def readable(self) -> bool:
+        """Whether bytes, or the other side's end, have come in and were not read yet."""
+        poll = select.poll()
+        poll.register(self, select.POLLIN)
+        return bool(poll.poll(0))
+
+    def age(self) -> float:
+        """Seconds since the last bytes came in, which a router that stood still reads late."""
+        if not hasattr(socket, "TCP_INFO"):
+            return 0.0
+        info = self.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, LAST_DATA_RECEIVED.size)
+        return LAST_DATA_RECEIVED.unpack(info)[0] / 1000
+
+    def end(self) -> None:
+        self.shutdown(socket.SHUT_WR)
+
+    def close(self) -> None:
+        if self.fileno() >= 0:
+            if trio.lowlevel.in_trio_run():
+                trio.lowlevel.notify_closing(self)
+            super().close()
+
+    def reset(self) -> None:
+        if self.fileno() >= 0:
+            with suppress(OSError):
+                self.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_AT_CLOSE)
+            self.close()
+
+    def closed(self) -> bool:
+        return self.fileno() < 0
+
+
+class SocketListener:
+    def __init__(self, sock: socket.socket) -> None:
+        sock.setblocking(False)
+        self.sock = sock
+
+    def accept(self) -> Stream:
+        stream = Socket.of(self.sock.accept()[0])
+        with suppress(OSError):  # it broke off already, which its first read tells
+            stream.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        return stream
+
+    def wait(self) -> Awaitable[None]:
+        return trio.lowlevel.wait_readable(self.sock)
+
+    def close(self) -> None:
+        if self.sock.fileno() >= 0:
+            trio.lowlevel.notify_closing(self.sock)
+            self.sock.close()
+
+
+class SocketPort:
+    def __init__(self, sock: socket.socket) -> None:
+        self.sock = trio.socket.from_stdlib_socket(sock)
+
+    def send(self, payload: bytes, address: Address) -> Awaitable[int]:
+        return self.sock.sendto(payload, address)
+
+    def receive(self, most: int) -> Awaitable[tuple[bytes, Address]]:
+        return self.sock.recvfrom(most)
+
+    def close(self) -> None:
+        self.sock.close()
+
+
+def bound(kind: int, address: Address, shared: bool = False) -> socket.socket:
+    sock = socket.socket(socket.AF_INET, kind)
+    try:
+        sock.setblocking(False)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        if shared:
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
+        sock.bind(address)
+    except OSError as error:
+        sock.close()
+        raise OSError(error.errno, "{}: {}:{}".format(error.strerror, *address)) from error
+    return sock
--- a/tests/admin/test_commands.py
+++ b/tests/admin/test_commands.py
@@ -31,7 +31,7 @@
 from rowanshift.transport.calls import Answer, CallServer
 from rowanshift.transport.http_connection import Message
 from rowanshift.transport.memory_budget import Memory
-from rowanshift.transport.runtime import SYSTEM
+from rowanshift.transport.runtime import SYSTEM_RUNTIME
 from tests.support.helpers import invoke
 
 ROOT = Path(__file__).parents[2]
@@ -313,7 +313,7 @@
                 return answer
 
         async def start(nursery: trio.Nursery) -> None:
-            listener = staff.SYSTEM.listen((ip, 8500), 16)
+            listener = staff.SYSTEM_RUNTIME.listen((ip, 8500), 16)
             server = CallServer({b"/config": Resource(), b"/status": Resource()}, Memory(64), 1 << 20)
             nursery.start_soon(serve, server, listener, nursery)
 
@@ -377,7 +377,7 @@
     def test_a_configuration_that_the_control_state_has_no_room_for(self) -> None:
         node = mock.Mock(change=mock.AsyncMock(side_effect=StateTooLarge))
         put = Message(b"PUT", b"/config", fields=[(b"if-match", b"0")], body=b"{}")
-        answer = trio.run(ConfigResource(node, 8500, ChangeLoader(SYSTEM)).call, put)
+        answer = trio.run(ConfigResource(node, 8500, ChangeLoader(SYSTEM_RUNTIME)).call, put)
         self.assertEqual(answer.status, 413)
         self.assertIn(b"16773120 bytes", answer.body)
 
--- a/tests/cacheproxy/test_handover.py
+++ b/tests/cacheproxy/test_handover.py
@@ -13,7 +13,7 @@
 from rowanshift.cacheproxy.service import Phase
 from rowanshift.placement.hot_keys import Hot
 from rowanshift.transport.memory_budget import LEAST, OWN, Budget, Memory
-from rowanshift.transport.runtime import SYSTEM
+from rowanshift.transport.runtime import SYSTEM_RUNTIME
 from tests.support.cache_proxy_rig import Rig, free, played
 
 
@@ -191,7 +191,7 @@
 
                 kept = []
                 nursery.start_soon(answer)
-                return await Handover(SYSTEM, ("127.0.0.1", 1)).meet()
+                return await Handover(SYSTEM_RUNTIME, ("127.0.0.1", 1)).meet()
 
         inherited = trio.run(main)
     assert inherited.learned is None and inherited.out == {"a"}
@@ -220,12 +220,12 @@
 )
 def test_what_is_left_of_a_file_is_read_and_said(data, out, warnings, folder, lines):
     # guards against a start that fails for a file that a killed process, or another program, left
-    handover = Handover(SYSTEM, ("127.0.0.1", 1))
+    handover = Handover(SYSTEM_RUNTIME, ("127.0.0.1", 1))
     if data is not None:
         (folder / "rowanshift-127.0.0.1-1.out").write_bytes(data)
     assert handover.written() == out
     assert sum(line.startswith("WARNING") for line in lines) == warnings
-    kept = SYSTEM.kept("rowanshift-127.0.0.1-1.out.old")
+    kept = SYSTEM_RUNTIME.kept("rowanshift-127.0.0.1-1.out.old")
     assert kept == (data if warnings and not data.startswith(b"rowanshift out 1") else None)
 
 
@@ -241,11 +241,11 @@
 
 
 def test_files_are_written_whole_or_not_at_all(folder, monkeypatch):
-    SYSTEM.keep("f", b"old")
+    SYSTEM_RUNTIME.keep("f", b"old")
     monkeypatch.setattr("pathlib.Path.replace", lambda *_: (_ for _ in ()).throw(OSError("no room")))
     with pytest.raises(OSError, match="no room"):
-        SYSTEM.keep("f", b"new")
-    assert SYSTEM.kept("f") == b"old" and [path.name for path in folder.iterdir()] == ["f"]
+        SYSTEM_RUNTIME.keep("f", b"new")
+    assert SYSTEM_RUNTIME.kept("f") == b"old" and [path.name for path in folder.iterdir()] == ["f"]
 
 
 @pytest.mark.parametrize("says", [None, b"", b"\x00\x01\n", b"rowanshift 2\nend\n", b"x" * 2000])
@@ -258,7 +258,7 @@
         listener.listen(1)
 
         async def main():
-            handover = Handover(SYSTEM, ("127.0.0.1", 1))
+            handover = Handover(SYSTEM_RUNTIME, ("127.0.0.1", 1))
             with trio.fail_after(MEET_WITHIN):
                 async with trio.open_nursery() as nursery:
 
--- a/tests/cacheproxy/test_network.py
+++ b/tests/cacheproxy/test_network.py
@@ -31,7 +31,8 @@
 from rowanshift.transport.buffer import Ring
 from rowanshift.transport.http_connection import BadMessage, Connection, Message
 from rowanshift.transport.memory_budget import CLIENTS, OWN, Budget, Memory
-from rowanshift.transport.runtime import SYSTEM, Socket
+from rowanshift.transport.runtime import SYSTEM_RUNTIME
+from rowanshift.transport.sockets import Socket
 from tests.support.cache_proxy_rig import free
 from tests.support.helpers import entry, settings
 
@@ -1099,7 +1100,7 @@
 )
 def test_peers_are_known_by_their_address(payload, sender, heard):
     async def main():
-        ports = [SYSTEM.port(("127.0.0.1", 0)) for _ in range(3)]
+        ports = [SYSTEM_RUNTIME.port(("127.0.0.1", 0)) for _ in range(3)]
         got, addresses = [], [port.sock.getsockname() for port in ports]
         peers = Peers(ports[2], [addresses[0]], None, lambda n, data: got.append((n, data)))
         with trio.move_on_after(0.05):
@@ -1169,7 +1170,7 @@
         async with trio.open_nursery() as nursery:
             (agent, listen) = free(2)
             rows = {name: row_of(name, ("127.0.0.1", 9), "here", "cache") for name in ("old", "new")}
-            at = Agent(SYSTEM, agent, time.monotonic, Events(time.monotonic), "n", [rows["new"]])
+            at = Agent(SYSTEM_RUNTIME, agent, time.monotonic, Events(time.monotonic), "n", [rows["new"]])
             at.silent = silent
             nursery.start_soon(at.run)
             await trio.sleep(0.02)
--- a/tests/controlplane/test_graceful_shutdown.py
+++ b/tests/controlplane/test_graceful_shutdown.py
@@ -24,7 +24,7 @@
 from rowanshift.transport.calls import Answer, CallFailed, CallServer, call
 from rowanshift.transport.http_connection import Message
 from rowanshift.transport.record_links import ConnectionFailed, RecordClient
-from rowanshift.transport.runtime import connect, send_all
+from rowanshift.transport.streams import connect, send_all
 from rowanshift.wire.control_updates import Poll, Update
 
 ROOT = Path(__file__).parents[2]
@@ -175,8 +175,8 @@
             try:
                 async with trio.open_nursery() as nursery:
                     server = CallServer({}, self.fleet.memory)
-                    listener = staff.SYSTEM.listen(("127.0.0.1", 0), 4)
-                    stream = staff.SYSTEM.stream()
+                    listener = staff.SYSTEM_RUNTIME.listen(("127.0.0.1", 0), 4)
+                    stream = staff.SYSTEM_RUNTIME.stream()
                     await connect(stream, listener.sock.getsockname())
                     nursery.start_soon(server.serve, listener, nursery, trio.sleep)
                     await listener.wait()
--- a/tests/controlplane/test_lazy_imports.py
+++ b/tests/controlplane/test_lazy_imports.py
@@ -12,7 +12,7 @@
 from rowanshift.controlplane import change_loader
 from rowanshift.controlplane.change_loader import LOAD_AFTER, ChangeLoader
 from rowanshift.simulation.fleet import Fleet, config_of, play
-from rowanshift.transport.runtime import SYSTEM
+from rowanshift.transport.runtime import SYSTEM_RUNTIME
 
 ROOT = Path(__file__).parents[2]
 LATER = ("serde", "jinja2", "beartype", "rowanshift.controlplane.configuration")
@@ -38,7 +38,7 @@
 class Loader(unittest.TestCase):
     def test_all_who_wait_get_the_one_module(self) -> None:
         async def main() -> set[int]:
-            loader, found = ChangeLoader(SYSTEM), []
+            loader, found = ChangeLoader(SYSTEM_RUNTIME), []
 
             async def ask() -> None:
                 found.append(await loader.load())
--- a/tests/dataplane/test_exchange_clients.py
+++ b/tests/dataplane/test_exchange_clients.py
@@ -5,7 +5,8 @@
 import trio
 from loguru import logger
 
-from rowanshift.transport.runtime import SYSTEM, connect, send_all
+from rowanshift.transport.runtime import SYSTEM_RUNTIME
+from rowanshift.transport.streams import connect, send_all
 from tests.support.exchange_case import breaches, outcome
 from tests.support.exchange_rig import (
     KINDS,
@@ -161,8 +162,8 @@
         """The other side of a real connection sees an error, and not a regular end."""
 
         async def main() -> None:
-            listener = SYSTEM.listen(("127.0.0.1", 0), 1)
-            near = SYSTEM.stream()
+            listener = SYSTEM_RUNTIME.listen(("127.0.0.1", 0), 1)
+            near = SYSTEM_RUNTIME.stream()
             await connect(near, listener.sock.getsockname())
             await listener.wait()
             far = listener.accept()
--- a/tests/dataplane/test_exchange_signals.py
+++ b/tests/dataplane/test_exchange_signals.py
@@ -10,7 +10,7 @@
 from rowanshift.dataplane.drain import NOTICE
 from rowanshift.emulation.system_clients import Patron, Try
 from rowanshift.simulation.fleet import ONCE, REPEATED, RESUMED, Fleet, Unit, play
-from rowanshift.transport.runtime import connect, send_all
+from rowanshift.transport.streams import connect, send_all
 
 PREFIXES = (RESUMED, ONCE, REPEATED)
 APART = 0.04  # seconds between clients, so that each phase of an exchange meets the signal
--- a/tests/dataplane/test_frontend_shutdown.py
+++ b/tests/dataplane/test_frontend_shutdown.py
@@ -12,7 +12,7 @@
 from rowanshift.dataplane.frontend import FIRST_WITHIN, Frontend
 from rowanshift.dataplane.service import LEAVE_STEP
 from rowanshift.transport.memory_budget import CLIENTS, OWN, Budget
-from rowanshift.transport.runtime import connect
+from rowanshift.transport.streams import connect
 from tests.dataplane.test_drain_order_of_events import WITHIN, until_its_end
 from tests.support.exchange_rig import FRONT, Behaviour, Client, Got, Rig, request_bytes
 
--- a/tests/emulation/test_emulation_system.py
+++ b/tests/emulation/test_emulation_system.py
@@ -33,7 +33,8 @@
 from rowanshift.simulation.network import Network, Paths
 from rowanshift.transport.http_connection import Connection
 from rowanshift.transport.memory_budget import Memory
-from rowanshift.transport.runtime import SYSTEM, connect, send_all
+from rowanshift.transport.runtime import SYSTEM_RUNTIME
+from rowanshift.transport.streams import connect, send_all
 
 PORT = 8080
 TRAITS = dict(
@@ -779,13 +780,13 @@
     def test_the_same_stand_ins_serve_on_loopback(self):
         async def main():
             facts, registry, address = [], Registry(), None
-            probe = SYSTEM.listen(("127.0.0.1", 0), 1)
+            probe = SYSTEM_RUNTIME.listen(("127.0.0.1", 0), 1)
             address = probe.sock.getsockname()
             probe.close()
             server = ModelServer(
-                SYSTEM, address, "i-1", "svc", trio.current_time, facts, registry, {"m": 1}, Traits(gap=0.001)
+                SYSTEM_RUNTIME, address, "i-1", "svc", trio.current_time, facts, registry, {"m": 1}, Traits(gap=0.001)
             )
-            patron = Patron(SYSTEM, "p", trio.current_time, facts, [address], random.Random(1))
+            patron = Patron(SYSTEM_RUNTIME, "p", trio.current_time, facts, [address], random.Random(1))
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(server.run)
                 with trio.fail_after(5):
--- a/tests/process/test_process_end.py
+++ b/tests/process/test_process_end.py
@@ -22,7 +22,7 @@
 from rowanshift.emulation import cluster
 from rowanshift.emulation.system_clients import Patron, Work
 from rowanshift.soak.processes import heeds
-from rowanshift.transport.runtime import Address
+from rowanshift.transport.streams import Address
 
 ROOT = Path(__file__).parents[2]
 WITHIN = 15.0  # seconds for anything that is waited for
--- a/tests/simulation/test_signal_times.py
+++ b/tests/simulation/test_signal_times.py
@@ -13,7 +13,7 @@
 from rowanshift.simulation.fleet import ONCE, Fleet, config_of, play, routes_of
 from rowanshift.simulation.fleet_settings import BOUNDS
 from rowanshift.simulation.fleet_troubles import Unit
-from rowanshift.transport.runtime import SYSTEM
+from rowanshift.transport.runtime import SYSTEM_RUNTIME
 
 GRACE = BOUNDS["graceS"]
 STANDSTILL = 3.0  # seconds
@@ -33,7 +33,7 @@
 class Handler(unittest.TestCase):
     def test_it_notes_the_time_while_the_loop_stands_still(self) -> None:
         async def main() -> float:
-            with SYSTEM.signals() as signals:
+            with SYSTEM_RUNTIME.signals() as signals:
                 threading.Timer(0.1, os.kill, (os.getpid(), signal.SIGHUP)).start()
                 began = trio.current_time()
                 time.sleep(0.6)  # the loop stands still
@@ -45,7 +45,7 @@
 
     def test_all_kinds_come_in_their_order_and_once_until_they_are_taken(self) -> None:
         async def main() -> list[int]:
-            with SYSTEM.signals() as signals:
+            with SYSTEM_RUNTIME.signals() as signals:
                 for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGHUP, signal.SIGINT):
                     signal.raise_signal(number)
                 taken = [(await anext(signals)).number for _ in range(3)]
@@ -59,7 +59,7 @@
         before = signal.getsignal(signal.SIGTERM)
 
         async def main() -> None:
-            with SYSTEM.signals():
+            with SYSTEM_RUNTIME.signals():
                 self.assertNotEqual(signal.getsignal(signal.SIGTERM), before)
 
         trio.run(main)
--- a/tests/simulation/test_simulation.py
+++ b/tests/simulation/test_simulation.py
@@ -41,7 +41,7 @@
 from rowanshift.simulation.shrink import Shrinker
 from rowanshift.simulation.worker_pool import worker_pool
 from rowanshift.simulation.world import World
-from rowanshift.transport.runtime import connect, send_all
+from rowanshift.transport.streams import connect, send_all
 from tests.support.cache_proxy_faults import FAULTS
 
 SCENARIOS = Path(__file__).parents[2] / "examples/scenarios"
--- a/tests/simulation/test_system_simulation.py
+++ b/tests/simulation/test_system_simulation.py
@@ -41,7 +41,7 @@
     routes_of,
 )
 from rowanshift.simulation.network import Network, Paths
-from rowanshift.transport.runtime import connect
+from rowanshift.transport.streams import connect
 
 
 def setUpModule():
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -50,7 +50,8 @@
 )
 from rowanshift.soak.relay import DatagramRelay, Relay
 from rowanshift.soak.run import RECOVER_WITHIN, SERVE_ON, Run
-from rowanshift.transport.runtime import SYSTEM, connect, send_all
+from rowanshift.transport.runtime import SYSTEM_RUNTIME
+from rowanshift.transport.streams import connect, send_all
 
 ROOT = Path(__file__).parents[2]
 SHORT_SEEDS = 1, 2, 4, 5, 15  # played in CI
@@ -130,7 +131,7 @@
     def test_each_listener_has_an_address_of_its_own(self) -> None:
         drawn = replace_struct(plan.draw_short(1), routers=plan.MOST_ROUTERS, troubles=())
         layout = Layout(drawn, Path("/none"), "127.92.9.")
-        wires = [*layout.wires(SYSTEM)]
+        wires = [*layout.wires(SYSTEM_RUNTIME)]
         streams = [wire.relay.address for wire in wires if isinstance(wire.relay, Relay)]
         streams += [layout.internal(name) for name in layout.cores]
         streams += [layout.control(name) for name in layout.cores]
@@ -211,7 +212,7 @@
 
     def play(self, main) -> None:
         async def run():
-            echo, relay = Echo(self.target), Relay(SYSTEM, self.listen, self.target)
+            echo, relay = Echo(self.target), Relay(SYSTEM_RUNTIME, self.listen, self.target)
             with trio.fail_after(10):
                 async with trio.open_nursery() as nursery:
                     await nursery.start(echo.run)
@@ -223,7 +224,7 @@
 
     @asynccontextmanager
     async def caller(self):
-        stream = SYSTEM.stream()
+        stream = SYSTEM_RUNTIME.stream()
         try:
             await connect(stream, self.listen)
             yield stream
@@ -321,8 +322,8 @@
         between = self.target
 
         async def main():
-            relay = DatagramRelay(SYSTEM, between, caller, target)
-            ports = SYSTEM.port(caller), SYSTEM.port(target)
+            relay = DatagramRelay(SYSTEM_RUNTIME, between, caller, target)
+            ports = SYSTEM_RUNTIME.port(caller), SYSTEM_RUNTIME.port(target)
             with trio.fail_after(10):
                 async with trio.open_nursery() as nursery:
                     await nursery.start(relay.run)
--- a/tests/support/cache_proxy_rig.py
+++ b/tests/support/cache_proxy_rig.py
@@ -13,7 +13,7 @@
 from rowanshift.emulation.http import Ledger
 from rowanshift.emulation.servers import Cache, Kind, Origin
 from rowanshift.invariants.events import Events
-from rowanshift.transport.runtime import SYSTEM
+from rowanshift.transport.runtime import SYSTEM_RUNTIME
 from tests.support.helpers import ORIGIN
 
 RAW = {
@@ -68,11 +68,13 @@
         self.rows = [row_of(f"cache:{n}", at[n], "here", "cache") for n in range(3)]
         self.rows.append(row_of(ORIGIN, at[3], "here", "origin"))
         self.caches = {
-            f"cache:{n}": Cache(SYSTEM, at[n], *common, f"cache:{n}", Kind(dict(works)), ledger, random.Random(n))
+            f"cache:{n}": Cache(
+                SYSTEM_RUNTIME, at[n], *common, f"cache:{n}", Kind(dict(works)), ledger, random.Random(n)
+            )
             for n in range(3)
         }
-        self.origin = Origin(SYSTEM, at[3], *common, ORIGIN, Kind(dict(works)), ledger, random.Random(9))
-        self.agent = Agent(SYSTEM, agent, *common, "n", self.rows)
+        self.origin = Origin(SYSTEM_RUNTIME, at[3], *common, ORIGIN, Kind(dict(works)), ledger, random.Random(9))
+        self.agent = Agent(SYSTEM_RUNTIME, agent, *common, "n", self.rows)
         self.data = {
             "name": "n",
             "listen": "{}:{}".format(*listen),
--- a/tests/support/exchange_rig.py
+++ b/tests/support/exchange_rig.py
@@ -25,7 +25,7 @@
 from rowanshift.simulation.machine import Machine
 from rowanshift.simulation.network import End, Network, Paths
 from rowanshift.transport.memory_budget import Budget, Memory
-from rowanshift.transport.runtime import connect, send_all
+from rowanshift.transport.streams import connect, send_all
 
 FRONT, SERVED = 8080, 9000  # ports
 EVENTS = 3  # of a whole stream
--- a/tests/transport/test_call_exchanges.py
+++ b/tests/transport/test_call_exchanges.py
@@ -16,7 +16,7 @@
 from rowanshift.transport.http_connection import Connection
 from rowanshift.transport.memory_budget import Memory
 from rowanshift.transport.record_links import ConnectionFailed, RecordClient
-from rowanshift.transport.runtime import send_all
+from rowanshift.transport.streams import send_all
 from rowanshift.wire.codec import FRAME_HEADER
 from rowanshift.wire.control_updates import CONTROL_UPDATE_CODEC, Redirect
 
