--- a/rowanshift/controlplane/server_registry.py
+++ b/rowanshift/controlplane/server_registry.py
@@ -91,7 +91,7 @@
             (model, version) for model, version in versions.items() if self.announcements.find(model, version) is None
         ]
         self.announcements_serial += self.announcements.record_all(
-            (model, VersionAnnouncement(version, now, is_dated)) for model, version in new
+            VersionAnnouncement(model, version, now, is_dated) for model, version in new
         )
         self.announcements.discard_superseded_before(now - self.announcement_retention)
 
@@ -104,17 +104,19 @@
         those in force; dates of others are ignored.
         """
         dated = [
-            (announcement.model, VersionAnnouncement(announcement.version, now - announcement.age_ms / 1000))
+            VersionAnnouncement(announcement.model, announcement.version, now - announcement.age_ms / 1000)
             for announcement in announcements[:MAX_ANNOUNCEMENTS_PER_POLL]
             if announcement.is_dated and announcement.version <= versions.get(announcement.model, 0)
         ]
-        changed = self.announcements.record_all(pair for pair in dated if self._is_earlier(*pair))
+        changed = self.announcements.record_all(
+            announcement for announcement in dated if self._is_earlier(announcement)
+        )
         self.announcements_serial += changed
         return changed
 
-    def _is_earlier(self, model: str, announcement: VersionAnnouncement) -> bool:
+    def _is_earlier(self, announcement: VersionAnnouncement) -> bool:
         """Whether a date lies before the known one by more than a message takes."""
-        known = self.announcements.find(model, announcement.version)
+        known = self.announcements.find(announcement.model, announcement.version)
         if known is None or not known.is_dated:
             return True
         return announcement.announced_at < known.announced_at - DATE_TOLERANCE_SECONDS
--- a/rowanshift/controlplane/service.py
+++ b/rowanshift/controlplane/service.py
@@ -320,8 +320,8 @@
         """The names whose deadlines may be still to come, with how long ago they were acknowledged, as this machine met
         each as it was committed or as a router told it; else since this machine became primary, undated."""
         return tuple(
-            ModelVersionAnnouncement(model, name.version, age_ms(now - name.announced_at), name.is_dated)
-            for model, name in self.tasks.registry.announcements.all()
+            ModelVersionAnnouncement(name.model, name.version, age_ms(now - name.announced_at), name.is_dated)
+            for name in self.tasks.registry.announcements.all()
         )
 
     def _rows(self, registry: ServerRegistry) -> bytes:
--- a/rowanshift/dataplane/control_client.py
+++ b/rowanshift/dataplane/control_client.py
@@ -141,7 +141,7 @@
         for name in [*told.values(), *unknown]:
             announced_at = asked_at - name.age_ms / 1000
             announced_at = announced_at if name.is_dated else min(announced_at, latest)
-            noted.append((name.model, VersionAnnouncement(name.version, announced_at, name.is_dated)))
+            noted.append(VersionAnnouncement(name.model, name.version, announced_at, name.is_dated))
             if name.version > self.routing_table.versions.get(name.model, 0):
                 age = name.age_ms / 1000
                 logger.info("event=version_named model={} version={} age_s={:.3f}", name.model, name.version, age)
@@ -152,7 +152,7 @@
         """Takes down the same for primaries to come, so that what is told on and on doesn't move to earlier times."""
         dated = [name for name in names if name.is_dated]
         self.latest_dates.record_all(
-            (name.model, VersionAnnouncement(name.version, received_at - name.age_ms / 1000)) for name in dated
+            VersionAnnouncement(name.model, name.version, received_at - name.age_ms / 1000) for name in dated
         )
         self.latest_dates.discard_superseded_before(self._kept_since(received_at))
 
@@ -163,8 +163,8 @@
         """The dates of names as a primary is told them."""
         now = trio.current_time()
         return tuple(
-            ModelVersionAnnouncement(model, name.version, age_ms(now - name.announced_at))
-            for model, name in self.latest_dates.all()
+            ModelVersionAnnouncement(name.model, name.version, age_ms(now - name.announced_at))
+            for name in self.latest_dates.all()
         )
 
     async def fresh(self, left: float) -> None:
--- a/rowanshift/wire/delta.py
+++ b/rowanshift/wire/delta.py
@@ -1,89 +1,119 @@
 """The difference between two byte strings, as copies from the old one and literal bytes. No I/O.
 
 Both are cut into blocks after each ``},``, so that objects of a JSON text are blocks, and long blocks into pieces, so
-that what is appended at the end costs no more than itself. A delta is a row of operations: ``COPY`` (offset and length
-in the old bytes) and ``LITERAL`` (length, and that many bytes).
+that what is appended at the end costs no more than itself. A delta is a sequence of operations: ``COPY`` (offset and
+length in the old bytes) and ``LITERAL`` (length, and that many bytes).
 """
 
 import re
 from collections.abc import Iterator
 from struct import Struct
 from struct import error as StructError
+from typing import NamedTuple
+
+from rowanshift.wire.errors import MalformedDelta
 
 COPY, LITERAL = 0, 1
 OPERATION = Struct(">BII")  # kind; of a copy offset and length, of a literal 0 and length
-LONGEST_BLOCK = 4096  # bytes
+MAX_BLOCK_BYTES = 4096
 BLOCK_END = re.compile(rb"\},")
 
 
-class MalformedDelta(ValueError):
-    """Bytes that are no delta of these old bytes."""
+class Block(NamedTuple):
+    """A part of a byte string."""
+
+    start: int
+    end: int
 
 
-def blocks(data: bytes) -> Iterator[tuple[int, int]]:
-    """Start and end of each block."""
+def split_into_blocks(data: bytes) -> Iterator[Block]:
+    """The blocks of a byte string in their order; together they are all of it."""
     start = 0
     ends = [match.end() for match in BLOCK_END.finditer(data)]
     for end in (*ends, len(data)):
-        while end - start > LONGEST_BLOCK:
-            yield start, start + LONGEST_BLOCK
-            start += LONGEST_BLOCK
+        while end - start > MAX_BLOCK_BYTES:
+            yield Block(start, start + MAX_BLOCK_BYTES)
+            start += MAX_BLOCK_BYTES
         if end > start:
-            yield start, end
+            yield Block(start, end)
         start = end
 
 
+class _DeltaWriter:
+    """Collects the operations of a delta; neighbouring ones of a kind become one."""
+
+    def __init__(self) -> None:
+        self._operations: list[bytes] = []
+        self._copy = Block(0, 0)  # of the old bytes; empty while none is open
+        self._literal = bytearray()
+
+    def copy(self, offset: int, length: int) -> None:
+        """Adds a part of the old bytes."""
+        if self._copy.end > self._copy.start and self._copy.end == offset:
+            self._copy = Block(self._copy.start, offset + length)
+            return
+        self._flush()
+        self._copy = Block(offset, offset + length)
+
+    def literal(self, data: bytes) -> None:
+        """Adds bytes that the old ones don't have."""
+        if not self._literal:
+            self._flush()
+        self._literal += data
+
+    def finish(self) -> bytes:
+        """The delta."""
+        self._flush()
+        return b"".join(self._operations)
+
+    def _flush(self) -> None:
+        """Closes the operation that is open, if any; copy and literal are never open together."""
+        start, end = self._copy
+        if end > start:
+            self._operations.append(OPERATION.pack(COPY, start, end - start))
+            self._copy = Block(0, 0)
+        if self._literal:
+            self._operations += OPERATION.pack(LITERAL, 0, len(self._literal)), bytes(self._literal)
+            self._literal.clear()
+
+
 def make_delta(old: bytes, new: bytes) -> bytes:
-    """What ``apply_delta`` makes ``new`` of, given ``old``."""
-    known: dict[bytes, int] = {}
-    for start, end in blocks(old):
-        known.setdefault(old[start:end], start)
-    parts: list[bytes] = []
-    copied: tuple[int, int] | None = None  # start and end in the old bytes
-    literal = bytearray()
-    for start, end in blocks(new):
+    """The delta by which ``apply_delta`` makes ``new`` of ``old``."""
+    offsets: dict[bytes, int] = {}
+    for start, end in split_into_blocks(old):
+        offsets.setdefault(old[start:end], start)
+    writer = _DeltaWriter()
+    for start, end in split_into_blocks(new):
         block = new[start:end]
-        at = known.get(block)
-        if at is not None and copied is not None and copied[1] == at:
-            copied = copied[0], at + len(block)
-            continue
-        if copied is not None:
-            parts.append(OPERATION.pack(COPY, copied[0], copied[1] - copied[0]))
-            copied = None
-        if at is None:
-            literal += block
-            continue
-        if literal:
-            parts += OPERATION.pack(LITERAL, 0, len(literal)), bytes(literal)
-            literal.clear()
-        copied = at, at + len(block)
-    if copied is not None:
-        parts.append(OPERATION.pack(COPY, copied[0], copied[1] - copied[0]))
-    if literal:
-        parts += OPERATION.pack(LITERAL, 0, len(literal)), bytes(literal)
-    return b"".join(parts)
-
-
-def apply_delta(old: bytes, delta: bytes, most: int) -> bytes:
-    """The new bytes, ``most`` at most. Raises ``MalformedDelta``."""
-    made, at, size = [], 0, 0
-    while at < len(delta):
+        offset = offsets.get(block)
+        if offset is None:
+            writer.literal(block)
+        else:
+            writer.copy(offset, len(block))
+    return writer.finish()
+
+
+def apply_delta(old: bytes, delta: bytes, max_bytes: int) -> bytes:
+    """The new bytes. Raises ``MalformedDelta``, also if they would be more than ``max_bytes``."""
+    pieces: list[bytes] = []
+    position = size = 0
+    while position < len(delta):
         try:
-            kind, offset, length = OPERATION.unpack_from(delta, at)
+            kind, offset, length = OPERATION.unpack_from(delta, position)
         except StructError as error:
-            raise MalformedDelta(f"{len(delta) - at} bytes at the end") from error
-        at += OPERATION.size
+            raise MalformedDelta(f"{len(delta) - position} bytes at the end") from error
+        position += OPERATION.size
         size += length
-        if size > most:
-            raise MalformedDelta(f"over {most} bytes")
+        if size > max_bytes:
+            raise MalformedDelta(f"over {max_bytes} bytes")
         if kind == COPY:
             piece = old[offset : offset + length]
         elif kind == LITERAL:
-            piece = delta[at : at + length]
-            at += length
+            piece = delta[position : position + length]
+            position += length
         else:
             raise MalformedDelta(f"operation {kind}")
         if len(piece) != length:
             raise MalformedDelta(f"{length} bytes wanted, {len(piece)} there")
-        made.append(piece)
-    return b"".join(made)
+        pieces.append(piece)
+    return b"".join(pieces)
--- a/tests/controlplane/test_inherited_versions.py
+++ b/tests/controlplane/test_inherited_versions.py
@@ -61,14 +61,14 @@
     def test_the_date_of_an_inherited_name(self) -> None:
         registry = self.registry()
         self.assertTrue(self.told(registry, ModelVersionAnnouncement("m", 5, 3000)))
-        self.assertEqual(registry.announcements.find("m", 5), VersionAnnouncement(5, 97.0))
+        self.assertEqual(registry.announcements.find("m", 5), VersionAnnouncement("m", 5, 97.0))
         registry.record_versions({"m": 5}, 101.0)
-        self.assertEqual(registry.announcements.find("m", 5), VersionAnnouncement(5, 97.0))
+        self.assertEqual(registry.announcements.find("m", 5), VersionAnnouncement("m", 5, 97.0))
 
     def test_older_names_that_the_takeover_had_hidden(self) -> None:
         registry = self.registry()
         self.told(registry, ModelVersionAnnouncement("m", 4, 6000), ModelVersionAnnouncement("m", 5, 3000))
-        self.assertEqual([name.version for _, name in registry.announcements.all()], [4, 5])
+        self.assertEqual([name.version for name in registry.announcements.all()], [4, 5])
 
     def test_what_is_not_in_force_or_not_dated_is_left(self) -> None:
         registry = self.registry()
--- a/tests/dataplane/test_control_client.py
+++ b/tests/dataplane/test_control_client.py
@@ -16,6 +16,7 @@
 from rowanshift.process.node_settings import Bounds
 from rowanshift.simulation.fleet import ONCE, Fleet, Unit, config_of, play
 from rowanshift.wire.control_updates import ModelVersionAnnouncement, Poll, Update
+from rowanshift.wire.version_announcements import VersionAnnouncement
 
 APPLIED_WITHIN = 1.0  # seconds from a change's acknowledgement after a takeover; the operators' bound is 2
 
@@ -317,7 +318,7 @@
     def test_restarts_that_add_up_are_found(self) -> None:
         def anew(client: control_client.ControlClient, versions: dict[str, int], asked_at: float, names: tuple) -> None:
             for model, version in versions.items():
-                client.names.record(model, version, asked_at + control_client.VERSION_EARLY)
+                client.names.record(VersionAnnouncement(model, version, asked_at + control_client.VERSION_EARLY))
 
         with mock.patch.object(control_client.ControlClient, "_note_versions", anew):
             self.assertIn("VERSION", {breach.rule for breach in self.restarted("adds up")})
--- a/tests/wire/test_delta.py
+++ b/tests/wire/test_delta.py
@@ -11,13 +11,13 @@
 from rowanshift.wire.delta import (
     COPY,
     LITERAL,
-    LONGEST_BLOCK,
+    MAX_BLOCK_BYTES,
     OPERATION,
-    MalformedDelta,
     apply_delta,
-    blocks,
     make_delta,
+    split_into_blocks,
 )
+from rowanshift.wire.errors import MalformedDelta
 
 MOST = 1 << 24
 
@@ -59,9 +59,9 @@
             self.assertEqual(apply_delta(old, make_delta(old, new), MOST), new)
 
     def test_blocks_cover_all_bytes_in_their_order(self) -> None:
-        data = b"x" * (3 * LONGEST_BLOCK + 5) + b"},},{}" + b"y" * LONGEST_BLOCK
-        self.assertEqual(b"".join(data[start:end] for start, end in blocks(data)), data)
-        self.assertLessEqual(max(end - start for start, end in blocks(data)), LONGEST_BLOCK)
+        data = b"x" * (3 * MAX_BLOCK_BYTES + 5) + b"},},{}" + b"y" * MAX_BLOCK_BYTES
+        self.assertEqual(b"".join(data[start:end] for start, end in split_into_blocks(data)), data)
+        self.assertLessEqual(max(end - start for start, end in split_into_blocks(data)), MAX_BLOCK_BYTES)
 
 
 class Sizes(unittest.TestCase):
@@ -74,7 +74,7 @@
         delta = make_delta(old, new)
         self.assertEqual(apply_delta(old, delta, MOST), new)
         self.assertGreater(len(new), 100_000)
-        self.assertLess(len(delta), 6 * LONGEST_BLOCK)
+        self.assertLess(len(delta), 6 * MAX_BLOCK_BYTES)
 
     def test_what_is_the_same_costs_one_operation(self) -> None:
         data = configuration(1)
--- a/tests/wire/test_version_announcements.py
+++ b/tests/wire/test_version_announcements.py
@@ -31,6 +31,7 @@
     MAX_ANNOUNCED_AGE_MS,
     MAX_ANNOUNCED_MODELS,
     MAX_ANNOUNCEMENTS_PER_MODEL,
+    VersionAnnouncement,
     VersionAnnouncements,
 )
 
@@ -43,28 +44,28 @@
     logger.enable("rowanshift")
 
 
-def names_of(*named: tuple[int, float]) -> VersionAnnouncements:
+def announcements_of(*named: tuple[int, float]) -> VersionAnnouncements:
     made = VersionAnnouncements()
     for version, announced_at in named:
-        made.record("m", version, announced_at)
+        made.record(VersionAnnouncement("m", version, announced_at))
     return made
 
 
-class Names(unittest.TestCase):
+class Announcements(unittest.TestCase):
     def test_each_has_its_own_time(self) -> None:
-        made = names_of((2, 10.0), (3, 12.0), (5, 20.0))
+        made = announcements_of((2, 10.0), (3, 12.0), (5, 20.0))
         self.assertEqual([made.required_version("m", at) for at in (9.9, 10.0, 12.0, 19.9, 20.0)], [0, 2, 3, 3, 5])
         self.assertEqual([made.missing_since("m", version) for version in range(1, 6)], [10.0, 12.0, 20.0, 20.0, None])
         self.assertEqual((made.required_version("n", 99.0), made.missing_since("n", 0)), (0, None))
 
     def test_the_earlier_of_two_times_counts(self) -> None:
         for order in ((10.0, 11.0), (11.0, 10.0)):
-            made = names_of(*((2, at) for at in order))
+            made = announcements_of(*((2, at) for at in order))
             self.assertEqual(made.missing_since("m", 1), 10.0)
 
     def test_a_newer_one_of_an_earlier_time_takes_the_place_of_an_older_one(self) -> None:
         for order in (((2, 10.0), (3, 9.0)), ((3, 9.0), (2, 10.0))):
-            self.assertEqual([name.version for _, name in names_of(*order).all()], [3])
+            self.assertEqual([name.version for name in announcements_of(*order).all()], [3])
 
     def test_whatever_comes_in_any_order_it_says_what_a_plain_list_says(self) -> None:
         random_source = random.Random(1)
@@ -73,7 +74,7 @@
                 (random_source.randrange(1, 12), float(random_source.randrange(20)))
                 for _ in range(random_source.randrange(1, 12))
             ]
-            made = names_of(*named)
+            made = announcements_of(*named)
             for at in range(-1, 21):
                 newest = max((version for version, announced_at in named if announced_at <= at), default=0)
                 self.assertEqual(made.required_version("m", at), newest, (named, at))
@@ -83,7 +84,7 @@
 
     def test_one_too_many_makes_it_no_laxer(self) -> None:
         named = [(version, float(version)) for version in range(1, MAX_ANNOUNCEMENTS_PER_MODEL + 2)]
-        made = names_of(*named)
+        made = announcements_of(*named)
         self.assertEqual(len(made.all()), MAX_ANNOUNCEMENTS_PER_MODEL)
         self.assertEqual(made.required_version("m", 1.0), 2)  # version 1 was wanted from then on
         self.assertEqual(made.missing_since("m", 0), 1.0)
@@ -92,17 +93,17 @@
     def test_models_beyond_the_limit_are_not_kept(self) -> None:
         made = VersionAnnouncements()
         for number in range(MAX_ANNOUNCED_MODELS + 1):
-            made.record(f"m{number}", 1, 0.0)
+            made.record(VersionAnnouncement(f"m{number}", 1, 0.0))
         self.assertEqual(
             (len(made.all()), made.required_version(f"m{MAX_ANNOUNCED_MODELS}", 1.0)), (MAX_ANNOUNCED_MODELS, 0)
         )
-        made.record("m0", 2, 1.0)
+        made.record(VersionAnnouncement("m0", 2, 1.0))
         self.assertEqual(made.required_version("m0", 1.0), 2)
 
     def test_what_is_forgotten_changes_no_later_answer(self) -> None:
-        made = names_of((2, 10.0), (3, 12.0), (5, 20.0))
+        made = announcements_of((2, 10.0), (3, 12.0), (5, 20.0))
         made.discard_superseded_before(12.5)
-        self.assertEqual([name.version for _, name in made.all()], [3, 5])
+        self.assertEqual([name.version for name in made.all()], [3, 5])
         self.assertEqual([made.required_version("m", at) for at in (12.5, 20.0)], [3, 5])
 
 
@@ -137,7 +138,7 @@
         for version, at in ((2, 0.0), (3, 1.0), (4, 2.0)):
             made.record_versions({"m": version}, at)
         made.record_versions({"m": 4}, 1.0 + ANNOUNCEMENT_RETENTION_SECONDS)
-        self.assertEqual([name.version for _, name in made.announcements.all()], [3, 4])
+        self.assertEqual([name.version for name in made.announcements.all()], [3, 4])
 
     def test_ages_as_routers_are_told_them(self) -> None:
         service = object.__new__(ControlPlaneService)
