--- a/rowanshift/modelcheck/__init__.py
+++ b/rowanshift/modelcheck/__init__.py
@@ -1,7 +1,9 @@
 """A model checker for the replication protocol: it drives `replication.Replica` itself.
 
-A walk draws every choice from its seed: which message in flight comes next, is lost or comes twice, which
-save lands, who is killed, loses power or its disk, stands still, is cut off or has a clock that runs fast.
-Walks with an odd seed run under `CONTENDED` times: several candidates are often under way at once.
-States are lists of ids, four bytes each, that only grow, so "holds what was committed" is "begins with it".
+A random walk draws every choice from its seed: which message in flight is delivered next, is lost or is duplicated,
+which save reaches the disk, which machine crashes, loses power or its disk, pauses, is partitioned or has a fast clock.
+Walks with an odd seed run under `CONTENDED_TIMING`: several candidates are often active at once. Breadth-first search
+visits every order of events from a chosen start. Planted faults show that both find what they are meant to find.
+
+States of the model are lists of four-byte ids that only grow, so "contains what was committed" is "starts with it".
 """
--- a/rowanshift/modelcheck/breadth_first_search.py
+++ b/rowanshift/modelcheck/breadth_first_search.py
@@ -1,4 +1,4 @@
-"""Breadth-first search: all orders of events from a start, nearest first."""
+"""Breadth-first search: all orders of events from a start, in the order of their number of events."""
 
 from __future__ import annotations
 
@@ -8,116 +8,187 @@
 from dataclasses import dataclass
 
 from rowanshift.controlplane import replication
-from rowanshift.modelcheck.cluster_model import ClusterModel, fixed_random
-from rowanshift.modelcheck.invariants import InvariantViolation
-from rowanshift.modelcheck.search_starts import STARTS
+from rowanshift.modelcheck.cluster_model import ClusterModel, Envelope, MachineModel
+from rowanshift.modelcheck.errors import InvariantViolation
+from rowanshift.modelcheck.search_starts import STARTS, EventBudget, advance_clock, start_machine
+
+CLOCK_STEPS_SECONDS = (0.25, 1.4)  # by which an event may advance the clock
+DEFAULT_START = "quiet-primary"
+DEFAULT_MAX_DEPTH = 1000
+
+
+@dataclass(frozen=True)
+class Deliver:
+    """A message in flight arrives, by its index."""
+
+    index: int
+
+
+@dataclass(frozen=True)
+class CompleteSave:
+    """A machine's outstanding save ends, on disk."""
+
+    machine_id: int
+
+
+@dataclass(frozen=True)
+class StartMachine:
+    """A machine's process starts."""
+
+    machine_id: int
+
+
+@dataclass(frozen=True)
+class Crash:
+    """A machine's process ends; an outstanding save has reached the disk or not."""
+
+    machine_id: int
+    save_persisted: bool
+
+
+@dataclass(frozen=True)
+class LoseDisk:
+    """A machine's process ends, and its disk is lost."""
+
+    machine_id: int
+
+
+@dataclass(frozen=True)
+class Read:
+    """A primary is asked for a read."""
+
+    machine_id: int
+
+
+@dataclass(frozen=True)
+class Propose:
+    """A primary is asked for a change."""
+
+    machine_id: int
+
+
+@dataclass(frozen=True)
+class AdvanceClock:
+    """Time passes, and all machines see it."""
+
+    seconds: float
+
+
+Event = Deliver | CompleteSave | StartMachine | Crash | LoseDisk | Read | Propose | AdvanceClock
 
 
 @dataclass
-class BreadthResult:
+class SearchResult:
     """What a search came to."""
 
     states: int
-    depth: int  # every state up to this many events from the start has been seen
+    depth: int  # every state up to this many events from the start has been visited
     seconds: float
-    violation: str = ""
+    violation: str = ""  # of an invariant; "" if all hold
 
 
-def events(cluster: ClusterModel, budget: dict[str, int]) -> list[tuple]:
-    """Every event that can come next. A message lost is one that is never delivered."""
-    found: list[tuple] = []
-    seen = set()
-    for index, entry in enumerate(cluster.in_flight):
-        if entry not in seen and cluster.machines[entry[1]].replica is not None:
-            seen.add(entry)
-            found.append(("deliver", index))
+def possible_events(cluster: ClusterModel, budget: EventBudget) -> list[Event]:
+    """Every event that can come next. A message that is lost is one that is never delivered."""
+    events: list[Event] = []
+    distinct: set[Envelope] = set()
+    for index, envelope in enumerate(cluster.in_flight):
+        if envelope not in distinct and cluster.machines[envelope.recipient].replica is not None:
+            distinct.add(envelope)
+            events.append(Deliver(index))
     for machine_id, machine in cluster.machines.items():
+        events.extend(_events_of_machine(machine_id, machine, budget))
+    events.extend(AdvanceClock(seconds) for seconds in CLOCK_STEPS_SECONDS)
+    return events
+
+
+def _events_of_machine(machine_id: int, machine: MachineModel, budget: EventBudget) -> list[Event]:
+    events: list[Event] = []
+    if machine.pending_save is not None:
+        events.append(CompleteSave(machine_id))
+    if machine.replica is None:
+        return events if machine.removed else [*events, StartMachine(machine_id)]
+    if budget.crashes:
+        events.append(Crash(machine_id, save_persisted=False))
         if machine.pending_save is not None:
-            found.append(("complete_save", machine_id))
-        if machine.replica is None and not machine.gone:
-            found.append(("start", machine_id))
-        elif machine.replica is not None and budget["crash"]:
-            found.append(("crash", machine_id, False))
-            if machine.pending_save is not None:
-                found.append(("crash", machine_id, True))
-        if machine.replica is not None and budget["empty"]:
-            found.append(("empty", machine_id))
-        if machine.replica is not None and machine.replica.is_primary and budget["read"]:
-            found.append(("read", machine_id))
-        if machine.replica is not None and machine.replica.is_primary and budget["propose"]:
-            found.append(("propose", machine_id))
-    found.extend(("later", span) for span in (0.25, 1.4))
-    return found
-
-
-def apply(
-    cluster: ClusterModel, budget: dict[str, int], event: tuple, replica_class: type[replication.Replica]
+            events.append(Crash(machine_id, save_persisted=True))
+    if budget.disk_losses:
+        events.append(LoseDisk(machine_id))
+    if machine.is_primary and budget.reads:
+        events.append(Read(machine_id))
+    if machine.is_primary and budget.proposals:
+        events.append(Propose(machine_id))
+    return events
+
+
+def apply_event(
+    cluster: ClusterModel, budget: EventBudget, event: Event, replica_class: type[replication.Replica]
 ) -> None:
-    """Carry one event out in the world."""
-    kind, *what = event
-    if kind in budget:
-        budget[kind] -= 1
-    match kind:
-        case "deliver":
-            cluster.deliver(what[0])
-        case "complete_save" | "read" | "propose":
-            getattr(cluster, kind)(what[0])
-        case "crash":
-            cluster.crash(what[0], what[1])
-        case "empty":
-            cluster.crash(what[0], False)
-            cluster.machines[what[0]].disk = None
-        case "start":
-            machine = cluster.machines[what[0]]
-            machine.replica = replica_class(
-                what[0], cluster.max_failures, cluster.seeds, False, machine.disk, cluster.now, fixed_random
-            )
-            cluster.carry_out_actions(what[0])
-        case "later":
-            cluster.now = round(cluster.now + what[0], 3)
-            for machine_id, machine in cluster.machines.items():
-                if machine.replica is not None:
-                    cluster.tick(machine_id)
+    """Change the cluster by an event. Raises ``InvariantViolation``."""
+    match event:
+        case Deliver(index):
+            cluster.deliver(index)
+        case CompleteSave(machine_id):
+            cluster.complete_save(machine_id)
+        case StartMachine(machine_id):
+            start_machine(cluster, machine_id, replica_class)
+        case Crash(machine_id, save_persisted):
+            budget.crashes -= 1
+            cluster.crash(machine_id, save_persisted)
+        case LoseDisk(machine_id):
+            budget.disk_losses -= 1
+            cluster.lose_disk(machine_id)
+        case Read(machine_id):
+            budget.reads -= 1
+            cluster.read(machine_id)
+        case Propose(machine_id):
+            budget.proposals -= 1
+            cluster.propose(machine_id)
+        case AdvanceClock(seconds):
+            advance_clock(cluster, seconds)
     cluster.check_leases()
 
 
 def search_breadth_first(
-    states: int,
-    start: str = "quiet-primary",
+    max_states: int,
+    start: str = DEFAULT_START,
     replica_class: type[replication.Replica] = replication.Replica,
-    most_events: int = 1000,
-) -> BreadthResult:
-    """All orders of events from a start, nearest first, until so many states or so many events deep."""
+    max_depth: int = DEFAULT_MAX_DEPTH,
+) -> SearchResult:
+    """Visit the states that events lead to from a start, until so many states, so many events deep or a violation."""
     began = time.monotonic()
     first = STARTS[start](replica_class)
     queue = deque([(0, pickle.dumps((first.cluster, first.budget)))])
-    seen = {digest(first.cluster, first.budget)}
+    visited = {state_hash(first.cluster, first.budget)}
     depth = 0
     while queue:
-        depth, packed = queue.popleft()
-        if len(seen) >= states or depth >= most_events:
+        depth, state = queue.popleft()
+        if len(visited) >= max_states or depth >= max_depth:
             break
-        cluster, budget = pickle.loads(packed)
-        for event in events(cluster, budget):
-            after, left = pickle.loads(packed)
+        for event in possible_events(*_unpack(state)):
+            cluster, budget = _unpack(state)
             try:
-                apply(after, left, event, replica_class)
+                apply_event(cluster, budget, event, replica_class)
             except InvariantViolation as violation:
-                return BreadthResult(len(seen), depth, time.monotonic() - began, str(violation))
-            key = digest(after, left)
-            if key not in seen:
-                seen.add(key)
-                queue.append((depth + 1, pickle.dumps((after, left))))
-    return BreadthResult(len(seen), depth, time.monotonic() - began)
+                return SearchResult(len(visited), depth, time.monotonic() - began, str(violation))
+            key = state_hash(cluster, budget)
+            if key not in visited:
+                visited.add(key)
+                queue.append((depth + 1, pickle.dumps((cluster, budget))))
+    return SearchResult(len(visited), depth, time.monotonic() - began)
+
+
+def _unpack(state: bytes) -> tuple[ClusterModel, EventBudget]:
+    cluster, budget = pickle.loads(state)
+    return cluster, budget
 
 
-def digest(cluster: ClusterModel, budget: dict[str, int]) -> int:
-    """What two equal states of the world have in common."""
+def state_hash(cluster: ClusterModel, budget: EventBudget) -> int:
+    """A hash that is the same for states from which the same can follow."""
     machines = [
         (machine.disk, machine.pending_save, machine.replica and vars(machine.replica))
         for machine in cluster.machines.values()
     ]
-    invariants = (cluster.invariants.commits, cluster.invariants.reads, cluster.invariants.fence)
-    return hash(
-        (repr(machines), repr(sorted(map(repr, cluster.in_flight))), cluster.now, repr(invariants), repr(budget))
-    )
+    invariants = cluster.invariants
+    history = (invariants.committed_states, invariants.pending_reads, invariants.highest_lease_epoch)
+    in_flight = sorted(map(repr, cluster.in_flight))
+    return hash((repr(machines), repr(in_flight), cluster.now, repr(history), repr(budget)))
--- a/rowanshift/modelcheck/client_messages.py
+++ b/rowanshift/modelcheck/client_messages.py
@@ -4,32 +4,34 @@
 
 from dataclasses import dataclass
 from enum import Enum
+from typing import NamedTuple
 
-Version = tuple[int, int]  # epoch, sequence
-NO_VERSION: Version = (0, 0)
+from rowanshift.controlplane.replication import StateVersion
+
+CHANGE_ID_BYTES = 4  # of a change in the history of a state
 
 
 class Status(Enum):
-    """The answers of ``PUT /config`` that the model tells apart."""
+    """The answers of ``PUT /config`` that the model tells apart, by their HTTP status."""
 
     ACCEPTED = 200
     INVALID = 400
     PRECONDITION_FAILED = 412
-    UNAVAILABLE = 503  # nobody knows: the order may or may not be in force
+    UNAVAILABLE = 503  # the outcome is unknown: the change may or may not be in force
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigChange:
-    """One configuration. ``number`` is unknown to the control plane but as a field that tells contents apart."""
+    """One configuration, based on a revision. ``number`` only makes its content differ from that of any other."""
 
     number: int
     base: int
     revision: int
 
     @property
-    def key(self) -> bytes:
+    def change_id(self) -> bytes:
         """Its id in the history of a state."""
-        return self.number.to_bytes(4, "big")
+        return self.number.to_bytes(CHANGE_ID_BYTES, "big")
 
     @property
     def body(self) -> bytes:
@@ -39,19 +41,19 @@
 
 @dataclass(frozen=True, slots=True)
 class PutConfig:
-    """An operator's order."""
+    """An operator's ``PUT /config``."""
 
-    order: ConfigChange
+    change: ConfigChange
 
 
 @dataclass(frozen=True, slots=True)
 class GetConfig:
-    """A reading of the configuration."""
+    """An operator's ``GET /config``."""
 
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """``revision`` is the one in force, if the answer tells it."""
+    """An answer to an operator. ``revision`` is the one in force, if the answer says so."""
 
     status: Status
     revision: int = 0
@@ -59,11 +61,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Poll:
-    """``asked`` is the router's time, at which the machine doesn't look; ``state`` stands for a fingerprint of it."""
+    """A router's long poll.
+
+    ``asked_at`` is the router's time, which the machine asked doesn't use; ``state`` stands for a fingerprint of it.
+    """
 
     serial: int
     state: bytes
-    asked: float  # seconds
+    asked_at: float  # seconds
 
 
 @dataclass(frozen=True, slots=True)
@@ -71,15 +76,23 @@
     """A poll's answer: the state as it was committed under the version."""
 
     poll: Poll
-    version: Version
+    version: StateVersion
     state: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class Redirect:
-    """The machine asked holds no lease."""
+    """A poll's answer from a machine that holds no lease."""
 
     poll: Poll
 
 
 ClientMessage = PutConfig | GetConfig | Reply | Poll | Update | Redirect
+
+
+class ClientEnvelope(NamedTuple):
+    """A message on its way between a client and a machine."""
+
+    sender: int
+    recipient: int
+    message: ClientMessage
--- a/rowanshift/modelcheck/cluster_model.py
+++ b/rowanshift/modelcheck/cluster_model.py
@@ -1,193 +1,270 @@
-"""Machines, their disks, the messages in flight between them, and the clock that only the checker sees."""
+"""A modelled cluster: machines with their disks, the messages in flight between them, and the model's clock."""
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from dataclasses import dataclass, field
-from typing import Protocol
+from typing import NamedTuple, Protocol
 
 from rowanshift.controlplane import replication
-from rowanshift.modelcheck.file_system import FileSystemModel, StoreModel
-from rowanshift.modelcheck.invariants import ControlState, Invariants, InvariantViolation
+from rowanshift.modelcheck.client_messages import ClientEnvelope, ClientMessage
+from rowanshift.modelcheck.errors import InvalidModelEvent, Invariant, InvariantViolation
+from rowanshift.modelcheck.file_system import FileSystemModel
+from rowanshift.modelcheck.invariants import Invariants, LeaseHolder, StateBytes
+from rowanshift.modelcheck.store_model import StoreModel
 
 MACHINE_BITS = (1 << 32) - 1  # of an epoch number: the machine that chose it
+ID_BYTES = 4  # of a change's id in the model's states
 
 
-class Service(Protocol):
-    """What runs on a machine on top of its replica."""
+class MachineService(Protocol):
+    """What runs on a machine on top of its replica, as long as its process lives."""
 
-    def outcome(self, token: int, succeeded: bool) -> None:
-        """A change or a read that was asked of the replica has ended."""
+    outbox: list[ClientEnvelope]
+
+    def on_outcome(self, token: int, succeeded: bool) -> None:
+        """A proposal or a read that was asked of the replica has ended."""
+
+    def receive(self, client: int, message: ClientMessage) -> None:
+        """A client's request has arrived."""
+
+    def run(self, is_scheduled: Callable[[], bool]) -> None:
+        """Continue each task that can go on, if ``is_scheduled`` says so for it."""
+
+
+class Envelope(NamedTuple):
+    """A message on its way from one machine to another."""
+
+    sender: int
+    recipient: int
+    message: replication.Message
+
+
+class Link(NamedTuple):
+    """One direction of the connection between two machines."""
+
+    sender: int
+    recipient: int
 
 
 def fixed_random() -> float:
-    """No draw: for breadth-first search, where all that happens must follow from the state."""
+    """Stands in for ``random.random`` in breadth-first search, where all that happens must follow from the state."""
     return 0.5
 
 
 @dataclass
 class MachineModel:
-    """A machine: its disk survives a crash, its Replica doesn't."""
+    """A machine: its disk survives a crash of its process, its replica doesn't. Times are seconds of the model."""
 
-    replica: replication.Replica | None
+    replica: replication.Replica | None = None  # of the process that runs, if one does
     disk: replication.DurableState | None = None
     pending_save: replication.Save | None = None
-    rate: float = 1.0  # of its steady clock
-    offset: float = 0.0  # seconds
-    paused_until: float = 0.0  # seconds of the world
+    clock_rate: float = 1.0  # seconds of its steady clock in a second of the model
+    clock_offset: float = 0.0  # seconds
+    paused_until: float = 0.0
     down_until: float = 0.0
-    slow_until: float = 0.0  # saves land seldom
-    ready: bool = True
-    gone: bool = False
-    lost: bool = False  # its disk, and not yet made good
-    service: Service | None = None  # what runs on top of the replica, if the walk has clients
-    files: FileSystemModel | None = None  # what its disk is made of, if the walk has files
-    store: type[StoreModel] = StoreModel  # how it keeps what is saved in them
+    slow_disk_until: float = 0.0
+    removed: bool = False  # for good
+    counts_as_failed: bool = False  # it lost its disk or was removed, and redundancy is not restored yet
+    service: MachineService | None = None  # in walks with clients
+    file_system: FileSystemModel | None = None  # below its disk, in walks with changing members
+    store: type[StoreModel] = StoreModel  # how it writes to the file system
+
+    @property
+    def running_replica(self) -> replication.Replica:
+        """The replica of a machine whose process runs. Raises ``InvalidModelEvent`` if none does."""
+        if self.replica is None:
+            raise InvalidModelEvent("the machine's process doesn't run")
+        return self.replica
+
+    @property
+    def is_primary(self) -> bool:
+        """Whether its process runs and believes to be the primary."""
+        return self.replica is not None and self.replica.is_primary
+
+    def persist(self, durable: replication.DurableState) -> None:
+        """Write a state to its disk."""
+        self.disk = durable
+        if self.file_system is not None:
+            self.store.write(self.file_system, durable)
 
 
 @dataclass
 class ClusterModel:
-    """Machines, what is in flight between them, and the clock that only the checker sees."""
+    """Machines by their ids, what is in flight between them, and the clock that only the checker sees."""
 
     machines: dict[int, MachineModel]
     max_failures: int
     seeds: tuple[int, ...]
     now: float = 0.0  # seconds
-    in_flight: list[tuple[int, int, replication.Message]] = field(default_factory=list)
-    cuts: dict[tuple[int, int], float] = field(default_factory=dict)  # (from, to) -> until when
-    last_token: int = 0
+    in_flight: list[Envelope] = field(default_factory=list)
+    cut_links: dict[Link, float] = field(default_factory=dict)  # until when
+    last_token: int = 0  # of proposals and reads
     commit_count: int = 0
-    lost_at: float = -100.0
     epoch_count: int = 0
+    last_failure_at: float = -100.0  # when a machine last lost its disk or was removed
 
     def __post_init__(self) -> None:
         self.invariants = Invariants(replication.EpochRecord(0, 0, self.seeds, self.seeds))
 
     def clock(self, machine: MachineModel) -> float:
-        """A machine's steady clock."""
-        return machine.offset + machine.rate * self.now
+        """The time on a machine's steady clock."""
+        return machine.clock_offset + machine.clock_rate * self.now
+
+    def new_token(self) -> int:
+        """A token that no proposal and no read has had yet."""
+        self.last_token += 1
+        return self.last_token
+
+    def primaries(self) -> list[int]:
+        """The machines that run and believe to be the primary."""
+        return [machine_id for machine_id, machine in self.machines.items() if machine.is_primary]
+
+    def remaining_machines(self) -> list[int]:
+        """The machines that are not removed."""
+        return [machine_id for machine_id, machine in self.machines.items() if not machine.removed]
 
     def newest_record(self) -> replication.EpochRecord:
-        """The newest record in force or on its way, as a machine that is up would see it."""
-        records = [h.replica.record for h in self.machines.values() if h.replica is not None]
-        records += [h.disk.accepted for h in self.machines.values() if h.disk is not None and not h.gone]
+        """The newest record, in force or proposed, on any machine."""
+        machines = self.machines.values()
+        records = [machine.replica.record for machine in machines if machine.replica is not None]
+        records += [machine.disk.accepted for machine in machines if machine.disk is not None and not machine.removed]
         return max(records, key=lambda record: record.number, default=replication.NO_RECORD)
 
     def carry_out_actions(self, machine_id: int) -> None:
-        """Take what machine `me` has decided, and check it."""
+        """Carry out and check the actions that a machine's replica has decided on."""
         machine = self.machines[machine_id]
-        replica = machine.replica
+        replica = machine.running_replica
         for action in replica.drain():
-            match action:
-                case replication.Send(to, message):
-                    self.invariants.sent(message, machine.disk)
-                    if to in self.machines and not self.machines[to].gone:
-                        self.in_flight.append((machine_id, to, message))
-                case replication.Save(_, durable):
-                    if machine.pending_save is not None:
-                        raise InvariantViolation("SAVE: two are outstanding")
-                    self.invariants.durable(durable)
-                    machine.pending_save = action
-                case replication.Committed(token):
-                    self.commit_count += 1
-                    state = self.invariants.proposed_states[token]
-                    self.invariants.check_commit(self.version_committed(machine_id, state), state)
-                    self.notify_service(machine, token, True)
-                case replication.ReadConfirmed(token):
-                    self.invariants.read(token, replica.committed_state)
-                    self.notify_service(machine, token, True)
-                case replication.Failed(token) | replication.ReadFailed(token):
-                    self.notify_service(machine, token, False)
-        if replica.is_primary and replica.record.number not in self.invariants.epochs:
+            self._carry_out(machine_id, machine, replica, action)
+        if replica.is_primary and replica.record.number not in self.invariants.epoch_start_states:
             self.epoch_count += 1
-            accepted = {
-                m: replication.NUMBER_LIMIT if h.lost or h.disk is None else h.disk.accepted.number
-                for m, h in self.machines.items()
-            }
-            self.invariants.office(replica.record, replica.committed_state, accepted)
-
-    def version_committed(self, machine_id: int, state: ControlState) -> replication.StateVersion:
-        """The version under which machine ``me`` has just committed a state it proposed."""
-        stored = (
+            self.invariants.check_new_epoch(replica.record, replica.committed_state, self._accepted_numbers())
+
+    def _carry_out(
+        self, machine_id: int, machine: MachineModel, replica: replication.Replica, action: replication.Action
+    ) -> None:
+        match action:
+            case replication.Send(recipient, message):
+                self.invariants.check_sent(message, machine.disk)
+                if recipient in self.machines and not self.machines[recipient].removed:
+                    self.in_flight.append(Envelope(machine_id, recipient, message))
+            case replication.Save(_, durable):
+                if machine.pending_save is not None:
+                    raise InvariantViolation(Invariant.ONE_OUTSTANDING_SAVE, "two are outstanding")
+                self.invariants.check_durable_state(durable)
+                machine.pending_save = action
+            case replication.Committed(token):
+                self.commit_count += 1
+                state = self.invariants.proposed_states[token]
+                self.invariants.check_commit(self._committed_version(machine_id, replica, state), state)
+                self._notify_service(machine, token, succeeded=True)
+            case replication.ReadConfirmed(token):
+                self.invariants.check_confirmed_read(token, replica.committed_state)
+                self._notify_service(machine, token, succeeded=True)
+            case replication.Failed(token) | replication.ReadFailed(token):
+                self._notify_service(machine, token, succeeded=False)
+
+    def _accepted_numbers(self) -> dict[int, int]:
+        """The number of the record on each machine's disk; the highest number of a lost disk."""
+        return {
+            machine_id: replication.NUMBER_LIMIT
+            if machine.counts_as_failed or machine.disk is None
+            else machine.disk.accepted.number
+            for machine_id, machine in self.machines.items()
+        }
+
+    def _committed_version(
+        self, machine_id: int, replica: replication.Replica, state: StateBytes
+    ) -> replication.StateVersion:
+        """The version under which a machine has just committed a state that it proposed."""
+        stored_versions = (
             version
-            for version, value in reversed(self.invariants.values.items())
-            if value == state and version.epoch & MACHINE_BITS == machine_id
+            for version, stored_state in reversed(self.invariants.states_by_version.items())
+            if stored_state == state and version.epoch & MACHINE_BITS == machine_id
         )
-        return max(next(stored), replication.StateVersion(self.machines[machine_id].replica.record.number, 0))
+        return max(next(stored_versions), replication.StateVersion(replica.record.number, 0))
 
     @staticmethod
-    def notify_service(machine: MachineModel, token: int, succeeded: bool) -> None:
-        """Pass an outcome to what asked for it, if that is more than the walk itself."""
+    def _notify_service(machine: MachineModel, token: int, succeeded: bool) -> None:
+        """Tell the service on a machine, if there is one, of an outcome."""
         if machine.service is not None:
-            machine.service.outcome(token, succeeded)
+            machine.service.on_outcome(token, succeeded)
 
     def check_leases(self) -> None:
-        """At most one valid lease is held."""
+        """Check that at most one machine holds a valid lease."""
         holders = []
         for machine_id, machine in self.machines.items():
             if machine.replica is not None and machine.replica.is_primary:
                 clock = self.clock(machine)
                 if machine.replica.lease_until(clock) > clock:
-                    holders.append((machine.replica.record.number, machine_id))
-        self.invariants.leases(holders)
+                    holders.append(LeaseHolder(machine.replica.record.number, machine_id))
+        self.invariants.check_leases(holders)
 
-    def deliver(self, index: int, keep: bool = False) -> None:
-        """A message in flight arrives; ``keep``: it will come once more."""
-        sender, to, message = self.in_flight[index] if keep else self.in_flight.pop(index)
-        machine = self.machines[to]
-        machine.replica.receive(sender, message, self.clock(machine))
-        self.carry_out_actions(to)
+    def deliver(self, index: int, duplicate: bool = False) -> None:
+        """Deliver a message in flight; ``duplicate``: it stays in flight and will be delivered again."""
+        envelope = self.in_flight[index] if duplicate else self.in_flight.pop(index)
+        machine = self.machines[envelope.recipient]
+        machine.running_replica.receive(envelope.sender, envelope.message, self.clock(machine))
+        self.carry_out_actions(envelope.recipient)
 
     def complete_save(self, machine_id: int, succeeded: bool = True) -> None:
-        """A machine's save ends, on disk or refused."""
+        """End a machine's outstanding save, on disk or with an error."""
         machine = self.machines[machine_id]
-        pending_save, machine.pending_save = machine.pending_save, None
+        save, machine.pending_save = machine.pending_save, None
+        if save is None:
+            raise InvalidModelEvent(f"machine {machine_id} has no save outstanding")
         if succeeded:
-            self.persist(machine, pending_save.durable)
-            machine.replica.saved(pending_save.token, self.clock(machine))
+            machine.persist(save.durable)
+            machine.running_replica.saved(save.token, self.clock(machine))
         else:
-            machine.replica.save_failed(pending_save.token, self.clock(machine))
+            machine.running_replica.save_failed(save.token, self.clock(machine))
         self.carry_out_actions(machine_id)
 
     def tick(self, machine_id: int) -> None:
-        """A machine notices the time."""
+        """Let a machine's replica see the time."""
         machine = self.machines[machine_id]
-        machine.replica.tick(self.clock(machine))
+        machine.running_replica.tick(self.clock(machine))
         self.carry_out_actions(machine_id)
 
+    def tick_all(self) -> None:
+        """Let every running replica see the time."""
+        for machine_id, machine in self.machines.items():
+            if machine.replica is not None:
+                self.tick(machine_id)
+
     def crash(self, machine_id: int, save_persisted: bool) -> None:
-        """The process or the power goes; an outstanding save has landed or not."""
+        """End a machine's process; ``save_persisted``: an outstanding save still reaches the disk."""
         machine = self.machines[machine_id]
         if save_persisted and machine.pending_save is not None:
-            self.persist(machine, machine.pending_save.durable)
+            machine.persist(machine.pending_save.durable)
         machine.replica = machine.pending_save = machine.service = None
 
-    @staticmethod
-    def persist(machine: MachineModel, durable: replication.DurableState) -> None:
-        """A save is on disk."""
-        machine.disk = durable
-        if machine.files is not None:
-            machine.store.write(machine.files, durable)
+    def lose_disk(self, machine_id: int) -> None:
+        """End a machine's process and lose its disk."""
+        self.crash(machine_id, save_persisted=False)
+        self.machines[machine_id].disk = None
 
     def propose(self, machine_id: int) -> None:
-        """A machine is asked for a change."""
+        """Propose a change at a machine; nothing happens where it can't be proposed."""
         machine = self.machines[machine_id]
-        self.last_token += 1
-        token = self.last_token
-        state = machine.replica.committed_state + token.to_bytes(4, "big")
+        replica = machine.running_replica
+        token = self.new_token()
+        state = replica.committed_state + token.to_bytes(ID_BYTES, "big")
         try:
-            machine.replica.propose(token, state, self.clock(machine))
+            replica.propose(token, state, self.clock(machine))
         except replication.ReplicationError:
             return
         self.invariants.proposed_states[token] = state
         self.carry_out_actions(machine_id)
 
     def read(self, machine_id: int) -> None:
-        """A machine is asked for a read."""
+        """Ask a machine for a confirmed read; nothing happens where it is refused."""
         machine = self.machines[machine_id]
-        self.last_token += 1
-        self.invariants.reads[self.last_token] = self.invariants.longest
+        token = self.new_token()
+        self.invariants.pending_reads[token] = self.invariants.longest_commit
         try:
-            machine.replica.confirm_read(self.last_token, self.clock(machine))
+            machine.running_replica.confirm_read(token, self.clock(machine))
         except replication.ReplicationError:
             return
         self.carry_out_actions(machine_id)
--- a/rowanshift/modelcheck/control_service.py
+++ b/rowanshift/modelcheck/control_service.py
@@ -1,4 +1,4 @@
-"""The service on top of a replica: changes as `ReplicaRunner.change` makes them, polls as the control plane answers.
+"""A modelled control service on top of a replica: changes as `ReplicaRunner.change` makes them, and long polls.
 
 The real `put_config` works on packed states. All of it is lost when the process ends.
 """
@@ -15,6 +15,7 @@
 from rowanshift.controlplane.errors import InvalidConfiguration, OrderTooOld, StaleMatch
 from rowanshift.modelcheck.client_invariants import ClientInvariants
 from rowanshift.modelcheck.client_messages import (
+    ClientEnvelope,
     ClientMessage,
     ConfigChange,
     GetConfig,
@@ -24,111 +25,109 @@
     Reply,
     Status,
     Update,
-    Version,
 )
 from rowanshift.modelcheck.cluster_model import ClusterModel, MachineModel
 
-CHANGE_LIMIT = 2.5  # seconds for a change, of which nobody knows the outcome afterwards
-POLL_HELD = 1.0  # seconds that a poll is held
+CHANGE_LIMIT_SECONDS = 2.5  # for a change; its outcome is unknown afterwards
+LONG_POLL_SECONDS = 1.0
 
 
 @dataclass
-class Change:
+class PendingChange:
     """A ``PUT /config`` that waits for its turn, for a confirmed read, or for its proposal."""
 
     operator: int
-    order: ConfigChange
+    change: ConfigChange
     deadline: float  # seconds of the machine's clock
-    token: int = 0  # of what it waits for; 0: its turn
+    token: int = 0  # of the read or the proposal it waits for; 0 while it waits for its turn
     proposed: bool = False
     committed_before: bytes = b""  # the longest state committed when its read was asked
 
 
 @dataclass
-class Query:
+class PendingQuery:
     """A ``GET /config`` that waits for its read to be confirmed."""
 
     operator: int
     token: int
-    committed_before: bytes
+    committed_before: bytes  # the longest state committed when its read was asked
 
 
 @dataclass
-class HeldPoll:
-    """A router's question that waits for an answer."""
+class PendingPoll:
+    """A router's long poll that waits for an answer."""
 
     router: int
     poll: Poll
-    until: float  # seconds of the machine's clock
+    deadline: float  # seconds of the machine's clock
 
 
 class ControlService:
-    """One machine's service, as long as its process lives."""
+    """The service of one machine, as long as its process lives."""
 
-    def __init__(self, machine_id: int, cluster: ClusterModel, invariants: ClientInvariants) -> None:
-        self.machine_id, self.cluster, self.invariants = machine_id, cluster, invariants
-        self.outbox: list[tuple[int, ClientMessage]] = []
-        self.change: Change | None = None  # whose turn it is
-        self.queue: deque[Change] = deque()
-        self.queries: list[Query] = []
-        self.polls: list[HeldPoll] = []
-        self.outcomes: dict[int, bool] = {}
+    def __init__(self, machine_id: int, cluster: ClusterModel, client_invariants: ClientInvariants) -> None:
+        self.machine_id, self.cluster, self.client_invariants = machine_id, cluster, client_invariants
+        self.outbox: list[ClientEnvelope] = []
+        self.current: PendingChange | None = None
+        self.queue: deque[PendingChange] = deque()
+        self.queries: list[PendingQuery] = []
+        self.polls: list[PendingPoll] = []
+        self.outcomes: dict[int, bool] = {}  # by token
 
     @property
     def machine(self) -> MachineModel:
-        """The machine."""
+        """The machine that it runs on."""
         return self.cluster.machines[self.machine_id]
 
     @property
     def replica(self) -> replication.Replica:
-        """The replica below."""
-        return self.machine.replica
+        """The replica below it."""
+        return self.machine.running_replica
 
     @property
     def now(self) -> float:
         """Seconds of the machine's clock."""
         return self.cluster.clock(self.machine)
 
-    def outcome(self, token: int, succeeded: bool) -> None:
-        """Note an outcome; who waits for it goes on some time later."""
+    def on_outcome(self, token: int, succeeded: bool) -> None:
+        """Note the outcome of a proposal or read; what waits for it continues in a later ``run``."""
         self.outcomes[token] = succeeded
 
     def receive(self, client: int, message: ClientMessage) -> None:
-        """A client's question has come."""
+        """Queue a client's request."""
         match message:
-            case PutConfig(order):
-                self.queue.append(Change(client, order, self.now + CHANGE_LIMIT))
+            case PutConfig(change):
+                self.queue.append(PendingChange(client, change, self.now + CHANGE_LIMIT_SECONDS))
             case GetConfig():
                 token = self._confirm_read()
                 if token:
-                    self.queries.append(Query(client, token, self.cluster.invariants.longest))
+                    self.queries.append(PendingQuery(client, token, self.cluster.invariants.longest_commit))
                 else:
-                    self.outbox.append((client, Reply(Status.UNAVAILABLE)))
+                    self._send(client, Reply(Status.UNAVAILABLE))
             case Poll():
-                self.polls.append(HeldPoll(client, message, self.now + POLL_HELD))
-
-    def run(self, wakes: Callable[[], bool]) -> None:
-        """Whoever can go on does so, if it ``wakes``."""
-        if self.change is not None and self.change.token in self.outcomes and wakes():
-            self._go_on(self.change, self.outcomes.pop(self.change.token))
-        self._end_late_changes()
-        while self.change is None and self.queue and wakes():
+                self.polls.append(PendingPoll(client, message, self.now + LONG_POLL_SECONDS))
+
+    def run(self, is_scheduled: Callable[[], bool]) -> None:
+        """Continue each task that can go on, if ``is_scheduled`` says so for it."""
+        if self.current is not None and self.current.token in self.outcomes and is_scheduled():
+            self._continue(self.current, self.outcomes.pop(self.current.token))
+        self._expire_changes()
+        while self.current is None and self.queue and is_scheduled():
             self._begin(self.queue.popleft())
-        for query in [query for query in self.queries if query.token in self.outcomes and wakes()]:
+        for query in [query for query in self.queries if query.token in self.outcomes and is_scheduled()]:
             self._answer_query(query)
-        for held in [held for held in self.polls if wakes()]:
-            self._answer_poll(held)
+        for pending in [pending for pending in self.polls if is_scheduled()]:
+            self._answer_poll(pending)
 
-    # changes
+    def _send(self, client: int, message: ClientMessage) -> None:
+        self.outbox.append(ClientEnvelope(self.machine_id, client, message))
 
-    def _new_token(self) -> int:
-        self.cluster.last_token += 1
-        return self.cluster.last_token
+    # changes
 
     def _confirm_read(self) -> int:
         """Ask for a confirmed read; its token, or 0 if this machine isn't the primary."""
-        token = self._new_token()
-        self.cluster.invariants.reads[token] = self.cluster.invariants.longest
+        token = self.cluster.new_token()
+        self.cluster.invariants.pending_reads[token] = self.cluster.invariants.longest_commit
         try:
             self.replica.confirm_read(token, self.now)
         except replication.NotPrimary:
@@ -136,99 +135,99 @@
         self.cluster.carry_out_actions(self.machine_id)
         return token
 
-    def _begin(self, change: Change) -> None:
-        """A change has its turn."""
-        change.committed_before = self.cluster.invariants.longest
-        change.token = self._confirm_read()
-        if change.token:
-            self.change = change
+    def _begin(self, pending: PendingChange) -> None:
+        """Ask for the read that precedes a change."""
+        pending.committed_before = self.cluster.invariants.longest_commit
+        pending.token = self._confirm_read()
+        if pending.token:
+            self.current = pending
         else:
-            self._reply(change, Status.UNAVAILABLE)
+            self._reply(pending, Status.UNAVAILABLE)
 
-    def _go_on(self, change: Change, succeeded: bool) -> None:
-        """What a change has waited for has ended."""
+    def _continue(self, pending: PendingChange, succeeded: bool) -> None:
+        """Go on with a change whose read or proposal has ended."""
         if not succeeded:
-            self._reply(change, Status.UNAVAILABLE)
-        elif change.proposed:
-            self._reply(change, Status.ACCEPTED, change.order.revision)
+            self._reply(pending, Status.UNAVAILABLE)
+        elif pending.proposed:
+            self._reply(pending, Status.ACCEPTED, pending.change.revision)
         else:
             state = self.replica.committed_state
-            self.cluster.invariants.read_given(change.committed_before, state)
-            self._decide(change, state)
+            self.cluster.invariants.check_read(pending.committed_before, state)
+            self._decide(pending, state)
 
-    def _decide(self, change: Change, state: bytes) -> None:
-        """Take the order in, refuse it, or find that it was taken."""
+    def _decide(self, pending: PendingChange, state: bytes) -> None:
+        """Propose a change, refuse it, or find that it is in force already."""
         try:
-            following = self._put(unpack(state), change.order)
+            following = self._put(unpack(state), pending.change)
         except OrderTooOld:
-            self._reply(change, Status.UNAVAILABLE)
+            self._reply(pending, Status.UNAVAILABLE)
         except StaleMatch:
-            self._reply(change, Status.PRECONDITION_FAILED)
+            self._reply(pending, Status.PRECONDITION_FAILED)
         except InvalidConfiguration:
-            self._reply(change, Status.INVALID)
+            self._reply(pending, Status.INVALID)
         else:
             if following is None:
-                self._reply(change, Status.ACCEPTED, unpack(state).revision)
+                self._reply(pending, Status.ACCEPTED, unpack(state).revision)
             else:
-                self._propose(change, state, following.pack())
+                self._propose(pending, state, following.pack())
 
-    def _put(self, state: ControlState, order: ConfigChange) -> ControlState | None:
-        changed = put_config(state, f'"{order.base}"', order.body)
+    def _put(self, state: ControlState, change: ConfigChange) -> ControlState | None:
+        """The state with a change applied; ``None`` if it is in force already. Raises what `put_config` raises."""
+        changed = put_config(state, f'"{change.base}"', change.body)
         return None if changed is None else changed[0]
 
-    def _propose(self, change: Change, base: bytes, state: bytes) -> None:
-        change.token, change.proposed = self._new_token(), True
-        self.invariants.check_proposal(base, change.order, state)
-        self.cluster.invariants.proposed_states[change.token] = state
+    def _propose(self, pending: PendingChange, base: bytes, state: bytes) -> None:
+        pending.token, pending.proposed = self.cluster.new_token(), True
+        self.client_invariants.check_proposal(base, pending.change, state)
+        self.cluster.invariants.proposed_states[pending.token] = state
         try:
-            self.replica.propose(change.token, state, self.now)
+            self.replica.propose(pending.token, state, self.now)
         except replication.ReplicationError:
-            self._reply(change, Status.UNAVAILABLE)
+            self._reply(pending, Status.UNAVAILABLE)
             return
         self.cluster.carry_out_actions(self.machine_id)
 
-    def _end_late_changes(self) -> None:
-        """Nobody waits longer than the limit; a proposal under way goes on all the same."""
-        for change in [*self.queue, *([self.change] if self.change else [])]:
-            if self.now >= change.deadline:
-                self._reply(change, Status.UNAVAILABLE)
-
-    def _reply(self, change: Change, status: Status, revision: int = 0) -> None:
-        if change is self.change:
-            self.change = None
-        elif change in self.queue:
-            self.queue.remove(change)
-        self.invariants.replied(change.order, status, self.cluster.now)
-        self.outbox.append((change.operator, Reply(status, revision)))
-
-    def _answer_query(self, query: Query) -> None:
+    def _expire_changes(self) -> None:
+        """Answer the changes that have reached their limit; a proposal under way goes on all the same."""
+        for pending in [*self.queue, *([self.current] if self.current else [])]:
+            if self.now >= pending.deadline:
+                self._reply(pending, Status.UNAVAILABLE)
+
+    def _reply(self, pending: PendingChange, status: Status, revision: int = 0) -> None:
+        if pending is self.current:
+            self.current = None
+        elif pending in self.queue:
+            self.queue.remove(pending)
+        self.client_invariants.check_reply(pending.change, status, self.cluster.now)
+        self._send(pending.operator, Reply(status, revision))
+
+    # reads and polls
+
+    def _answer_query(self, query: PendingQuery) -> None:
         self.queries.remove(query)
         if not self.outcomes.pop(query.token):
-            self.outbox.append((query.operator, Reply(Status.UNAVAILABLE)))
+            self._send(query.operator, Reply(Status.UNAVAILABLE))
             return
         state = self.replica.committed_state
-        self.cluster.invariants.read_given(query.committed_before, state)
-        self.outbox.append((query.operator, Reply(Status.ACCEPTED, unpack(state).revision)))
-
-    # polls
+        self.cluster.invariants.check_read(query.committed_before, state)
+        self._send(query.operator, Reply(Status.ACCEPTED, unpack(state).revision))
 
     def _holds_lease(self) -> bool:
         return self.replica.is_primary and self.replica.lease_until(self.now) > self.now
 
-    def _state_to_tell(self) -> tuple[Version, bytes]:
-        """The committed state and its version."""
-        version = self.replica.committed_version
-        return (version.epoch, version.sequence), self.replica.committed_state
+    def _published_state(self) -> tuple[replication.StateVersion, bytes]:
+        """What routers are told: the committed state and its version."""
+        return self.replica.committed_version, self.replica.committed_state
 
-    def _answer_poll(self, held: HeldPoll) -> None:
-        """Answer a poll that is held, if there is news or it is time."""
+    def _answer_poll(self, pending: PendingPoll) -> None:
+        """Answer a poll, if the state differs from the router's or the poll has reached its limit."""
         if not self._holds_lease():
-            self.polls.remove(held)
-            self.outbox.append((held.router, Redirect(held.poll)))
+            self.polls.remove(pending)
+            self._send(pending.router, Redirect(pending.poll))
             return
-        version, state = self._state_to_tell()
-        if state != held.poll.state or self.now >= held.until:
-            self.polls.remove(held)
-            update = Update(held.poll, version, state)
-            self.invariants.answered(update)
-            self.outbox.append((held.router, update))
+        version, state = self._published_state()
+        if state != pending.poll.state or self.now >= pending.deadline:
+            self.polls.remove(pending)
+            update = Update(pending.poll, version, state)
+            self.client_invariants.check_poll_answer(update)
+            self._send(pending.router, update)
--- a/rowanshift/modelcheck/fault_injection.py
+++ b/rowanshift/modelcheck/fault_injection.py
@@ -1,14 +1,23 @@
-"""Faults of machines, disks and the network, as a drawn walk injects them."""
+"""Faults of machines, disks and the network, as a random walk injects them."""
 
 from __future__ import annotations
 
 import random
+from collections.abc import Callable
+from dataclasses import dataclass
+from enum import Enum
+from typing import NamedTuple
 
 from rowanshift.controlplane import replication
-from rowanshift.modelcheck.cluster_model import ClusterModel, MachineModel
-
-FAULT_KINDS = ("stand", "crash", "power", "quake", "empty", "pause", "cut", "split", "deaf", "slow", "fail", "gone")
-ONE_WAY = (
+from rowanshift.modelcheck.cluster_model import ClusterModel, Link, MachineModel
+
+FAULT_SECONDS = (0.05, 0.5, 1.5, 4.0)  # how long a fault lasts
+RESTART_SECONDS = 0.02  # the shortest time that a machine without power is down
+MASS_RESTART_SECONDS = 0.1  # within which crashed machines start again
+NEW_DISK_SECONDS = 0.05  # the shortest time until a machine starts with an empty disk
+PRIMARY_SHARE = 0.4  # of the faults that hit a primary, beyond those that hit it by chance
+WALK_KINDS_SHARE = 0.8  # of the faults whose kinds are among those of the walk
+BLOCKABLE_MESSAGES = (
     replication.Prepare,
     replication.Promised,
     replication.Store,
@@ -18,7 +27,39 @@
     replication.Heartbeat,
     replication.HeartbeatReply,
 )
-SPANS = (0.05, 0.5, 1.5, 4.0)  # seconds that a fault lasts
+
+
+class FaultKind(Enum):
+    """What may be injected. The order is part of what a seed means."""
+
+    FORCED_CANDIDACY = "forced candidacy"
+    CRASH = "crash"
+    POWER_LOSS = "power loss"
+    MASS_RESTART = "mass restart"
+    DISK_LOSS = "disk loss"
+    PAUSE = "pause"
+    LINK_CUTS = "link cuts"
+    PARTITION = "partition"
+    MESSAGE_BLOCK = "message block"
+    SLOW_DISK = "slow disk"
+    SAVE_ERROR = "save error"
+    REMOVAL = "removal"
+
+
+class MessageBlock(NamedTuple):
+    """A kind of message that doesn't reach a machine."""
+
+    recipient: int
+    message_type: type
+
+
+@dataclass(frozen=True)
+class Fault:
+    """The machine that a fault hits, and how long it lasts."""
+
+    machine_id: int
+    machine: MachineModel
+    seconds: float
 
 
 class FaultInjection:
@@ -27,126 +68,151 @@
     cluster: ClusterModel
     random_source: random.Random
     timing: replication.Timing
-    calm: bool
-    faults: list[str]
-    deaf: dict[tuple[int, type], float]
+    fault_free: bool
+    fault_kinds: list[FaultKind]
+    blocked_messages: dict[MessageBlock, float]  # until when
 
     def inject_fault(self) -> None:
-        """Some fault of some machine."""
+        """Inject a random fault at a random machine, more often at a primary."""
         cluster, random_source = self.cluster, self.random_source
         machine_id = random_source.choice(sorted(cluster.machines))
-        primaries = [m for m, h in cluster.machines.items() if h.replica is not None and h.replica.is_primary]
-        if primaries and random_source.random() < 0.4:
+        primaries = cluster.primaries()
+        if primaries and random_source.random() < PRIMARY_SHARE:
             machine_id = random_source.choice(primaries)
         machine = cluster.machines[machine_id]
-        if machine.gone or machine.replica is None:
+        if machine.removed or machine.replica is None:
             return
-        kind = random_source.choice(self.faults if random_source.random() < 0.8 else FAULT_KINDS)
-        span = random_source.choice(SPANS)
-        getattr(self, f"_inject_{kind}")(machine_id, machine, span)
-
-    def _inject_crash(self, machine_id: int, machine: MachineModel, span: float) -> None:
-        self.cluster.crash(machine_id, save_persisted=self.random_source.random() < 0.5)
-        machine.down_until = self.cluster.now + span
-
-    def _inject_stand(self, machine_id: int, machine: MachineModel, span: float) -> None:
-        """A machine's timer fires now, and nobody minds."""
+        of_walk = random_source.random() < WALK_KINDS_SHARE
+        kind = random_source.choice(self.fault_kinds if of_walk else list(FaultKind))
+        fault = Fault(machine_id, machine, random_source.choice(FAULT_SECONDS))
+        self._injector(kind)(fault)
+
+    def _injector(self, kind: FaultKind) -> Callable[[Fault], None]:
+        injectors = {
+            FaultKind.FORCED_CANDIDACY: self._force_candidacy,
+            FaultKind.CRASH: self._crash,
+            FaultKind.POWER_LOSS: self._cut_power_while_saving,
+            FaultKind.MASS_RESTART: self._restart_all_others,
+            FaultKind.DISK_LOSS: self._lose_disk,
+            FaultKind.PAUSE: self._pause,
+            FaultKind.LINK_CUTS: self._cut_links,
+            FaultKind.PARTITION: self._partition,
+            FaultKind.MESSAGE_BLOCK: self._block_messages,
+            FaultKind.SLOW_DISK: self._slow_disk,
+            FaultKind.SAVE_ERROR: self._fail_save,
+            FaultKind.REMOVAL: self._remove,
+        }
+        return injectors[kind]
+
+    def _crash(self, fault: Fault) -> None:
+        self.cluster.crash(fault.machine_id, save_persisted=self.random_source.random() < 0.5)
+        fault.machine.down_until = self.cluster.now + fault.seconds
+
+    def _force_candidacy(self, fault: Fault) -> None:
+        """Let the election timer of an in-sync machine fire now, without a pre-vote."""
         cluster = self.cluster
-        machine_id = self.random_source.choice(cluster.newest_record().in_sync or [machine_id])
-        replica = cluster.machines[machine_id].replica
-        up = replica is not None and cluster.now >= cluster.machines[machine_id].paused_until
-        if up and not (replica.is_primary or replica.is_amnesic or replica._candidacy):
+        machine_id = self.random_source.choice(cluster.newest_record().in_sync or [fault.machine_id])
+        machine = cluster.machines[machine_id]
+        replica = machine.replica
+        if replica is None or cluster.now < machine.paused_until:
+            return
+        if not (replica.is_primary or replica.is_amnesic or replica._candidacy):
             replica._stand()
             replica._enter("prepare")
             cluster.tick(machine_id)
 
-    def _inject_power(self, machine_id: int, machine: MachineModel, span: float) -> None:
-        """A machine with a save outstanding loses power."""
+    def _cut_power_while_saving(self, fault: Fault) -> None:
+        """Cut the power of a machine with a save outstanding, if there is one."""
         cluster, random_source = self.cluster, self.random_source
-        machine_id = random_source.choice(
-            [m for m, h in cluster.machines.items() if h.pending_save is not None] or [machine_id]
-        )
+        saving = [each for each, machine in cluster.machines.items() if machine.pending_save is not None]
+        machine_id = random_source.choice(saving or [fault.machine_id])
         cluster.crash(machine_id, save_persisted=random_source.random() < 0.2)
-        cluster.machines[machine_id].down_until = cluster.now + random_source.choice([0.02, span])
+        cluster.machines[machine_id].down_until = cluster.now + random_source.choice([RESTART_SECONDS, fault.seconds])
 
-    def _inject_quake(self, machine_id: int, machine: MachineModel, span: float) -> None:
-        """All but one end and start again soon."""
+    def _restart_all_others(self, fault: Fault) -> None:
+        """Crash nearly all machines but one, let them start again soon, and mostly cut that one off."""
         cluster, random_source = self.cluster, self.random_source
-        for other, other_machine in cluster.machines.items():
-            if other != machine_id and other_machine.replica is not None and random_source.random() < 0.9:
-                cluster.crash(other, save_persisted=random_source.random() < 0.5)
-                other_machine.down_until = cluster.now + 0.1 * random_source.random()
+        for other_id, other in cluster.machines.items():
+            if other_id != fault.machine_id and other.replica is not None and random_source.random() < 0.9:
+                cluster.crash(other_id, save_persisted=random_source.random() < 0.5)
+                other.down_until = cluster.now + MASS_RESTART_SECONDS * random_source.random()
         if random_source.random() < 0.7:
-            cluster.cuts.update({link: cluster.now + span for link in self.links() if machine_id in link})
+            until = cluster.now + fault.seconds
+            cluster.cut_links.update({link: until for link in self.links() if fault.machine_id in link})
 
-    def _inject_split(self, machine_id: int, machine: MachineModel, span: float) -> None:
-        """The network falls into two groups."""
+    def _partition(self, fault: Fault) -> None:
+        """Split the network into two groups."""
         cluster = self.cluster
-        side = {m for m in cluster.machines if self.random_source.random() < 0.5}
-        cluster.cuts = {link: cluster.now + 2 * span for link in self.links() if len(side & {*link}) == 1}
-
-    def _inject_deaf(self, machine_id: int, machine: MachineModel, span: float) -> None:
-        for what in self.random_source.sample(ONE_WAY, self.random_source.choice([1, 2, 3])):
-            self.deaf[machine_id, what] = self.cluster.now + span
-
-    def _inject_empty(self, machine_id: int, machine: MachineModel, span: float) -> None:
-        """A disk is lost."""
-        if self.may_lose(machine_id):
-            self.cluster.crash(machine_id, save_persisted=False)
-            machine.disk, machine.lost, self.cluster.lost_at = None, True, self.cluster.now
-            machine.down_until = self.cluster.now + self.random_source.choice([0.05, span])
-
-    def _inject_gone(self, machine_id: int, machine: MachineModel, span: float) -> None:
-        """A machine is taken away for good, if a spare is left."""
+        group = {machine_id for machine_id in cluster.machines if self.random_source.random() < 0.5}
+        until = cluster.now + 2 * fault.seconds
+        cluster.cut_links = {link: until for link in self.links() if len(group & {*link}) == 1}
+
+    def _block_messages(self, fault: Fault) -> None:
+        """Keep some kinds of messages from a machine."""
+        for message_type in self.random_source.sample(BLOCKABLE_MESSAGES, self.random_source.choice([1, 2, 3])):
+            self.blocked_messages[MessageBlock(fault.machine_id, message_type)] = self.cluster.now + fault.seconds
+
+    def _lose_disk(self, fault: Fault) -> None:
+        if self.may_fail(fault.machine_id):
+            self.cluster.lose_disk(fault.machine_id)
+            fault.machine.counts_as_failed = True
+            self.cluster.last_failure_at = self.cluster.now
+            seconds = self.random_source.choice([NEW_DISK_SECONDS, fault.seconds])
+            fault.machine.down_until = self.cluster.now + seconds
+
+    def _remove(self, fault: Fault) -> None:
+        """Remove a machine for good, if a spare is left."""
         cluster = self.cluster
-        if len(cluster.machines) > len(cluster.seeds) and self.may_lose(machine_id):
-            left = [m for m, h in cluster.machines.items() if not h.gone]
-            if len(left) > len(cluster.seeds):
-                cluster.crash(machine_id, save_persisted=False)
-                machine.gone, machine.lost, cluster.lost_at = True, True, cluster.now
+        if len(cluster.machines) <= len(cluster.seeds) or not self.may_fail(fault.machine_id):
+            return
+        if len(cluster.remaining_machines()) > len(cluster.seeds):
+            cluster.crash(fault.machine_id, save_persisted=False)
+            fault.machine.removed = fault.machine.counts_as_failed = True
+            cluster.last_failure_at = cluster.now
 
-    def _inject_pause(self, machine_id: int, machine: MachineModel, span: float) -> None:
-        machine.paused_until = self.cluster.now + span
+    def _pause(self, fault: Fault) -> None:
+        fault.machine.paused_until = self.cluster.now + fault.seconds
 
-    def _inject_slow(self, machine_id: int, machine: MachineModel, span: float) -> None:
-        machine.slow_until = self.cluster.now + span
+    def _slow_disk(self, fault: Fault) -> None:
+        fault.machine.slow_disk_until = self.cluster.now + fault.seconds
 
-    def _inject_fail(self, machine_id: int, machine: MachineModel, span: float) -> None:
-        if machine.pending_save is not None:
-            self.cluster.complete_save(machine_id, succeeded=False)
+    def _fail_save(self, fault: Fault) -> None:
+        if fault.machine.pending_save is not None:
+            self.cluster.complete_save(fault.machine_id, succeeded=False)
 
-    def _inject_cut(self, machine_id: int, machine: MachineModel, span: float) -> None:
+    def _cut_links(self, fault: Fault) -> None:
+        """Cut most of a machine's links, each direction by itself."""
         for link in self.links():
-            if machine_id in link and self.random_source.random() < 0.7:
-                self.cluster.cuts[link] = self.cluster.now + span
+            if fault.machine_id in link and self.random_source.random() < 0.7:
+                self.cluster.cut_links[link] = self.cluster.now + fault.seconds
 
-    def links(self) -> list[tuple[int, int]]:
+    def links(self) -> list[Link]:
         """Every pair of machines, one for each direction."""
-        return [(a, b) for a in self.cluster.machines for b in self.cluster.machines if a != b]
+        machine_ids = list(self.cluster.machines)
+        return [Link(sender, recipient) for sender in machine_ids for recipient in machine_ids if sender != recipient]
 
-    def heal(self) -> None:
-        """A lost disk is made good once its machine remembers and the in-sync machines hold the state."""
+    def clear_restored_failures(self) -> None:
+        """Stop counting failures whose redundancy is restored: the in-sync machines hold the state and a machine with
+        a lost disk has recovered its promises, or a removed one has no vote."""
         cluster = self.cluster
-        if cluster.now < cluster.lost_at + 2 * self.timing.recovery_wait:
+        if cluster.now < cluster.last_failure_at + 2 * self.timing.recovery_wait:
             return
         record = cluster.newest_record()
-        if record.number not in cluster.invariants.epochs:
+        if record.number not in cluster.invariants.epoch_start_states:
             return
         for member in record.in_sync:
-            machine = cluster.machines[member]
-            if machine.disk is None or machine.disk.version.epoch < record.number:
+            disk = cluster.machines[member].disk
+            if disk is None or disk.version.epoch < record.number:
                 return
-        voters = {*record.witnesses, *record.former, *record.in_sync}
         for machine_id, machine in cluster.machines.items():
-            if machine.lost and (
-                machine_id not in voters if machine.gone else machine.disk and not machine.disk.amnesic
-            ):
-                machine.lost = False
-
-    def may_lose(self, machine_id: int) -> bool:
-        """Whether one more disk may be lost: no more than f at once."""
-        self.heal()
-        return (
-            not self.calm
-            and sum(machine.lost for machine in self.cluster.machines.values()) < self.cluster.max_failures
-        )
+            if machine.removed:
+                restored = machine_id not in record.members()
+            else:
+                restored = machine.disk is not None and not machine.disk.amnesic
+            machine.counts_as_failed = machine.counts_as_failed and not restored
+
+    def may_fail(self, machine_id: int) -> bool:
+        """Whether one more machine may lose its disk or be removed: no more than the tolerated number at once."""
+        self.clear_restored_failures()
+        failed = sum(machine.counts_as_failed for machine in self.cluster.machines.values())
+        return not self.fault_free and failed < self.cluster.max_failures
--- a/rowanshift/modelcheck/invariants.py
+++ b/rowanshift/modelcheck/invariants.py
@@ -1,119 +1,139 @@
-"""What must hold over the whole of a run, whoever lives or dies; named as in docs/control-plane.md."""
+"""Invariants of the replication protocol, checked as a run goes on, whichever machines fail in it."""
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
 from rowanshift.controlplane import replication
+from rowanshift.modelcheck.errors import Invariant, InvariantViolation
+
+StateBytes = bytes  # a state of the control plane, as the replicas store it
 
-ControlState = bytes
 
+class LeaseHolder(NamedTuple):
+    """A machine that holds a valid lease."""
 
-class InvariantViolation(Exception):
-    """An invariant doesn't hold; its name comes first."""
+    epoch_number: int
+    machine_id: int
 
 
 class Invariants:
-    """What is checked over the whole of a run, whoever lives or dies; named as in docs/control-plane.md."""
-
-    def __init__(self, first: replication.EpochRecord) -> None:
-        self.last = first  # the newest record in force
-        self.values: dict[replication.StateVersion, ControlState] = {}
-        self.proposed_states: dict[int, ControlState] = {}  # token -> state
-        self.commits: dict[replication.StateVersion, ControlState] = {
-            replication.NO_VERSION: b""
-        }  # committed, by the version it was committed under
-        self.longest: ControlState = b""
-        self.epochs: dict[int, ControlState] = {}  # epoch number -> state it began with
-        self.reads: dict[int, ControlState] = {}  # token -> the longest state committed before it was asked
-        self.observed: list[ControlState] = []
-        self.fence = 0
-        self.lineage: dict[ControlState, bytes] = {}  # what a state that is no list of ids itself was made of
-
-    def history(self, state: ControlState) -> bytes:
-        """The ids of all changes that a state was made of, four bytes each."""
-        return self.lineage.get(state, state)
-
-    def builds_on(self, state: ControlState, earlier: ControlState) -> bool:
-        """Whether a state holds all changes of an earlier one, in their order."""
+    """What has happened in a run so far, and checks of each event against it; named in docs/control-plane.md.
+
+    Every ``check_*`` method raises ``InvariantViolation``.
+    """
+
+    def __init__(self, first_record: replication.EpochRecord) -> None:
+        self.newest_record = first_record  # of those in force
+        self.states_by_version: dict[replication.StateVersion, StateBytes] = {}
+        self.proposed_states: dict[int, StateBytes] = {}  # by token
+        self.committed_states: dict[replication.StateVersion, StateBytes] = {replication.NO_VERSION: b""}
+        self.longest_commit: StateBytes = b""
+        self.epoch_start_states: dict[int, StateBytes] = {}  # by epoch number
+        self.pending_reads: dict[int, StateBytes] = {}  # token -> the longest state committed before it was asked
+        self.read_states: list[StateBytes] = []
+        self.highest_lease_epoch = 0
+        self.histories: dict[StateBytes, bytes] = {}  # of states that are not lists of ids themselves
+
+    def history(self, state: StateBytes) -> bytes:
+        """The ids of all changes that led to a state, four bytes each."""
+        return self.histories.get(state, state)
+
+    def builds_on(self, state: StateBytes, earlier: StateBytes) -> bool:
+        """Whether a state contains all changes of an earlier one, in their order."""
         return self.history(state).startswith(self.history(earlier))
 
-    def durable(self, durable: replication.DurableState) -> None:
-        """What a machine's disk holds is consistent."""
-        self.value(durable.version, durable.state)
+    def check_durable_state(self, durable: replication.DurableState) -> None:
+        """Check what a machine is about to write to its disk."""
+        self._check_state_of_version(durable.version, durable.state)
         if durable.promised < durable.accepted.number:
-            raise InvariantViolation("PROMISE: a record is accepted above the promise")
+            raise InvariantViolation(Invariant.PROMISE_COVERS_ACCEPTED_RECORD, "a record is accepted above the promise")
 
-    def value(self, version: replication.StateVersion, state: ControlState) -> None:
-        """One state under one version."""
-        if self.values.setdefault(version, state) != state:
-            raise InvariantViolation(f"ONE-VALUE: two states under {version}")
+    def _check_state_of_version(self, version: replication.StateVersion, state: StateBytes) -> None:
+        if self.states_by_version.setdefault(version, state) != state:
+            raise InvariantViolation(Invariant.ONE_STATE_PER_VERSION, f"two states under {version}")
 
-    def sent(self, message: replication.Message, disk: replication.DurableState | None) -> None:
-        """What a machine says it holds is on its disk."""
+    def check_sent(self, message: replication.Message, disk: replication.DurableState | None) -> None:
+        """Check that what a machine tells another to be durable is on its disk."""
         if isinstance(message, replication.Store):
-            self.value(message.version, message.state)
+            self._check_state_of_version(message.version, message.state)
+        if not self._is_durable(message, disk):
+            name = type(message).__name__
+            raise InvariantViolation(Invariant.SENT_ONLY_ONCE_DURABLE, f"{name} is sent before it is on disk")
+
+    @staticmethod
+    def _is_durable(message: replication.Message, disk: replication.DurableState | None) -> bool:
+        """Whether the disk holds what a message tells of it; true of a message that tells nothing."""
         match message:
-            case (
-                replication.Promised(number, True)
-                | replication.Accepted(number, True)
-                | replication.Stored(number, _, True)
-            ):
-                held = disk is not None and disk.promised >= number
+            case replication.Promised(number, True):
+                return disk is not None and disk.promised >= number
+            case replication.Accepted(number, True):
+                return disk is not None and disk.promised >= number and disk.accepted.number >= number
+            case replication.Stored(number, version, True):
+                return disk is not None and disk.promised >= number and disk.version >= version
             case replication.HeartbeatReply(number, _, True):
-                held = disk is not None and disk.accepted.number >= number
-            case _:
-                return
-        if isinstance(message, replication.Accepted):
-            held = held and disk.accepted.number >= message.number
-        if isinstance(message, replication.Stored):
-            held = held and disk.version >= message.version
-        if not held:
-            raise InvariantViolation(f"DURABLE: {type(message).__name__} is sent before it is on disk")
-
-    def office(self, record: replication.EpochRecord, state: ControlState, accepted: dict[int, int]) -> None:
-        """`accepted`: the number of the record on each machine's disk; of a lost one a high number."""
+                return disk is not None and disk.accepted.number >= number
+        return True
+
+    def check_new_epoch(
+        self, record: replication.EpochRecord, state: StateBytes, accepted_numbers: dict[int, int]
+    ) -> None:
+        """Check an epoch that a primary has begun with a state.
+
+        ``accepted_numbers`` maps each machine to the number of the record on its disk; a lost disk counts as the
+        highest number.
+        """
         number = record.number
-        if number in self.epochs:
+        if number in self.epoch_start_states:
             return
-        before = self.last
-        if number > before.number:
-            self.last = record
-            voters = {machine_id for machine_id, held in accepted.items() if held >= number}
-            for members in (record.witnesses, before.witnesses):
-                if not replication.has_majority(voters, members):
-                    raise InvariantViolation(f"DECIDED: {record} is in force and on the disks of {voters} alone")
-        self.epochs[number] = state
+        previous = self.newest_record
+        if number > previous.number:
+            self.newest_record = record
+            voters = {machine_id for machine_id, accepted in accepted_numbers.items() if accepted >= number}
+            for witnesses in (record.witnesses, previous.witnesses):
+                if not replication.has_majority(voters, witnesses):
+                    detail = f"{record} is in force and on the disks of {voters} alone"
+                    raise InvariantViolation(Invariant.RECORD_DECIDED_BY_MAJORITIES, detail)
+        self.epoch_start_states[number] = state
         self.check_commit(replication.StateVersion(number, 0), state)
 
-    def check_commit(self, version: replication.StateVersion, state: ControlState) -> None:
-        """Whatever is committed under a lower version is part of it, and it is part of what comes after."""
-        for other, value in self.commits.items():
-            low, high = (value, state) if other <= version else (state, value)
-            if not self.builds_on(high, low):
-                raise InvariantViolation(f"KEPT: {other} and {version} are committed and don't build on one another")
-        self.commits[version] = state
-        self.longest = max(self.longest, state, key=lambda each: len(self.history(each)))
-        for value in self.observed:
-            if not (self.builds_on(state, value) or self.builds_on(value, state)):
-                raise InvariantViolation("READ: a read gave what was never committed")
-
-    def read(self, token: int, state: ControlState) -> None:
-        """What a confirmed read gave."""
-        self.read_given(self.reads.pop(token), state)
-
-    def read_given(self, committed: ControlState, state: ControlState) -> None:
-        """A read gave ``state``; ``committed`` is the longest that was committed when it was asked."""
-        if not self.builds_on(state, committed):
-            raise InvariantViolation("READ: older than a commit that was complete when it was asked")
-        for value in self.commits.values():
-            if not (self.builds_on(state, value) or self.builds_on(value, state)):
-                raise InvariantViolation("READ: a read gave what was never committed")
-        self.observed.append(state)
-
-    def leases(self, holders: list[tuple[int, int]]) -> None:
-        """`holders`: (epoch number, machine) of each that holds a valid lease right now."""
+    def check_commit(self, version: replication.StateVersion, state: StateBytes) -> None:
+        """Check that a commit builds on all commits of lower versions, and those of higher versions on it."""
+        for other_version, other_state in self.committed_states.items():
+            earlier, later = (other_state, state) if other_version <= version else (state, other_state)
+            if not self.builds_on(later, earlier):
+                detail = f"{other_version} and {version} are committed and don't build on one another"
+                raise InvariantViolation(Invariant.COMMITS_ARE_KEPT, detail)
+        self.committed_states[version] = state
+        self.longest_commit = max(self.longest_commit, state, key=lambda each: len(self.history(each)))
+        for read_state in self.read_states:
+            self._check_related(state, read_state)
+
+    def check_confirmed_read(self, token: int, state: StateBytes) -> None:
+        """Check what a read that was asked under a token has returned."""
+        self.check_read(self.pending_reads.pop(token), state)
+
+    def check_read(self, committed_before: StateBytes, state: StateBytes) -> None:
+        """Check what a read returned against the longest state committed when it was asked, and all commits."""
+        if not self.builds_on(state, committed_before):
+            raise InvariantViolation(
+                Invariant.READS_ARE_LINEARIZABLE, "older than a commit that was complete when it was asked"
+            )
+        for committed_state in self.committed_states.values():
+            self._check_related(state, committed_state)
+        self.read_states.append(state)
+
+    def _check_related(self, state: StateBytes, other: StateBytes) -> None:
+        """Check that of a state that was read and one that was committed, one builds on the other."""
+        if not (self.builds_on(state, other) or self.builds_on(other, state)):
+            raise InvariantViolation(Invariant.READS_ARE_LINEARIZABLE, "a read gave what was never committed")
+
+    def check_leases(self, holders: list[LeaseHolder]) -> None:
+        """Check all machines that hold a valid lease at this moment."""
         if len(holders) > 1:
-            raise InvariantViolation(f"ONE-HOLDER: {holders}")
-        for number, _ in holders:
-            if number < self.fence:
-                raise InvariantViolation("FENCE: a lease is held under a lower number after a higher one")
-            self.fence = number
+            raise InvariantViolation(Invariant.ONE_LEASE_HOLDER, f"{[tuple(holder) for holder in holders]}")
+        for holder in holders:
+            if holder.epoch_number < self.highest_lease_epoch:
+                detail = "a lease is held under a lower number after a higher one"
+                raise InvariantViolation(Invariant.LEASE_EPOCHS_INCREASE, detail)
+            self.highest_lease_epoch = holder.epoch_number
--- a/rowanshift/modelcheck/membership_walk.py
+++ b/rowanshift/modelcheck/membership_walk.py
@@ -1,36 +1,46 @@
-"""Drawn walks whose machines change: some leave for good, others join with empty disks, and power fails.
+"""Random walks whose members change: machines leave for good, others join with empty disks, and power fails.
 
-A walk goes in rounds. Each has some trouble, up to f losses in it (a machine leaves or is taken away for good and
-another joins in its place, or a disk is lost), and then a calm. Within `REDUNDANT_WITHIN` of calm the control plane
-must be able to bear the next losses. A machine that joins knows some machines that live at that time, none of the
-first ones for their own sake.
+A walk consists of rounds. Each has a phase of faults with up to f failures in it (a machine leaves or is removed and
+another joins in its place, or a disk is lost), and a phase without faults. Within `REDUNDANCY_LIMIT_SECONDS` of that
+the control plane must be able to tolerate the next failures. A machine that joins is given the addresses of some
+machines that are present at that time; the first machines have no special role.
 """
 
 from __future__ import annotations
 
 import random
 from collections.abc import Iterator
+from enum import Enum
 
 from rowanshift.controlplane import replication
 from rowanshift.modelcheck.client_walk import ClientWalk
-from rowanshift.modelcheck.cluster_model import MachineModel
-from rowanshift.modelcheck.control_service import ControlService
-from rowanshift.modelcheck.file_system import FileSystemModel, StoreModel
-from rowanshift.modelcheck.invariants import InvariantViolation
-from rowanshift.modelcheck.random_walk import WalkResult
-from rowanshift.modelcheck.router_model import RouterModel
-
-REDUNDANT_WITHIN = 15.0  # seconds of calm
-COMMIT_WITHIN = 40.0  # seconds of calm; operators ask seldom
-GRACE = 6.5  # seconds that a machine told to stop waits for its release
-FAREWELL = 0.1  # seconds from its release to its end
-JOIN_DELAYS = (0.0, 0.5, 2.0)  # seconds from a loss to the start of the machine that takes its place
-TROUBLE_STEPS = (100, 300, 800)
-DOWN_TIMES = (0.02, 0.3, 1.5)  # seconds that a machine without power is down
+from rowanshift.modelcheck.errors import Invariant, InvariantViolation
+from rowanshift.modelcheck.file_system import FileSystemModel
+from rowanshift.modelcheck.implementations import DEFAULT_IMPLEMENTATIONS, Implementations
+from rowanshift.modelcheck.random_walk import WalkResult, machine_with_drawn_clock
+from rowanshift.modelcheck.store_model import StoreModel
+
+REDUNDANCY_LIMIT_SECONDS = 15.0  # without faults
+COMMIT_LIMIT_SECONDS = 40.0  # without faults; operators make requests seldom
+LEAVE_GRACE_SECONDS = 6.5  # for which a leaving machine waits for its release
+RELEASE_TO_EXIT_SECONDS = 0.1
+JOIN_DELAYS_SECONDS = (0.0, 0.5, 2.0)  # from a failure to the start of the machine's replacement
+FAULT_PHASE_STEPS = (100, 300, 800)
+POWER_OFF_SECONDS = (0.02, 0.3, 1.5)  # that a machine is down after a loss of power
+POWER_LOSSES_PER_FAULT = 0.25
+STORE_OPEN_CRASH_PROBABILITY = 0.1  # in a step, of each machine that opens its store
+
+
+class Failure(Enum):
+    """What may happen to one machine in a round."""
+
+    LEAVE = "leave"
+    REMOVAL = "removal"
+    DISK_LOSS = "disk loss"
 
 
 class MembershipWalk(ClientWalk):
-    """A walk with clients whose machines come and go."""
+    """A walk with clients whose machines leave and join."""
 
     def __init__(
         self,
@@ -38,222 +48,221 @@
         machine_count: int,
         max_failures: int,
         spares: int = 1,
-        replica_class: type[replication.Replica] = replication.Replica,
-        service_class: type[ControlService] = ControlService,
-        router_class: type[RouterModel] = RouterModel,
-        store_class: type[StoreModel] = StoreModel,
+        implementations: Implementations = DEFAULT_IMPLEMENTATIONS,
         timing: replication.Timing | None = None,
     ) -> None:
-        self.store_class = store_class
-        self.opening: dict[int, Iterator[None]] = {}
-        self.leaving: dict[int, float] = {}  # machine -> seconds of the world at which it ends
-        self.released: set[int] = set()  # of these
-        self.joining: list[float] = []  # seconds of the world at which a machine joins
-        self.membership_random = random.Random(f"members of {seed}")
+        self.opening_stores: dict[int, Iterator[None]] = {}  # by machine
+        self.leaving: dict[int, float] = {}  # machine -> seconds of the model at which it ends
+        self.released: set[int] = set()  # machines that have left
+        self.joining: list[float] = []  # seconds of the model at which a machine joins
+        self.member_random = random.Random(f"members of {seed}")
         self.rounds = 0
-        self.longest_calm = 0.0  # seconds until the next loss could be borne
-        self.first_start = True
-        super().__init__(seed, machine_count, max_failures, spares, replica_class, service_class, router_class, timing)
-        self.first_start = False
+        self.longest_recovery = 0.0  # seconds until the next failure could be tolerated
+        self.is_first_start = True
+        super().__init__(seed, machine_count, max_failures, spares, implementations, timing)
+        self.is_first_start = False
 
     # starts and ends of machines
 
     def start(self, machine_id: int, bootstrap: bool = False) -> None:
-        """Open the store, one step at a time, then start the replica with what is in it."""
+        """Open the store, one step a call, then start the replica with what is in it."""
         machine = self.cluster.machines[machine_id]
-        if machine.files is None:
-            machine.files, machine.store = FileSystemModel(), self.store_class
-        if self.first_start:
-            for _ in self.store_class.open(machine.files):
+        if machine.file_system is None:
+            machine.file_system, machine.store = FileSystemModel(), self.implementations.store
+        if self.is_first_start:
+            for _ in machine.store.open(machine.file_system):
                 pass
-        elif machine_id not in self.opening:
-            self.opening[machine_id] = self.store_class.open(machine.files)
+        elif not self._open_store(machine_id, machine.store, machine.file_system):
             return
-        elif next(self.opening[machine_id], self) is not self:
-            return
-        self.opening.pop(machine_id, None)
-        machine.disk = machine.files.read()
-        self._start_replica(machine_id, machine, bootstrap)
+        machine.disk = machine.file_system.read()
+        seeds = self.cluster.seeds if bootstrap else self._present_seeds(machine_id)
+        self._start_replica(machine_id, seeds, bootstrap)
 
-    def _start_replica(self, machine_id: int, machine: MachineModel, bootstrap: bool) -> None:
-        cluster = self.cluster
-        seeds = cluster.seeds if bootstrap else self._seeds_of_today(machine_id)
-        machine.replica = self.replica_class(
-            machine_id,
-            cluster.max_failures,
-            seeds,
-            bootstrap,
-            machine.disk,
-            cluster.clock(machine),
-            self.random_source.random,
-            timing=self.timing,
-        )
-        cluster.carry_out_actions(machine_id)
-
-    def _seeds_of_today(self, machine_id: int) -> tuple[int, ...]:
-        others = [
-            m for m, h in self.cluster.machines.items() if not h.gone and m != machine_id and m not in self.leaving
-        ]
-        return tuple(sorted(self.membership_random.sample(others, min(len(others), 2 * self.cluster.max_failures + 1))))
+    def _open_store(self, machine_id: int, store: type[StoreModel], file_system: FileSystemModel) -> bool:
+        """Begin to open a machine's store, or take the next step of it; whether it is open now."""
+        opening = self.opening_stores.get(machine_id)
+        if opening is None:
+            self.opening_stores[machine_id] = store.open(file_system)
+            return False
+        try:
+            next(opening)
+        except StopIteration:
+            del self.opening_stores[machine_id]
+            return True
+        return False
+
+    def _present_seeds(self, machine_id: int) -> tuple[int, ...]:
+        """Some machines of today that a machine is given to join by."""
+        others = [each for each in self.cluster.remaining_machines() if each != machine_id and each not in self.leaving]
+        seed_count = min(len(others), 2 * self.cluster.max_failures + 1)
+        return tuple(sorted(self.member_random.sample(others, seed_count)))
 
     def _join(self) -> None:
-        random_source = self.membership_random
         machine_id = max(self.cluster.machines) + 1
-        self.cluster.machines[machine_id] = MachineModel(
-            None, rate=1 + random_source.uniform(-0.1, 0.1), offset=random_source.uniform(0, 1000)
-        )
+        self.cluster.machines[machine_id] = machine_with_drawn_clock(self.member_random)
 
-    def _end(self, machine_id: int) -> None:
+    def _remove_machine(self, machine_id: int) -> None:
+        """End a machine for good; another one joins some time later."""
         self.cluster.crash(machine_id, save_persisted=False)
-        self.opening.pop(machine_id, None)
+        self.opening_stores.pop(machine_id, None)
         self.leaving.pop(machine_id, None)
         machine = self.cluster.machines[machine_id]
-        machine.gone = machine.lost = True
-        self.joining.append(self.cluster.now + self.membership_random.choice(JOIN_DELAYS))
+        machine.removed = machine.counts_as_failed = True
+        self.joining.append(self.cluster.now + self.member_random.choice(JOIN_DELAYS_SECONDS))
+
+    def _begin_leave(self, machine_id: int, replica: replication.Replica) -> None:
+        """Tell a machine that runs to leave."""
+        self.leaving[machine_id] = self.cluster.now + LEAVE_GRACE_SECONDS
+        replica.leave(self.cluster.clock(self.cluster.machines[machine_id]))
+        self.cluster.carry_out_actions(machine_id)
 
-    def cut_power(self, machine_id: int) -> None:
-        """A machine loses power: what it said was on its disk must be there."""
+    def _cut_power(self, machine_id: int) -> None:
+        """Cut a machine's power, and check that all it has saved is still on its disk."""
         cluster, machine = self.cluster, self.cluster.machines[machine_id]
-        cluster.crash(machine_id, save_persisted=self.membership_random.random() < 0.3)
-        self.opening.pop(machine_id, None)
-        if machine.files is not None:
-            machine.files.lose_power(self.membership_random)
-            if machine.files.read() != machine.disk:
-                raise InvariantViolation(f"STORED: a loss of power took what machine {machine_id} had saved")
-        machine.down_until = cluster.now + self.membership_random.choice(DOWN_TIMES)
-
-    def may_lose(self, machine_id: int) -> bool:
-        """Losses come by the rounds alone."""
+        cluster.crash(machine_id, save_persisted=self.member_random.random() < 0.3)
+        self.opening_stores.pop(machine_id, None)
+        if machine.file_system is not None:
+            machine.file_system.lose_power(self.member_random)
+            if machine.file_system.read() != machine.disk:
+                detail = f"a loss of power took what machine {machine_id} had saved"
+                raise InvariantViolation(Invariant.SAVES_SURVIVE_POWER_LOSS, detail)
+        self._stay_down(machine_id)
+
+    def _replace_disk(self, machine_id: int) -> None:
+        """Give a machine that is down an empty disk."""
+        machine = self.cluster.machines[machine_id]
+        machine.disk, machine.file_system, machine.counts_as_failed = None, FileSystemModel(), True
+        self._stay_down(machine_id)
+
+    def _stay_down(self, machine_id: int) -> None:
+        seconds = self.member_random.choice(POWER_OFF_SECONDS)
+        self.cluster.machines[machine_id].down_until = self.cluster.now + seconds
+
+    def may_fail(self, machine_id: int) -> bool:
+        """Always false: failures are part of the rounds, and none is injected besides."""
         return False
 
-    # rounds
+    # steps
 
     def step(self) -> None:
         """One step, with what changes among the machines in it."""
-        random_source, cluster = self.membership_random, self.cluster
         for machine_id in list(self.leaving):
-            self._follow_leave(machine_id)
-        for at in [at for at in self.joining if cluster.now >= at]:
-            self.joining.remove(at)
+            self._advance_leave(machine_id)
+        for due in [due for due in self.joining if self.cluster.now >= due]:
+            self.joining.remove(due)
             self._join()
-        if not self.calm and random_source.random() < self.trouble / 4:
+        if not self.fault_free and self.member_random.random() < self.fault_rate * POWER_LOSSES_PER_FAULT:
             self._cut_power_of_some()
-        for machine_id in list(self.opening):
-            if not self.calm and random_source.random() < 0.1:  # the process ends while it opens the store
-                del self.opening[machine_id]
-                cluster.machines[machine_id].down_until = cluster.now + random_source.choice(DOWN_TIMES)
+        for machine_id in list(self.opening_stores):
+            if not self.fault_free and self.member_random.random() < STORE_OPEN_CRASH_PROBABILITY:
+                del self.opening_stores[machine_id]
+                self._stay_down(machine_id)
         super().step()
 
-    def _follow_leave(self, machine_id: int) -> None:
-        """A machine told to stop ends soon after its release, or when its grace or its process is over."""
+    def _advance_leave(self, machine_id: int) -> None:
+        """End a leaving machine soon after its release, or when its grace or its process is over."""
         replica, now = self.cluster.machines[machine_id].replica, self.cluster.now
         if replica is not None and replica.released and machine_id not in self.released:
             self.released.add(machine_id)
-            self.leaving[machine_id] = min(self.leaving[machine_id], now + FAREWELL)
-            if machine_id in self.cluster.invariants.last.in_sync and not replica.is_amnesic:
-                raise InvariantViolation(
-                    f"RELEASED: {machine_id} is released and a copy of {self.cluster.invariants.last}"
-                )
+            self.leaving[machine_id] = min(self.leaving[machine_id], now + RELEASE_TO_EXIT_SECONDS)
+            record = self.cluster.invariants.newest_record
+            if machine_id in record.in_sync and not replica.is_amnesic:
+                detail = f"{machine_id} is released and in sync in {record}"
+                raise InvariantViolation(Invariant.RELEASED_MACHINE_IS_NOT_IN_SYNC, detail)
         if replica is None or now >= self.leaving[machine_id]:
-            self._end(machine_id)
+            self._remove_machine(machine_id)
 
     def _cut_power_of_some(self) -> None:
-        present = [machine_id for machine_id, machine in self.cluster.machines.items() if not machine.gone]
-        some = present if self.membership_random.random() < 0.2 else [self.membership_random.choice(present)]
-        for machine_id in some:
-            self.cut_power(machine_id)
-
-    def lose(self) -> None:
-        """One machine or disk is lost."""
-        random_source, machines = self.membership_random, self.cluster.machines
-        machine_id = random_source.choice(
-            [m for m, h in machines.items() if not h.gone and not h.lost and m not in self.leaving]
-        )
-        machine, kind = machines[machine_id], random_source.choice(["leave", "gone", "empty"])
-        self.cluster.lost_at = self.cluster.now
-        if kind == "leave" and machine.replica is not None:
-            self.leaving[machine_id] = self.cluster.now + GRACE
-            machine.replica.leave(self.cluster.clock(machine))
-            self.cluster.carry_out_actions(machine_id)
-        elif kind == "empty":
+        present = self.cluster.remaining_machines()
+        all_of_them = self.member_random.random() < 0.2
+        for machine_id in present if all_of_them else [self.member_random.choice(present)]:
+            self._cut_power(machine_id)
+
+    # rounds
+
+    def run_round(self) -> None:
+        """Faults with up to f failures among them, then none until the cluster has recovered."""
+        self.rounds += 1
+        self._run_steps(self.member_random.choice(FAULT_PHASE_STEPS))
+        for _ in range(self.member_random.randint(1, self.cluster.max_failures)):
+            self._fail_one_machine()
+            self._run_steps(self.member_random.choice(FAULT_PHASE_STEPS))
+        self._await_recovery()
+
+    def _run_steps(self, steps: int) -> None:
+        for _ in range(steps):
+            self.step()
+
+    def _fail_one_machine(self) -> None:
+        machines = self.cluster.machines
+        present = self.cluster.remaining_machines()
+        candidates = [each for each in present if not machines[each].counts_as_failed and each not in self.leaving]
+        machine_id = self.member_random.choice(candidates)
+        failure, replica = self.member_random.choice(list(Failure)), machines[machine_id].replica
+        self.cluster.last_failure_at = self.cluster.now
+        if failure is Failure.LEAVE and replica is not None:
+            self._begin_leave(machine_id, replica)
+        elif failure is Failure.DISK_LOSS:
             self.cluster.crash(machine_id, save_persisted=False)
-            self.opening.pop(machine_id, None)
-            machine.disk, machine.files, machine.lost = None, FileSystemModel(), True
-            machine.down_until = self.cluster.now + random_source.choice(DOWN_TIMES)
+            self.opening_stores.pop(machine_id, None)
+            self._replace_disk(machine_id)
         else:
-            self._end(machine_id)
+            self._remove_machine(machine_id)
 
-    def lacking(self) -> str:
-        """What keeps the next losses from being borne; empty if nothing does."""
+    def missing_redundancy(self) -> str:
+        """What keeps the next failures from being tolerated; empty if nothing does."""
         cluster = self.cluster
         record = cluster.newest_record()
-        if self.leaving or self.joining or record.number not in cluster.invariants.epochs:
-            return "an epoch is not in force, or machines come and go"
-        copies = [
-            machine_id for machine_id in record.in_sync if self._lives(machine_id) and self._holds(machine_id, record)
-        ]
+        if self.leaving or self.joining or record.number not in cluster.invariants.epoch_start_states:
+            return "an epoch is not in force, or machines leave and join"
+        copies = [member for member in record.in_sync if self._is_recovered(member) and self._holds(member, record)]
         if len(copies) < max(cluster.max_failures + 1, len(record.in_sync)):
             return f"copies at {copies} alone of {record}"
-        live = [machine_id for machine_id in record.witnesses if self._lives(machine_id)]
+        live = [witness for witness in record.witnesses if self._is_recovered(witness)]
         if record.former or len(live) < replication.majority(record.witnesses) + cluster.max_failures:
             return f"witnesses {live} alone of {record}"
-        amnesic = [
-            machine_id
-            for machine_id, machine in cluster.machines.items()
-            if not machine.gone and not self._lives(machine_id)
-        ]
-        return f"{amnesic} take no part" if amnesic else ""
-
-    def _lives(self, machine_id: int) -> bool:
+        idle = [each for each in cluster.remaining_machines() if not self._is_recovered(each)]
+        return f"{idle} take no part" if idle else ""
+
+    def _is_recovered(self, machine_id: int) -> bool:
+        """Whether a machine runs and remembers its promises."""
         replica = self.cluster.machines[machine_id].replica
         return replica is not None and not replica.is_amnesic
 
     def _holds(self, machine_id: int, record: replication.EpochRecord) -> bool:
+        """Whether a machine's disk holds a state of an epoch, or of a later one."""
         disk = self.cluster.machines[machine_id].disk
         return disk is not None and disk.version.epoch >= record.number
 
-    def round(self) -> None:
-        """Trouble, up to f losses in it, and a calm."""
-        random_source = self.membership_random
-        self.rounds += 1
-        for _ in range(random_source.choice(TROUBLE_STEPS)):
-            self.step()
-        for _ in range(random_source.randint(1, self.cluster.max_failures)):
-            self.lose()
-            for _ in range(random_source.choice(TROUBLE_STEPS)):
-                self.step()
-        self._calm_down()
-
-    def _calm_down(self) -> None:
+    def _await_recovery(self) -> None:
+        """Run without faults until the next failures can be tolerated and a change is committed."""
         cluster = self.cluster
-        self.calm = True
+        self.fault_free = True
         for machine in cluster.machines.values():
-            machine.paused_until, machine.down_until = (
-                min(machine.paused_until, cluster.now),
-                min(machine.down_until, cluster.now),
-            )
-        began, committed = cluster.now, cluster.commit_count
-        while lacking := self.lacking():
-            if cluster.now > began + REDUNDANT_WITHIN:
-                raise InvariantViolation(f"REDUNDANCY: after {REDUNDANT_WITHIN} s of calm {lacking}")
+            machine.paused_until = min(machine.paused_until, cluster.now)
+            machine.down_until = min(machine.down_until, cluster.now)
+        began, commits_before = cluster.now, cluster.commit_count
+        while missing := self.missing_redundancy():
+            if cluster.now > began + REDUNDANCY_LIMIT_SECONDS:
+                detail = f"after {REDUNDANCY_LIMIT_SECONDS} s of calm {missing}"
+                raise InvariantViolation(Invariant.REDUNDANCY_IS_RESTORED, detail)
             self.step()
-        self.longest_calm = max(self.longest_calm, cluster.now - began)
-        while cluster.commit_count == committed:
-            if cluster.now > began + COMMIT_WITHIN:
-                raise InvariantViolation(f"COMMIT: none in {COMMIT_WITHIN} s of calm")
+        self.longest_recovery = max(self.longest_recovery, cluster.now - began)
+        while cluster.commit_count == commits_before:
+            if cluster.now > began + COMMIT_LIMIT_SECONDS:
+                raise InvariantViolation(Invariant.COMMITS_RESUME, f"none in {COMMIT_LIMIT_SECONDS} s of calm")
             self.step()
         for machine in cluster.machines.values():
-            machine.lost = machine.lost and machine.gone
-        self.calm = False
+            machine.counts_as_failed = machine.counts_as_failed and machine.removed
+        self.fault_free = False
 
-    def run(self, steps: int, calm: bool = True) -> WalkResult:
-        """Whole rounds until so many steps are done; each ends in a calm, whatever ``calm`` says."""
+    def run(self, steps: int, recover: bool = True) -> WalkResult:
+        """Run complete rounds until so many steps are done; each ends with a recovery, whatever ``recover`` says."""
         cluster, violation = self.cluster, ""
         try:
             while self.steps < steps:
-                self.round()
+                self.run_round()
         except InvariantViolation as violated:
             violation = str(violated)
-        return WalkResult(
-            self.seed, self.steps, violation, cluster.commit_count, cluster.epoch_count, "", self.longest_calm
-        )
+        commits, epochs = cluster.commit_count, cluster.epoch_count
+        return WalkResult(self.seed, self.steps, violation, commits, epochs, longest_recovery=self.longest_recovery)
--- a/rowanshift/modelcheck/operator_model.py
+++ b/rowanshift/modelcheck/operator_model.py
@@ -1,4 +1,4 @@
-"""Operators: each orders configurations, and sends orders again whose answers were lost or doubled."""
+"""A modelled operator: it changes the configuration, and repeats changes whose answers were lost or duplicated."""
 
 from __future__ import annotations
 
@@ -7,46 +7,54 @@
 
 from rowanshift.modelcheck.client_messages import ClientMessage, ConfigChange, GetConfig, PutConfig, Reply, Status
 
-RECENT_ORDERS = 4  # most orders that come again are among so many newest
+Send = Callable[[ClientMessage], None]
+
+RECENT_CHANGES = 4  # most repeated changes are among so many newest
 REVISION_STEPS = (1, 1, 1, 2, 7)  # by which a revision is above its base
+READ_SHARE = 0.15  # of an operator's requests
+READ_SHARE_AFTER_CONFLICT = 0.5
+REPEATED_UP_TO = 0.6  # a draw below it repeats a change, if it isn't a read
+CONFLICTING_UP_TO = 0.65  # a draw below it makes another change with the last one's revision and base
+OLD_BASE_SHARE = 0.1  # of new changes
+REPEAT_RECENT_SHARE = 0.7  # of repeated changes
 
 
 class OperatorModel:
     """What one operator knows, and what it asks next."""
 
-    def __init__(self, number: int, random_source: random.Random, order_numbers: Iterator[int]) -> None:
-        self.number, self.random_source, self.order_numbers = number, random_source, order_numbers
+    def __init__(self, random_source: random.Random, change_numbers: Iterator[int]) -> None:
+        self.random_source, self.change_numbers = random_source, change_numbers
         self.revisions = [0]  # that it learnt were in force, rising
-        self.orders: list[ConfigChange] = []
-        self.refused = False  # since it last asked what is in force
-
-    def ask(self, send: Callable[[ClientMessage], None]) -> None:
-        """Order something, order it again, or look what is in force."""
-        kind = self.random_source.random()
-        if kind < (0.5 if self.refused else 0.15):
-            self.refused = False
+        self.changes: list[ConfigChange] = []  # that it has sent
+        self.saw_conflict = False  # since it last read the configuration
+
+    def issue_request(self, send: Send) -> None:
+        """Send a new change, repeat a former one, or read the configuration."""
+        drawn = self.random_source.random()
+        if drawn < (READ_SHARE_AFTER_CONFLICT if self.saw_conflict else READ_SHARE):
+            self.saw_conflict = False
             send(GetConfig())
-        elif kind < 0.6 and self.orders:
-            send(PutConfig(self._former_order()))
-        elif kind < 0.65 and self.orders:
-            last = self.orders[-1]  # another one under the same number on the same base
-            self._order(last.base, last.revision, send)
+        elif drawn < REPEATED_UP_TO and self.changes:
+            send(PutConfig(self._former_change()))
+        elif drawn < CONFLICTING_UP_TO and self.changes:
+            last = self.changes[-1]
+            self._send_change(last.base, last.revision, send)
         else:
-            revisions = self.revisions if self.random_source.random() < 0.1 else self.revisions[-1:]
-            base = self.random_source.choice(revisions)
-            self._order(base, base + self.random_source.choice(REVISION_STEPS), send)
+            from_all = self.random_source.random() < OLD_BASE_SHARE
+            base = self.random_source.choice(self.revisions if from_all else self.revisions[-1:])
+            self._send_change(base, base + self.random_source.choice(REVISION_STEPS), send)
 
-    def _former_order(self) -> ConfigChange:
-        recent = self.random_source.random() < 0.7
-        return self.random_source.choice(self.orders[-RECENT_ORDERS:] if recent else self.orders)
+    def _former_change(self) -> ConfigChange:
+        recent = self.random_source.random() < REPEAT_RECENT_SHARE
+        return self.random_source.choice(self.changes[-RECENT_CHANGES:] if recent else self.changes)
 
-    def _order(self, base: int, revision: int, send: Callable[[ClientMessage], None]) -> None:
-        order = ConfigChange(next(self.order_numbers), base, revision)
-        self.orders.append(order)
-        send(PutConfig(order))
+    def _send_change(self, base: int, revision: int, send: Send) -> None:
+        change = ConfigChange(next(self.change_numbers), base, revision)
+        self.changes.append(change)
+        send(PutConfig(change))
 
     def receive(self, reply: Reply) -> None:
-        """An answer has come, perhaps an old one."""
-        self.refused |= reply.status is Status.PRECONDITION_FAILED
+        """Note an answer, perhaps an old one."""
+        self.saw_conflict |= reply.status is Status.PRECONDITION_FAILED
         if reply.status is Status.ACCEPTED and reply.revision > self.revisions[-1]:
             self.revisions.append(reply.revision)
--- a/rowanshift/modelcheck/random_walk.py
+++ b/rowanshift/modelcheck/random_walk.py
@@ -1,17 +1,19 @@
-"""Drawn walks: every choice comes from the seed, so that a walk can be run again."""
+"""Random walks: every choice comes from the seed, so that a walk can be repeated."""
 
 from __future__ import annotations
 
 import random
 from dataclasses import dataclass, replace
+from typing import NamedTuple
 
 from rowanshift.controlplane import replication
-from rowanshift.modelcheck.cluster_model import ClusterModel, MachineModel
-from rowanshift.modelcheck.fault_injection import FAULT_KINDS, FaultInjection
-from rowanshift.modelcheck.invariants import InvariantViolation
+from rowanshift.modelcheck.cluster_model import ClusterModel, Envelope, Link, MachineModel
+from rowanshift.modelcheck.errors import InvariantViolation
+from rowanshift.modelcheck.fault_injection import FaultInjection, FaultKind, MessageBlock
+from rowanshift.modelcheck.implementations import DEFAULT_IMPLEMENTATIONS, Implementations
 
 # seconds; without leases and waits, so that only numbers and majorities keep two primaries apart
-CONTENDED = replication.Timing(
+CONTENDED_TIMING = replication.Timing(
     lease=0.0,
     block=0.0,
     lapse=1.5,
@@ -26,8 +28,17 @@
     join_gap=0.3,
 )
 
-# a primary that hears of no other goes on for long: reads and orders must be safe from it all the same
-STUBBORN = replace(CONTENDED, lapse=8.0)
+# a primary that hears of no other goes on for long: reads and changes must be safe from it all the same
+LONG_TENURE_TIMING = replace(CONTENDED_TIMING, lapse=8.0)
+
+RECOVERY_LIMIT_SECONDS = 40.0  # without faults, until a walk must commit again
+RECOVERY_COMMITS = 3  # that end a walk's recovery
+TICK_SECONDS = 0.05
+MESSAGES_PER_STEP = 3
+REORDER_WINDOW = 8  # messages among which the next one is mostly chosen
+DELAYS_SECONDS = (0.02, 0.3, 2.0, 6.0)  # by which a message is put off
+SAVE_PROBABILITY = 0.3  # that an outstanding save ends in a step
+SLOW_SAVE_PROBABILITY = 0.002
 
 
 @dataclass
@@ -36,15 +47,22 @@
 
     seed: int
     steps: int
-    violation: str  # "" if all held
+    violation: str  # of an invariant; "" if all hold
     commits: int
     epochs: int
-    stall: str = ""  # "" if it healed once calm
-    longest_calm: float = 0.0  # seconds of calm that were needed until the next loss could be borne, if it is a matter
+    stall: str = ""  # what has not recovered in time; "" if all has
+    longest_recovery: float = 0.0  # seconds without faults until the next failure could be tolerated
+
+
+class DelayedEnvelope(NamedTuple):
+    """A message that is put off."""
+
+    due: float  # seconds of the model
+    envelope: Envelope
 
 
 class RandomWalk(FaultInjection):
-    """A drawn walk. `spares` machines beyond the seeds wait for a place."""
+    """A random walk of a cluster whose ``spares`` machines beyond the seeds may replace others."""
 
     def __init__(
         self,
@@ -52,138 +70,168 @@
         machine_count: int,
         max_failures: int,
         spares: int = 0,
-        replica_class: type[replication.Replica] = replication.Replica,
+        implementations: Implementations = DEFAULT_IMPLEMENTATIONS,
         timing: replication.Timing | None = None,
     ) -> None:
-        self.seed, self.replica_class = seed, replica_class
-        self.timing = timing or (CONTENDED if seed % 2 else replication.DEFAULT_TIMING)
+        self.seed, self.implementations = seed, implementations
+        self.timing = timing or (CONTENDED_TIMING if seed % 2 else replication.DEFAULT_TIMING)
         self.random_source = random_source = random.Random(seed)
-        seeds = tuple(range(1, machine_count + 1))
-        self.cluster = ClusterModel({}, max_failures, seeds)
+        self.cluster = ClusterModel({}, max_failures, tuple(range(1, machine_count + 1)))
         for machine_id in range(1, machine_count + spares + 1):
-            machine = MachineModel(
-                None, rate=1 + random_source.uniform(-0.1, 0.1), offset=random_source.uniform(0, 1000)
-            )
-            self.cluster.machines[machine_id] = machine
+            self.cluster.machines[machine_id] = machine_with_drawn_clock(random_source)
             self.start(machine_id, bootstrap=machine_id <= machine_count)
             self.cluster.complete_save(machine_id)  # a first start is over once its record is on disk
-        self.pace = random_source.choice([0.003, 0.006, 0.012]) * 3 / machine_count
-        self.loss = random_source.choice([0.0, 0.01, 0.05, 0.2])
-        self.trouble = random_source.choice([0.002, 0.005, 0.015])
-        self.faults = random_source.choices(FAULT_KINDS, k=4)
-        self.deaf: dict[tuple[int, type], float] = {}  # (to, kind of message) -> until when none of it comes
-        self.late: list[tuple[float, tuple[int, int, replication.Message]]] = []
+        self.mean_step_seconds = random_source.choice([0.003, 0.006, 0.012]) * 3 / machine_count
+        self.message_loss = random_source.choice([0.0, 0.01, 0.05, 0.2])
+        self.fault_rate = random_source.choice([0.002, 0.005, 0.015])  # faults a step
+        self.fault_kinds = random_source.choices(list(FaultKind), k=4)
+        self.blocked_messages: dict[MessageBlock, float] = {}
+        self.delayed: list[DelayedEnvelope] = []  # by their due times
         self.next_tick = 0.0
-        self.calm = False
+        self.fault_free = False
         self.steps = 0
 
     def start(self, machine_id: int, bootstrap: bool = False) -> None:
-        """A machine's process begins."""
+        """Start a machine's process."""
+        self._start_replica(machine_id, self.cluster.seeds, bootstrap)
+
+    def _start_replica(self, machine_id: int, seeds: tuple[int, ...], bootstrap: bool) -> None:
         cluster, machine = self.cluster, self.cluster.machines[machine_id]
-        now = cluster.clock(machine)
-        machine.replica = self.replica_class(
+        machine.replica = self.implementations.replica(
             machine_id,
             cluster.max_failures,
-            cluster.seeds,
+            seeds,
             bootstrap,
             machine.disk,
-            now,
+            cluster.clock(machine),
             self.random_source.random,
             timing=self.timing,
         )
         cluster.carry_out_actions(machine_id)
 
     def step(self) -> None:
-        """A moment passes, with what the seed draws for it."""
+        """Let a moment pass, with the events that the seed draws for it."""
         cluster, random_source = self.cluster, self.random_source
         self.steps += 1
-        cluster.now += self.pace * 2 * random_source.random()
-        now = cluster.now
+        cluster.now += self.mean_step_seconds * 2 * random_source.random()
         cluster.check_leases()
-        for machine_id, machine in cluster.machines.items():
-            if machine.replica is None and not machine.gone and now >= machine.down_until:
-                self.start(machine_id)
-        if now >= self.next_tick:
-            self.next_tick = now + 0.05
-            for machine_id, machine in cluster.machines.items():
-                if machine.replica is not None and now >= machine.paused_until and random_source.random() < 0.9:
-                    cluster.tick(machine_id)
-        if not self.calm and random_source.random() < self.trouble:
+        self._start_stopped_machines()
+        if cluster.now >= self.next_tick:
+            self.next_tick = cluster.now + TICK_SECONDS
+            self._tick_machines()
+        if not self.fault_free and random_source.random() < self.fault_rate:
             self.inject_fault()
-        for machine_id, machine in cluster.machines.items():
-            up = machine.replica is not None and now >= machine.paused_until
-            chance = 0.002 if now < machine.slow_until and not self.calm else 0.3
-            if up and machine.pending_save is not None and random_source.random() < chance:
-                cluster.complete_save(machine_id)
-            if up and machine.replica.is_primary:
-                self.use(machine_id)
-        for _ in range(3):
-            self.carry()
-
-    def use(self, machine_id: int) -> None:
-        """Ask something of a primary, now and then."""
+        self._run_machines()
+        for _ in range(MESSAGES_PER_STEP):
+            self._move_message()
+
+    def _start_stopped_machines(self) -> None:
+        for machine_id, machine in self.cluster.machines.items():
+            if machine.replica is None and not machine.removed and self.cluster.now >= machine.down_until:
+                self.start(machine_id)
+
+    def is_up(self, machine_id: int) -> bool:
+        """Whether a machine's process runs and is not paused."""
+        machine = self.cluster.machines[machine_id]
+        return machine.replica is not None and self.cluster.now >= machine.paused_until
+
+    def _tick_machines(self) -> None:
+        for machine_id in self.cluster.machines:
+            if self.is_up(machine_id) and self.random_source.random() < 0.9:
+                self.cluster.tick(machine_id)
+
+    def _run_machines(self) -> None:
+        """End some outstanding saves, and let primaries get requests."""
+        for machine_id, machine in self.cluster.machines.items():
+            slow = self.cluster.now < machine.slow_disk_until and not self.fault_free
+            probability = SLOW_SAVE_PROBABILITY if slow else SAVE_PROBABILITY
+            up = self.is_up(machine_id)
+            if up and machine.pending_save is not None and self.random_source.random() < probability:
+                self.cluster.complete_save(machine_id)
+            if up and machine.is_primary:
+                self.issue_requests(machine_id)
+
+    def issue_requests(self, machine_id: int) -> None:
+        """Ask a primary for a change or a read, now and then."""
         if self.random_source.random() < 0.05:
             (self.cluster.propose if self.random_source.random() < 0.5 else self.cluster.read)(machine_id)
 
-    def carry(self) -> None:
-        """One message in flight comes, is lost, comes twice or is put off."""
+    def _move_message(self) -> None:
+        """Deliver, lose, duplicate or put off one message in flight."""
         cluster, random_source = self.cluster, self.random_source
-        while self.late and (self.late[0][0] <= cluster.now or self.calm):
-            cluster.in_flight.append(self.late.pop(0)[1])
+        while self.delayed and (self.delayed[0].due <= cluster.now or self.fault_free):
+            cluster.in_flight.append(self.delayed.pop(0).envelope)
         if not cluster.in_flight:
             return
-        index = random_source.randrange(
-            min(len(cluster.in_flight), 8) if random_source.random() < 0.9 else len(cluster.in_flight)
-        )
-        sender, to, message = cluster.in_flight[index]
-        machine = cluster.machines[to]
+        nearby = random_source.random() < 0.9
+        count = len(cluster.in_flight)
+        index = random_source.randrange(min(count, REORDER_WINDOW) if nearby else count)
+        envelope = cluster.in_flight[index]
+        recipient = cluster.machines[envelope.recipient]
         fate = random_source.random()
-        until = max(cluster.cuts.get((sender, to), 0.0), self.deaf.get((to, type(message)), 0.0))
-        cut = until > cluster.now
-        if machine.gone or (cut and not self.calm):
-            if fate < 0.7 or machine.gone:
-                cluster.in_flight.pop(index)
-            else:
-                self.put_off(index)
-        elif cluster.now < machine.paused_until:
-            self.put_off(index, until=machine.paused_until)
-        elif machine.replica is None:
-            if fate < 0.1:
-                cluster.in_flight.pop(index)
-            else:
-                self.put_off(index)
-        elif fate < self.loss and not self.calm:
+        if recipient.removed:
             cluster.in_flight.pop(index)
-        elif fate < self.loss + 0.01 and not self.calm:
-            self.put_off(index)
+        elif self._is_cut(envelope):
+            self._lose_or_delay(index, lost=fate < 0.7)
+        elif cluster.now < recipient.paused_until:
+            self._delay(index, recipient.paused_until)
+        elif recipient.replica is None:
+            self._lose_or_delay(index, lost=fate < 0.1)
+        elif fate < self.message_loss + 0.01 and not self.fault_free:
+            self._lose_or_delay(index, lost=fate < self.message_loss)
         else:
-            cluster.deliver(index, keep=0.95 < fate < 0.97)
+            cluster.deliver(index, duplicate=0.95 < fate < 0.97)
+
+    def _is_cut(self, envelope: Envelope) -> bool:
+        """Whether a message can't arrive now, since its link is cut or its kind is blocked."""
+        cut_until = self.cluster.cut_links.get(Link(envelope.sender, envelope.recipient), 0.0)
+        blocked_until = self.blocked_messages.get(MessageBlock(envelope.recipient, type(envelope.message)), 0.0)
+        return max(cut_until, blocked_until) > self.cluster.now and not self.fault_free
+
+    def _lose_or_delay(self, index: int, lost: bool) -> None:
+        if lost:
+            self.cluster.in_flight.pop(index)
+        else:
+            self._delay(index, self.cluster.now + self.random_source.choice(DELAYS_SECONDS))
+
+    def _delay(self, index: int, due: float) -> None:
+        self.delayed.append(DelayedEnvelope(due, self.cluster.in_flight.pop(index)))
+        self.delayed.sort(key=lambda delayed: delayed.due)
 
-    def put_off(self, index: int, until: float = 0.0) -> None:
-        """A message in flight arrives later."""
-        until = until or self.cluster.now + self.random_source.choice([0.02, 0.3, 2.0, 6.0])
-        self.late.append((until, self.cluster.in_flight.pop(index)))
-        self.late.sort(key=lambda entry: entry[0])
+    def run(self, steps: int, recover: bool = True) -> WalkResult:
+        """Run so many steps with faults; then, if ``recover``, without any until the cluster has recovered.
 
-    def run(self, steps: int, calm: bool = True) -> WalkResult:
-        """`steps` with trouble, then, if `calm`, up to 40 s without: all must remember and commit again."""
-        cluster, stall = self.cluster, ""
+        To recover is to have all machines remember their promises and to commit again.
+        """
+        cluster, violation, stall = self.cluster, "", ""
         try:
             for _ in range(steps):
                 self.step()
-            if calm:
-                self.calm = True
-                began, committed = cluster.now, cluster.commit_count
-                while not (healed := cluster.commit_count > committed + 2 and not self.ailing()):
-                    if cluster.now > began + 40:
-                        break
-                    self.step()
-                stall = "" if healed else f"after 40 s calm: {self.ailing() or 'nothing is committed'}"
-        except InvariantViolation as violation:
-            return WalkResult(self.seed, self.steps, str(violation), cluster.commit_count, cluster.epoch_count)
-        return WalkResult(self.seed, self.steps, "", cluster.commit_count, cluster.epoch_count, stall)
-
-    def ailing(self) -> str:
-        """What has not healed, empty if all has."""
-        amnesic = [m for m, h in self.cluster.machines.items() if h.replica is not None and h.replica.is_amnesic]
-        return f"{amnesic} have amnesic" if amnesic else ""
+            if recover:
+                stall = self._recover()
+        except InvariantViolation as violated:
+            violation = str(violated)
+        return WalkResult(self.seed, self.steps, violation, cluster.commit_count, cluster.epoch_count, stall)
+
+    def _recover(self) -> str:
+        """Run without faults until the cluster has recovered; what has not recovered in time, "" if all has."""
+        cluster = self.cluster
+        self.fault_free = True
+        began, enough = cluster.now, cluster.commit_count + RECOVERY_COMMITS
+        while cluster.commit_count < enough or self._unrecovered():
+            if cluster.now > began + RECOVERY_LIMIT_SECONDS:
+                problem = self._unrecovered() or "nothing is committed"
+                return f"after {RECOVERY_LIMIT_SECONDS:.0f} s calm: {problem}"
+            self.step()
+        return ""
+
+    def _unrecovered(self) -> str:
+        machines = self.cluster.machines.items()
+        amnesic = [each for each, machine in machines if machine.replica is not None and machine.replica.is_amnesic]
+        return f"{amnesic} are amnesic" if amnesic else ""
+
+
+def machine_with_drawn_clock(random_source: random.Random) -> MachineModel:
+    """A machine that doesn't run yet, with a clock of its own."""
+    rate = 1 + random_source.uniform(-0.1, 0.1)
+    return MachineModel(clock_rate=rate, clock_offset=random_source.uniform(0, 1000))
--- a/rowanshift/modelcheck/router_model.py
+++ b/rowanshift/modelcheck/router_model.py
@@ -1,61 +1,62 @@
-"""Routers: each holds a poll at some machine and takes what is newer than what it has."""
+"""A modelled router: it long-polls some machine and applies what is newer than what it has."""
 
 from __future__ import annotations
 
+from rowanshift.controlplane.replication import NO_VERSION
 from rowanshift.dataplane.freshness import Freshness
 from rowanshift.modelcheck.client_invariants import ClientInvariants
-from rowanshift.modelcheck.client_messages import NO_VERSION, Poll, Redirect, Update, Version
+from rowanshift.modelcheck.client_messages import Poll, Redirect, Update
 
-ANSWER_LIMIT = 1.6  # seconds for a poll's answer; then another machine is asked
-REFUSE_WITHIN = 7.5  # seconds: the age of what is known up to which a client is refused by it
+POLL_TIMEOUT_SECONDS = 1.6  # then another machine is asked
+REFUSE_WITHIN_SECONDS = 7.5  # age of the knowledge up to which a client may be refused by it
 
 
 class RouterModel:
-    """What one router knows. Answers to polls it has given up are taken, too: more than a real one does."""
+    """What one router knows. It also applies answers to polls that it gave up, which a real router doesn't."""
 
-    def __init__(self, number: int, invariants: ClientInvariants) -> None:
-        self.number, self.invariants = number, invariants
-        self.version: Version = NO_VERSION
+    def __init__(self, client_invariants: ClientInvariants) -> None:
+        self.client_invariants = client_invariants
+        self.version = NO_VERSION
         self.state = b""
-        self.freshness = Freshness(0.0, REFUSE_WITHIN)
-        self.serial = 0
-        self.asked = -ANSWER_LIMIT  # seconds of the world
-        self.waits = False
-        self.paused_until = self.stood_still_until = 0.0  # seconds of the world
-        self.updates = 0
-
-    def wake(self, now: float) -> None:
-        """It stood still, and notices."""
-        self.stood_still_until = now
+        self.freshness = Freshness(0.0, REFUSE_WITHIN_SECONDS)
+        self.last_poll_serial = 0
+        self.polled_at = -POLL_TIMEOUT_SECONDS  # seconds of the model, as are those below
+        self.is_polling = False
+        self.paused_until = self.resumed_at = 0.0
+        self.update_count = 0
+
+    def resume(self, now: float) -> None:
+        """Notice that it was paused."""
+        self.resumed_at = now
         self.freshness.doubt(now)
 
     def next_poll(self, now: float) -> Poll | None:
-        """The poll to ask now, if it is time for one."""
-        if self.waits and now < self.asked + ANSWER_LIMIT:
+        """The poll to send now, if it is time for one."""
+        if self.is_polling and now < self.polled_at + POLL_TIMEOUT_SECONDS:
             return None
-        self.serial += 1
-        self.asked, self.waits = now, True
-        return Poll(self.serial, self.state, now)
+        self.last_poll_serial += 1
+        self.polled_at, self.is_polling = now, True
+        return Poll(self.last_poll_serial, self.state, now)
 
     def receive(self, answer: Update | Redirect, now: float) -> None:
-        """An answer has come, perhaps an old one."""
-        if answer.poll.serial == self.serial:
-            self.waits = False
+        """Handle an answer, perhaps an old one."""
+        if answer.poll.serial == self.last_poll_serial:
+            self.is_polling = False
         if isinstance(answer, Update) and self._is_newer(answer):
-            self._take(answer, now)
+            self._apply(answer, now)
 
     def _is_newer(self, update: Update) -> bool:
         return update.version >= self.version
 
-    def _take(self, update: Update, now: float) -> None:
-        self.updates += 1
-        self.invariants.taken(self.state, update.state)
+    def _apply(self, update: Update, now: float) -> None:
+        self.update_count += 1
+        self.client_invariants.check_router_update(self.state, update.state)
         self.version, self.state = update.version, update.state
         self.freshness.confirmed(self._confirmed_at(update, now))
-        self.invariants.counted_fresh(self.state, self.freshness.known_as_of)
+        self.client_invariants.check_freshness(self.state, self.freshness.known_as_of)
         if not self.freshness.in_doubt:
-            self.invariants.counted_fresh(self.state, self.stood_still_until)
+            self.client_invariants.check_freshness(self.state, self.resumed_at)
 
     def _confirmed_at(self, update: Update, now: float) -> float:
-        """The time as of which an answer makes what it says fresh."""
-        return update.poll.asked
+        """The time as of which an answer that arrives now makes its state fresh."""
+        return update.poll.asked_at
--- a/rowanshift/modelcheck/search_starts.py
+++ b/rowanshift/modelcheck/search_starts.py
@@ -1,4 +1,4 @@
-"""Where breadth-first search starts: a quiet primary, and three things under way."""
+"""Where breadth-first search starts: a quiet primary, and three procedures under way."""
 
 from __future__ import annotations
 
@@ -7,148 +7,162 @@
 
 from rowanshift.controlplane import replication
 from rowanshift.modelcheck.cluster_model import ClusterModel, MachineModel, fixed_random
-from rowanshift.modelcheck.invariants import InvariantViolation
+from rowanshift.modelcheck.errors import StartNotReached
 
-STEP = 0.1  # seconds between two ticks on the way to a start
-MOST_STEPS = 4000
+MAX_FAILURES = 1
+STEP_SECONDS = 0.1  # between two ticks on the way to a start
+MAX_STEPS = 4000
+SPARE_READY_SECONDS = 6.0  # until a spare may take a place
 
 
 @dataclass
-class Start:
-    """A world, and how often each event that isn't the protocol's own may come from there."""
+class EventBudget:
+    """How often each event that isn't the protocol's own may still happen."""
+
+    crashes: int = 1
+    disk_losses: int = 1
+    reads: int = 1
+    proposals: int = 1
+
+
+@dataclass
+class SearchStart:
+    """The state that a search starts from."""
 
     cluster: ClusterModel
-    budget: dict[str, int]
+    budget: EventBudget
 
 
-class Approach:
-    """Takes a world to a start: messages come in order, saves land, nothing is lost."""
+class DirectedRun:
+    """Takes a cluster to a start: messages arrive in order, saves end, nothing fails by itself."""
 
     def __init__(self, replica_class: type[replication.Replica], machine_count: int = 3, spares: int = 0) -> None:
         seeds = tuple(range(1, machine_count + 1))
+        machine_ids = range(1, machine_count + spares + 1)
         self.replica_class = replica_class
-        self.cluster = ClusterModel(
-            {machine_id: MachineModel(None) for machine_id in range(1, machine_count + spares + 1)}, 1, seeds
-        )
-        for machine_id in self.cluster.machines:
-            self.start(machine_id, bootstrap=machine_id in seeds)
-
-    def start(self, machine_id: int, bootstrap: bool = False) -> None:
-        """Start a machine's process."""
-        cluster, machine = self.cluster, self.cluster.machines[machine_id]
-        machine.replica = self.replica_class(
-            machine_id, 1, cluster.seeds, bootstrap, machine.disk, cluster.now, fixed_random
-        )
-        cluster.carry_out_actions(machine_id)
+        self.cluster = ClusterModel({machine_id: MachineModel() for machine_id in machine_ids}, MAX_FAILURES, seeds)
+        for machine_id in machine_ids:
+            start_machine(self.cluster, machine_id, replica_class, bootstrap=machine_id in seeds)
 
     def step(self) -> None:
-        """Deliver a message, land a save, or let time pass if there is neither."""
+        """Deliver a message, end a save, or let time pass if there is neither."""
         cluster = self.cluster
-        saving = [machine_id for machine_id, machine in cluster.machines.items() if machine.pending_save is not None]
+        saving = [each for each, machine in cluster.machines.items() if machine.pending_save is not None]
         if cluster.in_flight:
-            if cluster.machines[cluster.in_flight[0][1]].replica is None:
+            if cluster.machines[cluster.in_flight[0].recipient].replica is None:
                 cluster.in_flight.pop(0)
             else:
                 cluster.deliver(0)
         elif saving:
             cluster.complete_save(saving[0])
         else:
-            cluster.now = round(cluster.now + STEP, 3)
-            for machine_id, machine in cluster.machines.items():
-                if machine.replica is not None:
-                    cluster.tick(machine_id)
-
-    def until(self, reached: Callable[[], bool]) -> None:
-        """Go on until a condition holds."""
-        for _ in range(MOST_STEPS):
-            if reached():
+            advance_clock(cluster, STEP_SECONDS)
+
+    def run_until(self, is_reached: Callable[[], bool]) -> None:
+        """Run until a condition holds. Raises ``StartNotReached`` if it doesn't within `MAX_STEPS`."""
+        for _ in range(MAX_STEPS):
+            if is_reached():
                 return
             self.step()
-        raise InvariantViolation("START: it isn't reached")
+        raise StartNotReached(f"the start of a search is not reached in {MAX_STEPS} steps")
 
     def primary(self) -> int:
-        """The machine in office, or 0."""
-        machines = self.cluster.machines.items()
-        return next(
-            (
-                machine_id
-                for machine_id, machine in machines
-                if machine.replica is not None and machine.replica.is_primary
-            ),
-            0,
-        )
+        """The first machine that is primary, or 0."""
+        return next(iter(self.cluster.primaries()), 0)
 
-    def at_rest(self) -> bool:
+    def is_quiet(self) -> bool:
         """Whether nothing is in flight and no save is outstanding."""
-        return not self.cluster.in_flight and all(
-            machine.pending_save is None for machine in self.cluster.machines.values()
-        )
+        machines = self.cluster.machines.values()
+        return not self.cluster.in_flight and all(machine.pending_save is None for machine in machines)
+
+    def is_sent(self, message_type: type) -> bool:
+        """Whether a message of a type is in flight."""
+        return any(isinstance(envelope.message, message_type) for envelope in self.cluster.in_flight)
 
     def commit(self) -> None:
-        """Have a primary in office, and one change committed."""
-        self.until(lambda: self.at_rest() and bool(self.primary()))
+        """Have a primary, and one change committed."""
+        self.run_until(lambda: self.is_quiet() and bool(self.primary()))
         self.cluster.propose(self.primary())
-        self.until(lambda: self.at_rest() and self.cluster.commit_count == 1)
-
-
-def quiet_primary(replica_class: type[replication.Replica] = replication.Replica) -> Start:
-    """One primary in office, one commit complete, one change proposed and one read asked."""
-    approach = Approach(replica_class)
-    approach.commit()
-    approach.cluster.propose(approach.primary())
-    approach.cluster.read(approach.primary())
-    return Start(approach.cluster, {"crash": 1, "empty": 1, "read": 1, "propose": 1})
-
-
-def takeover(replica_class: type[replication.Replica] = replication.Replica) -> Start:
-    """The primary's process ended with a change proposed; another machine's Prepares are on their way."""
-    approach = Approach(replica_class)
-    approach.commit()
-    cluster, first = approach.cluster, approach.primary()
-    cluster.propose(first)
-    cluster.crash(first, save_persisted=True)
-    approach.until(lambda: any(isinstance(message, replication.Prepare) for _, _, message in cluster.in_flight))
-    return Start(cluster, {"crash": 1, "empty": 1, "read": 1, "propose": 1})
-
-
-def membership_change(replica_class: type[replication.Replica] = replication.Replica) -> Start:
-    """A witness is gone for good; the primary's Prepares of the epoch with a spare in its place are on their way."""
-    approach = Approach(replica_class, spares=1)
-    approach.commit()
-    cluster, primary = approach.cluster, approach.primary()
-    approach.until(lambda: not cluster.machines[4].replica.is_amnesic and cluster.now > 6 and approach.at_rest())
-    gone = next(
-        machine_id for machine_id in (1, 2, 3) if machine_id not in cluster.machines[primary].replica.record.in_sync
-    )
-    cluster.crash(gone, save_persisted=False)
-    cluster.machines[gone].gone = cluster.machines[gone].lost = True
-
-    def changing() -> bool:
-        candidacy = cluster.machines[primary].replica._candidacy
-        sent = any(isinstance(message, replication.Prepare) for _, _, message in cluster.in_flight)
-        return candidacy is not None and bool(candidacy.witnesses) and sent
-
-    approach.until(changing)
-    return Start(cluster, {"crash": 1, "empty": 0, "read": 1, "propose": 1})
+        self.run_until(lambda: self.is_quiet() and self.cluster.commit_count == 1)
 
 
-def recovery(replica_class: type[replication.Replica] = replication.Replica) -> Start:
-    """A backup lost its disk; its RecoveryRequests are on their way while a change is proposed."""
-    approach = Approach(replica_class)
-    approach.commit()
-    cluster, primary = approach.cluster, approach.primary()
-    backup = next(
-        machine_id for machine_id in cluster.machines[primary].replica.record.in_sync if machine_id != primary
+def start_machine(
+    cluster: ClusterModel, machine_id: int, replica_class: type[replication.Replica], bootstrap: bool = False
+) -> None:
+    """Start a machine's process, without randomness."""
+    machine = cluster.machines[machine_id]
+    machine.replica = replica_class(
+        machine_id, cluster.max_failures, cluster.seeds, bootstrap, machine.disk, cluster.now, fixed_random
     )
-    cluster.crash(backup, save_persisted=False)
-    cluster.machines[backup].disk, cluster.machines[backup].lost = None, True
-    approach.start(backup)
-    approach.until(lambda: any(isinstance(message, replication.RecoveryRequest) for _, _, message in cluster.in_flight))
-    cluster.propose(approach.primary())
-    return Start(cluster, {"crash": 1, "empty": 0, "read": 1, "propose": 1})
-
-
-STARTS: dict[str, Callable[[type[replication.Replica]], Start]] = {
+    cluster.carry_out_actions(machine_id)
+
+
+def advance_clock(cluster: ClusterModel, seconds: float) -> None:
+    """Let time pass and every replica see it; rounded, so that equal times are equal numbers."""
+    cluster.now = round(cluster.now + seconds, 3)
+    cluster.tick_all()
+
+
+def quiet_primary(replica_class: type[replication.Replica] = replication.Replica) -> SearchStart:
+    """A primary that has committed a change, with one more proposed and a read asked."""
+    run = DirectedRun(replica_class)
+    run.commit()
+    run.cluster.propose(run.primary())
+    run.cluster.read(run.primary())
+    return SearchStart(run.cluster, EventBudget())
+
+
+def takeover(replica_class: type[replication.Replica] = replication.Replica) -> SearchStart:
+    """The primary's process ended with a change proposed; another machine's Prepares are in flight."""
+    run = DirectedRun(replica_class)
+    run.commit()
+    first_primary = run.primary()
+    run.cluster.propose(first_primary)
+    run.cluster.crash(first_primary, save_persisted=True)
+    run.run_until(lambda: run.is_sent(replication.Prepare))
+    return SearchStart(run.cluster, EventBudget())
+
+
+def membership_change(replica_class: type[replication.Replica] = replication.Replica) -> SearchStart:
+    """A witness is removed; the primary's Prepares of the epoch with a spare in its place are in flight."""
+    run = DirectedRun(replica_class, spares=1)
+    run.commit()
+    machines, primary = run.cluster.machines, run.primary()
+    spare = max(machines)
+    run.run_until(
+        lambda: (
+            not machines[spare].running_replica.is_amnesic and run.cluster.now > SPARE_READY_SECONDS and run.is_quiet()
+        )
+    )
+    in_sync = machines[primary].running_replica.record.in_sync
+    removed = next(machine_id for machine_id in run.cluster.seeds if machine_id not in in_sync)
+    run.cluster.crash(removed, save_persisted=False)
+    machines[removed].removed = machines[removed].counts_as_failed = True
+
+    def is_changing() -> bool:
+        candidacy = machines[primary].running_replica._candidacy
+        return candidacy is not None and bool(candidacy.witnesses) and run.is_sent(replication.Prepare)
+
+    run.run_until(is_changing)
+    return SearchStart(run.cluster, EventBudget(disk_losses=0))
+
+
+def recovery(replica_class: type[replication.Replica] = replication.Replica) -> SearchStart:
+    """A backup lost its disk; its RecoveryRequests are in flight while a change is proposed."""
+    run = DirectedRun(replica_class)
+    run.commit()
+    machines, primary = run.cluster.machines, run.primary()
+    backup = next(each for each in machines[primary].running_replica.record.in_sync if each != primary)
+    run.cluster.lose_disk(backup)
+    machines[backup].counts_as_failed = True
+    start_machine(run.cluster, backup, replica_class)
+    run.run_until(lambda: run.is_sent(replication.RecoveryRequest))
+    run.cluster.propose(run.primary())
+    return SearchStart(run.cluster, EventBudget(disk_losses=0))
+
+
+# by the names that the command line gives them
+STARTS: dict[str, Callable[[type[replication.Replica]], SearchStart]] = {
     "quiet-primary": quiet_primary,
     "takeover": takeover,
     "membership-change": membership_change,
--- a/rowanshift/modelcheck/worst_case_walk.py
+++ b/rowanshift/modelcheck/worst_case_walk.py
@@ -7,95 +7,95 @@
 
 from __future__ import annotations
 
+from enum import Enum
+
 from rowanshift.controlplane import replication
-from rowanshift.modelcheck.cluster_model import MachineModel
-from rowanshift.modelcheck.file_system import FileSystemModel
-from rowanshift.modelcheck.membership_walk import DOWN_TIMES, GRACE, JOIN_DELAYS, MembershipWalk
+from rowanshift.modelcheck.implementations import DEFAULT_IMPLEMENTATIONS, Implementations
+from rowanshift.modelcheck.membership_walk import JOIN_DELAYS_SECONDS, LEAVE_GRACE_SECONDS, MembershipWalk
+
+CLOSING_FAULT_DELAYS_SECONDS = (0.0, 0.02, 0.1, 0.3, 1.0)  # from the preceding event to the closing fault, at most
+LEAVE_LIMIT_SECONDS = LEAVE_GRACE_SECONDS + 0.5  # for a machine that leaves to end
+FAILED_UNTIL_SYNCED_SECONDS = 4.0  # without faults, from a machine's start until it no longer counts as failed
+
 
-BEFORE = ("nothing", "leave", "gone")  # what befalls a machine just before the closing fault
-APART = (0.0, 0.02, 0.1, 0.3, 1.0)  # seconds from that to the closing fault, at most
-RELEASE_WITHIN = GRACE + 0.5  # seconds for a machine that leaves to end
-SYNCED = 4.0  # seconds of calm after its start until a machine no longer counts as lost
+class PrecedingEvent(Enum):
+    """What happens to a machine just before the closing fault."""
+
+    NOTHING = "nothing"
+    LEAVE = "leave"
+    REMOVAL = "removal"
 
 
 class WorstCaseWalk(MembershipWalk):
-    """A walk of members whose rounds each end in a closing fault."""
-
-    def round(self) -> None:
-        """A round of the members' walk, time in which its losses are made good, then the closing fault and a calm."""
-        super().round()
-        self.calm = True
-        self._go_on(SYNCED)
-        self.calm = False
-        self._close()
-
-    def _close(self) -> None:
-        random_source = self.membership_random
-        lost = self._before()
-        self._go_on(random_source.random() * random_source.choice(APART))
-        self._strike(self.cluster.max_failures - lost)
-        self._calm_down()
-
-    def _before(self) -> int:
-        """Something that befalls a machine first; how many of the f losses that uses up."""
-        what = self.membership_random.choice(BEFORE)
-        if what == "nothing":
+    """A walk with changing members whose rounds each end in a closing fault."""
+
+    def run_round(self) -> None:
+        """A round of a membership walk, time to make good its failures, then the closing fault and a recovery."""
+        super().run_round()
+        self.fault_free = True
+        self._run_seconds(FAILED_UNTIL_SYNCED_SECONDS)
+        self.fault_free = False
+        failures = self._precede_closing_fault()
+        self._run_seconds(self.member_random.random() * self.member_random.choice(CLOSING_FAULT_DELAYS_SECONDS))
+        self._inject_closing_fault(self.cluster.max_failures - failures)
+        self._await_recovery()
+
+    def _precede_closing_fault(self) -> int:
+        """Inject a preceding event; how many of the f tolerated failures it uses up."""
+        event = self.member_random.choice(list(PrecedingEvent))
+        if event is PrecedingEvent.NOTHING:
             return 0
-        machine_id = self.membership_random.choice(self._present())
-        if what == "gone":
-            self._end(machine_id)
+        machine_id = self.member_random.choice(self.cluster.remaining_machines())
+        if event is PrecedingEvent.REMOVAL:
+            self._remove_machine(machine_id)
             return 1
-        replaced = self._has_spare()
-        self.calm = in_calm = self.membership_random.random() < 0.5
-        self._leave(machine_id)
-        self.calm = False
-        if not in_calm:  # the spare may have been in trouble itself
-            replaced = machine_id not in self.cluster.newest_record().members()
-        return 0 if replaced and machine_id in self.released else 1
-
-    def _leave(self, machine_id: int) -> None:
-        """Tell a machine to stop, and go on until it has ended."""
+        is_replaced = self._has_spare()
+        self.fault_free = without_faults = self.member_random.random() < 0.5
+        self._complete_leave(machine_id)
+        self.fault_free = False
+        if not without_faults:  # the spare itself may have been hit by a fault
+            is_replaced = machine_id not in self.cluster.newest_record().members()
+        return 0 if is_replaced and machine_id in self.released else 1
+
+    def _complete_leave(self, machine_id: int) -> None:
+        """Let a machine leave, and go on until it has ended."""
         cluster, machine = self.cluster, self.cluster.machines[machine_id]
         if machine.replica is None:
-            self._end(machine_id)
+            self._remove_machine(machine_id)
             return
-        self.leaving[machine_id] = cluster.now + GRACE
-        machine.replica.leave(cluster.clock(machine))
-        cluster.carry_out_actions(machine_id)
-        until = cluster.now + RELEASE_WITHIN
-        while not machine.gone and cluster.now < until:
+        self._begin_leave(machine_id, machine.replica)
+        until = cluster.now + LEAVE_LIMIT_SECONDS
+        while not machine.removed and cluster.now < until:
             self.step()
 
-    def _strike(self, disks: int) -> None:
-        """All machines lose power at one moment, and so many of them their disk."""
-        random_source, cluster = self.membership_random, self.cluster
-        present = self._present()
+    def _inject_closing_fault(self, lost_disks: int) -> None:
+        """Cut the power of all machines at one moment, and lose the disks of so many."""
+        present = self.cluster.remaining_machines()
         self.leaving.clear()
         for machine_id in present:
-            self.cut_power(machine_id)
-        for machine_id in random_source.sample(present, disks):
-            machine = cluster.machines[machine_id]
-            machine.disk, machine.files, machine.lost = None, FileSystemModel(), True
-            machine.down_until = cluster.now + random_source.choice(DOWN_TIMES)
-        if self.joining:
-            self.joining = [cluster.now + random_source.choice(JOIN_DELAYS) for _ in self.joining]
-
-    def _present(self) -> list[int]:
-        return [machine_id for machine_id, machine in self.cluster.machines.items() if not machine.gone]
+            self._cut_power(machine_id)
+        for machine_id in self.member_random.sample(present, lost_disks):
+            self._replace_disk(machine_id)
+        delays = [self.member_random.choice(JOIN_DELAYS_SECONDS) for _ in self.joining]
+        self.joining = [self.cluster.now + delay for delay in delays]
 
     def _has_spare(self) -> bool:
-        """Whether a machine that lives is no witness."""
+        """Whether a recovered machine that may become a witness is none."""
         witnesses = self.cluster.newest_record().witnesses
-        return any(self._lives(machine_id) and machine_id not in witnesses for machine_id in self._present())
+        candidates = (each for each in self.cluster.remaining_machines() if self._may_be_witness(each))
+        return any(self._is_recovered(machine_id) and machine_id not in witnesses for machine_id in candidates)
 
-    def _go_on(self, seconds: float) -> None:
+    def _may_be_witness(self, machine_id: int) -> bool:
+        return True
+
+    def _run_seconds(self, seconds: float) -> None:
         until = self.cluster.now + seconds
         while self.cluster.now < until:
             self.step()
 
 
 class ObserverWalk(WorstCaseWalk):
-    """A closing walk with one machine more, which doesn't count: it goes for good in each closing fault, beyond f."""
+    """A worst-case walk with an observer more: a machine without a vote, lost in each closing fault beyond f."""
 
     def __init__(
         self,
@@ -103,30 +103,27 @@
         machine_count: int,
         max_failures: int,
         spares: int = 1,
-        replica_class: type[replication.Replica] = replication.Replica,
+        implementations: Implementations = DEFAULT_IMPLEMENTATIONS,
         timing: replication.Timing | None = None,
     ) -> None:
-        self.uncounted = machine_count + spares + 1
-        super().__init__(seed, machine_count, max_failures, spares + 1, replica_class, timing=timing)
+        self.observer = machine_count + spares + 1
+        super().__init__(seed, machine_count, max_failures, spares + 1, implementations, timing)
 
-    def _start_replica(self, machine_id: int, machine: MachineModel, bootstrap: bool) -> None:
-        super()._start_replica(machine_id, machine, bootstrap)
-        machine.replica.counts = machine_id != self.uncounted
+    def _start_replica(self, machine_id: int, seeds: tuple[int, ...], bootstrap: bool) -> None:
+        super()._start_replica(machine_id, seeds, bootstrap)
+        self.cluster.machines[machine_id].running_replica.counts = machine_id != self.observer
 
-    def _has_spare(self) -> bool:
-        witnesses = self.cluster.newest_record().witnesses
-        return any(
-            self._lives(machine_id) and machine_id not in {*witnesses, self.uncounted} for machine_id in self._present()
-        )
-
-    def _end(self, machine_id: int) -> None:
-        super()._end(machine_id)
-        if machine_id == self.uncounted:
-            self.joining.pop()  # the next one comes after the closing fault: the machines don't grow in number
-
-    def _strike(self, disks: int) -> None:
-        if not self.cluster.machines[self.uncounted].gone:
-            self._end(self.uncounted)
-        super()._strike(disks)
+    def _may_be_witness(self, machine_id: int) -> bool:
+        return machine_id != self.observer
+
+    def _remove_machine(self, machine_id: int) -> None:
+        super()._remove_machine(machine_id)
+        if machine_id == self.observer:
+            self.joining.pop()  # the next observer joins after the closing fault: the machines don't grow in number
+
+    def _inject_closing_fault(self, lost_disks: int) -> None:
+        if not self.cluster.machines[self.observer].removed:
+            self._remove_machine(self.observer)
+        super()._inject_closing_fault(lost_disks)
         self._join()
-        self.uncounted = max(self.cluster.machines)
+        self.observer = max(self.cluster.machines)
--- a/tests/controlplane/replication/test_replication.py
+++ b/tests/controlplane/replication/test_replication.py
@@ -56,7 +56,7 @@
         cluster = self.cluster
         for _ in range(2000):
             saving = [m for m, h in cluster.machines.items() if h.pending_save is not None and m not in self.stuck]
-            moving = [i for i, entry in enumerate(cluster.in_flight) if entry[1] not in self.paused]
+            moving = [i for i, entry in enumerate(cluster.in_flight) if entry.recipient not in self.paused]
             if moving:
                 sender, to, message = cluster.in_flight[moving[0]]
                 if cluster.machines[to].replica is None or self.drop(sender, to, message):
@@ -292,7 +292,7 @@
         rig.commit()
         rig.paused = set()
         rig.cluster.in_flight = [
-            entry for entry in rig.cluster.in_flight if entry[1] != first
+            entry for entry in rig.cluster.in_flight if entry.recipient != first
         ]  # it has heard nothing of it
         self.assertTrue(rig.ledger(first).is_primary)
         now = rig.cluster.now
@@ -479,9 +479,9 @@
         self.assertEqual("", search_breadth_first(1500).violation)
 
     def test_planted_faults_are_found(self):
-        for fault, hunt in FAULTS.items():
+        for fault, search in FAULTS.items():
             with self.subTest(fault=fault.__name__):
-                self.assertIsNotNone(find_fault(fault, hunt, [hunt.seed, *range(60)]), "not found")
+                self.assertIsNotNone(find_fault(fault, search, [search.seed, *range(60)]), "not found")
 
 
 if __name__ == "__main__":
--- a/tests/controlplane/replication/test_state_delta.py
+++ b/tests/controlplane/replication/test_state_delta.py
@@ -3,7 +3,8 @@
 import unittest
 
 from rowanshift.controlplane import replication as p
-from rowanshift.modelcheck.cluster_model import fixed_random
+from rowanshift.modelcheck.cluster_model import Envelope, fixed_random
+from rowanshift.modelcheck.implementations import Implementations
 from rowanshift.modelcheck.random_walk import RandomWalk
 from rowanshift.wire.delta import COPY, LITERAL, OPERATION
 from tests.controlplane.replication.test_replication import Rig
@@ -53,7 +54,7 @@
 
     def carry(self, rig: Rig, me: int, action: p.Action) -> None:
         if isinstance(action, p.Send):
-            rig.cluster.in_flight.append((me, action.to, action.message))
+            rig.cluster.in_flight.append(Envelope(me, action.to, action.message))
         elif isinstance(action, p.Save):
             rig.cluster.machines[me].pending_save = action
 
@@ -153,7 +154,7 @@
     def test_walks_in_which_all_changes_go_by_their_difference(self) -> None:
         committed = 0
         for seed in range(3000, 3012):
-            outcome = RandomWalk(seed, 3, 1, 1, replica_class=AlwaysByDelta).run(5000)
+            outcome = RandomWalk(seed, 3, 1, 1, implementations=Implementations(replica=AlwaysByDelta)).run(5000)
             self.assertEqual((outcome.violation, outcome.stall), ("", ""))
             committed += outcome.commits
         self.assertGreater(committed, 300)
--- a/tests/modelcheck/test_modelcheck.py
+++ b/tests/modelcheck/test_modelcheck.py
@@ -12,10 +12,12 @@
 from rowanshift.modelcheck.client_messages import ConfigChange, Status
 from rowanshift.modelcheck.client_walk import ClientWalk
 from rowanshift.modelcheck.fault_search import find_fault
-from rowanshift.modelcheck.file_system import DATA_FILE, STORE_DIRECTORY, FileSystemModel, StoreModel
+from rowanshift.modelcheck.file_system import DATA_FILE, STORE_DIRECTORY, DirectoryEntry, FileSystemModel
 from rowanshift.modelcheck.membership_walk import MembershipWalk
+from rowanshift.modelcheck.store_model import StoreModel
 from tests.support.planted_client_faults import FAULTS
 
+OTHER_FILE = DirectoryEntry(DATA_FILE.directory, "other")
 RECORD = replication.DurableState(1, replication.NO_RECORD, replication.NO_VERSION, b"abcd", False)
 
 
@@ -28,8 +30,8 @@
             walk = ClientWalk(seed, machines, f, spares)
             outcome = walk.run(5000)
             self.assertEqual(("", ""), (outcome.violation, outcome.stall), outcome)
-            acknowledged += len(walk.client_checks.acknowledged)
-            updates += sum(router.updates for router in walk.routers.values())
+            acknowledged += len(walk.client_invariants.acknowledged)
+            updates += sum(router.update_count for router in walk.routers.values())
         self.assertGreater(acknowledged, least_acknowledged)
         self.assertGreater(updates, least_acknowledged)
 
@@ -75,7 +77,7 @@
     """All orders of events up to three from each start."""
 
     def search(self, start: str) -> None:
-        result = search_breadth_first(100_000, start, most_events=3)
+        result = search_breadth_first(100_000, start, max_depth=3)
         self.assertEqual(("", 3), (result.violation, result.depth), result)
 
     def test_from_a_quiet_primary(self):
@@ -95,9 +97,9 @@
     """Each fault is found by its stated seed; by one near 0 if the protocol's times have changed since."""
 
     def test_each_is_found(self):
-        for fault, hunt in FAULTS.items():
+        for fault, search in FAULTS.items():
             with self.subTest(fault=fault.__name__):
-                self.assertIsNotNone(find_fault(fault, hunt, [hunt.seed, *range(40)]), "not found")
+                self.assertIsNotNone(find_fault(fault, search, [search.seed, *range(40)]), "not found")
 
 
 class Files(unittest.TestCase):
@@ -149,16 +151,14 @@
         found = set()
         for seed in range(40):
             files = self.opened(4)
-            files.rename(DATA_FILE, ("store", "other"))
+            files.rename(DATA_FILE, OTHER_FILE)
             if seed % 2:
                 files.sync_directory("store")
             files.lose_power(random.Random(seed))
-            found.add((seed % 2, frozenset(files.shown)))
+            found.add((seed % 2, frozenset(files.visible)))
         self.assertIn((0, frozenset({STORE_DIRECTORY, DATA_FILE})), found)
-        self.assertIn((0, frozenset({STORE_DIRECTORY, ("store", "other")})), found)
-        self.assertEqual(
-            {frozenset({STORE_DIRECTORY, ("store", "other")})}, {shown for synced, shown in found if synced}
-        )
+        self.assertIn((0, frozenset({STORE_DIRECTORY, OTHER_FILE})), found)
+        self.assertEqual({frozenset({STORE_DIRECTORY, OTHER_FILE})}, {shown for synced, shown in found if synced})
 
 
 if __name__ == "__main__":
--- a/tests/support/planted_client_faults.py
+++ b/tests/support/planted_client_faults.py
@@ -1,4 +1,4 @@
-"""Services, routers, replicas, stores with one thing wrong each, found by walks with clients or changing members."""
+"""Services, routers, replicas and stores with one planted fault each, found by walks with clients or new members."""
 
 from __future__ import annotations
 
@@ -10,85 +10,87 @@
 from rowanshift.controlplane.order_history import EMPTY_ORDER_HISTORY
 from rowanshift.modelcheck.client_messages import Status
 from rowanshift.modelcheck.control_service import ControlService
+from rowanshift.modelcheck.fault_injection import FaultKind
 from rowanshift.modelcheck.fault_search import FaultSearch
-from rowanshift.modelcheck.file_system import DATA_FILE, STORE_DIRECTORY, StoreModel
-from rowanshift.modelcheck.random_walk import STUBBORN
+from rowanshift.modelcheck.file_system import DATA_FILE, STORE_DIRECTORY
+from rowanshift.modelcheck.random_walk import LONG_TENURE_TIMING
 from rowanshift.modelcheck.router_model import RouterModel
+from rowanshift.modelcheck.store_model import StoreModel
 
 
-class TakesOrderOnUsedBase(ControlService):
-    """An order is taken whatever its base."""
+class AcceptsChangeOnUsedBase(ControlService):
+    """A change is accepted whatever its base."""
 
-    def _put(self, state, order):
-        changed = put_config(state, f'"{state.revision}"', order.body)
+    def _put(self, state, change):
+        changed = put_config(state, f'"{state.revision}"', change.body)
         return None if changed is None else changed[0]
 
 
-class ForgetsOrdersAtTakeover(ControlService):
-    """A new primary knows only the orders that were taken since its process began."""
+class ForgetsChangesAtTakeover(ControlService):
+    """A new primary knows only the changes that were accepted since its process began."""
 
     def __init__(self, *args):
         super().__init__(*args)
         self.known_before = None
 
-    def _put(self, state, order):
+    def _put(self, state, change):
         if self.known_before is None:
             self.known_before = state.orders.entries
         entries = state.orders.entries.removeprefix(self.known_before)
-        following = super()._put(replace(state, orders=replace(EMPTY_ORDER_HISTORY, entries=entries)), order)
-        return following and replace(following, orders=state.orders.with_order(order.revision, bytes(32)))
+        following = super()._put(replace(state, orders=replace(EMPTY_ORDER_HISTORY, entries=entries)), change)
+        return following and replace(following, orders=state.orders.with_order(change.revision, bytes(32)))
 
 
 class RefusesUnconfirmed(ControlService):
-    """An order is refused by the state that this machine knows, without a confirmed read."""
+    """A change is refused by the state that this machine knows, without a confirmed read."""
 
-    def _begin(self, change):
+    def _begin(self, pending):
         if self.replica.is_primary:
             try:
-                self._put(unpack(self.replica.committed_state), change.order)
+                self._put(unpack(self.replica.committed_state), pending.change)
             except ValueError:
-                self._reply(change, Status.PRECONDITION_FAILED)
+                self._reply(pending, Status.PRECONDITION_FAILED)
                 return
-        super()._begin(change)
+        super()._begin(pending)
 
 
 class RefusesByProposal(ControlService):
-    """An order is refused by a proposal that is under way."""
+    """A change is refused by a proposal that is under way."""
 
-    def _decide(self, change, state):
+    def _decide(self, pending, state):
         proposal = self.replica._proposal
-        if proposal is not None and unpack(proposal.state).revision != change.order.base:
-            self._reply(change, Status.PRECONDITION_FAILED)
+        if proposal is not None and unpack(proposal.state).revision != pending.change.base:
+            self._reply(pending, Status.PRECONDITION_FAILED)
         else:
-            super()._decide(change, state)
+            super()._decide(pending, state)
 
 
 class AcknowledgesProposed(ControlService):
     """200 is answered for what is only proposed."""
 
-    def _propose(self, change, base, state):
-        super()._propose(change, base, state)
-        if change is self.change:
-            self._reply(change, Status.ACCEPTED, change.order.revision)
+    def _propose(self, pending, base, state):
+        super()._propose(pending, base, state)
+        if pending is self.current:
+            self._reply(pending, Status.ACCEPTED, pending.change.revision)
 
 
 class AcknowledgesUnknown(ControlService):
     """200 is answered although primacy was lost while the proposal was under way."""
 
-    def _go_on(self, change, succeeded):
-        super()._go_on(change, succeeded or change.proposed)
+    def _continue(self, pending, succeeded):
+        super()._continue(pending, succeeded or pending.proposed)
 
 
 class RefusesUnknown(ControlService):
-    """412 is answered where nobody knows: primacy was lost, or the time was over."""
+    """412 is answered where the outcome is unknown: primacy was lost, or the change has reached its limit."""
 
-    def _reply(self, change, status, revision=0):
-        unknown = status is Status.UNAVAILABLE and change.proposed
-        super()._reply(change, Status.PRECONDITION_FAILED if unknown else status, revision)
+    def _reply(self, pending, status, revision=0):
+        unknown = status is Status.UNAVAILABLE and pending.proposed
+        super()._reply(pending, Status.PRECONDITION_FAILED if unknown else status, revision)
 
 
 class AnswersPollsWithoutLease(ControlService):
-    """Polls are answered by whoever believes to be primary."""
+    """Polls are answered by any machine that believes to be primary."""
 
     def _holds_lease(self):
         return self.replica.is_primary
@@ -97,24 +99,26 @@
 class AnswersPollsWithProposed(ControlService):
     """Routers are told what is on this machine's disk, committed or not."""
 
-    def _state_to_tell(self):
-        version, state = super()._state_to_tell()
+    def _published_state(self):
+        version, state = super()._published_state()
         proposal = self.replica._proposal
-        return (version, state) if proposal is None else ((version[0], version[1] + 1), proposal.state)
+        if proposal is None:
+            return version, state
+        return replace(version, sequence=version.sequence + 1), proposal.state
 
 
-class RouterTakesOlderEpoch(RouterModel):
-    """A router takes whatever comes."""
+class RouterAppliesOlderEpoch(RouterModel):
+    """A router applies any state that arrives."""
 
     def _is_newer(self, update):
         return True
 
 
 class RouterOrdersBySequence(RouterModel):
-    """A router orders by the sequence alone, so that a new epoch's first answers look old."""
+    """A router compares the sequence alone, so that a new epoch's first answers look old."""
 
     def _is_newer(self, update):
-        return update.version[1] <= self.version[1] or update.version >= self.version
+        return update.version.sequence <= self.version.sequence or update.version >= self.version
 
 
 class RouterFreshFromAnswer(RouterModel):
@@ -134,8 +138,8 @@
             self._lease_from = self._now
 
 
-class GoneWitnessKept(replication.Replica):
-    """A witness that is gone is never replaced by a spare."""
+class RemovedWitnessKept(replication.Replica):
+    """A witness that was removed is never replaced by a spare."""
 
     def _witnesses_wanted(self):
         return ()
@@ -151,19 +155,19 @@
 
 
 class DirectoriesSyncedOnlyWhenNew(StoreModel):
-    """The directories are synced only by the life that makes the file (so did store.py once)."""
+    """The directories are synced only by the process that creates the file (so did store.py once)."""
 
     @staticmethod
-    def open(files):
-        new = DATA_FILE not in files.shown
-        files.make(STORE_DIRECTORY)
+    def open(file_system):
+        new = DATA_FILE not in file_system.visible
+        file_system.create(STORE_DIRECTORY)
         yield
-        files.make(DATA_FILE)
+        file_system.create(DATA_FILE)
         yield
         if new:
-            files.sync_directory("store")
+            file_system.sync_directory("store")
             yield
-            files.sync_directory("data")
+            file_system.sync_directory("data")
             yield
 
 
@@ -171,40 +175,53 @@
     """Only the store's own directory is synced, not the one that holds its name."""
 
     @staticmethod
-    def open(files):
-        files.make(STORE_DIRECTORY)
+    def open(file_system):
+        file_system.create(STORE_DIRECTORY)
         yield
-        files.make(DATA_FILE)
+        file_system.create(DATA_FILE)
         yield
-        files.sync_directory("store")
+        file_system.sync_directory("store")
         yield
 
 
 class RecordNotSynced(StoreModel):
-    """A record is written and left to the kernel."""
+    """A record is written and not synced."""
 
     @staticmethod
-    def write(files, content):
-        files.write_unsynced(content)
+    def write(file_system, content):
+        file_system.write_unsynced(content)
 
 
 FAULTS = {
-    TakesOrderOnUsedBase: FaultSearch(0, kind="clients"),
-    ForgetsOrdersAtTakeover: FaultSearch(0, kind="clients"),
-    RefusesUnconfirmed: FaultSearch(40, faults=("cut", "split", "deaf"), kind="clients", timing=STUBBORN, busy=True),
-    RefusesByProposal: FaultSearch(2, faults=("slow", "fail", "pause", "cut"), kind="clients", busy=True),
-    AcknowledgesProposed: FaultSearch(0, kind="clients"),
-    AcknowledgesUnknown: FaultSearch(4, kind="clients"),
-    RefusesUnknown: FaultSearch(4, kind="clients"),
-    AnswersPollsWithoutLease: FaultSearch(4, faults=("pause",), kind="clients", busy=True),
-    AnswersPollsWithProposed: FaultSearch(8, faults=("slow", "pause", "cut"), kind="clients", busy=True),
-    RouterTakesOlderEpoch: FaultSearch(0, kind="clients"),
-    RouterOrdersBySequence: FaultSearch(0, kind="clients"),
-    RouterFreshFromAnswer: FaultSearch(0, kind="clients"),
-    LeaseFromAnswer: FaultSearch(256, faults=("pause",)),
-    GoneWitnessKept: FaultSearch(0, spares=1, kind="members"),
-    ReleasesCopies: FaultSearch(3, spares=1, kind="members"),
-    DirectoriesSyncedOnlyWhenNew: FaultSearch(10, spares=1, kind="members"),
-    ParentDirectoryNotSynced: FaultSearch(0, spares=1, kind="members"),
-    RecordNotSynced: FaultSearch(0, spares=1, kind="members"),
+    AcceptsChangeOnUsedBase: FaultSearch(0, walk="clients"),
+    ForgetsChangesAtTakeover: FaultSearch(0, walk="clients"),
+    RefusesUnconfirmed: FaultSearch(
+        40,
+        fault_kinds=(FaultKind.LINK_CUTS, FaultKind.PARTITION, FaultKind.MESSAGE_BLOCK),
+        walk="clients",
+        timing=LONG_TENURE_TIMING,
+        heavy_load=True,
+    ),
+    RefusesByProposal: FaultSearch(
+        2,
+        fault_kinds=(FaultKind.SLOW_DISK, FaultKind.SAVE_ERROR, FaultKind.PAUSE, FaultKind.LINK_CUTS),
+        walk="clients",
+        heavy_load=True,
+    ),
+    AcknowledgesProposed: FaultSearch(0, walk="clients"),
+    AcknowledgesUnknown: FaultSearch(4, walk="clients"),
+    RefusesUnknown: FaultSearch(4, walk="clients"),
+    AnswersPollsWithoutLease: FaultSearch(4, fault_kinds=(FaultKind.PAUSE,), walk="clients", heavy_load=True),
+    AnswersPollsWithProposed: FaultSearch(
+        8, fault_kinds=(FaultKind.SLOW_DISK, FaultKind.PAUSE, FaultKind.LINK_CUTS), walk="clients", heavy_load=True
+    ),
+    RouterAppliesOlderEpoch: FaultSearch(0, walk="clients"),
+    RouterOrdersBySequence: FaultSearch(0, walk="clients"),
+    RouterFreshFromAnswer: FaultSearch(0, walk="clients"),
+    LeaseFromAnswer: FaultSearch(256, fault_kinds=(FaultKind.PAUSE,)),
+    RemovedWitnessKept: FaultSearch(0, spares=1, walk="members"),
+    ReleasesCopies: FaultSearch(3, spares=1, walk="members"),
+    DirectoriesSyncedOnlyWhenNew: FaultSearch(10, spares=1, walk="members"),
+    ParentDirectoryNotSynced: FaultSearch(0, spares=1, walk="members"),
+    RecordNotSynced: FaultSearch(0, spares=1, walk="members"),
 }
--- a/tests/support/planted_replication_faults.py
+++ b/tests/support/planted_replication_faults.py
@@ -1,8 +1,9 @@
-"""Protocols with one thing wrong each, which the drawn walks of rowanshift.modelcheck must find."""
+"""Replicas with one planted fault each, which the random walks of rowanshift.modelcheck must find."""
 
 from __future__ import annotations
 
 from rowanshift.controlplane import replication
+from rowanshift.modelcheck.fault_injection import FaultKind
 from rowanshift.modelcheck.fault_search import FaultSearch
 
 
@@ -198,25 +199,51 @@
 FAULTS: dict[type[replication.Replica], FaultSearch] = {
     AcknowledgesAlone: FaultSearch(0),
     EmptyDiskVotes: FaultSearch(2),
-    AcceptsBeforeSave: FaultSearch(0, 5, 1, 0, ("stand", "power", "power", "deaf")),
-    PromiseNotDurable: FaultSearch(0, 5, 1, 0, ("stand", "power", "power", "deaf")),
+    AcceptsBeforeSave: FaultSearch(
+        0,
+        machine_count=5,
+        fault_kinds=(FaultKind.FORCED_CANDIDACY, FaultKind.POWER_LOSS, FaultKind.POWER_LOSS, FaultKind.MESSAGE_BLOCK),
+    ),
+    PromiseNotDurable: FaultSearch(
+        0,
+        machine_count=5,
+        fault_kinds=(FaultKind.FORCED_CANDIDACY, FaultKind.POWER_LOSS, FaultKind.POWER_LOSS, FaultKind.MESSAGE_BLOCK),
+    ),
     CommitsBeforeOwnSave: FaultSearch(0),
     OutOfSyncCandidateGoesOn: FaultSearch(1),
     LostStateGoesOn: FaultSearch(2),
     ReadsUnconfirmed: FaultSearch(81),
     ReadsProposed: FaultSearch(3),
-    AcceptsLowerNumber: FaultSearch(29, 5),
-    IgnoresRecordsRead: FaultSearch(2, 3),
-    NewSetAlone: FaultSearch(16, 3, 1, 1, ("pause", "cut", "deaf", "stand")),
-    OldSetAlone: FaultSearch(1, 3, 1, 1, ("pause", "pause", "cut", "deaf")),
-    LeaseNotAwaited: FaultSearch(4, 3, 1, 0, ("stand", "stand", "pause", "cut")),
-    RestartedDoesNotWait: FaultSearch(4, 3, 1, 0, ("quake", "quake", "cut")),
-    CopiesGoOnAtOnce: FaultSearch(0, 3, 1, 0, ("quake", "quake", "cut")),
-    StoresBelowPromise: FaultSearch(16, 3, 1, 0, ("pause", "stand", "deaf")),
-    RecoversFromOne: FaultSearch(74, 3, 1, 0, ("empty", "cut", "stand")),
-    CountsAnyStored: FaultSearch(192, 3, 1, 0, ("cut", "deaf", "power", "slow")),
-    CountsAnyHeartbeatReply: FaultSearch(240, 3, 1, 0, ("pause", "cut", "deaf")),
-    KeepsLeaseTransferring: FaultSearch(130, 3, 1, 0, ("slow", "fail", "pause")),
-    ReleasesFormerWitness: FaultSearch(0, 3, 1, 1, kind="closing"),
-    CountsEveryMachine: FaultSearch(0, 3, 1, 1, kind="uncounted"),
+    AcceptsLowerNumber: FaultSearch(29, machine_count=5),
+    IgnoresRecordsRead: FaultSearch(2),
+    NewSetAlone: FaultSearch(
+        16,
+        spares=1,
+        fault_kinds=(FaultKind.PAUSE, FaultKind.LINK_CUTS, FaultKind.MESSAGE_BLOCK, FaultKind.FORCED_CANDIDACY),
+    ),
+    OldSetAlone: FaultSearch(
+        1, spares=1, fault_kinds=(FaultKind.PAUSE, FaultKind.PAUSE, FaultKind.LINK_CUTS, FaultKind.MESSAGE_BLOCK)
+    ),
+    LeaseNotAwaited: FaultSearch(
+        4, fault_kinds=(FaultKind.FORCED_CANDIDACY, FaultKind.FORCED_CANDIDACY, FaultKind.PAUSE, FaultKind.LINK_CUTS)
+    ),
+    RestartedDoesNotWait: FaultSearch(
+        4, fault_kinds=(FaultKind.MASS_RESTART, FaultKind.MASS_RESTART, FaultKind.LINK_CUTS)
+    ),
+    CopiesGoOnAtOnce: FaultSearch(0, fault_kinds=(FaultKind.MASS_RESTART, FaultKind.MASS_RESTART, FaultKind.LINK_CUTS)),
+    StoresBelowPromise: FaultSearch(
+        16, fault_kinds=(FaultKind.PAUSE, FaultKind.FORCED_CANDIDACY, FaultKind.MESSAGE_BLOCK)
+    ),
+    RecoversFromOne: FaultSearch(
+        74, fault_kinds=(FaultKind.DISK_LOSS, FaultKind.LINK_CUTS, FaultKind.FORCED_CANDIDACY)
+    ),
+    CountsAnyStored: FaultSearch(
+        192, fault_kinds=(FaultKind.LINK_CUTS, FaultKind.MESSAGE_BLOCK, FaultKind.POWER_LOSS, FaultKind.SLOW_DISK)
+    ),
+    CountsAnyHeartbeatReply: FaultSearch(
+        240, fault_kinds=(FaultKind.PAUSE, FaultKind.LINK_CUTS, FaultKind.MESSAGE_BLOCK)
+    ),
+    KeepsLeaseTransferring: FaultSearch(130, fault_kinds=(FaultKind.SLOW_DISK, FaultKind.SAVE_ERROR, FaultKind.PAUSE)),
+    ReleasesFormerWitness: FaultSearch(0, spares=1, walk="closing"),
+    CountsEveryMachine: FaultSearch(0, spares=1, walk="uncounted"),
 }
