--- a/benchmarks/changes.py
+++ b/benchmarks/changes.py
@@ -23,7 +23,7 @@
 
 from rowanshift.controlplane.control_state import unpack
 from rowanshift.controlplane.record_kinds import CODEC
-from rowanshift.controlplane.replica_runner import ReplicaRunner
+from rowanshift.controlplane.replica_connections import ReplicaConnections
 from rowanshift.controlplane.replication.core import ReplicaCore
 from rowanshift.simulation.fleet import Fleet, Unit, config_of, play
 
@@ -90,11 +90,11 @@
 
 def measure(count: int, routes: int, tenants: int, whole: bool) -> Measured:
     """Plays it and counts."""
-    measured, send = Measured(), ReplicaRunner._send
+    measured, send = Measured(), ReplicaConnections.send
 
-    def counted(host: ReplicaRunner, to: int, message: Any) -> None:
+    def counted(connections: ReplicaConnections, to: int, message: Any) -> None:
         measured.bytes_sent[type(message).__name__] += len(CODEC.pack(message))
-        send(host, to, message)
+        send(connections, to, message)
 
     async def main(fleet: Fleet) -> None:
         await fleet.start()
@@ -108,7 +108,7 @@
         compare(fleet, measured)
 
     with (
-        mock.patch.object(ReplicaRunner, "_send", counted),
+        mock.patch.object(ReplicaConnections, "send", counted),
         mock.patch.object(ReplicaCore, "delta_from", 1 << 40 if whole else ReplicaCore.delta_from),
     ):
         play(main, "changes", within=100 + 20 * count * PACE)
--- a/rowanshift/admin/commands.py
+++ b/rowanshift/admin/commands.py
@@ -14,7 +14,7 @@
 import orjson
 import trio
 
-from rowanshift.controlplane.settings_doubts import fault_tolerance_doubts
+from rowanshift.controlplane.settings_warnings import fault_tolerance_warnings
 from rowanshift.process.node_settings import NodeSettings, NodeSettingsError, address_of, load_node_settings
 from rowanshift.transport.calls import CallFailed, call
 from rowanshift.transport.http_connection import Fields, Message
@@ -514,8 +514,8 @@
 def durable_told(record: bytes) -> str:
     """Lines about what a core machine's disk holds. ``DamagedRecord`` if it can't be read."""
     from rowanshift.controlplane.control_state import unpack
+    from rowanshift.controlplane.durable_state import decode_durable_state
     from rowanshift.controlplane.errors import BadControlState
-    from rowanshift.controlplane.replica_runner import decode_durable_state
     from rowanshift.controlplane.replication import DurableState
     from rowanshift.controlplane.store import DamagedRecord
     from rowanshift.wire.errors import MalformedRecord
@@ -580,7 +580,7 @@
             f"{'a first start' if boot.file.bootstrap else 'no first start'}; list at "
             + ("{}:{}".format(*boot.cloud) if boot.cloud else "no address")
         )
-        lines += [f"can't be kept: {doubt}" for doubt in fault_tolerance_doubts(boot.file)]
+        lines += [f"can't be kept: {warning}" for warning in fault_tolerance_warnings(boot.file)]
     return Shown(lines)
 
 
--- a/rowanshift/capacity/hollow.py
+++ b/rowanshift/capacity/hollow.py
@@ -14,11 +14,11 @@
 from rowanshift.capacity.meter import Loopback, free_port
 from rowanshift.controlplane.configuration_change import put_config
 from rowanshift.controlplane.control_state import put_version, unpack
+from rowanshift.controlplane.endpoint_list import LIST_INTERVAL_SECONDS
 from rowanshift.controlplane.errors import NotConfirmed, OutcomeUnknown
 from rowanshift.controlplane.registered_server import RegisteredServer, parse_registered_server
 from rowanshift.controlplane.replication import NotPrimary
 from rowanshift.controlplane.service import ControlPlaneService
-from rowanshift.controlplane.singleton_tasks import LIST_EVERY
 from rowanshift.dataplane.control_client import LONG_POLL_SECONDS, ControlClient
 from rowanshift.process.node_settings import Bounds, node_settings_of
 from rowanshift.transport.buffer import Ring
@@ -184,18 +184,18 @@
     async def fill(self) -> None:
         """Takes the list in where it is not known: at first, and after the primacy was lost."""
         while True:
-            self.core_service.refresh()
+            self.core_service.publication.refresh()
             if not self.core_service.tasks.registry.serial and self.core_service.replica_runner.lease_remaining():
                 self.core_service.tasks.registry.apply_list(self.known())
-                self.core_service._tell()
-            await trio.sleep(LIST_EVERY if self.core_service.tasks.registry.serial else 0.1)
+                self.core_service.updates.notify()
+            await trio.sleep(LIST_INTERVAL_SECONDS if self.core_service.tasks.registry.serial else 0.1)
 
     def state(self) -> dict[str, Any]:
         """What routers are to know now, and how often the primacy was taken."""
         core_service, number = self.core_service, self.core_service.replica_runner.replica.record.number
         return {
             "registry": (number, core_service.tasks.registry.serial),
-            "mark": core_service.fingerprint,
+            "mark": core_service.publication.fingerprint,
             "epoch": number >> 32,
         }
 
@@ -218,7 +218,7 @@
         def made(raw: bytes) -> bytes:
             sheet = unpack(raw)
             taken = put_config(sheet, str(sheet.revision), body)
-            return None if taken is None else taken[0].pack()
+            return None if taken is None else taken.state.pack()
 
         await self.change(made)
         self.config = config
@@ -231,7 +231,7 @@
         entry = self.entries[0]
         entry["state"] = "up" if entry["state"] == "draining" else "draining"
         if self.core_service.tasks.registry.apply_list(self.known()):
-            self.core_service._tell()
+            self.core_service.updates.notify()
 
     async def read_list(self) -> None:
         """A reading of the list that shows nothing new, without the calls: decoding and comparing."""
--- a/rowanshift/capacity/roles.py
+++ b/rowanshift/capacity/roles.py
@@ -7,10 +7,10 @@
 from rowanshift.capacity.hollow import listing
 from rowanshift.capacity.results import Results, Sweep
 from rowanshift.capacity.sizes import BUDGET, DAY, TARGET, Size
+from rowanshift.controlplane.endpoint_list import LIST_INTERVAL_SECONDS, MAX_LIST_PAGES
+from rowanshift.controlplane.internal_port import MAX_CONNECTIONS
 from rowanshift.controlplane.order_history import MAX_REMEMBERED_ORDERS
 from rowanshift.controlplane.replication.timing import HEARTBEAT
-from rowanshift.controlplane.service import LINKS
-from rowanshift.controlplane.singleton_tasks import LIST_EVERY, MOST_PAGES
 from rowanshift.dataplane.control_client import LONG_POLL_SECONDS
 from rowanshift.wire.codec import FRAME_HEADER, MAX_RECORD_BYTES
 
@@ -142,7 +142,7 @@
         "routers + 2 (core - 1)",
         size.routers + 2 * (core - 1),
         "descriptors",
-        LINKS,
+        MAX_CONNECTIONS,
     )
     add("primary", "one registry to all", "routers (registry)", size.routers * whole, "bytes")
     add("primary", "kept parts' events to all", "8 events routers", MARK * size.events * size.routers, "B/s")
@@ -163,9 +163,15 @@
         f"servers / {PAGE}",
         -(-size.servers // PAGE),
         "calls",
-        MOST_PAGES,
+        MAX_LIST_PAGES,
+    )
+    add(
+        "list reader",
+        "calls",
+        "servers / 50 / LIST_INTERVAL_SECONDS",
+        -(-size.servers // PAGE) / LIST_INTERVAL_SECONDS,
+        "calls/s",
     )
-    add("list reader", "calls", "servers / 50 / LIST_EVERY", -(-size.servers // PAGE) / LIST_EVERY, "calls/s")
     add("orders' holder", "orders for one version of all models", "servers", size.servers, "orders")
     add("index shard", "events in, of all shards", f"{EVENT} events", EVENT * size.events, "B/s")
     add("index shard", "events in, cut and batched", f"{BATCHED} events", BATCHED * size.events, "B/s")
@@ -341,8 +347,8 @@
         size.servers,
         "of a core",
         1.0,
-        1 / LIST_EVERY,
-        " / LIST_EVERY",
+        1 / LIST_INTERVAL_SECONDS,
+        " / LIST_INTERVAL_SECONDS",
     )
     body = results.sweep("delivery-tenants")
     if body is not None and not body.lines["body"].refused:
--- a/rowanshift/controlplane/api.py
+++ b/rowanshift/controlplane/api.py
@@ -1,11 +1,13 @@
-"""The operator's calls, one handler object a resource."""
+"""The operator's calls at a core machine, one handler object a resource."""
+
+from __future__ import annotations
 
 from collections.abc import Callable
 
 import orjson
 
 from rowanshift.controlplane.change_loader import ChangeLoader
-from rowanshift.controlplane.control_state import ControlState, put_version, unpack
+from rowanshift.controlplane.control_state import put_version, unpack
 from rowanshift.controlplane.errors import (
     InvalidConfiguration,
     InvalidVersion,
@@ -16,69 +18,84 @@
 )
 from rowanshift.controlplane.replica_runner import ReplicaRunner
 from rowanshift.controlplane.replication import STATE_LIMIT, NotPrimary, StateTooLarge
+from rowanshift.controlplane.status import ControlPlaneStatus
 from rowanshift.transport.calls import Answer, said
 from rowanshift.transport.http_connection import Message
 from rowanshift.wire.machine_ids import ip_from_machine_id
 
-WITHIN = 2.5  # seconds for a change to be on all disks that are wanted
+CHANGE_TIMEOUT_SECONDS = 2.5  # for a change to be on all disks that are wanted
+CHANGE_METHODS = (b"PUT", b"PATCH")
 LOCATION = b"Location"
-CHANGING = (b"PUT", b"PATCH")  # methods
+RETRY_SOON = [(b"Retry-After", b"0.3")]  # seconds
+RETRY_LATER = [(b"Retry-After", b"1")]
 
 
-class OnPrimary:
-    """A resource that only the primary serves; others say where it is."""
+class PrimaryResource:
+    """A resource that only the primary serves; other machines redirect to it."""
 
-    def __init__(self, node: ReplicaRunner, port: int) -> None:
-        self.replica_runner, self.port = node, port
+    def __init__(self, replica_runner: ReplicaRunner, machine: int, port: int) -> None:
+        """``machine`` is this one's id, ``port`` the port of this API on all core machines."""
+        self.replica_runner = replica_runner
+        self.machine = machine
+        self.port = port
 
     async def call(self, message: Message) -> Answer:
+        """The resource's answer; 307, 413 or 503 where this machine can't serve it."""
         try:
-            return await self.served(message)
+            return await self.serve(message)
         except NotPrimary as error:
-            if error.hint and error.hint != self.replica_runner.machine:
-                at = f"http://{ip_from_machine_id(error.hint)}:{self.port}".encode() + message.target
-                return Answer(307, b"", [(LOCATION, at)])
-            return Answer(503, said("no primary is known"), [(b"Retry-After", b"0.3")])
+            return self._redirect(error.hint, message.target)
         except NotConfirmed:
-            return Answer(
-                503, said("this machine could not confirm that it is the primary"), [(b"Retry-After", b"0.3")]
-            )
+            return Answer(503, said("this machine could not confirm that it is the primary"), RETRY_SOON)
         except OrderTooOld as error:
-            return Answer(503, said(str(error)), [(b"Retry-After", b"1")])
+            return Answer(503, said(str(error)), RETRY_LATER)
         except OutcomeUnknown:
-            return Answer(
-                503, said("not on enough disks in time: it may or may not be in force"), [(b"Retry-After", b"0.3")]
-            )
+            return Answer(503, said("not on enough disks in time: it may or may not be in force"), RETRY_SOON)
         except StateTooLarge:
             return Answer(413, said(f"with it the control state would be over {STATE_LIMIT} bytes"))
 
-    async def served(self, message: Message) -> Answer:
+    def _redirect(self, primary: int, target: bytes) -> Answer:
+        """307 to the primary, 503 where none is known."""
+        if not primary or primary == self.machine:
+            return Answer(503, said("no primary is known"), RETRY_SOON)
+        location = f"http://{ip_from_machine_id(primary)}:{self.port}".encode() + target
+        return Answer(307, b"", [(LOCATION, location)])
+
+    async def serve(self, message: Message) -> Answer:
+        """The answer of this resource, as primary."""
         raise NotImplementedError
 
 
-class ConfigResource(OnPrimary):
-    """``/config``: the operator's configuration, read, put whole, or patched by the names of its items."""
+class ConfigResource(PrimaryResource):
+    """``/config``: the operator's configuration, read, put as a whole, or patched by the names of its items."""
 
-    def __init__(self, node: ReplicaRunner, port: int, changes: ChangeLoader) -> None:
-        super().__init__(node, port)
+    def __init__(self, replica_runner: ReplicaRunner, machine: int, port: int, changes: ChangeLoader) -> None:
+        super().__init__(replica_runner, machine, port)
         self.changes = changes
 
-    async def served(self, message: Message) -> Answer:
-        """200 with the configuration or the revision taken; 400, 404, 405 or 412 otherwise."""
+    async def serve(self, message: Message) -> Answer:
+        """200 with the configuration or the revision in force; 400, 404, 405 or 412 otherwise."""
         if message.method == b"GET":
-            state = unpack(await self.replica_runner.read())
-            return Answer(200, state.config) if state.revision else Answer(404, said("no configuration yet"))
-        if message.method not in CHANGING:
-            return Answer(405, said("GET, PUT and PATCH"))
-        change = (await self.changes.load()).CHANGES[message.method]
-        match = dict(message.fields).get(b"if-match")
+            return await self._read()
+        if message.method in CHANGE_METHODS:
+            return await self._change(message)
+        return Answer(405, said("GET, PUT and PATCH"))
+
+    async def _read(self) -> Answer:
+        state = unpack(await self.replica_runner.read())
+        return Answer(200, state.config) if state.revision else Answer(404, said("no configuration yet"))
 
-        def made(packed: bytes) -> bytes | None:
-            changed = change(unpack(packed), None if match is None else match.decode("latin-1"), message.body)
-            return None if changed is None else changed[0].pack()
+    async def _change(self, message: Message) -> Answer:
+        change_configuration = (await self.changes.load()).CHANGES[message.method]
+        match_field = dict(message.fields).get(b"if-match")
+        if_match = None if match_field is None else match_field.decode("latin-1")
+
+        def make_next(packed: bytes) -> bytes | None:
+            change = change_configuration(unpack(packed), if_match, message.body)
+            return None if change is None else change.state.pack()
 
         try:
-            state = unpack(await self.replica_runner.change(made, WITHIN))
+            state = unpack(await self.replica_runner.change(make_next, CHANGE_TIMEOUT_SECONDS))
         except InvalidConfiguration as error:
             return Answer(400, said(str(error)))
         except StaleMatch as error:
@@ -86,11 +103,11 @@
         return Answer(200, b'{"revision":%d}' % state.revision)
 
 
-class VersionResource(OnPrimary):
-    """``/version-put``: names a version of a model's weights."""
+class VersionResource(PrimaryResource):
+    """``/version-put``: announces a version of a model's weights."""
 
-    async def served(self, message: Message) -> Answer:
-        """200 once that version, or a newer one, is named; 400 or 405 otherwise."""
+    async def serve(self, message: Message) -> Answer:
+        """200 once that version, or a newer one, is announced; 400 or 405 otherwise."""
         if message.method != b"POST":
             return Answer(405, said("POST"))
         try:
@@ -99,26 +116,23 @@
         except (ValueError, KeyError, TypeError) as error:
             return Answer(400, said(f"model and revision are wanted: {error!r}"))
 
-        def made(sheet: bytes) -> bytes | None:
-            changed = put_version(unpack(sheet), model, revision)
-            return None if changed is None else changed.pack()
+        def make_next(packed: bytes) -> bytes | None:
+            state = put_version(unpack(packed), model, revision)
+            return None if state is None else state.pack()
 
         try:
-            await self.replica_runner.change(made, WITHIN)
+            await self.replica_runner.change(make_next, CHANGE_TIMEOUT_SECONDS)
         except InvalidVersion as error:
             return Answer(400, said(str(error)))
         return Answer(200, b"{}")
 
 
 class StatusResource:
-    """What this machine knows, for staff; it may be old."""
+    """``/status``: what this machine knows, for operators; it may be old."""
 
-    def __init__(self, status: Callable[[], dict]) -> None:
+    def __init__(self, status: Callable[[], ControlPlaneStatus]) -> None:
         self.status = status
 
     async def call(self, message: Message) -> Answer:
         """The status as JSON."""
-        return Answer(200, orjson.dumps(self.status()))
-
-
-__all__ = ["ConfigResource", "ControlState", "StatusResource", "VersionResource"]
+        return Answer(200, orjson.dumps(self.status().as_json()))
--- a/rowanshift/controlplane/configuration_change.py
+++ b/rowanshift/controlplane/configuration_change.py
@@ -1,10 +1,13 @@
-"""What changes the configuration within the control state: whole ones and patches, as pure functions.
+"""What changes the configuration within the control state: complete ones and patches, as pure functions.
 
 With it comes pyserde, which takes longer to load than the rest of the control plane: see ``change_loader``.
 """
 
+from __future__ import annotations
+
 from collections.abc import Callable
 from dataclasses import replace
+from typing import NamedTuple
 
 import orjson
 
@@ -21,49 +24,57 @@
 from rowanshift.controlplane.configuration_patch import patched
 from rowanshift.controlplane.control_state import ControlState
 
-ConfigChange = Callable[[ControlState, str | None, bytes], tuple[ControlState, Configuration] | None]
+
+class ConfigurationChange(NamedTuple):
+    """The state that a change makes, and the configuration in it."""
+
+    state: ControlState
+    configuration: Configuration
+
+
+ChangeFunction = Callable[[ControlState, str | None, bytes], ConfigurationChange | None]
 
 
-def put_config(state: ControlState, if_match: str | None, body: bytes) -> tuple[ControlState, Configuration] | None:
-    """The state with the configuration in ``body``, and that configuration; ``None`` if it was taken already.
+def put_config(state: ControlState, if_match: str | None, body: bytes) -> ConfigurationChange | None:
+    """Replace the configuration by that in ``body``; ``None`` if this order was applied already.
 
-    An order that was taken is known by its digest, whatever its ``If-Match`` and whatever followed it. Raises
-    ``InvalidConfiguration`` (400), then ``OrderTooOld`` where nobody knows whether it was taken, then ``StaleMatch``
+    An applied order is known by its digest, whatever its ``If-Match`` and whatever followed it. Raises
+    ``InvalidConfiguration`` (400), then ``OrderTooOld`` where nobody knows whether it was applied, then ``StaleMatch``
     (412), then ``InvalidConfiguration`` if its revision is not above the current one.
     """
-    raw = load(body)
-    digest = digest_of(raw)
+    document = load(body)
+    digest = digest_of(document)
     if state.orders.contains(digest):
         return None
-    config = configuration_of(raw)
+    config = configuration_of(document)
     state.orders.check_not_dropped(config.revision)
     check_change(state.revision, if_match, config)
-    return _with_config(state, config, bytes(body), digest), config
+    return _with_config(state, config, bytes(body), digest)
 
 
-def patch_config(state: ControlState, if_match: str | None, body: bytes) -> tuple[ControlState, Configuration] | None:
-    """The state with the patch in ``body`` applied, and the configuration made; ``None`` if it was taken already.
+def patch_config(state: ControlState, if_match: str | None, body: bytes) -> ConfigurationChange | None:
+    """Apply the patch in ``body`` to the configuration; ``None`` if this order was applied already.
 
-    A patch that was taken is known by its digest, as a whole configuration is. Raises ``InvalidConfiguration`` where
-    the patch has no proper revision, ``OrderTooOld``, ``StaleMatch`` where it builds on another revision, and then
+    An applied patch is known by its digest, as a complete configuration is. Raises ``InvalidConfiguration`` where the
+    patch has no proper revision, ``OrderTooOld``, ``StaleMatch`` where it builds on another revision, and then
     ``InvalidConfiguration`` for the patch and for the configuration that it makes.
     """
-    raw = load(body)
-    digest = digest_of({"patch": raw})
+    patch = load(body)
+    digest = digest_of({"patch": patch})
     if state.orders.contains(digest):
         return None
-    state.orders.check_not_dropped(revision_of(raw))
+    state.orders.check_not_dropped(revision_of(patch))
     check_match(state.revision, if_match)
-    whole = patched(load(state.config) if state.config else {}, raw)
-    config = configuration_of(whole)
+    document = patched(load(state.config) if state.config else {}, patch)
+    config = configuration_of(document)
     check_revision(state.revision, config)
-    return _with_config(state, config, orjson.dumps(whole), digest), config
+    return _with_config(state, config, orjson.dumps(document), digest)
 
 
-def _with_config(state: ControlState, config: Configuration, body: bytes, digest: bytes) -> ControlState:
-    """The state once a configuration has been taken; ``digest`` is that of the order that brought it."""
+def _with_config(state: ControlState, config: Configuration, body: bytes, digest: bytes) -> ConfigurationChange:
+    """The state with a configuration and its ``body``; ``digest`` is that of the order that brought it."""
     orders = state.orders.with_order(config.revision, digest)
-    return replace(state, revision=config.revision, config=body, orders=orders)
+    return ConfigurationChange(replace(state, revision=config.revision, config=body, orders=orders), config)
 
 
-CHANGES: dict[bytes, ConfigChange] = {b"PUT": put_config, b"PATCH": patch_config}  # by method
+CHANGES: dict[bytes, ChangeFunction] = {b"PUT": put_config, b"PATCH": patch_config}  # by method
--- /dev/null
+++ b/rowanshift/controlplane/internal_port.py
@@ -0,0 +1,68 @@
+"""The internal port of a core machine: connections of routers, which poll, and of the other core machines."""
+
+from __future__ import annotations
+
+import trio
+from loguru import logger
+
+from rowanshift.controlplane.poll_endpoint import PollEndpoint
+from rowanshift.controlplane.record_kinds import CODEC, Hello
+from rowanshift.controlplane.replica_runner import ReplicaRunner
+from rowanshift.transport.record_links import ConnectionFailed, RecordReader
+from rowanshift.transport.runtime import Nursery, Runtime
+from rowanshift.transport.streams import Listener, Stream
+from rowanshift.wire.errors import MalformedRecord
+
+MAX_CONNECTIONS = 2048  # of routers and core machines at once; more are closed
+ACCEPT_RETRY_SECONDS = 0.02  # after an error
+
+
+class InternalPort:
+    """Accepts connections, and hands each to the poll endpoint or to the replica."""
+
+    def __init__(self, runtime: Runtime, replica_runner: ReplicaRunner, poll_endpoint: PollEndpoint) -> None:
+        self.runtime = runtime
+        self.replica_runner = replica_runner
+        self.poll_endpoint = poll_endpoint
+        self.connections = 0  # that are open
+
+    async def accept(self, listener: Listener, nursery: Nursery) -> None:
+        """Serve each connection in a task of its own; runs until it is cancelled."""
+        while True:
+            await listener.wait()
+            try:
+                stream = listener.accept()
+            except BlockingIOError:
+                continue
+            except OSError:
+                await self.runtime.pause(ACCEPT_RETRY_SECONDS)
+                continue
+            if self.connections >= MAX_CONNECTIONS:
+                stream.close()
+                continue
+            nursery.start_soon(self._serve, stream)
+
+    async def _serve(self, stream: Stream) -> None:
+        """Serve one connection of a router or of a core machine until it ends."""
+        self.connections += 1
+        try:
+            await self._serve_records(stream)
+        except MalformedRecord as error:
+            logger.warning("event=bad_record why={!r}", str(error))
+        except (ConnectionFailed, OSError, trio.ClosedResourceError, trio.TooSlowError):
+            pass  # whoever called dials again
+        except Exception:  # an error in this program costs one connection, not the machine
+            logger.exception("event=internal_connection_failed")
+        finally:
+            self.connections -= 1
+            stream.close()
+
+    async def _serve_records(self, stream: Stream) -> None:
+        """Serve the records of a connection; a core machine begins its own with ``Hello``."""
+        reader = RecordReader(stream, CODEC)
+        number, record = await reader.next()
+        if isinstance(record, Hello):
+            await self.replica_runner.receive_from(reader, record)
+        while True:
+            await self.poll_endpoint.serve(stream, number, record)
+            number, record = await reader.next()
--- /dev/null
+++ b/rowanshift/controlplane/poll_endpoint.py
@@ -0,0 +1,219 @@
+"""Answers the routers' long polls with what they lack, as it is committed, or with a redirect to the primary."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+import trio
+
+from rowanshift.controlplane.record_kinds import CODEC
+from rowanshift.controlplane.replica_runner import ReplicaRunner
+from rowanshift.controlplane.router_membership import RouterMembership
+from rowanshift.controlplane.server_registry import ServerRegistry
+from rowanshift.controlplane.singleton_tasks import SingletonTasks
+from rowanshift.controlplane.state_publication import StatePublication, UpdateSignal
+from rowanshift.kv_index.index import packed
+from rowanshift.transport.runtime import Runtime
+from rowanshift.transport.streams import Stream, send_all
+from rowanshift.wire.control_updates import (
+    SERVER_RECORDS,
+    ModelVersionAnnouncement,
+    Poll,
+    PollOfFormat1,
+    PollOfFormat2,
+    PollOfFormat3,
+    Redirect,
+    Update,
+    UpdateOfFormat1,
+)
+from rowanshift.wire.errors import MalformedRecord
+from rowanshift.wire.version_announcements import age_ms
+
+LONG_POLL_SECONDS = 1.0  # that a poll is held at most while there is nothing newer
+PRIMARY_SEARCH_SECONDS = 0.4  # that a poll waits at a machine that knows of no primary
+PRIMARY_CHECK_SECONDS = 0.05  # between checks for a primary meanwhile
+ANSWER_WRITE_SECONDS = 2.0  # for a router to take an answer
+
+
+@dataclass(frozen=True, slots=True)
+class MissingParts:
+    """What a router lacks of what is committed."""
+
+    state: bool
+    server_records: bool
+    holdings: bool
+    peers: bool
+    announcements: bool
+
+    def any(self) -> bool:
+        """Whether it lacks anything."""
+        return self.state or self.server_records or self.holdings or self.peers or self.announcements
+
+
+class PollEndpoint:
+    """The routers' polls at one core machine."""
+
+    def __init__(
+        self,
+        runtime: Runtime,
+        replica_runner: ReplicaRunner,
+        publication: StatePublication,
+        membership: RouterMembership,
+        tasks: SingletonTasks,
+        updates: UpdateSignal,
+    ) -> None:
+        self.runtime = runtime
+        self.replica_runner = replica_runner
+        self.publication = publication
+        self.membership = membership
+        self.tasks = tasks
+        self.updates = updates
+        self.open_polls = 0  # that were read and have no answer yet
+        self.leaving = False  # released, or the grace is nearly over: no poll is held any more
+        self._packed_records = b""
+        self._packed_records_of: tuple[ServerRegistry | None, int] = (None, 0)  # with the registry's serial
+
+    def leave(self) -> None:
+        """Hold no poll from now on: each is redirected at once."""
+        self.leaving = True
+        self.updates.notify()
+
+    async def serve(self, stream: Stream, number: int, record: object) -> None:
+        """Answer one record of a router, which bears a number, on its connection.
+
+        Raises ``MalformedRecord`` for a record that is no poll, and ``trio.TooSlowError`` for a router that takes no
+        answer.
+        """
+        if isinstance(record, PollOfFormat1):
+            record = record.as_format_2(int(1000 * LONG_POLL_SECONDS))
+        if not isinstance(record, PollOfFormat3):
+            raise MalformedRecord(f"{type(record).__name__} was not expected")
+        self.open_polls += 1
+        try:
+            answer = answer_readable_by(record, await self.answer(record))
+            frame = CODEC.pack(answer, number)
+            with trio.fail_after(ANSWER_WRITE_SECONDS):
+                await send_all(stream, frame)
+        finally:
+            self.open_polls -= 1
+
+    async def answer(self, poll: PollOfFormat3) -> Update | Redirect:
+        """Hold a router's poll until there is something newer than it has, as long as it allows.
+
+        The answer is made under a lease that was checked after the poll came in.
+        """
+        now = trio.current_time()
+        until = now + min(LONG_POLL_SECONDS, poll.long_poll_ms / 1000)
+        search_until = now + PRIMARY_SEARCH_SECONDS
+        while True:
+            now = trio.current_time()
+            if self.leaving:
+                return self._redirect()
+            if not self.replica_runner.lease_remaining():
+                if self._knows_other_primary() or now >= search_until:
+                    return self._redirect()
+                await self.runtime.pause(PRIMARY_CHECK_SECONDS)
+                continue
+            self.membership.record_poll(poll.machine, now)
+            self.publication.refresh()
+            self._apply_announcements(poll)
+            missing = self._missing_parts(poll)
+            if now >= until or missing.any():
+                return self._update(poll, missing, now)
+            with trio.move_on_at(until):
+                await self.updates.wait()
+
+    def _knows_other_primary(self) -> bool:
+        """Whether this machine is sure not to be the primary and has heard the primary lately."""
+        replica = self.replica_runner.replica
+        return not replica.is_primary and replica.primary_hint != 0
+
+    def _redirect(self) -> Redirect:
+        replica = self.replica_runner.replica
+        return Redirect(0 if replica.is_primary else replica.primary_hint, self._core_machines())
+
+    def _core_machines(self) -> tuple[int, ...]:
+        record = self.replica_runner.replica.record
+        return tuple(sorted({*record.witnesses, *record.in_sync}))
+
+    def _apply_announcements(self, poll: PollOfFormat3) -> None:
+        """Apply the dates of announcements that the router knows, if it sends any."""
+        announcements = poll.announcements if isinstance(poll, Poll) else ()
+        if not announcements:
+            return
+        registry, versions = self.tasks.registry, self.publication.state.versions
+        if registry.apply_announcements(announcements, versions, trio.current_time()):
+            self.updates.notify()
+
+    def _missing_parts(self, poll: PollOfFormat3) -> MissingParts:
+        """What the router lacks; each part has a serial, which counts within an epoch."""
+        epoch = self.replica_runner.replica.record.number
+        registry, membership = self.tasks.registry, self.membership
+        announcements_version = epoch, registry.announcements_serial
+        return MissingParts(
+            state=poll.fingerprint != self.publication.fingerprint,
+            server_records=registry.serial > 0 and poll.registry_version != (epoch, registry.serial),
+            holdings=poll.prefix_holdings_version != (epoch, self.tasks.holdings.serial),
+            peers=membership.peers_serial > 0 and poll.peers_version != (epoch, membership.peers_serial),
+            announcements=isinstance(poll, Poll) and poll.announcements_version != announcements_version,
+        )
+
+    def _update(self, poll: PollOfFormat3, missing: MissingParts, now: float) -> Update:
+        """All that the router lacks, as it is committed."""
+        replica, registry, holdings = self.replica_runner.replica, self.tasks.registry, self.tasks.holdings
+        publication, membership = self.publication, self.membership
+        epoch, state, version = replica.record.number, publication.state, replica.committed_version
+        known_epoch, known_serial = poll.prefix_holdings_version
+        complete, stored, removed = holdings.since(known_serial if known_epoch == epoch else 0)
+        has_announcements = missing.state or missing.announcements or not isinstance(poll, Poll)
+        return Update(
+            state_version=(version.epoch, version.sequence),
+            fingerprint=publication.fingerprint,
+            has_state=missing.state,
+            revision=state.revision if missing.state else 0,
+            config=publication.compressed_config if missing.state else b"",
+            versions=state.versions if missing.state else {},
+            registry_version=(epoch, registry.serial),
+            has_server_records=missing.server_records,
+            server_records=self._server_records(registry) if missing.server_records else (),
+            member_count=membership.budget_shares(now),
+            prefix_holdings_version=(epoch, holdings.serial),
+            prefix_holdings_complete=complete,
+            stored_block_hashes=packed(stored),
+            removed_block_hashes=packed(removed),
+            peers_version=(epoch, membership.peers_serial) if missing.peers else poll.peers_version,
+            has_peers=missing.peers,
+            peer_machines=membership.peers if missing.peers else (),
+            core_machines=self._core_machines(),
+            announcements_version=(epoch, registry.announcements_serial),
+            has_announcements=has_announcements,
+            announcements=version_announcements(registry, now) if has_announcements else (),
+        )
+
+    def _server_records(self, registry: ServerRegistry) -> bytes:
+        """The registry's records, packed once for all routers that poll."""
+        if self._packed_records_of != (registry, registry.serial):
+            self._packed_records_of = (registry, registry.serial)
+            self._packed_records = SERVER_RECORDS.encode(registry.records())
+        return self._packed_records
+
+
+def version_announcements(registry: ServerRegistry, now: float) -> tuple[ModelVersionAnnouncement, ...]:
+    """The announced versions whose deadlines may be still to come, each with its age.
+
+    The age counts from when this machine saw it committed, or from the date that a router sent; else from when this
+    machine became primary, undated.
+    """
+    return tuple(
+        ModelVersionAnnouncement(
+            announcement.model, announcement.version, age_ms(now - announcement.announced_at), announcement.is_dated
+        )
+        for announcement in registry.announcements.all()
+    )
+
+
+def answer_readable_by(poll: PollOfFormat3, answer: Update | Redirect) -> UpdateOfFormat1 | Redirect:
+    """An answer in the format that the router which polled knows."""
+    if isinstance(poll, Poll) or isinstance(answer, Redirect):
+        return answer
+    return answer.as_format_1() if isinstance(poll, PollOfFormat2) else answer.as_format_2()
--- a/rowanshift/controlplane/replica_runner.py
+++ b/rowanshift/controlplane/replica_runner.py
@@ -1,9 +1,10 @@
-"""A replica on a Host: messages to and from the others, saves to the disk, time; reads and changes for callers."""
+"""Runs a replica: carries out what the pure ``Replica`` decides, and offers confirmed reads and changes to callers."""
+
+from __future__ import annotations
 
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
 from dataclasses import dataclass, field
-from enum import Enum
 from functools import partial
 from itertools import count
 
@@ -13,267 +14,217 @@
 from rowanshift.controlplane.errors import NotConfirmed, OutcomeUnknown
 from rowanshift.controlplane.machine_disk import Disk
 from rowanshift.controlplane.record_kinds import CODEC, Hello
+from rowanshift.controlplane.replica_connections import ReplicaConnections
 from rowanshift.controlplane.replication import (
     Became,
     Busy,
     Committed,
     DurableState,
     Failed,
-    Located,
-    Message,
     ReadConfirmed,
     ReadFailed,
     RedundancyWatch,
     Replica,
     Save,
     Send,
-    Store,
 )
 from rowanshift.controlplane.store import StoreError
-from rowanshift.transport.record_links import MOST_QUEUED, STUCK, RecordReader, RecordSender
+from rowanshift.transport.record_links import RecordReader
 from rowanshift.transport.runtime import Nursery, Runtime
-from rowanshift.wire.codec import FRAME_HEADER
-from rowanshift.wire.errors import MalformedRecord
 from rowanshift.wire.machine_ids import ip_from_machine_id
 
-TICK = 0.05  # seconds
-UNHEARD = 0.9  # seconds without a word from a machine, after which its connection is dialled anew
-MOST_SENDERS = 64  # connections to other core machines, three a machine at most
-LARGE_STATE = 64 * 1024  # bytes of a state that goes by a connection of its own
-MOST_LARGE = 2  # large states that wait for one machine; the oldest goes
-LARGE_STUCK = 5.0  # seconds that writing a large state may take
-
-
-class Channel(Enum):
-    """The connections to another core machine, by what they carry."""
-
-    MESSAGES = "messages"
-    LARGE_STATES = "large states"
-    PLACES = "places"
-
-
-def channel_of(message: Message) -> Channel:
-    """The connection by which a message goes."""
-    if isinstance(message, Store) and len(message.state) > LARGE_STATE:
-        return Channel.LARGE_STATES
-    return Channel.PLACES if isinstance(message, Located) else Channel.MESSAGES
+TICK_SECONDS = 0.05  # between ticks of the replica
+RELEASE_CHECK_SECONDS = TICK_SECONDS / 5  # between checks whether the others have released a leaving machine
 
 
 @dataclass(slots=True)
-class Pending:
-    """A read or a change that waits for its end."""
+class PendingOperation:
+    """A read or a proposal that waits for its outcome."""
 
     ended: trio.Event = field(default_factory=trio.Event)
     succeeded: bool = False
 
 
 class ReplicaRunner:
-    """Carries out what a ``Replica`` decides: sends, saves, time; and offers reads and changes to callers."""
+    """One replica with its disk, its connections and its clock.
+
+    ``on_role_change`` is called with whether this machine is primary now, ``on_commit`` after each commit.
+    """
 
     def __init__(
         self,
-        host: Runtime,
-        machine: int,
-        port: int,
+        runtime: Runtime,
         replica: Replica,
-        store: Disk | None,
+        disk: Disk | None,
+        connections: ReplicaConnections,
         nursery: Nursery,
-        became: Callable[[bool], None],
-        committed: Callable[[], None],
+        on_role_change: Callable[[bool], None],
+        on_commit: Callable[[], None],
     ) -> None:
-        self.host, self.machine, self.port, self.replica, self.store = host, machine, port, replica, store
-        self.nursery, self.became, self.committed = nursery, became, committed
-        self.senders: dict[tuple[int, Channel], RecordSender] = {}
-        self.heard: dict[int, float] = {}
-        self.tokens = count(1)
-        self.pending: dict[int, Pending] = {}
-        self.turn = trio.Lock()  # one change at a time
-        self.saves = self.save_seconds = 0.0
-        self.watch = RedundancyWatch(0.0)
+        self.runtime = runtime
+        self.replica = replica
+        self.disk = disk
+        self.connections = connections
+        self.nursery = nursery
+        self.on_role_change = on_role_change
+        self.on_commit = on_commit
+        self.saves = 0
+        self.save_seconds = 0.0  # that all of them took
+        self.redundancy_watch = RedundancyWatch(0.0)
+        self._tokens = count(1)
+        self._pending: dict[int, PendingOperation] = {}  # by token
+        self._change_turn = trio.Lock()  # one change at a time
 
     # calls
 
     async def read(self) -> bytes:
-        """The state, confirmed to be the newest when it was asked for. ``NotPrimary``, ``NotConfirmed``."""
-        with self._pending() as (token, pending):
+        """The state, confirmed to be the newest when it was asked for. Raises ``NotPrimary`` and ``NotConfirmed``."""
+        with self._pending_operation() as (token, pending):
             self.replica.confirm_read(token, trio.current_time())
-            self.act()
+            self.carry_out_actions()
             await pending.ended.wait()
             if not pending.succeeded:
                 raise NotConfirmed
         return self.replica.committed_state
 
-    async def change(self, made: Callable[[bytes], bytes | None], within: float) -> bytes:
-        """Make the next state from the newest and have it on all disks that are wanted, in so many seconds.
+    async def change(self, make_next: Callable[[bytes], bytes | None], timeout: float) -> bytes:
+        """Make the next state from the newest, and return it once it is on all disks that are wanted.
 
-        ``made`` gives the next state, None to change nothing. Raises ``NotPrimary``, ``NotConfirmed``,
-        ``OutcomeUnknown``, and what ``made`` raises: a refusal rests on a state that was confirmed.
+        ``make_next`` returns the next state, None to change nothing. Raises ``NotPrimary``, ``NotConfirmed``,
+        ``OutcomeUnknown`` after ``timeout`` seconds, and what ``make_next`` raises: a refusal rests on a state that
+        was confirmed.
         """
-        with trio.move_on_after(within):
-            async with self.turn:
-                state = made(await self.read())
+        with trio.move_on_after(timeout):
+            async with self._change_turn:
+                state = make_next(await self.read())
                 if state is None:
                     return self.replica.committed_state
-                if await self._proposed(state):
+                if await self._propose(state):
                     return state
         raise OutcomeUnknown
 
-    async def _proposed(self, state: bytes) -> bool:
+    async def _propose(self, state: bytes) -> bool:
         """Whether the state was committed; where it wasn't, it may be in force later."""
-        with self._pending() as (token, pending):
+        with self._pending_operation() as (token, pending):
             try:
                 self.replica.propose(token, state, trio.current_time())
             except Busy as error:
                 raise NotConfirmed from error
-            self.act()
+            self.carry_out_actions()
             await pending.ended.wait()
             return pending.succeeded
 
     async def leave(self, until: float) -> bool:
-        """Give leadership, copy and vote to others by this time; whether that was done."""
+        """Transfer leadership, state and vote to others by this time; whether that was done."""
         with trio.move_on_at(until):
-            async with self.turn:  # a change under way is answered first
+            async with self._change_turn:  # a change under way is answered first
                 self.replica.leave(trio.current_time())
-                self.act()
+                self.carry_out_actions()
         while not self.replica.released and trio.current_time() < until:
-            await self.host.pause(TICK / 5)
+            await self.runtime.pause(RELEASE_CHECK_SECONDS)
         return self.replica.released
 
     def lease_remaining(self) -> float:
-        """Seconds for which this machine may still act as the single holder; 0 if it may not."""
+        """Seconds for which this machine may still act as the only lease holder; 0 if it may not."""
         now = trio.current_time()
         return max(0.0, self.replica.lease_until(now) - now) if self.replica.is_primary else 0.0
 
     @contextmanager
-    def _pending(self) -> Iterator[tuple[int, Pending]]:
-        token, pending = next(self.tokens), Pending()
-        self.pending[token] = pending
+    def _pending_operation(self) -> Iterator[tuple[int, PendingOperation]]:
+        token, pending = next(self._tokens), PendingOperation()
+        self._pending[token] = pending
         try:
             yield token, pending
         finally:
-            del self.pending[token]
+            del self._pending[token]
 
-    # what the replica decides
+    # what drives the replica
 
     async def run(self) -> None:
-        """Tell the replica of time passing, for good."""
+        """Tick the replica; runs until it is cancelled."""
         while True:
             self.replica.tick(trio.current_time())
-            self.act()
-            self._watch_redundancy()
-            await self.host.pause(TICK)
+            self.carry_out_actions()
+            self._log_redundancy()
+            await self.runtime.pause(TICK_SECONDS)
 
-    def act(self) -> None:
-        """Carry out what the replica wants done."""
+    async def receive_from(self, reader: RecordReader, hello: Hello) -> None:
+        """Hand the messages of another core machine to the replica until its connection ends."""
+        while True:
+            _, message = await reader.next()
+            now = trio.current_time()
+            self.connections.record_message_from(hello.machine, now)
+            self.replica.receive(hello.machine, message, now)
+            self.carry_out_actions()
+
+    # what the replica decides
+
+    def carry_out_actions(self) -> None:
+        """Carry out what the replica has decided since the last call."""
         for action in self.replica.drain():
             match action:
                 case Send(to, message):
-                    self._send(to, message)
+                    self.connections.send(to, message)
                 case Save(token, durable):
                     self.nursery.start_soon(self._save, token, durable)
                 case Committed(token):
-                    self.committed()
-                    self._end(token, True)
+                    self.on_commit()
+                    self._end_operation(token, True)
                 case ReadConfirmed(token):
-                    self._end(token, True)
+                    self._end_operation(token, True)
                 case Failed(token) | ReadFailed(token):
-                    self._end(token, False)
+                    self._end_operation(token, False)
                 case Became(primary):
-                    self._on_role_change(primary)
+                    self._change_role(primary)
 
-    def _on_role_change(self, primary: bool) -> None:
+    def _change_role(self, primary: bool) -> None:
         event = "primary" if primary else "no_primary"
         in_sync = ",".join(map(ip_from_machine_id, self.replica.record.in_sync))
         logger.info("event={} epoch={} in_sync={}", event, self.replica.record.number, in_sync)
         if primary:
-            self.watch = RedundancyWatch(trio.current_time())
-        self.became(primary)
-
-    def _watch_redundancy(self) -> None:
-        if not self.replica.is_primary:
-            return
-        change = self.watch.observe(self.replica.redundancy(), trio.current_time())
-        if change is None:
-            return
-        found = change.redundancy
-        copies, witnesses = (
-            f"{found.copies}/{found.copies_wanted}",
-            f"{found.witnesses}/{found.witnesses_wanted}",
-        )
-        took = "-" if change.until_full_s is None else f"{change.until_full_s:.2f}"
-        logger.info(
-            "event=redundancy copies={} witnesses={} until_full_s={} spread={}", copies, witnesses, took, found.spread
-        )
-        if not found.spread:
-            logger.warning("event=tolerance_not_met why={!r}", self.replica.lacking_spread())
+            self.redundancy_watch = RedundancyWatch(trio.current_time())
+        self.on_role_change(primary)
 
-    def _end(self, token: int, succeeded: bool) -> None:
-        pending = self.pending.get(token)
+    def _end_operation(self, token: int, succeeded: bool) -> None:
+        pending = self._pending.get(token)
         if pending is not None:
             pending.succeeded = succeeded
             pending.ended.set()
 
     async def _save(self, token: int, durable: DurableState) -> None:
-        at, done = trio.current_time(), True
-        if self.store is not None:
+        """Write the durable state to the disk, and report to the replica how that ended."""
+        started_at, succeeded = trio.current_time(), True
+        if self.disk is not None:
             try:
-                await self.host.in_thread(partial(self.store.write, CODEC.pack(durable)))
+                await self.runtime.in_thread(partial(self.disk.write, CODEC.pack(durable)))
             except StoreError as error:
                 logger.error("event=save_failed why={!r}", str(error))
-                done = False
+                succeeded = False
         now = trio.current_time()
         self.saves += 1
-        self.save_seconds += now - at
-        if done:
+        self.save_seconds += now - started_at
+        if succeeded:
             self.replica.saved(token, now)
         else:
             self.replica.save_failed(token, now)
-        self.act()
-
-    # connections to the others
+        self.carry_out_actions()
 
-    def _send(self, to: int, message: Message) -> None:
-        """Large states go by a connection of their own, so that heartbeats don't wait behind them; so does where this
-        machine is, which former programs can't read."""
-        channel = channel_of(message)
-        sender = self.senders.get((to, channel))
-        if sender is None:
-            sender = self._new_sender(to, channel)
-        sender.put(message)
-
-    def _new_sender(self, to: int, channel: Channel) -> RecordSender:
-        if len(self.senders) >= MOST_SENDERS:
-            quiet = min(self.senders, key=lambda key: self.heard.get(key[0], 0.0))
-            self.senders.pop(quiet).stop()
-        most, stuck = (MOST_LARGE, LARGE_STUCK) if channel is Channel.LARGE_STATES else (MOST_QUEUED, STUCK)
-        alive = partial(self._alive, to, channel)
-        sender = RecordSender(
-            self.host, CODEC, (ip_from_machine_id(to), self.port), Hello(self.machine), alive, most, stuck
+    def _log_redundancy(self) -> None:
+        """Log each change of the redundancy, as the primary sees it."""
+        if not self.replica.is_primary:
+            return
+        change = self.redundancy_watch.observe(self.replica.redundancy(), trio.current_time())
+        if change is None:
+            return
+        redundancy = change.redundancy
+        logger.info(
+            "event=redundancy copies={}/{} witnesses={}/{} until_full_s={} spread={}",
+            redundancy.copies,
+            redundancy.copies_wanted,
+            redundancy.witnesses,
+            redundancy.witnesses_wanted,
+            "-" if change.until_full_s is None else f"{change.until_full_s:.2f}",
+            redundancy.spread,
         )
-        self.senders[to, channel] = sender
-        self.nursery.start_soon(sender.run)
-        return sender
-
-    def _alive(self, machine: int, channel: Channel) -> bool:
-        """Whether the connection to a machine is worth keeping: it was heard since, or not long ago."""
-        since = max(self.heard.get(machine, 0.0), self.senders[machine, channel].opened_at)
-        return trio.current_time() - since < UNHEARD
-
-    async def hear(self, inbox: RecordReader, hello: Hello) -> None:
-        """Take what another core machine says, until its connection ends."""
-        while True:
-            _, message = await inbox.next()
-            now = trio.current_time()
-            self.heard[hello.machine] = now
-            self.replica.receive(hello.machine, message, now)
-            self.act()
-
-
-def decode_durable_state(record: bytes | None) -> DurableState | None:
-    """What a disk holds, ``MalformedRecord`` if it can't be read."""
-    if record is None:
-        return None
-    if len(record) < FRAME_HEADER.size:
-        raise MalformedRecord("a record cut short")
-    _, _, kind, _, _ = FRAME_HEADER.unpack_from(record)
-    return CODEC.unpack(kind, record[FRAME_HEADER.size :])
+        if not redundancy.spread:
+            logger.warning("event=tolerance_not_met why={!r}", self.replica.lacking_spread())
--- /dev/null
+++ b/rowanshift/controlplane/version_rollout.py
@@ -0,0 +1,148 @@
+"""Rolls announced model versions out to the servers, as a singleton role, by orders under a fencing token.
+
+Orders go out only while this machine holds the lease, and only after the lease holder before it has surely stopped.
+The fencing token is the epoch's number, which rises and is on the disks of a majority.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+import trio
+from loguru import logger
+
+from rowanshift.controlplane.model_server_client import LoadOrder, ModelServerClient
+from rowanshift.controlplane.registered_server import RegisteredServer
+from rowanshift.controlplane.replica_runner import ReplicaRunner
+from rowanshift.controlplane.server_registry import PendingLoad, ServerRegistry
+from rowanshift.transport.calls import CallFailed
+from rowanshift.transport.runtime import Nursery, Runtime
+
+ROLLOUT_CHECK_SECONDS = 0.05  # between checks for a server to be ordered
+MAX_AWAITED_STREAMS = 2  # at a server to be loaded; more are not waited for
+DRAIN_SECONDS = 0.6  # that they are waited for; then they pause while it loads
+DRAIN_CHECK_SECONDS = 0.15  # between checks whether they have ended
+ORDER_TIMEOUT_SECONDS = 0.8  # for an answer to an order
+LEASE_MARGIN_SECONDS = 0.1  # of the lease that must be left for an order to arrive
+LOAD_TIMEOUT_SECONDS = 12.0  # that a server may take to load
+REPORT_INTERVAL_SECONDS = 0.25  # between questions whether a server has loaded
+MAX_MISSING_REPORTS = 2  # in a row, after which a load counts as failed
+LOAD_UNDER_WAY_STATUSES = (0, 202, 409)  # an order is, or may be, under way at the server: its report says
+
+
+class VersionRollout:
+    """Orders servers to load announced versions.
+
+    ``registry`` gives the registry in use, which is replaced when the primary changes, ``versions`` the announced
+    version of each model; ``on_change`` is called when the registry has changed. ``node_name`` names the lease holder.
+    """
+
+    def __init__(
+        self,
+        runtime: Runtime,
+        replica_runner: ReplicaRunner,
+        client: ModelServerClient,
+        node_name: str,
+        registry: Callable[[], ServerRegistry],
+        versions: Callable[[], dict[str, int]],
+        on_change: Callable[[], None],
+    ) -> None:
+        self.runtime = runtime
+        self.replica_runner = replica_runner
+        self.client = client
+        self.node_name = node_name
+        self.registry = registry
+        self.versions = versions
+        self.on_change = on_change
+        self.orders = 0  # that went out
+
+    def _may_order(self) -> bool:
+        """Whether an order may go out now and still arrive while this machine is the only lease holder."""
+        former_holder_stopped = self.replica_runner.replica.duty_from <= trio.current_time()
+        return former_holder_stopped and self.replica_runner.lease_remaining() > LEASE_MARGIN_SECONDS
+
+    async def run(self, nursery: Nursery) -> None:
+        """Order loads, each in a task of its own; runs until it is cancelled."""
+        while True:
+            if self._may_order():
+                registry = self.registry()
+                pending = registry.next_load(self.versions(), trio.current_time())
+                if pending is not None:
+                    registry.load_started(pending.server, trio.current_time())
+                    self.on_change()
+                    nursery.start_soon(self._load, registry, pending)
+                    continue
+            await self.runtime.pause(ROLLOUT_CHECK_SECONDS)
+
+    async def _load(self, registry: ServerRegistry, pending: PendingLoad) -> None:
+        """Bring one server to a version, or to a newer one that is announced while its requests end."""
+        server, model, version = pending
+        succeeded = False
+        try:
+            await self._wait_for_streams(server)
+            version = max(version, self.versions().get(model, 0))
+            succeeded = await self._order(server, model, version)
+        except CallFailed as error:
+            logger.info("event=order_failed server={} why={!r}", server.id, str(error))
+        if registry is not self.registry():  # another primary's epoch has begun
+            return
+        if succeeded:
+            registry.load_succeeded(server.id, model, version, trio.current_time())
+            logger.info("event=loaded server={} model={} version={}", server.id, model, version)
+        else:
+            registry.load_failed(server.id, model, trio.current_time())
+        self.on_change()
+
+    async def _wait_for_streams(self, server: RegisteredServer) -> None:
+        """Wait until the streams that run there have ended, as the routers send no more.
+
+        Only where they are few, since requests that wait elsewhere meanwhile lose more than they do, and not for long.
+        """
+        until = trio.current_time() + DRAIN_SECONDS
+        while trio.current_time() < until:
+            await self.runtime.pause(DRAIN_CHECK_SECONDS)
+            report = await self.client.report(server)
+            if report is None or not 0 < report.active_streams <= MAX_AWAITED_STREAMS or report.has_queue:
+                return
+
+    async def _order(self, server: RegisteredServer, model: str, version: int) -> bool:
+        """Order a server to load a version; whether it has loaded it. Raises ``CallFailed`` where nothing was sent."""
+        if not self._may_order():
+            return False
+        order = LoadOrder(model, version, self.node_name, self.replica_runner.replica.record.number)
+        self.orders += 1
+        timeout = min(ORDER_TIMEOUT_SECONDS, self.replica_runner.lease_remaining())
+        status = await self.client.order(server, order, timeout)
+        logger.info("event=order server={} model={} version={} status={}", server.id, model, version, status)
+        if status == 200:
+            return True
+        if status not in LOAD_UNDER_WAY_STATUSES:
+            return False
+        return await self._wait_for_load(server, model, version, is_accepted=status == 202)
+
+    async def _wait_for_load(self, server: RegisteredServer, model: str, version: int, is_accepted: bool) -> bool:
+        """Ask a server for its report until it has loaded; whether it has.
+
+        ``is_accepted``: it has said that it will load this order; else a report without a load means that it doesn't.
+        """
+        until = trio.current_time() + LOAD_TIMEOUT_SECONDS
+        missing_reports = 0
+        while self._is_load_awaited(server, until):
+            await self.runtime.pause(REPORT_INTERVAL_SECONDS)
+            report = await self.client.report(server)
+            if report is None:
+                missing_reports += 1
+                if missing_reports >= MAX_MISSING_REPORTS:  # others may load in its stead; it is tried again later
+                    return False
+                continue
+            missing_reports = 0
+            if report.versions().get(model, 0) >= version:
+                return True
+            if not is_accepted and not report.is_loading:
+                return False
+        return False
+
+    def _is_load_awaited(self, server: RegisteredServer, until: float) -> bool:
+        """Whether a load may still end well: in time, under this machine's lease, at a server on the list."""
+        in_time = trio.current_time() < until
+        return in_time and self.replica_runner.lease_remaining() > 0 and server.id in self.registry().servers
--- a/rowanshift/emulation/cluster.py
+++ b/rowanshift/emulation/cluster.py
@@ -164,8 +164,8 @@
                     self.platform.add(server)
         finally:
             for core_service in self.core_services:
-                if (node := getattr(core_service, "replica_runner", None)) is not None and node.store is not None:
-                    node.store.close()
+                if (node := getattr(core_service, "replica_runner", None)) is not None and node.disk is not None:
+                    node.disk.close()
             self.host.close()
 
     # what to wait for -------------------------------------
@@ -234,7 +234,7 @@
     core_service = await system.primary()
     record = core_service.replica_runner.replica.record
     say(
-        f"Primary: {core_service.boot.ip}, epoch {record.number}; "
+        f"Primary: {core_service.settings.ip}, epoch {record.number}; "
         f"in sync: {', '.join(map(ip_from_machine_id, record.in_sync))}; "
         f"witnesses: {', '.join(map(ip_from_machine_id, record.witnesses))}"
     )
--- a/rowanshift/process/node_settings.py
+++ b/rowanshift/process/node_settings.py
@@ -94,8 +94,8 @@
         }
         self.inner: Address = (file.ip, file.internal_ports[0])
         self.seeds = [address_of(text, f"seedNodes[{i}]") for i, text in enumerate(file.seed_nodes)]
-        self.cloud = file.cloud_api and address_of(file.cloud_api.address, "cloudApi.address")
-        self.data = file.data_dir and Path(file.data_dir)
+        self.cloud = None if file.cloud_api is None else address_of(file.cloud_api.address, "cloudApi.address")
+        self.data = Path(file.data_dir) if file.data_dir else None
 
     def want(self, name: str) -> Address:
         """One of the listen addresses that this role can't do without."""
--- a/tests/admin/test_commands.py
+++ b/tests/admin/test_commands.py
@@ -377,7 +377,7 @@
     def test_a_configuration_that_the_control_state_has_no_room_for(self) -> None:
         node = mock.Mock(change=mock.AsyncMock(side_effect=StateTooLarge))
         put = Message(b"PUT", b"/config", fields=[(b"if-match", b"0")], body=b"{}")
-        answer = trio.run(ConfigResource(node, 8500, ChangeLoader(SYSTEM_RUNTIME)).call, put)
+        answer = trio.run(ConfigResource(node, 1, 8500, ChangeLoader(SYSTEM_RUNTIME)).call, put)
         self.assertEqual(answer.status, 413)
         self.assertIn(b"16773120 bytes", answer.body)
 
--- a/tests/controlplane/test_configuration_patch.py
+++ b/tests/controlplane/test_configuration_patch.py
@@ -303,7 +303,7 @@
     def test_a_patch_that_is_not_remembered_is_found(self) -> None:
         def forgets(state: ControlState, if_match: str | None, body: bytes) -> Any:
             made = patch_config(state, if_match, body)
-            return made and (control_state.replace(made[0], orders=state.orders), made[1])
+            return made and made._replace(state=control_state.replace(made.state, orders=state.orders))
 
         with mock.patch.dict(configuration_change.CHANGES, {b"PATCH": forgets}):
             _, fleet = play(lambda fleet: self.patched_under(fleet, 8.0), "forgets")
@@ -314,9 +314,9 @@
             made = patch_config(state, if_match, body)
             if made is None:
                 return None
-            config = orjson.loads(made[0].config)
+            config = orjson.loads(made.state.config)
             config["routes"].pop()
-            return control_state.replace(made[0], config=orjson.dumps(config)), made[1]
+            return made._replace(state=control_state.replace(made.state, config=orjson.dumps(config)))
 
         with mock.patch.dict(configuration_change.CHANGES, {b"PATCH": loses}):
             _, fleet = play(lambda fleet: self.patched_under(fleet, 4.0), "loses")
--- a/tests/controlplane/test_data_folder_of_34514ad.py
+++ b/tests/controlplane/test_data_folder_of_34514ad.py
@@ -18,8 +18,8 @@
 import pytest
 
 from rowanshift.controlplane.control_state import unpack
+from rowanshift.controlplane.durable_state import decode_durable_state
 from rowanshift.controlplane.record_kinds import CODEC
-from rowanshift.controlplane.replica_runner import decode_durable_state
 from rowanshift.controlplane.replication import DurableState, EpochRecord, StateVersion
 from rowanshift.controlplane.store import Store
 
--- a/tests/controlplane/test_inherited_versions.py
+++ b/tests/controlplane/test_inherited_versions.py
@@ -6,13 +6,13 @@
 import trio
 from loguru import logger
 
-from rowanshift.controlplane import singleton_tasks
 from rowanshift.controlplane.registered_server import RegisteredServer
 from rowanshift.controlplane.server_registry import (
     DATE_TOLERANCE_SECONDS,
     MAX_ANNOUNCEMENTS_PER_POLL,
     ServerRegistry,
 )
+from rowanshift.controlplane.version_rollout import VersionRollout
 from rowanshift.invariants.facts import VersionNamed
 from rowanshift.simulation.fleet import Fleet, play
 from rowanshift.simulation.fleet_settings import MODEL
@@ -128,7 +128,7 @@
             await trio.sleep(2.0)
             return abs(dated_at(fleet.primary()) - named_at(fleet))
 
-        with mock.patch.object(singleton_tasks.SingletonTasks, "_may_order", lambda tasks: False):
+        with mock.patch.object(VersionRollout, "_may_order", lambda rollout: False):
             return play(main, seed, routers=routers)[0]
 
     def test_a_primary_that_is_killed(self) -> None:
@@ -173,7 +173,7 @@
             await trio.sleep(1.0)
             return abs(dated_at(started) - named_at(fleet))
 
-        with mock.patch.object(singleton_tasks.SingletonTasks, "_may_order", lambda tasks: False):
+        with mock.patch.object(VersionRollout, "_may_order", lambda rollout: False):
             for seed in range(4):
                 self.assertLess(play(main, f"starts {seed}")[0], 2 * CLOSE)
 
--- a/tests/controlplane/test_lazy_imports.py
+++ b/tests/controlplane/test_lazy_imports.py
@@ -10,7 +10,7 @@
 from loguru import logger
 
 from rowanshift.controlplane import change_loader
-from rowanshift.controlplane.change_loader import LOAD_AFTER, ChangeLoader
+from rowanshift.controlplane.change_loader import LOAD_DELAY_SECONDS, ChangeLoader
 from rowanshift.simulation.fleet import Fleet, config_of, play
 from rowanshift.transport.runtime import SYSTEM_RUNTIME
 
@@ -32,7 +32,7 @@
         self.assertEqual(self.loaded("rowanshift.dataplane.service"), set())
 
     def test_changes_need_all_of_it(self) -> None:
-        self.assertEqual(self.loaded(change_loader.MODULE), {*LATER})
+        self.assertEqual(self.loaded(change_loader.CHANGE_MODULE), {*LATER})
 
 
 class Loader(unittest.TestCase):
@@ -65,8 +65,8 @@
                 fleet.back(*fleet.cores)
                 loaded.clear()
                 started = fleet.now()
-                await trio.sleep(LOAD_AFTER + 1.0)
-                return len(loaded) == len(fleet.cores), min(loaded) >= started + LOAD_AFTER
+                await trio.sleep(LOAD_DELAY_SECONDS + 1.0)
+                return len(loaded) == len(fleet.cores), min(loaded) >= started + LOAD_DELAY_SECONDS
 
         logger.disable("rowanshift")
         self.addCleanup(logger.enable, "rowanshift")
--- a/tests/dataplane/test_control_client.py
+++ b/tests/dataplane/test_control_client.py
@@ -7,7 +7,7 @@
 import trio
 from loguru import logger
 
-from rowanshift.controlplane import service as control_service
+from rowanshift.controlplane.poll_endpoint import PollEndpoint
 from rowanshift.dataplane import control_client
 from rowanshift.dataplane.freshness import Freshness
 from rowanshift.dataplane.primary_search import SUSPECT_FOR, PrimarySearch
@@ -224,15 +224,15 @@
         async def main(fleet: Fleet) -> set[int]:
             await fleet.start()
             first = fleet.primary()
-            poll = control_service.ControlPlaneService._poll
+            poll = PollEndpoint.answer
 
-            async def stalled(service: control_service.ControlPlaneService, question: Poll) -> object:
-                answer = await poll(service, question)
-                if service is first.program and isinstance(answer, Update):
+            async def stalled(endpoint: PollEndpoint, question: Poll) -> object:
+                answer = await poll(endpoint, question)
+                if endpoint is first.program.poll_endpoint and isinstance(answer, Update):
                     await first.machine.pause(3.0)
                 return answer
 
-            with mock.patch.object(control_service.ControlPlaneService, "_poll", stalled):
+            with mock.patch.object(PollEndpoint, "answer", stalled):
                 await trio.sleep(0.6)
                 fleet.cut(first)
                 await fleet.until(lambda: another_holds(fleet, first))
--- a/tests/modelcheck/test_closing_fault.py
+++ b/tests/modelcheck/test_closing_fault.py
@@ -214,7 +214,7 @@
     fleet.back(*left, *fleet.routers)
     read = (await fleet.operator.read_config(READ_BACK_WITHIN) or {}).get("revision", 0)
     primary = fleet.primary()
-    return ClosingDay(acknowledged, read, primary.program.named().get(MODEL, 0) if primary else 0)
+    return ClosingDay(acknowledged, read, primary.program.publication.versions().get(MODEL, 0) if primary else 0)
 
 
 async def nothing(fleet: Fleet) -> tuple[list[Unit], Unit]:
--- a/tests/simulation/test_protocol_rules.py
+++ b/tests/simulation/test_protocol_rules.py
@@ -116,7 +116,7 @@
             tasks.registry.servers[known.id] = known
             prepare(server, known)
             tasks.registry.servers.setdefault(known.id, known)
-            return await tasks._ordered(known, MODEL, 2), fleet.of(Ordered)
+            return await tasks.rollout._order(known, MODEL, 2), fleet.of(Ordered)
 
         return fleets.play(main, "orders", routers=1, load=1.0)[0]
 
--- a/tests/simulation/test_system_simulation.py
+++ b/tests/simulation/test_system_simulation.py
@@ -16,10 +16,11 @@
 import trio
 from loguru import logger
 
-from rowanshift.controlplane import singleton_tasks
+from rowanshift.controlplane import model_server_client
 from rowanshift.controlplane.replication import Replica
 from rowanshift.controlplane.service import ControlPlaneService
 from rowanshift.controlplane.store import DamagedRecord, StoreClosed, StoreWriteFailed
+from rowanshift.controlplane.version_rollout import VersionRollout
 from rowanshift.dataplane import client_answer, control_client, forwarder, requests
 from rowanshift.dataplane.routing_table import Route
 from rowanshift.invariants import system as rules
@@ -704,7 +705,7 @@
             await trio.sleep(VERSION + 1)
 
         patch = mock.patch.multiple(control_client.ControlClient, version=lambda self, model, now: 0)
-        with mock.patch.object(singleton_tasks.SingletonTasks, "_may_order", lambda duties: False):
+        with mock.patch.object(VersionRollout, "_may_order", lambda rollout: False):
             self.found("VERSION", scenario, patch)
 
     def test_the_fence_never_rises(self):
@@ -721,7 +722,7 @@
         self.found(
             "ONE",
             scenario,
-            mock.patch.object(singleton_tasks, "orjson", SimpleNamespace(dumps=dumps, loads=orjson.loads)),
+            mock.patch.object(model_server_client, "orjson", SimpleNamespace(dumps=dumps, loads=orjson.loads)),
         )
 
 
--- a/tests/simulation/test_versions_in_series.py
+++ b/tests/simulation/test_versions_in_series.py
@@ -6,9 +6,9 @@
 import trio
 from loguru import logger
 
-from rowanshift.controlplane import singleton_tasks
 from rowanshift.controlplane.registered_server import RegisteredServer
 from rowanshift.controlplane.server_registry import ServerRegistry
+from rowanshift.controlplane.version_rollout import VersionRollout
 from rowanshift.invariants.facts import Loaded
 from rowanshift.simulation.fleet import ONCE, Fleet, play
 from rowanshift.simulation.fleet_settings import CONTACT, MODEL, VERSION
@@ -45,7 +45,7 @@
             fleet.client("one", ONCE, "key-1", pause=0.1)
             await scenario(fleet)
 
-        with mock.patch.object(singleton_tasks.SingletonTasks, "_may_order", lambda tasks: False):
+        with mock.patch.object(VersionRollout, "_may_order", lambda rollout: False):
             fleet = play(main, seed, routers=1)[1]
         return {breach.rule for breach in fleet.breaches()}
 
--- a/tests/soak/test_soak_versions.py
+++ b/tests/soak/test_soak_versions.py
@@ -6,7 +6,7 @@
 import trio
 from loguru import logger
 
-from rowanshift.controlplane import singleton_tasks
+from rowanshift.controlplane.version_rollout import VersionRollout
 from rowanshift.dataplane import control_client
 from rowanshift.invariants.facts import Asked, Began, VersionNamed
 from rowanshift.simulation.fleet import ONCE, Fleet, play
@@ -81,7 +81,7 @@
             await fleet.name_version(2)
             await trio.sleep(VERSION + CONTACT)
 
-        with mock.patch.object(singleton_tasks.SingletonTasks, "_may_order", lambda tasks: False):
+        with mock.patch.object(VersionRollout, "_may_order", lambda rollout: False):
             fleet = play(main, "planted", routers=1, strict=False)[1]
         started = [ProcessStarted(0.0, "router-1", 1, "router-1.1.log", unit.front) for unit in fleet.routers]
         return {breach.rule for breach in versions.versions([*started, *fleet.facts])}
--- a/tests/wire/test_version_announcements.py
+++ b/tests/wire/test_version_announcements.py
@@ -2,18 +2,17 @@
 
 import random
 import unittest
-from types import SimpleNamespace
 
 import trio
 from loguru import logger
 
+from rowanshift.controlplane.poll_endpoint import version_announcements
 from rowanshift.controlplane.registered_server import RegisteredServer
 from rowanshift.controlplane.server_registry import (
     ANNOUNCEMENT_RETENTION_SECONDS,
     FAILED_LOAD_PENALTY_SECONDS,
     ServerRegistry,
 )
-from rowanshift.controlplane.service import ControlPlaneService
 from rowanshift.simulation.fleet import Fleet, play
 from rowanshift.simulation.fleet_settings import INNER
 from rowanshift.transport.record_links import RecordClient
@@ -141,15 +140,16 @@
         self.assertEqual([name.version for name in made.announcements.all()], [3, 4])
 
     def test_ages_as_routers_are_told_them(self) -> None:
-        service = object.__new__(ControlPlaneService)
-        service.tasks = SimpleNamespace(registry=self.registry())
-        service.tasks.registry.record_versions({"m": 2}, 10.0)  # a former primary named it
-        told = [service._named_versions(now)[0] for now in (12.5, 9.0, 1e9)]
+        registry = self.registry()
+        registry.record_versions({"m": 2}, 10.0)  # a former primary named it
+        told = [version_announcements(registry, now)[0] for now in (12.5, 9.0, 1e9)]
         self.assertEqual(
             told, [ModelVersionAnnouncement("m", 2, age, is_dated=False) for age in (2500, 0, MAX_ANNOUNCED_AGE_MS)]
         )
-        service.tasks.registry.record_versions({"m": 3}, 11.0)
-        self.assertEqual(service._named_versions(12.5)[1], ModelVersionAnnouncement("m", 3, 1500, is_dated=True))
+        registry.record_versions({"m": 3}, 11.0)
+        self.assertEqual(
+            version_announcements(registry, 12.5)[1], ModelVersionAnnouncement("m", 3, 1500, is_dated=True)
+        )
 
 
 class FormerRouters(unittest.TestCase):
