--- a/rowanshift/admin/commands.py
+++ b/rowanshift/admin/commands.py
@@ -16,9 +16,9 @@
 
 from rowanshift.controlplane.settings_warnings import fault_tolerance_warnings
 from rowanshift.process.node_settings import NodeSettings, NodeSettingsError, address_of, load_node_settings
-from rowanshift.transport.calls import CallFailed, call
+from rowanshift.transport.call_client import CallFailed, call
 from rowanshift.transport.http_connection import Fields, Message
-from rowanshift.transport.memory_budget import Memory
+from rowanshift.transport.memory_budget import MemoryBudget
 from rowanshift.transport.runtime import SYSTEM_RUNTIME, Runtime
 from rowanshift.transport.streams import Address
 from rowanshift.wire.control_updates import SERVER_DRAINING, SERVER_LOADING
@@ -86,7 +86,7 @@
 
     def __init__(self, addresses: Sequence[Address], host: Runtime = SYSTEM_RUNTIME) -> None:
         self.addresses, self.host = list(addresses), host
-        self.memory = Memory(MEMORY)
+        self.memory = MemoryBudget(MEMORY)
 
     async def ask(
         self, address: Address, method: bytes, target: bytes, body: bytes = b"", fields: Fields | None = None
--- a/rowanshift/cacheproxy/clients.py
+++ b/rowanshift/cacheproxy/clients.py
@@ -18,8 +18,8 @@
 from rowanshift.cacheproxy.exchange import Exchange, Reply
 from rowanshift.cacheproxy.figures import Figures
 from rowanshift.transport.flow import LAST_CHUNK, Flow, framed
-from rowanshift.transport.http_connection import BadMessage, Connection, Message
-from rowanshift.transport.memory_budget import Budget, Memory
+from rowanshift.transport.http_connection import Connection, MalformedMessage, Message
+from rowanshift.transport.memory_budget import DescriptorBudget, MemoryBudget
 from rowanshift.transport.runtime import Nursery
 from rowanshift.transport.streams import Listener, Stream
 
@@ -57,24 +57,24 @@
 def exchange_of(id: int, message: Message, names: Names, came_at: float) -> Exchange:
     """The work item that a request stands for; its time counts from when its last byte came."""
     if message.method not in (b"GET", b"PUT"):
-        raise BadMessage(405, "GET reads and PUT writes")
+        raise MalformedMessage(405, "GET reads and PUT writes")
     fields = dict(message.fields)
     if sum(name in ONCE for name, _ in message.fields) != len(ONCE & fields.keys()):
-        raise BadMessage(400, "a field that says what to do stands there twice")
+        raise MalformedMessage(400, "a field that says what to do stands there twice")
     if not fields.get(b"x-txn"):
-        raise BadMessage(400, "X-Txn is missing")
+        raise MalformedMessage(400, "X-Txn is missing")
     if message.target[:1] != b"/" and (form := ABSOLUTE.match(message.target)) is not None:
         message.target = message.target[form.end() :] or b"/"
     first, *rest = message.target.split(b"?", 1)[0].strip(b"/").split(b"/")
     category = fields.get(b"x-lane", first)
     if category != first or (position := names.categories.get(category)) is None:
-        raise BadMessage(400, f"unknown category, or X-Lane and the path differ: {category[:40]!r}")
+        raise MalformedMessage(400, f"unknown category, or X-Lane and the path differ: {category[:40]!r}")
     customer = names.tenants.get(fields.get(b"x-org")) if names.tenants else 0
     if customer is None:
-        raise BadMessage(400, "unknown tenant")
+        raise MalformedMessage(400, "unknown tenant")
     left = fields.get(LEFT, b"")
     if not left.isdigit() or len(left) > 9 or int(left) > LONGEST_LEFT_MS:
-        raise BadMessage(400, "X-Remaining-Ms is no whole number of milliseconds")
+        raise MalformedMessage(400, "X-Remaining-Ms is no whole number of milliseconds")
     key = unquote(rest[-1].decode("latin-1")) if rest and rest[-1] else None
     passed_on = [field for field in message.end_to_end() if field[0] != LEFT]
     return Exchange(
@@ -140,8 +140,8 @@
         names: Names,
         driver: Decider,
         clock: Clock,
-        budget: Budget,
-        memory: Memory,
+        budget: DescriptorBudget,
+        memory: MemoryBudget,
         figures: Figures | None = None,
     ) -> None:
         self.names, self.driver, self.clock = names, driver, clock
@@ -288,7 +288,7 @@
                 client.over = True  # it has gone away
         elif client.scope.cancelled_caught:
             if late and client.reading:
-                self._refuse(client, BadMessage(408, "the request took too long"))
+                self._refuse(client, MalformedMessage(408, "the request took too long"))
             else:
                 client.over = late
         elif connection.receive() or connection.pending():
@@ -311,7 +311,7 @@
             elif client.connection.partial and not client.connection.in_head:
                 client.body_at = client.body_at or trio.current_time()
                 client.until = client.body_at + BODY_SLACK + client.connection.size / BODY_RATE
-        except BadMessage as error:
+        except MalformedMessage as error:
             first = (message or client.connection.message).target.strip(b"/").split(b"/", 1)[0]
             if (category := self.names.categories.get(first)) is not None:
                 self._taken(client, category)
@@ -327,7 +327,7 @@
         exchange = exchange_of(self.ids, message, self.names, came_at)
         txn = next(value for name, value in exchange.headers if name == b"x-txn")
         if txn in self.open:
-            raise BadMessage(409, "X-Txn is that of a request that is open")
+            raise MalformedMessage(409, "X-Txn is that of a request that is open")
         self.open.add(txn)
         self.silent.pop(client, None)
         self._taken(client, exchange.category)
@@ -359,7 +359,7 @@
             return
         if client.scope.cancelled_caught:
             if trio.current_time() >= client.until:
-                self._spoilt(client, BadMessage(408, f"a body comes at {BODY_RATE} bytes a second at least"))
+                self._spoilt(client, MalformedMessage(408, f"a body comes at {BODY_RATE} bytes a second at least"))
             return
         going = connection.read_body() if not flow.full() else True
         if flow.ended:
@@ -376,7 +376,7 @@
         else:
             client.until = client.body_at + BODY_SLACK + connection.size / BODY_RATE
 
-    def _spoilt(self, client: Client, error: BadMessage) -> None:
+    def _spoilt(self, client: Client, error: MalformedMessage) -> None:
         """A long request that can't be followed to its end, and has not run."""
         client.upload, flow = None, client.upload
         flow.cut_off()
@@ -430,7 +430,7 @@
 
     # answers ----------------------------------------------
 
-    def _refuse(self, client: Client, error: BadMessage) -> None:
+    def _refuse(self, client: Client, error: MalformedMessage) -> None:
         """What can't be followed gets its error and the close: no more of it is read."""
         logger.info("refused a request: {} {}", error.status, error)
         client.refused, client.keep = True, False
--- a/rowanshift/cacheproxy/discovery.py
+++ b/rowanshift/cacheproxy/discovery.py
@@ -13,7 +13,7 @@
 from rowanshift.cacheproxy.config import Address, Names, address_of, entry_of
 from rowanshift.cacheproxy.membership import Membership
 from rowanshift.cacheproxy.model import Entry
-from rowanshift.transport.buffer import Ring
+from rowanshift.transport.buffer import RingBuffer
 from rowanshift.transport.runtime import SYSTEM_RUNTIME, Runtime
 from rowanshift.transport.streams import Stream, connect, receive, send_all
 
@@ -129,7 +129,7 @@
     """A connection to discovery, whose answers are read as they come: one may have no end."""
 
     def __init__(self, stream: Stream) -> None:
-        self.stream, self.inbound, self.h11 = stream, Ring(), h11.Connection(h11.CLIENT)
+        self.stream, self.inbound, self.h11 = stream, RingBuffer(), h11.Connection(h11.CLIENT)
 
     async def ask(self, target: str, address: Address) -> None:
         host = "{}:{}".format(*address)
--- a/rowanshift/cacheproxy/servers.py
+++ b/rowanshift/cacheproxy/servers.py
@@ -13,8 +13,8 @@
 from rowanshift.cacheproxy.exchange import HandOff, Reply, nothing
 from rowanshift.cacheproxy.model import Verdict
 from rowanshift.transport.flow import LAST_CHUNK, Flow, framed
-from rowanshift.transport.http_connection import BadMessage, Connection, Message
-from rowanshift.transport.memory_budget import Budget, Memory
+from rowanshift.transport.http_connection import Connection, MalformedMessage, Message
+from rowanshift.transport.memory_budget import DescriptorBudget, MemoryBudget
 from rowanshift.transport.runtime import SYSTEM_RUNTIME, Nursery, Runtime
 
 REMARKS = {b"hit": 1, b"miss": 2, b"pending": 3}
@@ -78,8 +78,8 @@
         dial_within: float,
         idle_for: float,
         stall_for: float,
-        budget: Budget,
-        memory: Memory,
+        budget: DescriptorBudget,
+        memory: MemoryBudget,
         nursery: Nursery,
         host: Runtime = SYSTEM_RUNTIME,
     ) -> None:
@@ -355,7 +355,7 @@
             message, going = link.connection.read_on()
         except OSError:
             self._finish(link, Verdict.RESET)
-        except BadMessage as error:  # it ran, and the server is there
+        except MalformedMessage as error:  # it ran, and the server is there
             logger.info("{} spoilt an answer: {}", link.job.server, error)
             self._finish(link, Verdict.ERROR)
         else:
--- a/rowanshift/cacheproxy/service.py
+++ b/rowanshift/cacheproxy/service.py
@@ -21,7 +21,7 @@
 from rowanshift.cacheproxy.membership import MOST_OUT, Membership
 from rowanshift.cacheproxy.peers import Peers
 from rowanshift.cacheproxy.servers import Servers
-from rowanshift.transport.memory_budget import Budget, Memory
+from rowanshift.transport.memory_budget import DescriptorBudget, MemoryBudget
 from rowanshift.transport.runtime import SYSTEM_RUNTIME, Nursery, Runtime
 from rowanshift.transport.signals import ReceivedSignal
 from rowanshift.transport.streams import Listener, Port
@@ -139,8 +139,8 @@
         config, host = self.config, self.host
         with host.signals() as signals:
             async with host.nursery() as nursery:
-                clock, memory = Clock(host), Memory(config.memory_mb)
-                budget = Budget(host.descriptors(config.sockets), CALLERS if config.control else 0)
+                clock, memory = Clock(host), MemoryBudget(config.memory_mb)
+                budget = DescriptorBudget(host.descriptors(config.sockets), CALLERS if config.control else 0)
                 figures = Figures([name.decode("latin-1") for name in config.names.categories])
                 self.memory, self.budget, self.figures = memory, budget, figures
                 stall_for = min(config.dial_within, STALL * min(c.due for c in config.settings.categories))
--- a/rowanshift/capacity/hollow.py
+++ b/rowanshift/capacity/hollow.py
@@ -21,7 +21,7 @@
 from rowanshift.controlplane.service import ControlPlaneService
 from rowanshift.dataplane.control_client import LONG_POLL_SECONDS, ControlClient
 from rowanshift.process.node_settings import Bounds, node_settings_of
-from rowanshift.transport.buffer import Ring
+from rowanshift.transport.buffer import RingBuffer
 from rowanshift.transport.streams import Address, Stream, connect, receive, send_all
 from rowanshift.wire.codec import FrameDecoder
 from rowanshift.wire.control_updates import CONTROL_UPDATE_CODEC, Poll, Update
@@ -293,7 +293,7 @@
         stream = self.host.stream()
         try:
             await connect(stream, self.address)
-            frames, ring = FrameDecoder(), Ring()
+            frames, ring = FrameDecoder(), RingBuffer()
             while most is None or self.polls < most:
                 self.polls += 1
                 poll = Poll(self.machine, 1, **self.has, long_poll_ms=int(1000 * LONG_POLL_SECONDS))
@@ -310,7 +310,7 @@
         finally:
             stream.close()
 
-    async def _answer(self, stream: Stream, frames: FrameDecoder, ring: Ring) -> Any:
+    async def _answer(self, stream: Stream, frames: FrameDecoder, ring: RingBuffer) -> Any:
         """The answer to the poll, None at the end of the connection."""
         while True:
             if not await receive(stream, ring):
--- a/rowanshift/controlplane/api.py
+++ b/rowanshift/controlplane/api.py
@@ -19,8 +19,8 @@
 from rowanshift.controlplane.replica_runner import ReplicaRunner
 from rowanshift.controlplane.replication import STATE_LIMIT, NotPrimary, StateTooLarge
 from rowanshift.controlplane.status import ControlPlaneStatus
-from rowanshift.transport.calls import Answer, said
 from rowanshift.transport.http_connection import Message
+from rowanshift.transport.http_response import Response, error_body
 from rowanshift.wire.machine_ids import ip_from_machine_id
 
 CHANGE_TIMEOUT_SECONDS = 2.5  # for a change to be on all disks that are wanted
@@ -39,29 +39,29 @@
         self.machine = machine
         self.port = port
 
-    async def call(self, message: Message) -> Answer:
+    async def call(self, message: Message) -> Response:
         """The resource's answer; 307, 413 or 503 where this machine can't serve it."""
         try:
             return await self.serve(message)
         except NotPrimary as error:
             return self._redirect(error.hint, message.target)
         except NotConfirmed:
-            return Answer(503, said("this machine could not confirm that it is the primary"), RETRY_SOON)
+            return Response(503, error_body("this machine could not confirm that it is the primary"), RETRY_SOON)
         except OrderTooOld as error:
-            return Answer(503, said(str(error)), RETRY_LATER)
+            return Response(503, error_body(str(error)), RETRY_LATER)
         except OutcomeUnknown:
-            return Answer(503, said("not on enough disks in time: it may or may not be in force"), RETRY_SOON)
+            return Response(503, error_body("not on enough disks in time: it may or may not be in force"), RETRY_SOON)
         except StateTooLarge:
-            return Answer(413, said(f"with it the control state would be over {STATE_LIMIT} bytes"))
+            return Response(413, error_body(f"with it the control state would be over {STATE_LIMIT} bytes"))
 
-    def _redirect(self, primary: int, target: bytes) -> Answer:
+    def _redirect(self, primary: int, target: bytes) -> Response:
         """307 to the primary, 503 where none is known."""
         if not primary or primary == self.machine:
-            return Answer(503, said("no primary is known"), RETRY_SOON)
+            return Response(503, error_body("no primary is known"), RETRY_SOON)
         location = f"http://{ip_from_machine_id(primary)}:{self.port}".encode() + target
-        return Answer(307, b"", [(LOCATION, location)])
+        return Response(307, b"", [(LOCATION, location)])
 
-    async def serve(self, message: Message) -> Answer:
+    async def serve(self, message: Message) -> Response:
         """The answer of this resource, as primary."""
         raise NotImplementedError
 
@@ -73,19 +73,19 @@
         super().__init__(replica_runner, machine, port)
         self.changes = changes
 
-    async def serve(self, message: Message) -> Answer:
+    async def serve(self, message: Message) -> Response:
         """200 with the configuration or the revision in force; 400, 404, 405 or 412 otherwise."""
         if message.method == b"GET":
             return await self._read()
         if message.method in CHANGE_METHODS:
             return await self._change(message)
-        return Answer(405, said("GET, PUT and PATCH"))
+        return Response(405, error_body("GET, PUT and PATCH"))
 
-    async def _read(self) -> Answer:
+    async def _read(self) -> Response:
         state = unpack(await self.replica_runner.read())
-        return Answer(200, state.config) if state.revision else Answer(404, said("no configuration yet"))
+        return Response(200, state.config) if state.revision else Response(404, error_body("no configuration yet"))
 
-    async def _change(self, message: Message) -> Answer:
+    async def _change(self, message: Message) -> Response:
         change_configuration = (await self.changes.load()).CHANGES[message.method]
         match_field = dict(message.fields).get(b"if-match")
         if_match = None if match_field is None else match_field.decode("latin-1")
@@ -97,24 +97,24 @@
         try:
             state = unpack(await self.replica_runner.change(make_next, CHANGE_TIMEOUT_SECONDS))
         except InvalidConfiguration as error:
-            return Answer(400, said(str(error)))
+            return Response(400, error_body(str(error)))
         except StaleMatch as error:
-            return Answer(412, said(str(error)))
-        return Answer(200, b'{"revision":%d}' % state.revision)
+            return Response(412, error_body(str(error)))
+        return Response(200, b'{"revision":%d}' % state.revision)
 
 
 class VersionResource(PrimaryResource):
     """``/version-put``: announces a version of a model's weights."""
 
-    async def serve(self, message: Message) -> Answer:
+    async def serve(self, message: Message) -> Response:
         """200 once that version, or a newer one, is announced; 400 or 405 otherwise."""
         if message.method != b"POST":
-            return Answer(405, said("POST"))
+            return Response(405, error_body("POST"))
         try:
             data = orjson.loads(message.body)
             model, revision = data["model"], data["revision"]
         except (ValueError, KeyError, TypeError) as error:
-            return Answer(400, said(f"model and revision are wanted: {error!r}"))
+            return Response(400, error_body(f"model and revision are wanted: {error!r}"))
 
         def make_next(packed: bytes) -> bytes | None:
             state = put_version(unpack(packed), model, revision)
@@ -123,8 +123,8 @@
         try:
             await self.replica_runner.change(make_next, CHANGE_TIMEOUT_SECONDS)
         except InvalidVersion as error:
-            return Answer(400, said(str(error)))
-        return Answer(200, b"{}")
+            return Response(400, error_body(str(error)))
+        return Response(200, b"{}")
 
 
 class StatusResource:
@@ -133,6 +133,6 @@
     def __init__(self, status: Callable[[], ControlPlaneStatus]) -> None:
         self.status = status
 
-    async def call(self, message: Message) -> Answer:
+    async def call(self, message: Message) -> Response:
         """The status as JSON."""
-        return Answer(200, orjson.dumps(self.status().as_json()))
+        return Response(200, orjson.dumps(self.status().as_json()))
--- a/rowanshift/controlplane/endpoint_list.py
+++ b/rowanshift/controlplane/endpoint_list.py
@@ -12,8 +12,8 @@
 from rowanshift.controlplane.registered_server import RegisteredServer, parse_registered_server
 from rowanshift.controlplane.replica_runner import ReplicaRunner
 from rowanshift.controlplane.server_registry import ServerRegistry
-from rowanshift.transport.calls import CallFailed, call
-from rowanshift.transport.memory_budget import Memory
+from rowanshift.transport.call_client import CallFailed, call
+from rowanshift.transport.memory_budget import MemoryBudget
 from rowanshift.transport.runtime import Runtime
 from rowanshift.transport.streams import Address
 
@@ -34,7 +34,7 @@
     def __init__(
         self,
         runtime: Runtime,
-        memory: Memory,
+        memory: MemoryBudget,
         replica_runner: ReplicaRunner,
         address: Address | None,
         registry: Callable[[], ServerRegistry],
--- a/rowanshift/controlplane/model_server_client.py
+++ b/rowanshift/controlplane/model_server_client.py
@@ -10,8 +10,8 @@
 from loguru import logger
 
 from rowanshift.controlplane.registered_server import RegisteredServer
-from rowanshift.transport.calls import CallFailed, call
-from rowanshift.transport.memory_budget import Memory
+from rowanshift.transport.call_client import CallFailed, call
+from rowanshift.transport.memory_budget import MemoryBudget
 from rowanshift.transport.runtime import Runtime
 from rowanshift.transport.streams import Address
 
@@ -74,7 +74,7 @@
 class ModelServerClient:
     """Calls to model servers; each names the incarnation that it is meant for."""
 
-    def __init__(self, runtime: Runtime, memory: Memory) -> None:
+    def __init__(self, runtime: Runtime, memory: MemoryBudget) -> None:
         self.runtime = runtime
         self.memory = memory
 
--- a/rowanshift/controlplane/prefix_store_follower.py
+++ b/rowanshift/controlplane/prefix_store_follower.py
@@ -10,8 +10,8 @@
 
 from rowanshift.controlplane.replica_runner import ReplicaRunner
 from rowanshift.kv_index.index import BadEvents, KvIndex, Source
-from rowanshift.transport.calls import CallFailed, Line
-from rowanshift.transport.memory_budget import Memory
+from rowanshift.transport.call_client import CallFailed, PersistentCaller
+from rowanshift.transport.memory_budget import MemoryBudget
 from rowanshift.transport.runtime import Nursery, Runtime
 from rowanshift.transport.streams import Address
 
@@ -31,7 +31,7 @@
     def __init__(
         self,
         runtime: Runtime,
-        memory: Memory,
+        memory: MemoryBudget,
         replica_runner: ReplicaRunner,
         store_addresses: Callable[[], set[Address]],
         on_change: Callable[[], None],
@@ -67,7 +67,7 @@
 
     async def _follow(self, address: Address, source: Source) -> None:
         """Ask one store until it is no longer to be followed."""
-        connection = Line(self.runtime, self.memory, address)
+        connection = PersistentCaller(self.runtime, self.memory, address)
         while self.sources.get(address) is source:
             asked_at = trio.current_time()
             try:
@@ -78,7 +78,7 @@
             await self.runtime.pause(max(0.0, asked_at + EVENTS_INTERVAL_SECONDS - trio.current_time()))
         connection.close()
 
-    async def _ask(self, connection: Line, address: Address, source: Source) -> None:
+    async def _ask(self, connection: PersistentCaller, address: Address, source: Source) -> None:
         """Ask for the store's complete list, or for the events since the last answer, and apply the answer."""
         has_list = source.boot >= 0
         target = b"/kv-events?since=%d" % source.since if has_list else b"/kv-list"
--- a/rowanshift/controlplane/replica_connections.py
+++ b/rowanshift/controlplane/replica_connections.py
@@ -9,7 +9,7 @@
 
 from rowanshift.controlplane.record_kinds import CODEC, Hello
 from rowanshift.controlplane.replication import Located, Message, Store
-from rowanshift.transport.record_links import MOST_QUEUED, STUCK, RecordSender
+from rowanshift.transport.record_links import MAX_QUEUED_RECORDS, WRITE_TIMEOUT_SECONDS, RecordSender
 from rowanshift.transport.runtime import Nursery, Runtime
 from rowanshift.wire.machine_ids import ip_from_machine_id
 
@@ -74,8 +74,8 @@
             (ip_from_machine_id(machine), self.port),
             Hello(self.machine),
             partial(self._is_alive, machine, channel),
-            MAX_QUEUED_LARGE_STATES if is_large else MOST_QUEUED,
-            LARGE_STATE_WRITE_SECONDS if is_large else STUCK,
+            MAX_QUEUED_LARGE_STATES if is_large else MAX_QUEUED_RECORDS,
+            LARGE_STATE_WRITE_SECONDS if is_large else WRITE_TIMEOUT_SECONDS,
         )
         self.senders[machine, channel] = sender
         self.nursery.start_soon(sender.run)
--- a/rowanshift/controlplane/replication/witness.py
+++ b/rowanshift/controlplane/replication/witness.py
@@ -87,8 +87,8 @@
 
     def _on_heartbeat(self, sender: int, message: Heartbeat) -> None:
         if message.number < self._durable.promised:
-            refusal = HeartbeatReply(message.number, message.serial, False, self._durable.promised, NO_VERSION)
-            self._send(sender, refusal)
+            unavailable = HeartbeatReply(message.number, message.serial, False, self._durable.promised, NO_VERSION)
+            self._send(sender, unavailable)
             return
         self._adopt(message.record)
         self._hold(sender)
--- a/rowanshift/controlplane/service.py
+++ b/rowanshift/controlplane/service.py
@@ -29,8 +29,8 @@
 from rowanshift.process.error_groups import first_of
 from rowanshift.process.logs import log_to_stderr
 from rowanshift.process.node_settings import NodeSettings, NodeSettingsError, load_node_settings
-from rowanshift.transport.calls import CallOutcomes, CallServer, Resource
-from rowanshift.transport.memory_budget import Memory
+from rowanshift.transport.call_server import CallOutcomes, CallServer, Resource
+from rowanshift.transport.memory_budget import MemoryBudget
 from rowanshift.transport.runtime import Nursery
 from rowanshift.transport.signals import ReceivedSignal
 from rowanshift.wire.machine_ids import machine_id_from_ip
@@ -155,7 +155,7 @@
     def _start(self, replica_runner: ReplicaRunner, nursery: Nursery) -> CallServer:
         """Start all tasks, and log that this machine serves. Returns what answers the operator's calls."""
         runtime, settings, publication = self.runtime, self.settings, self.publication
-        memory = Memory(settings.limits.memory_mb * CALL_MEMORY_FRACTION)
+        memory = MemoryBudget(settings.limits.memory_mb * CALL_MEMORY_FRACTION)
         self.tasks = SingletonTasks(
             runtime,
             memory,
@@ -189,7 +189,7 @@
         return call_server
 
     def _create_call_server(
-        self, replica_runner: ReplicaRunner, control_port: int, changes: ChangeLoader, memory: Memory
+        self, replica_runner: ReplicaRunner, control_port: int, changes: ChangeLoader, memory: MemoryBudget
     ) -> CallServer:
         resources: dict[bytes, Resource] = {
             b"/config": ConfigResource(replica_runner, self.machine, control_port, changes),
@@ -220,7 +220,7 @@
         self.poll_endpoint.leave()
         now = trio.current_time()
         until = max(now, min(now + FINAL_ANSWERS_SECONDS, latest))
-        await call_server.leave(until - now, self.runtime.pause)
+        await call_server.shut_down(until - now, self.runtime.pause)
         while self.poll_endpoint.open_polls and trio.current_time() < until:
             await self.runtime.pause(FINAL_ANSWERS_CHECK_SECONDS)
         await self.runtime.pause(FINAL_WRITES_SECONDS)
--- a/rowanshift/controlplane/singleton_tasks.py
+++ b/rowanshift/controlplane/singleton_tasks.py
@@ -15,7 +15,7 @@
 from rowanshift.controlplane.version_rollout import VersionRollout
 from rowanshift.kv_index.index import KvIndex
 from rowanshift.process.node_settings import NodeSettings
-from rowanshift.transport.memory_budget import Memory
+from rowanshift.transport.memory_budget import MemoryBudget
 from rowanshift.transport.runtime import Nursery, Runtime
 from rowanshift.transport.streams import Address
 
@@ -32,7 +32,7 @@
     def __init__(
         self,
         runtime: Runtime,
-        memory: Memory,
+        memory: MemoryBudget,
         replica_runner: ReplicaRunner,
         settings: NodeSettings,
         versions: Callable[[], dict[str, int]],
--- a/rowanshift/controlplane/version_rollout.py
+++ b/rowanshift/controlplane/version_rollout.py
@@ -15,7 +15,7 @@
 from rowanshift.controlplane.registered_server import RegisteredServer
 from rowanshift.controlplane.replica_runner import ReplicaRunner
 from rowanshift.controlplane.server_registry import PendingLoad, ServerRegistry
-from rowanshift.transport.calls import CallFailed
+from rowanshift.transport.call_client import CallFailed
 from rowanshift.transport.runtime import Nursery, Runtime
 
 ROLLOUT_CHECK_SECONDS = 0.05  # between checks for a server to be ordered
--- a/rowanshift/dataplane/client_answer.py
+++ b/rowanshift/dataplane/client_answer.py
@@ -5,8 +5,8 @@
 import trio
 
 from rowanshift.dataplane.request_outcomes import RequestOutcome
-from rowanshift.transport.calls import REASONS, said
 from rowanshift.transport.http_connection import NO_BODY, Connection, Message
+from rowanshift.transport.http_response import REASONS, error_body
 
 TAKE_WITHIN = 10.0  # seconds in which a client takes some of its answer
 
@@ -83,7 +83,7 @@
 
     async def refuse(self, refusal: Refusal) -> None:
         """Send an answer of this router's own."""
-        body = said(refusal.why)
+        body = error_body(refusal.why)
         lines = [
             b"HTTP/1.1 %d %s" % (refusal.status, REASONS.get(refusal.status, b"")),
             b"Content-Type: application/json",
--- a/rowanshift/dataplane/frontend.py
+++ b/rowanshift/dataplane/frontend.py
@@ -17,8 +17,8 @@
 from rowanshift.dataplane.retry_budget import RetryBudget
 from rowanshift.dataplane.retry_decision import PROMISES
 from rowanshift.dataplane.upstream import Upstream
-from rowanshift.transport.http_connection import BadMessage, Connection, Message
-from rowanshift.transport.memory_budget import Budget, Memory
+from rowanshift.transport.http_connection import Connection, MalformedMessage, Message
+from rowanshift.transport.memory_budget import DescriptorBudget, MemoryBudget
 from rowanshift.transport.runtime import Nursery
 from rowanshift.transport.streams import Listener, Stream
 
@@ -48,8 +48,8 @@
         self,
         state: State,
         back: Upstream,
-        budget: Budget,
-        memory: Memory,
+        budget: DescriptorBudget,
+        memory: MemoryBudget,
         retries: Callable[[str], RetryBudget],
         draw: Callable[[], float],
         loads: LoadIndex,
@@ -182,7 +182,7 @@
                 if message is None or not await self._answer(client, message):
                     return
                 connection.release()
-        except BadMessage as error:
+        except MalformedMessage as error:
             await self._bad(Out(connection, keep=False, old=False), error)
         except (ClientGone, OSError, trio.ClosedResourceError):
             pass
@@ -221,13 +221,13 @@
                 if connection.partial and now < until:
                     continue
                 if connection.partial:
-                    raise BadMessage(408, "the request took too long")
+                    raise MalformedMessage(408, "the request took too long")
                 return None
             self.idle.pop(client, None)
             if not connection.receive():
                 return None
 
-    async def _bad(self, out: Out, error: BadMessage) -> None:
+    async def _bad(self, out: Out, error: MalformedMessage) -> None:
         """One 4xx, and the close; reads on for a moment so that it arrives."""
         connection, out.keep = out.connection, False
         try:
@@ -254,7 +254,7 @@
         out = Out(client.connection, message.keep and not self.drain.leaving, message.old)
         try:
             return await self._final_answer(message, out)
-        except BadMessage as error:
+        except MalformedMessage as error:
             await self._bad(out, error)
             return False
         except ClientGone:
--- a/rowanshift/dataplane/requests.py
+++ b/rowanshift/dataplane/requests.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 
 from rowanshift.dataplane.routing_table import Route, Tenant
-from rowanshift.transport.http_connection import BadMessage, Fields, Message
+from rowanshift.transport.http_connection import Fields, MalformedMessage, Message
 
 OURS = frozenset(
     [
@@ -55,13 +55,13 @@
 
 
 def request_of(message: Message, now: float) -> Request:
-    """``BadMessage`` with the status that the client is to get."""
+    """``MalformedMessage`` with the status that the client is to get."""
     fields = dict(message.fields)
     if not (id := fields.get(b"request-id")):
-        raise BadMessage(400, "Request-Id is missing")
+        raise MalformedMessage(400, "Request-Id is missing")
     for name in (b"request-id", b"deadline-remaining", b"authorization", b"prompt-prefix"):
         if name in fields and sum(given == name for given, _ in message.fields) > 1:
-            raise BadMessage(400, f"{name.decode()} stands there twice")
+            raise MalformedMessage(400, f"{name.decode()} stands there twice")
     target = message.target
     if target[:1] != b"/":
         target = absolute(target)
@@ -87,23 +87,23 @@
 
 
 def absolute(target: bytes) -> bytes:
-    """The path of a target in absolute form. Raises ``BadMessage``."""
+    """The path of a target in absolute form. Raises ``MalformedMessage``."""
     scheme, slashes, rest = target.partition(b"://")
     if not slashes or scheme.lower() not in (b"http", b"https"):
-        raise BadMessage(400, "a path is wanted")
+        raise MalformedMessage(400, "a path is wanted")
     host = rest.replace(b"?", b"/", 1).partition(b"/")[0]
     path = rest[len(host) :]
     return path if path[:1] == b"/" else b"/" + path
 
 
 def number(text: bytes, name: str) -> float:
-    """A number of milliseconds. Raises ``BadMessage``."""
+    """A number of milliseconds. Raises ``MalformedMessage``."""
     try:
         value = float(text)
     except ValueError:
         value = -1.0
     if not 0 <= value < float("inf"):
-        raise BadMessage(400, f"{name} is no number of milliseconds")
+        raise MalformedMessage(400, f"{name} is no number of milliseconds")
     return value
 
 
--- a/rowanshift/dataplane/service.py
+++ b/rowanshift/dataplane/service.py
@@ -17,9 +17,10 @@
 from rowanshift.process.error_groups import first_of
 from rowanshift.process.logs import log_to_stderr
 from rowanshift.process.node_settings import NodeSettings, NodeSettingsError, load_node_settings
-from rowanshift.transport.calls import Answer, CallServer
+from rowanshift.transport.call_server import CallServer
 from rowanshift.transport.http_connection import Message
-from rowanshift.transport.memory_budget import Budget, Memory
+from rowanshift.transport.http_response import Response
+from rowanshift.transport.memory_budget import DescriptorBudget, MemoryBudget
 from rowanshift.transport.runtime import SYSTEM_RUNTIME, Runtime
 from rowanshift.transport.signals import ReceivedSignal
 from rowanshift.wire.machine_ids import machine_id_from_ip
@@ -42,10 +43,10 @@
     def __init__(self, service: "DataPlaneService") -> None:
         self.service = service
 
-    async def call(self, message: Message) -> Answer:
+    async def call(self, message: Message) -> Response:
         """200 while new connections may come, else 503."""
         ready = self.service.ready()
-        return Answer(200 if ready else 503, b'{"ready":%s}' % (b"true" if ready else b"false"))
+        return Response(200 if ready else 503, b'{"ready":%s}' % (b"true" if ready else b"false"))
 
 
 class DataPlaneService:
@@ -128,8 +129,8 @@
         boot, host = self.boot, self.host
         with host.signals() as signals:
             async with host.nursery() as nursery:
-                memory = Memory(boot.limits.memory_mb * MEMORY_PART)
-                budget = Budget(host.descriptors(boot.limits.max_fds), FILES)
+                memory = MemoryBudget(boot.limits.memory_mb * MEMORY_PART)
+                budget = DescriptorBudget(host.descriptors(boot.limits.max_fds), FILES)
                 self.back = Upstream(host, budget, memory)
                 self.control_client = ControlClient(
                     host,
@@ -167,7 +168,7 @@
                 await self._leave(self.front, budget)
                 nursery.cancel_scope.cancel()
 
-    async def _leave(self, front: Frontend, budget: Budget) -> None:
+    async def _leave(self, front: Frontend, budget: DescriptorBudget) -> None:
         """Serve on as ``Drain`` says, then end what is open and stop; returns within the grace."""
         self.drain.begin(self.shutdown_requested_at)
         front.endings.begin_leave(self.shutdown_requested_at, self.drain.grace)
--- a/rowanshift/dataplane/upstream.py
+++ b/rowanshift/dataplane/upstream.py
@@ -9,8 +9,8 @@
 import trio
 
 from rowanshift.dataplane.endpoints import Endpoint
-from rowanshift.transport.http_connection import BadMessage, Connection, Message
-from rowanshift.transport.memory_budget import Budget, Memory
+from rowanshift.transport.http_connection import Connection, MalformedMessage, Message
+from rowanshift.transport.memory_budget import DescriptorBudget, MemoryBudget
 from rowanshift.transport.runtime import Runtime
 
 DIAL_WITHIN = 0.6  # seconds
@@ -60,7 +60,7 @@
 class Upstream:
     """Connections to servers: dialled, kept while idle, one exchange at a time on each."""
 
-    def __init__(self, host: Runtime, budget: Budget, memory: Memory) -> None:
+    def __init__(self, host: Runtime, budget: DescriptorBudget, memory: MemoryBudget) -> None:
         self.host, self.budget, self.memory = host, budget, memory
         self.idle: dict[Endpoint, list[Link]] = {}
         self.dials = self.sends = 0
@@ -174,7 +174,7 @@
         while True:
             try:
                 message, going = connection.read_on()
-            except BadMessage as error:
+            except MalformedMessage as error:
                 raise SendFailed(Outcome.GARBLED, str(error)) from error
             except (OSError, trio.ClosedResourceError) as error:
                 raise SendFailed(Outcome.BROKEN, repr(error)) from error
--- a/rowanshift/emulation/clients.py
+++ b/rowanshift/emulation/clients.py
@@ -16,8 +16,8 @@
 
 from rowanshift.emulation.http import field_of, sent_at
 from rowanshift.invariants.events import Events
-from rowanshift.transport.http_connection import BadMessage, Connection, Message
-from rowanshift.transport.memory_budget import Memory
+from rowanshift.transport.http_connection import Connection, MalformedMessage, Message
+from rowanshift.transport.memory_budget import MemoryBudget
 from rowanshift.transport.runtime import Nursery, Runtime
 from rowanshift.transport.streams import Address, connect, send_all
 
@@ -106,7 +106,7 @@
         self.keys = Keys(habits.keys, habits.zipf)
         self.shares = list(accumulate(a.share for a in asked))
         self.parts = list(accumulate(customers.values()))
-        self.memory = Memory(4096)
+        self.memory = MemoryBudget(4096)
         self.ids = self.open = 0
         self.over = False  # asks nothing new
         self.lean: str | None = None  # a router that gets everything
@@ -220,7 +220,7 @@
             if asked:
                 self.events.tell("ended", txn, "left")
             return "left", 0.0
-        except (OSError, BadMessage):
+        except (OSError, MalformedMessage):
             if not asked:
                 return "no way" if not kept else "crossed", 0.0
             return self._broke(connection, txn, kept, fresh)
@@ -253,7 +253,7 @@
             connection.receive()
             if (message := connection.next()) is not None:
                 self.events.tell("answered", txn, message.status, self.now(), True)
-        except (OSError, BadMessage):
+        except (OSError, MalformedMessage):
             pass  # what is no answer is for the parser's tests
 
     def _kept(self, door: Door) -> Connection | None:
@@ -294,7 +294,7 @@
                 await send_all(connection.stream, READY)
                 message = await self._answer(connection)
                 return message is not None and message.status == 200
-            except (OSError, BadMessage):
+            except (OSError, MalformedMessage):
                 return False
             finally:
                 if connection is not None:
--- a/rowanshift/emulation/demo.py
+++ b/rowanshift/emulation/demo.py
@@ -18,7 +18,7 @@
 from rowanshift.invariants.events import Events
 from rowanshift.process.error_groups import first_of
 from rowanshift.transport.http_connection import Connection, Message
-from rowanshift.transport.memory_budget import Memory
+from rowanshift.transport.memory_budget import MemoryBudget
 from rowanshift.transport.runtime import SYSTEM_RUNTIME
 from rowanshift.transport.streams import Address, connect, send_all
 
@@ -64,7 +64,7 @@
 
 async def ask(address: Address, method: str, target: str, txn: str, body: bytes = b"") -> Message:
     """One request on a connection of its own."""
-    connection = Connection(SYSTEM_RUNTIME.stream(), httptools.HttpResponseParser, Memory(64))
+    connection = Connection(SYSTEM_RUNTIME.stream(), httptools.HttpResponseParser, MemoryBudget(64))
     try:
         await connect(connection.stream, address)
         head = (
--- a/rowanshift/emulation/http.py
+++ b/rowanshift/emulation/http.py
@@ -8,8 +8,8 @@
 import trio
 
 from rowanshift.invariants.events import Events
-from rowanshift.transport.http_connection import BadMessage, Connection, Message
-from rowanshift.transport.memory_budget import Memory
+from rowanshift.transport.http_connection import Connection, MalformedMessage, Message
+from rowanshift.transport.memory_budget import MemoryBudget
 from rowanshift.transport.runtime import Runtime
 from rowanshift.transport.streams import Address, Stream, accepted
 
@@ -83,7 +83,7 @@
 
     def __init__(self, host: Runtime, address: Address, now: Callable[[], float], events: Events) -> None:
         self.host, self.address, self.now, self.events = host, address, now, events
-        self.memory = Memory(4096)
+        self.memory = MemoryBudget(4096)
         self.connections = 0
         self.idle: dict[Connection, float] = {}  # and since when
 
@@ -114,7 +114,7 @@
                 if not await self.handle(connection, *got, fresh):
                     break
                 fresh = False
-        except (OSError, BadMessage, trio.ClosedResourceError):
+        except (OSError, MalformedMessage, trio.ClosedResourceError):
             pass
         finally:
             self.connections -= 1
--- a/rowanshift/emulation/system_clients.py
+++ b/rowanshift/emulation/system_clients.py
@@ -25,8 +25,8 @@
     Surplus,
     VersionNamed,
 )
-from rowanshift.transport.http_connection import BadMessage, Connection, Message
-from rowanshift.transport.memory_budget import Memory
+from rowanshift.transport.http_connection import Connection, MalformedMessage, Message
+from rowanshift.transport.memory_budget import MemoryBudget
 from rowanshift.transport.runtime import Runtime
 from rowanshift.transport.streams import Address, Stream, connect, send_all
 
@@ -373,7 +373,7 @@
     ) -> None:
         self.host, self.name, self.now, self.facts = host, name, clock, facts
         self.controls, self.random_source, self.registry = list(controls), random_source, registry
-        self.memory = Memory(4096)
+        self.memory = MemoryBudget(4096)
         self.silence = 1.0  # seconds after which it moves on; longer for large bodies
         self.lost_acknowledgements = 0.0  # part of the 200s to orders that are lost on their way
         self.calls = 0
@@ -489,7 +489,7 @@
                 message, going = connection.read_on()
                 if message is not None or not going:
                     return message
-        except (OSError, BadMessage):
+        except (OSError, MalformedMessage):
             return None
         finally:
             connection.close()
--- a/rowanshift/simulation/fleet.py
+++ b/rowanshift/simulation/fleet.py
@@ -48,8 +48,8 @@
 )
 from rowanshift.simulation.machine import Machine
 from rowanshift.simulation.network import Network, Paths
-from rowanshift.transport.calls import CallFailed, call
-from rowanshift.transport.memory_budget import Memory
+from rowanshift.transport.call_client import CallFailed, call
+from rowanshift.transport.memory_budget import MemoryBudget
 
 T = TypeVar("T")
 
@@ -96,7 +96,7 @@
         self.random_source = random.Random(f"{seed}/fleet")
         self.network = Network(clock, seed, Paths(within=0.0004, across=0.003, jitter=0.2, partial=0.02))
         self.facts: list[Fact] = []
-        self.registry, self.memory = Registry(), Memory(4096)
+        self.registry, self.memory = Registry(), MemoryBudget(4096)
         self.troubles: list[Trouble] = []
         self.open: dict[tuple[str, str], Trouble] = {}  # that have not ended, by what and the machine
         self.ended: list[tuple[float, str, str]] = []  # programs that ended by themselves: when, whose, why
--- a/rowanshift/simulation/fleet_machines.py
+++ b/rowanshift/simulation/fleet_machines.py
@@ -19,7 +19,7 @@
 from rowanshift.simulation.fleet_settings import AGAIN, CONTROL, FRONT
 from rowanshift.simulation.machine import Machine
 from rowanshift.simulation.network import Network
-from rowanshift.transport.calls import CutCall
+from rowanshift.transport.call_server import CutCall
 from rowanshift.wire.machine_ids import machine_id_from_ip
 
 
--- a/rowanshift/soak/load.py
+++ b/rowanshift/soak/load.py
@@ -24,8 +24,8 @@
 )
 from rowanshift.soak.layout import Layout
 from rowanshift.soak.plan import Plan
-from rowanshift.transport.calls import CallFailed, call
-from rowanshift.transport.memory_budget import Memory
+from rowanshift.transport.call_client import CallFailed, call
+from rowanshift.transport.memory_budget import MemoryBudget
 from rowanshift.transport.runtime import Runtime
 from rowanshift.transport.streams import Address
 
@@ -49,7 +49,7 @@
     """Which routers clients are sent to: those that say they are ready, known as late as a platform knows it."""
 
     def __init__(self, host: Runtime, layout: Layout) -> None:
-        self.host, self.layout, self.memory = host, layout, Memory(4096)
+        self.host, self.layout, self.memory = host, layout, MemoryBudget(4096)
         self.ready: list[Address] = []
         self.says_ready: dict[str, bool] = dict.fromkeys(layout.routers, False)  # as each said last
 
--- a/rowanshift/transport/buffer.py
+++ b/rowanshift/transport/buffer.py
@@ -4,7 +4,7 @@
 SPARE = 16
 
 
-class Ring:
+class RingBuffer:
     """Holds its bytes in a buffer while there are any: most connections are idle most of the time."""
 
     __slots__ = ("capacity", "size", "start", "view")
--- a/rowanshift/transport/flow.py
+++ b/rowanshift/transport/flow.py
@@ -5,7 +5,7 @@
 
 import trio
 
-from rowanshift.transport.memory_budget import Memory
+from rowanshift.transport.memory_budget import MemoryBudget
 
 HIGH, LOW = 256 * 1024, 64 * 1024  # bytes held, at which the source waits and goes on
 SHORT = 32 * 1024  # the upper mark while memory for bodies is short: one read
@@ -18,7 +18,7 @@
 
     __slots__ = ("cut", "ended", "given_up", "held", "memory", "pieces", "size", "waiting")
 
-    def __init__(self, memory: Memory) -> None:
+    def __init__(self, memory: MemoryBudget) -> None:
         self.memory = memory
         self.pieces: deque[bytes] = deque()
         self.held = 0  # bytes in them
--- a/rowanshift/transport/http_connection.py
+++ b/rowanshift/transport/http_connection.py
@@ -6,9 +6,9 @@
 
 import httptools
 
-from rowanshift.transport.buffer import Ring
+from rowanshift.transport.buffer import RingBuffer
 from rowanshift.transport.flow import Flow
-from rowanshift.transport.memory_budget import Memory
+from rowanshift.transport.memory_budget import MemoryBudget
 from rowanshift.transport.streams import Stream
 
 LARGEST_HEAD = 16 * 1024
@@ -40,7 +40,7 @@
 )
 
 
-class BadMessage(Exception):
+class MalformedMessage(Exception):
     """A message that can't be followed; the text says why, and the status tells a client."""
 
     def __init__(self, status: int, why: str) -> None:
@@ -76,17 +76,23 @@
     flows from its first byte. ``largest`` is the most bytes of a body that must come whole."""
 
     def __init__(
-        self, stream: Stream, parser: type, memory: Memory, flows: bool = False, streams: bool = False, largest: int = 0
+        self,
+        stream: Stream,
+        parser: type,
+        memory: MemoryBudget,
+        flows: bool = False,
+        streams: bool = False,
+        largest: int = 0,
     ) -> None:
         self.stream, self.memory, self.requests = stream, memory, parser is httptools.HttpRequestParser
         self.flows, self.streams = flows, streams
         self.flow: Flow | None = None  # of the message that is being read
         self.largest = largest or ((LARGEST_BODY if flows else WHOLE) if self.requests else memory.largest_answer)
         self.parser = parser(self)
-        self.inbound, self.outbound = Ring(), Ring()
+        self.inbound, self.outbound = RingBuffer(), RingBuffer()
         self.unsent = memoryview(b"")  # what the outbound ring did not take
         self.whole: deque[Message] = deque()
-        self.error: BadMessage | None = None  # in what came after those
+        self.error: MalformedMessage | None = None  # in what came after those
         self.kept = True  # whether the sender of the last whole message keeps the connection
         self.partial = False  # a message has begun and is not whole
         self.more = False  # the last read filled all the room there was
@@ -181,7 +187,7 @@
 
     def _parse(self, data: bytes) -> None:
         if not self.partial and not b"HTTP/".startswith(data[:5]) and not self.requests:
-            self.error = BadMessage(400, "no HTTP")  # the parser knows other protocols of its kind
+            self.error = MalformedMessage(400, "no HTTP")  # the parser knows other protocols of its kind
             return
         try:
             self.parser.feed_data(data)
@@ -196,7 +202,7 @@
 
     def _fail(self, status: int, why: str) -> None:
         """The first failure stands. The parser ends at one that a call below raises."""
-        self.error = self.error or BadMessage(status, why)
+        self.error = self.error or MalformedMessage(status, why)
 
     def on_message_begin(self) -> None:
         hints = self.hints
--- a/rowanshift/transport/memory_budget.py
+++ b/rowanshift/transport/memory_budget.py
@@ -11,7 +11,7 @@
 ANSWER = 8  # so many of the largest answers have room at once
 
 
-class Memory:
+class MemoryBudget:
     """Bytes of bodies that are on their way, over all connections."""
 
     def __init__(self, megabytes: float) -> None:
@@ -42,7 +42,7 @@
         self.left += size
 
 
-class Budget:
+class DescriptorBudget:
     def __init__(self, descriptors: int, aside: int = 0) -> None:
         self.descriptors, self.aside = descriptors, aside  # the latter for each process, beside ``OWN``
         self.limit = max(8, descriptors - OWN - aside)
--- a/rowanshift/transport/record_links.py
+++ b/rowanshift/transport/record_links.py
@@ -7,17 +7,19 @@
 import trio
 from loguru import logger
 
-from rowanshift.transport.buffer import Ring
+from rowanshift.transport.buffer import RingBuffer
 from rowanshift.transport.runtime import Runtime
 from rowanshift.transport.streams import Address, Stream, connect, receive, send_all
 from rowanshift.wire.codec import Codec, Frame, FrameDecoder
 from rowanshift.wire.errors import MalformedRecord
 
-DIAL_WITHIN = 0.4  # seconds
-DIAL_ANEW = 0.25  # seconds that a sender waits for a connection: a machine that just gets power back misses the first
-DIAL_PAUSE = 0.1  # seconds between dials
-MOST_QUEUED = 64  # records for one machine; the oldest goes
-STUCK = 1.5  # seconds that a write may take
+CONNECT_TIMEOUT_SECONDS = 0.4  # seconds
+SENDER_CONNECT_TIMEOUT_SECONDS = (
+    0.25  # seconds that a sender waits for a connection: a machine that just gets power back misses the first
+)
+RECONNECT_PAUSE_SECONDS = 0.1  # seconds between dials
+MAX_QUEUED_RECORDS = 64  # records for one machine; the oldest goes
+WRITE_TIMEOUT_SECONDS = 1.5  # seconds that a write may take
 
 
 class ConnectionFailed(Exception):
@@ -29,7 +31,7 @@
 
     def __init__(self, stream: Stream, codec: Codec) -> None:
         self.stream, self.codec = stream, codec
-        self.frames, self.ring = FrameDecoder(), Ring()
+        self.frames, self.ring = FrameDecoder(), RingBuffer()
         self.ready: deque[Frame] = deque()
 
     async def next(self) -> tuple[int, Any]:
@@ -59,7 +61,7 @@
                 if self.inbox is None:
                     stream = self.host.stream()
                     self.inbox = RecordReader(stream, self.codec)
-                    with trio.fail_after(min(within, DIAL_WITHIN)):
+                    with trio.fail_after(min(within, CONNECT_TIMEOUT_SECONDS)):
                         await connect(stream, self.address)
                 await send_all(self.inbox.stream, self.codec.pack(record, self.number))
                 number = None
@@ -94,8 +96,8 @@
         address: Address,
         hello: Any,
         alive: Callable[[], bool],
-        most: int = MOST_QUEUED,
-        stuck: float = STUCK,
+        most: int = MAX_QUEUED_RECORDS,
+        stuck: float = WRITE_TIMEOUT_SECONDS,
     ) -> None:
         self.host, self.codec, self.address, self.hello = host, codec, address, hello
         self.alive, self.stuck = alive, stuck
@@ -118,7 +120,7 @@
             stream = None
             try:
                 stream = self.host.stream()
-                with trio.fail_after(DIAL_ANEW):
+                with trio.fail_after(SENDER_CONNECT_TIMEOUT_SECONDS):
                     await connect(stream, self.address)
                 self.opened_at = trio.current_time()
                 await self._write(stream, self.hello)
@@ -134,7 +136,7 @@
             finally:
                 if stream is not None:
                     stream.close()
-            await self.host.pause(DIAL_PAUSE)
+            await self.host.pause(RECONNECT_PAUSE_SECONDS)
 
     async def _write(self, stream: Stream, record: Any) -> None:
         with trio.fail_after(self.stuck):
--- a/rowanshift/transport/streams.py
+++ b/rowanshift/transport/streams.py
@@ -11,7 +11,7 @@
 
 import trio
 
-from rowanshift.transport.buffer import Ring
+from rowanshift.transport.buffer import RingBuffer
 
 Address = tuple[str, int]
 
@@ -95,7 +95,7 @@
             await stream.wait_writable()
 
 
-async def receive(stream: Stream, ring: Ring) -> int:
+async def receive(stream: Stream, ring: RingBuffer) -> int:
     """Waits for bytes and takes them into the ring; how many came, 0 at the other side's end."""
     while True:
         await stream.wait_readable()
--- a/tests/admin/test_commands.py
+++ b/tests/admin/test_commands.py
@@ -28,9 +28,10 @@
 from rowanshift.controlplane.store import Store
 from rowanshift.emulation import cluster
 from rowanshift.process import node_settings
-from rowanshift.transport.calls import Answer, CallServer
+from rowanshift.transport.call_server import CallServer
 from rowanshift.transport.http_connection import Message
-from rowanshift.transport.memory_budget import Memory
+from rowanshift.transport.http_response import Response
+from rowanshift.transport.memory_budget import MemoryBudget
 from rowanshift.transport.runtime import SYSTEM_RUNTIME
 from tests.support.helpers import invoke
 
@@ -41,11 +42,11 @@
     "dataplane/*.py",
     "controlplane/**/*.py",
     "transport/record_links.py",
-    "transport/calls.py",
+    "transport/call_*.py",
     "dataplane/retry_budget.py",
     "wire/version_announcements.py",
 )
-WHERE_EVENTS = "dataplane/*.py", "controlplane/**/*.py", "transport/record_links.py", "transport/calls.py"
+WHERE_EVENTS = "dataplane/*.py", "controlplane/**/*.py", "transport/record_links.py", "transport/call_*.py"
 
 
 def net() -> str:
@@ -299,7 +300,7 @@
 class Answering(unittest.TestCase):
     """One control address that answers as it is told to."""
 
-    def played(self, *answers: Answer | int):
+    def played(self, *answers: Response | int):
         """The port, and the calls that came; a number stands for a 307 to the same place."""
         told = list(answers)
         calls = []
@@ -309,12 +310,12 @@
                 calls.append((message.method, dict(message.fields).get(b"if-match")))
                 answer = told.pop(0) if len(told) > 1 else told[0]
                 if answer == 307:
-                    return Answer(307, b"", [(b"Location", b"http://" + self.at.encode() + message.target)])
+                    return Response(307, b"", [(b"Location", b"http://" + self.at.encode() + message.target)])
                 return answer
 
         async def start(nursery: trio.Nursery) -> None:
             listener = staff.SYSTEM_RUNTIME.listen((ip, 8500), 16)
-            server = CallServer({b"/config": Resource(), b"/status": Resource()}, Memory(64), 1 << 20)
+            server = CallServer({b"/config": Resource(), b"/status": Resource()}, MemoryBudget(64), 1 << 20)
             nursery.start_soon(serve, server, listener, nursery)
 
         async def serve(server: CallServer, listener, nursery: trio.Nursery) -> None:
@@ -334,7 +335,7 @@
         return invoke("config", "put", path, "--at", self.at, *more)
 
     def test_two_redirects_are_followed_and_no_third(self) -> None:
-        calls = self.played(307, 307, Answer(200, b'{"revision":9}'))
+        calls = self.played(307, 307, Response(200, b'{"revision":9}'))
         self.assertEqual(self.put("--if-match", 8), (0, "revision 9 is in force\n"))
         self.assertEqual(calls, [(b"PUT", b"8")] * 3)
         calls = self.played(307)
@@ -343,8 +344,8 @@
         self.assertIn("sent on more than 2 times", said)
 
     def test_what_is_unclear_is_sent_again_and_told(self) -> None:
-        unclear = Answer(503, b'{"error":"not on enough disks in time"}')
-        self.played(unclear, unclear, Answer(200, b'{"revision":9}'))
+        unclear = Response(503, b'{"error":"not on enough disks in time"}')
+        self.played(unclear, unclear, Response(200, b'{"revision":9}'))
         self.assertEqual(self.put("--if-match", 8)[0], 0)
         self.played(unclear)
         code, said = self.put("--if-match", 8)
@@ -352,10 +353,10 @@
         self.assertIn("503: not on enough disks in time; it may or may not be in force", said)
 
     def test_the_first_configuration_builds_on_none(self) -> None:
-        calls = self.played(Answer(404, b'{"error":"no configuration yet"}'), Answer(200, b'{"revision":9}'))
+        calls = self.played(Response(404, b'{"error":"no configuration yet"}'), Response(200, b'{"revision":9}'))
         self.assertEqual(self.put()[0], 0)
         self.assertEqual(calls, [(b"GET", None), (b"PUT", b"0")])
-        self.played(Answer(404, b'{"error":"no configuration yet"}'))
+        self.played(Response(404, b'{"error":"no configuration yet"}'))
         self.assertEqual(invoke("config", "get", "--at", self.at), (1, "rowanshift: no configuration yet\n"))
 
     def test_what_was_never_sent_is_not_said_to_be_unclear(self) -> None:
@@ -366,7 +367,7 @@
 
     def test_answers_that_make_no_sense(self) -> None:
         for body in (b"", b"[]", b"\xff", b'{"revision":"x"}'):
-            self.played(Answer(200, body))
+            self.played(Response(200, body))
             code, said = self.put()
             self.assertEqual((code, said[:12]), (1, "rowanshift: "), body)
             code, said = invoke("status", "--at", self.at)
--- a/tests/cacheproxy/test_bodies.py
+++ b/tests/cacheproxy/test_bodies.py
@@ -13,8 +13,8 @@
 from rowanshift.cacheproxy.model import Verdict
 from rowanshift.cacheproxy.servers import Servers
 from rowanshift.transport.flow import HIGH, Flow
-from rowanshift.transport.http_connection import WHOLE, BadMessage, Connection
-from rowanshift.transport.memory_budget import Budget, Memory
+from rowanshift.transport.http_connection import WHOLE, Connection, MalformedMessage
+from rowanshift.transport.memory_budget import DescriptorBudget, MemoryBudget
 from tests.cacheproxy.test_network import FIELDS, Deciding, clients_of, pair
 
 LONG = bytes(range(256)) * 1200  # over 64 KiB
@@ -45,7 +45,7 @@
     """What a connection makes of an answer in pieces, and then the end: its body, and if it is kept."""
     ours, theirs = pair()
     with ours, theirs:
-        connection = Connection(ours, parser, Memory(64), flows=True)
+        connection = Connection(ours, parser, MemoryBudget(64), flows=True)
         for at in range(0, len(sent), size):
             connection._parse(sent[at : at + size])
         theirs.shutdown(socket.SHUT_WR)
@@ -81,7 +81,7 @@
 
 def test_a_flow_holds_its_source_back_and_counts_what_it_holds():
     async def main():
-        memory = Memory(96)
+        memory = MemoryBudget(96)
         whole, flow, got = memory.left, Flow(memory), []
 
         async def source():
@@ -108,7 +108,7 @@
 def test_many_flows_together_stay_within_the_memory_for_bodies():
     # guards against a router killed for memory by more long answers at once than it can hold
     async def main():
-        memory = Memory(0)  # 4 MB
+        memory = MemoryBudget(0)  # 4 MB
         flows = [Flow(memory) for _ in range(100)]
         for _ in range(1000):
             for flow in flows:
@@ -122,7 +122,7 @@
 @pytest.mark.parametrize("how", ["give_up", "cut_off", "end"])
 def test_each_side_of_a_flow_hears_how_it_ended(how):
     async def main():
-        memory = Memory(96)
+        memory = MemoryBudget(96)
         whole, flow = memory.left, Flow(memory)
         flow.put(b"abc")
         async with trio.open_nursery() as nursery:
@@ -152,9 +152,9 @@
     """A client, a server and a router's two sides between them, without a module: each work item goes to the
     server once."""
 
-    def __init__(self, nursery: trio.Nursery, memory: Memory | None = None) -> None:
-        self.clock, self.memory = Clock(), memory or Memory(96)
-        budget = Budget(100)
+    def __init__(self, nursery: trio.Nursery, memory: MemoryBudget | None = None) -> None:
+        self.clock, self.memory = Clock(), memory or MemoryBudget(96)
+        budget = DescriptorBudget(100)
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.servers = Servers(self.clock, 0.5, 60.0, 0.2, budget, self.memory, nursery)
         self.servers.locate("s", self.listener.getsockname())
@@ -190,7 +190,7 @@
         return trio.SocketStream(trio.socket.from_stdlib_socket(theirs)), accept
 
 
-def passing(script, memory: Memory | None = None):
+def passing(script, memory: MemoryBudget | None = None):
     async def main():
         with trio.fail_after(20):
             async with trio.open_nursery() as nursery:
@@ -396,9 +396,9 @@
     for sent in (b"Content-Length: 100001\r\n\r\n", b"Transfer-Encoding: chunked\r\n\r\n" + chunked(LONG, 9000)):
         ours, theirs = pair()
         with ours, theirs:
-            connection = Connection(ours, httptools.HttpRequestParser, Memory(96), flows=True)
+            connection = Connection(ours, httptools.HttpRequestParser, MemoryBudget(96), flows=True)
             connection._parse(b"PUT /write/k HTTP/1.1\r\nHost: a\r\n" + sent)
-            with pytest.raises(BadMessage) as caught:
+            with pytest.raises(MalformedMessage) as caught:
                 while connection.next() is not None:
                     pass
             assert caught.value.status == 413
--- a/tests/cacheproxy/test_handover.py
+++ b/tests/cacheproxy/test_handover.py
@@ -12,7 +12,7 @@
 from rowanshift.cacheproxy.handover import MEET_WITHIN, Handover
 from rowanshift.cacheproxy.service import Phase
 from rowanshift.placement.hot_keys import Hot
-from rowanshift.transport.memory_budget import LEAST, OWN, Budget, Memory
+from rowanshift.transport.memory_budget import LEAST, OWN, DescriptorBudget, MemoryBudget
 from rowanshift.transport.runtime import SYSTEM_RUNTIME
 from tests.support.cache_proxy_rig import Rig, free, played
 
@@ -103,7 +103,7 @@
 
 
 def test_a_smaller_part_closes_what_can_be_spared_and_no_more():
-    budget, closed = Budget(OWN + 20), []
+    budget, closed = DescriptorBudget(OWN + 20), []
     budget.clients, budget.servers = 10, 8
 
     def idle():
@@ -116,7 +116,7 @@
     budget.idle_clients = idle
     budget.share(2)
     assert budget.limit == 8 and len(closed) == 6 and budget.clients == 4
-    memory = Memory(0)
+    memory = MemoryBudget(0)
     memory.take(LEAST - 1)
     memory.share(2)
     assert memory.whole == LEAST and not memory.take(2)
--- a/tests/cacheproxy/test_network.py
+++ b/tests/cacheproxy/test_network.py
@@ -28,9 +28,9 @@
 from rowanshift.emulation.discovery import Agent, row_of
 from rowanshift.invariants.events import Events
 from rowanshift.process.log_rate_limit import Lines
-from rowanshift.transport.buffer import Ring
-from rowanshift.transport.http_connection import BadMessage, Connection, Message
-from rowanshift.transport.memory_budget import CLIENTS, OWN, Budget, Memory
+from rowanshift.transport.buffer import RingBuffer
+from rowanshift.transport.http_connection import Connection, MalformedMessage, Message
+from rowanshift.transport.memory_budget import CLIENTS, OWN, DescriptorBudget, MemoryBudget
 from rowanshift.transport.runtime import SYSTEM_RUNTIME
 from rowanshift.transport.sockets import Socket
 from tests.support.cache_proxy_rig import free
@@ -84,7 +84,7 @@
 
 @pytest.mark.parametrize("sizes", [[8], [3, 5], [7, 7, 7], [1] * 20])
 def test_a_ring_gives_back_what_it_took_in_order(sizes):
-    ring, sent, got = Ring(8), b"", b""
+    ring, sent, got = RingBuffer(8), b"", b""
     for n, size in enumerate(sizes):
         data = bytes([n]) * size
         assert ring.write(data) == size
@@ -96,7 +96,7 @@
 
 
 def test_a_full_ring_takes_what_fits():
-    ring = Ring(8)
+    ring = RingBuffer(8)
     ring.write(b"abcdef")
     ring.drop(4)
     assert ring.write(b"0123456789") == 6 and not ring.space() and ring.read() == b"ef012345"
@@ -113,14 +113,14 @@
 
 
 def clients_of(deciding) -> Clients:
-    return Clients(NAMES, deciding, Clock(), Budget(100), Memory(64))
+    return Clients(NAMES, deciding, Clock(), DescriptorBudget(100), MemoryBudget(64))
 
 
-def read_all(parser: type, sent: bytes, memory: Memory | None = None) -> tuple[list[Message], int, bool]:
+def read_all(parser: type, sent: bytes, memory: MemoryBudget | None = None) -> tuple[list[Message], int, bool]:
     """What a connection makes of these bytes: messages, the status of an error, and whether it is clean."""
     ours, theirs = pair()
     with ours, theirs:
-        memory = memory or Memory(64)
+        memory = memory or MemoryBudget(64)
         memory.largest_answer = 100_000
         connection, got, status = Connection(ours, parser, memory), [], 0
         theirs.sendall(sent)
@@ -129,7 +129,7 @@
             while connection.receive() or connection.pending():
                 while (message := connection.next()) is not None:
                     got.append(message)
-        except BadMessage as error:
+        except MalformedMessage as error:
             status = error.status
         return got, status, connection.clean()
 
@@ -177,7 +177,7 @@
 
 def test_bodies_are_held_within_the_memory_limit():
     # guards against being killed for memory by clients that send large bodies at once
-    memory, body = Memory(0), b"Content-Length: 60000\r\n\r\n" + bytes(60000)
+    memory, body = MemoryBudget(0), b"Content-Length: 60000\r\n\r\n" + bytes(60000)
     whole = memory.left
     assert read_all(httptools.HttpRequestParser, SENT + body, memory)[1] == 0 and memory.left == whole - 60000
     memory.left = 50000
@@ -248,7 +248,7 @@
     ],
 )
 def test_bad_requests_are_told_so(change, target, method, status):
-    with pytest.raises(BadMessage) as caught:
+    with pytest.raises(MalformedMessage) as caught:
         exchange_of(1, request(change, target.encode(), method.encode()), NAMES, 100.0)
     assert caught.value.status == status
 
@@ -262,7 +262,7 @@
         sent += b"%s:%s%s%s\r\n" % (name.encode(), blanks, value.encode(), blanks)
     ours, theirs = pair()
     with ours, theirs:
-        connection = Connection(ours, httptools.HttpRequestParser, Memory(64))
+        connection = Connection(ours, httptools.HttpRequestParser, MemoryBudget(64))
         for at in range(0, len(sent) + 2, size):
             connection._parse((sent + b"\r\n")[at : at + size])
         got = connection.next()
@@ -313,7 +313,7 @@
         self.listener = socket.create_server(("127.0.0.1", 0), backlog=backlog)
         self.listener.settimeout(2)
         self.clock, self.told = Clock(), []
-        self.servers = Servers(self.clock, 0.2, 60.0, 0.1, Budget(100), Memory(64), nursery)
+        self.servers = Servers(self.clock, 0.2, 60.0, 0.1, DescriptorBudget(100), MemoryBudget(64), nursery)
         self.servers.locate("s", self.listener.getsockname())
         self.servers.done = lambda ho, verdict, remark, reply: self.told.append(verdict)
 
@@ -520,10 +520,10 @@
 
 def test_without_a_descriptor_a_hand_off_is_refused_and_the_work_item_answered():
     async def main():
-        clock, budget = Clock(), Budget(OWN + 8)
+        clock, budget = Clock(), DescriptorBudget(OWN + 8)
         budget.servers = 8
         async with trio.open_nursery() as nursery:
-            servers = Servers(clock, 0.2, 60.0, 0.1, budget, Memory(64), nursery)
+            servers = Servers(clock, 0.2, 60.0, 0.1, budget, MemoryBudget(64), nursery)
             driver = Driver(settings(), 7, clock, servers)
             driver.list_changed("cached", [entry(0), entry("origin")])
             wi = exchange(clock.now() + 1)
@@ -783,7 +783,7 @@
 
 
 def test_clients_that_never_asked_and_idle_servers_go_first_when_descriptors_are_short():
-    budget, closed = Budget(OWN + 10), []
+    budget, closed = DescriptorBudget(OWN + 10), []
     for name, has in (("idle_servers", [1]), ("idle_clients", [1, 1]), ("silent_clients", [1])):
         setattr(budget, name, lambda name=name, has=has: bool(has) and (has.pop(), closed.append(name)) != ())
     budget.servers = 10
@@ -870,7 +870,7 @@
                         await trio.sleep(0.01)
 
         async with trio.open_nursery() as nursery:
-            servers = Servers(Clock(), 0.2, 60.0, 0.1, Budget(100), Memory(64), nursery)
+            servers = Servers(Clock(), 0.2, 60.0, 0.1, DescriptorBudget(100), MemoryBudget(64), nursery)
 
             def tell(scope, rows):
                 got.append((scope, rows[0].health if rows else ""))
@@ -917,7 +917,7 @@
                         await peer.send(head + body)
 
         async with trio.open_nursery() as nursery:
-            servers = Servers(Clock(), 0.2, 60.0, 0.1, Budget(100), Memory(64), nursery)
+            servers = Servers(Clock(), 0.2, 60.0, 0.1, DescriptorBudget(100), MemoryBudget(64), nursery)
 
             def tell(scope, rows):
                 got.append(scope)
@@ -963,7 +963,7 @@
     async def main():
         clock = Clock()
         async with trio.open_nursery() as nursery:
-            servers = Servers(clock, 0.2, 60.0, 0.1, Budget(100), Memory(64), nursery)
+            servers = Servers(clock, 0.2, 60.0, 0.1, DescriptorBudget(100), MemoryBudget(64), nursery)
             driver = Driver(settings(), 7, clock, servers)
             driver.router = Waking()
             nursery.start_soon(driver.keep_waking)
@@ -1038,7 +1038,7 @@
     # guards against work items that nobody answers, since an earlier call or result of the same turn failed
     async def main():
         async with trio.open_nursery() as nursery:
-            servers = Servers(Clock(), 0.2, 60.0, 0.1, Budget(100), Memory(64), nursery)
+            servers = Servers(Clock(), 0.2, 60.0, 0.1, DescriptorBudget(100), MemoryBudget(64), nursery)
             driver = Driver(settings(), 7, servers.clock, servers)
             driver.router, driver.exchanges[1] = Failing(), exchange(servers.clock.now() + 1)
             wi = driver.exchanges[1]
--- a/tests/controlplane/test_graceful_shutdown.py
+++ b/tests/controlplane/test_graceful_shutdown.py
@@ -20,9 +20,11 @@
 from rowanshift.simulation.fleet_machines import Unit
 from rowanshift.simulation.fleet_settings import BOUNDS, CONTROL, INNER
 from rowanshift.simulation.machine import Machine
-from rowanshift.transport import calls
-from rowanshift.transport.calls import Answer, CallFailed, CallServer, call
+from rowanshift.transport import call_server
+from rowanshift.transport.call_client import CallFailed, call
+from rowanshift.transport.call_server import CallServer
 from rowanshift.transport.http_connection import Message
+from rowanshift.transport.http_response import Response
 from rowanshift.transport.record_links import ConnectionFailed, RecordClient
 from rowanshift.transport.streams import connect, send_all
 from rowanshift.wire.control_updates import Poll, Update
@@ -50,11 +52,11 @@
         self.calls = 0
         self.begun = trio.Event()
 
-    async def call(self, message: Message) -> Answer:
+    async def call(self, message: Message) -> Response:
         self.calls += 1
         self.begun.set()
         await trio.sleep(self.seconds)
-        return Answer(200, b"{}")
+        return Response(200, b"{}")
 
 
 class ServerCase(unittest.TestCase):
@@ -87,7 +89,7 @@
     async def leave(self, within: float) -> float:
         """Have the server leave; the seconds that this took."""
         began = trio.current_time()
-        await self.server.leave(within, trio.sleep)
+        await self.server.shut_down(within, trio.sleep)
         return trio.current_time() - began
 
 
@@ -112,7 +114,7 @@
             took = await self.leave(0.5)
             await trio.sleep(0.1)
             self.assertEqual(answers, [503])
-            self.assertLess(took, 0.5 + 2 * calls.LAST_WRITES)
+            self.assertLess(took, 0.5 + 2 * call_server.LAST_WRITES_SECONDS)
 
         self.played(main, 30.0)
 
@@ -147,7 +149,7 @@
             self.machine.stand_still()
             await trio.sleep(0.2)
             self.server.accepting.cancel()
-            self.server.leaving = True
+            self.server.shutting_down = True
             self.machine.go_on()
             await trio.sleep(1.0)
             self.assertEqual(answers, [503] * 3)
@@ -194,10 +196,10 @@
 
     def test_an_idle_connection_makes_room_for_a_call(self) -> None:
         async def main() -> None:
-            for _ in range(calls.CALLERS):
+            for _ in range(call_server.MAX_CALLERS):
                 await connect(self.fleet.outside.stream(), self.at)
             await trio.sleep(0.1)
-            self.assertEqual(self.server.open, calls.CALLERS)
+            self.assertEqual(self.server.open, call_server.MAX_CALLERS)
             answers: list[int | str] = []
             await self.ask(answers)
             self.assertEqual(answers, [200])
--- a/tests/controlplane/test_model_server_client.py
+++ b/tests/controlplane/test_model_server_client.py
@@ -7,8 +7,8 @@
 
 from rowanshift.controlplane.model_server_client import LoadOrder, ModelServerClient, address_of
 from rowanshift.controlplane.registered_server import RegisteredServer
-from rowanshift.transport.calls import CallFailed
-from rowanshift.transport.memory_budget import Memory
+from rowanshift.transport.call_client import CallFailed
+from rowanshift.transport.memory_budget import MemoryBudget
 from rowanshift.transport.runtime import SYSTEM_RUNTIME
 
 BAD_ADDRESSES = ("", "10.0.0.1", "10.0.0.1:", ":80", "10.0.0.1:x", "10.0.0.1:0", "10.0.0.1:65536", "10.0.0.1:\uff19")
@@ -28,14 +28,14 @@
 
     def test_an_order_to_a_server_without_an_address_fails_unsent(self) -> None:
         """It once ended the primary's process with a ``ValueError``."""
-        client = ModelServerClient(SYSTEM_RUNTIME, Memory(1))
+        client = ModelServerClient(SYSTEM_RUNTIME, MemoryBudget(1))
         for address in BAD_ADDRESSES:
             with self.subTest(address), self.assertRaises(CallFailed) as caught:
                 trio.run(client.order, server(address), LoadOrder("m", 2, "core-1", 7), 0.5)
             self.assertFalse(caught.exception.sent)
 
     def test_a_server_without_an_address_gives_no_report(self) -> None:
-        client = ModelServerClient(SYSTEM_RUNTIME, Memory(1))
+        client = ModelServerClient(SYSTEM_RUNTIME, MemoryBudget(1))
         for address in BAD_ADDRESSES:
             with self.subTest(address):
                 self.assertIsNone(trio.run(client.report, server(address)))
--- a/tests/dataplane/test_frontend_shutdown.py
+++ b/tests/dataplane/test_frontend_shutdown.py
@@ -11,7 +11,7 @@
 from rowanshift.dataplane.drain import NOTICE
 from rowanshift.dataplane.frontend import FIRST_WITHIN, Frontend
 from rowanshift.dataplane.service import LEAVE_STEP
-from rowanshift.transport.memory_budget import CLIENTS, OWN, Budget
+from rowanshift.transport.memory_budget import CLIENTS, OWN, DescriptorBudget
 from rowanshift.transport.streams import connect
 from tests.dataplane.test_drain_order_of_events import WITHIN, until_its_end
 from tests.support.exchange_rig import FRONT, Behaviour, Client, Got, Rig, request_bytes
@@ -78,7 +78,7 @@
 
 class Room(unittest.TestCase):
     def test_connections_are_taken_at_once_as_far_as_clients_have_room(self) -> None:
-        budget = Budget(LEAST_DESCRIPTORS)
+        budget = DescriptorBudget(LEAST_DESCRIPTORS)
         most = math.ceil(CLIENTS * budget.limit)
         self.assertEqual([budget.take_client_now() for _ in range(most + 1)], [True] * most + [False])
         self.assertEqual(budget.clients, most)
--- a/tests/dataplane/test_request_outcomes.py
+++ b/tests/dataplane/test_request_outcomes.py
@@ -22,7 +22,7 @@
 from rowanshift.invariants.facts import CallCut, RequestCut
 from rowanshift.simulation.fleet import ONCE, REPEATED, RESUMED, Fleet, ViolatedOutcomes, config_of, play
 from rowanshift.simulation.fleet_machines import Unit
-from rowanshift.transport.calls import CallOutcome, CallOutcomes, CutCall
+from rowanshift.transport.call_server import CallOutcome, CallOutcomes, CutCall
 from rowanshift.transport.streams import connect, send_all
 from tests.support.exchange_rig import FRONT, KINDS, Behaviour, Client, Rig, Then, rejection, request_bytes
 from tests.support.exchange_rig import play as play_exchange
--- a/tests/dataplane/test_requests.py
+++ b/tests/dataplane/test_requests.py
@@ -16,7 +16,7 @@
     written,
 )
 from rowanshift.dataplane.routing_table import BadControlState, RoutingTable, Tenant, routing_table_of
-from rowanshift.transport.http_connection import BadMessage, Message
+from rowanshift.transport.http_connection import MalformedMessage, Message
 
 SHEET = {
     "limits": {"maxBodyBytes": 1000, "headerTimeoutMs": 500, "idleTimeoutMs": 2000},
@@ -177,7 +177,7 @@
 
 class Reading(unittest.TestCase):
     def refused(self, *fields, **more):
-        with self.assertRaises(BadMessage) as caught:
+        with self.assertRaises(MalformedMessage) as caught:
             read(*fields, **more)
         self.assertEqual(caught.exception.status, 400)
 
--- a/tests/emulation/test_emulation_system.py
+++ b/tests/emulation/test_emulation_system.py
@@ -32,7 +32,7 @@
 from rowanshift.simulation.clock import Determined, VirtualClock
 from rowanshift.simulation.network import Network, Paths
 from rowanshift.transport.http_connection import Connection
-from rowanshift.transport.memory_budget import Memory
+from rowanshift.transport.memory_budget import MemoryBudget
 from rowanshift.transport.runtime import SYSTEM_RUNTIME
 from rowanshift.transport.streams import connect, send_all
 
@@ -105,7 +105,7 @@
 
     async def fetch(self, server, method, target, body=b"", **fields):
         """One call: its status, fields and JSON, or none where no answer came."""
-        connection = Connection(self.outside.stream(), httptools.HttpResponseParser, Memory(64))
+        connection = Connection(self.outside.stream(), httptools.HttpResponseParser, MemoryBudget(64))
         lines = [
             f"{method} {target} HTTP/1.1",
             "Host: a",
--- a/tests/simulation/test_protocol_rules.py
+++ b/tests/simulation/test_protocol_rules.py
@@ -11,7 +11,7 @@
 from rowanshift.simulation import fleet as fleets
 from rowanshift.simulation.fleet import ONCE, SERVICE, Fleet
 from rowanshift.simulation.fleet_settings import CONTACT, MODEL, READY
-from rowanshift.transport.calls import call
+from rowanshift.transport.call_client import call
 from tests.support.exchange_case import exchange, outcome
 from tests.support.exchange_rig import (
     KINDS,
--- a/tests/support/exchange_rig.py
+++ b/tests/support/exchange_rig.py
@@ -24,7 +24,7 @@
 from rowanshift.simulation.clock import Determined, VirtualClock
 from rowanshift.simulation.machine import Machine
 from rowanshift.simulation.network import End, Network, Paths
-from rowanshift.transport.memory_budget import Budget, Memory
+from rowanshift.transport.memory_budget import DescriptorBudget, MemoryBudget
 from rowanshift.transport.streams import connect, send_all
 
 FRONT, SERVED = 8080, 9000  # ports
@@ -468,7 +468,7 @@
         endpoints = Endpoints(random.Random(1))
         self.endpoints = [Endpoint(s.name, "s", f"{s.machine.address}:{SERVED}", "z", 8, {"": 0}) for s in self.servers]
         endpoints.update(self.endpoints)
-        budget, memory = Budget(4096, 0), Memory(512)
+        budget, memory = DescriptorBudget(4096, 0), MemoryBudget(512)
         upstream = Upstream(self.router, budget, memory)
         self.state = FixedState(endpoints, routing_table())
         front = Frontend(
--- a/tests/transport/test_call_exchanges.py
+++ b/tests/transport/test_call_exchanges.py
@@ -12,9 +12,10 @@
 
 from rowanshift.simulation.clock import Determined, VirtualClock
 from rowanshift.simulation.network import End, Network, Paths
-from rowanshift.transport.calls import Answer, CallFailed, Line, call
+from rowanshift.transport.call_client import CallFailed, PersistentCaller, call
 from rowanshift.transport.http_connection import Connection
-from rowanshift.transport.memory_budget import Memory
+from rowanshift.transport.http_response import Response
+from rowanshift.transport.memory_budget import MemoryBudget
 from rowanshift.transport.record_links import ConnectionFailed, RecordClient
 from rowanshift.transport.streams import send_all
 from rowanshift.wire.codec import FRAME_HEADER
@@ -45,7 +46,7 @@
 
 def http_answer(asked: bytes) -> bytes:
     """Names the target of the call, after its number."""
-    return Answer(200, asked.split(b" ")[1]).bytes(True)
+    return Response(200, asked.split(b" ")[1]).encode(True)
 
 
 def record_answer(asked: bytes) -> bytes:
@@ -126,9 +127,9 @@
 
 
 class Lines(unittest.TestCase):
-    """``Line``: one call after another on one connection."""
+    """``PersistentCaller``: one call after another on one connection."""
 
-    async def told(self, line: Line, target: bytes) -> str:
+    async def told(self, line: PersistentCaller, target: bytes) -> str:
         try:
             message = await line.call(b"GET", target, within=WITHIN)
         except CallFailed as failure:
@@ -141,7 +142,7 @@
         async def main(peer: Peer) -> list[tuple[str, ...]]:
             made = []
             for n, each in enumerate(delayed):
-                line = Line(peer.caller_machine, Memory(64), peer.address)
+                line = PersistentCaller(peer.caller_machine, MemoryBudget(64), peer.address)
                 peer.delayed[:] = [each]
                 got = []
                 for m in range(3):
@@ -182,7 +183,7 @@
 
     def test_an_answer_that_comes_late_after_each_byte(self) -> None:
         async def main(peer: Peer) -> list[str]:
-            wrong, memory = [], Memory(64)
+            wrong, memory = [], MemoryBudget(64)
             for pause in PAUSES:
                 for cut in range(Lines.SIZE):
                     peer.delayed[:] = [Delayed(cut, pause)]
@@ -255,15 +256,14 @@
         self.assertTrue(result.failures or result.errors, "nothing was found")
 
     def test_a_line_keeps_its_connection_after_a_call_was_given_up(self) -> None:
-        true = Line.close
+        true = PersistentCaller.close
 
-        def close(line: Line) -> None:
+        def close(line: PersistentCaller) -> None:
             if line.connection is None or line.connection.stream.readable():
                 true(line)
 
-        self.finds(
-            Lines, "test_an_answer_that_comes_late_after_each_byte", unittest.mock.patch.object(Line, "close", close)
-        )
+        patch = unittest.mock.patch.object(PersistentCaller, "close", close)
+        self.finds(Lines, "test_an_answer_that_comes_late_after_each_byte", patch)
 
     def test_a_line_keeps_a_connection_with_surplus_bytes(self) -> None:
         patch = unittest.mock.patch.object(Connection, "clean", lambda connection: True)
