--- a/benchmarks/changes.py
+++ b/benchmarks/changes.py
@@ -57,7 +57,7 @@
 def is_full(fleet: Fleet) -> bool:
     """Whether the primary sees all copies and witnesses."""
     hosts = [unit.program.replica_runner for unit in fleet.cores if unit.machine.running and unit.program]
-    return any(host is not None and host.lease_remaining() and host.replica.redundancy().full for host in hosts)
+    return any(host is not None and host.lease_remaining() and host.replica.redundancy().is_full for host in hosts)
 
 
 async def suffer(fleet: Fleet, trouble: str, measured: Measured) -> None:
@@ -109,7 +109,9 @@
 
     with (
         mock.patch.object(ReplicaConnections, "send", counted),
-        mock.patch.object(ReplicaCore, "delta_from", 1 << 40 if whole else ReplicaCore.delta_from),
+        mock.patch.object(
+            ReplicaCore, "delta_min_state_bytes", 1 << 40 if whole else ReplicaCore.delta_min_state_bytes
+        ),
     ):
         play(main, "changes", within=100 + 20 * count * PACE)
     return measured
--- a/benchmarks/primary_gap.py
+++ b/benchmarks/primary_gap.py
@@ -119,7 +119,7 @@
 
 def may_order(unit: Unit | None, now: float) -> bool:
     """Whether a machine may give orders."""
-    return unit is not None and unit.program.replica_runner.replica.duty_from <= now
+    return unit is not None and unit.program.replica_runner.replica.singleton_tasks_from <= now
 
 
 def played(name: str, seed: int) -> Gaps:
--- a/rowanshift/admin/commands.py
+++ b/rowanshift/admin/commands.py
@@ -537,7 +537,7 @@
     config = f"revision {sheet.revision}, {len(sheet.config)} bytes" if sheet.revision else "no configuration yet"
     lines = [
         f"promised {durable.promised}{lost}",
-        f"epoch {accepted.number}, primary {ip_from_machine_id(accepted.primary) if accepted.primary else 'none'}",
+        f"epoch {accepted.epoch}, primary {ip_from_machine_id(accepted.primary) if accepted.primary else 'none'}",
         f"in sync: {told(accepted.in_sync)}; witnesses: {told(accepted.witnesses)}"
         + (f"; former witnesses: {told(accepted.former)}" if accepted.former else ""),
         f"state of epoch {durable.version.epoch}, sequence {durable.version.sequence}: " + config,
--- a/rowanshift/capacity/hollow.py
+++ b/rowanshift/capacity/hollow.py
@@ -192,7 +192,7 @@
 
     def state(self) -> dict[str, Any]:
         """What routers are to know now, and how often the primacy was taken."""
-        core_service, number = self.core_service, self.core_service.replica_runner.replica.record.number
+        core_service, number = self.core_service, self.core_service.replica_runner.replica.record.epoch
         return {
             "registry": (number, core_service.tasks.registry.serial),
             "mark": core_service.publication.fingerprint,
--- a/rowanshift/capacity/roles.py
+++ b/rowanshift/capacity/roles.py
@@ -10,7 +10,7 @@
 from rowanshift.controlplane.endpoint_list import LIST_INTERVAL_SECONDS, MAX_LIST_PAGES
 from rowanshift.controlplane.internal_port import MAX_CONNECTIONS
 from rowanshift.controlplane.order_history import MAX_REMEMBERED_ORDERS
-from rowanshift.controlplane.replication.timing import HEARTBEAT
+from rowanshift.controlplane.replication.timing import HEARTBEAT_INTERVAL_SECONDS
 from rowanshift.dataplane.control_client import LONG_POLL_SECONDS
 from rowanshift.wire.codec import FRAME_HEADER, MAX_RECORD_BYTES
 
@@ -147,16 +147,16 @@
     add("primary", "one registry to all", "routers (registry)", size.routers * whole, "bytes")
     add("primary", "kept parts' events to all", "8 events routers", MARK * size.events * size.routers, "B/s")
     beat = sizes.confirm(core // 2 + 1, core) + sizes.confirmed()
-    add("primary", "heartbeats", "2 (core - 1) / HEARTBEAT", 2 * (core - 1) / HEARTBEAT, "messages/s")
+    add("primary", "heartbeats", "2 (core - 1) / HEARTBEAT", 2 * (core - 1) / HEARTBEAT_INTERVAL_SECONDS, "messages/s")
     add(
         "primary",
         "heartbeats, bytes",
         "(confirm + confirmed)(core - 1) / HEARTBEAT",
-        beat * (core - 1) / HEARTBEAT,
+        beat * (core - 1) / HEARTBEAT_INTERVAL_SECONDS,
         "B/s",
     )
-    add("witness", "heartbeats", "2 / HEARTBEAT", 2 / HEARTBEAT, "messages/s")
-    add("witness", "heartbeats, bytes", "(confirm + confirmed) / HEARTBEAT", beat / HEARTBEAT, "B/s")
+    add("witness", "heartbeats", "2 / HEARTBEAT", 2 / HEARTBEAT_INTERVAL_SECONDS, "messages/s")
+    add("witness", "heartbeats, bytes", "(confirm + confirmed) / HEARTBEAT", beat / HEARTBEAT_INTERVAL_SECONDS, "B/s")
     add(
         "list reader",
         "calls of one reading",
--- a/rowanshift/capacity/takeover.py
+++ b/rowanshift/capacity/takeover.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from rowanshift.controlplane.record_kinds import CODEC
-from rowanshift.controlplane.replication import Committed, Replica, Save, Send
+from rowanshift.controlplane.replication import ProposalCommitted, Replica, Save, Send
 from rowanshift.placement.hash_ring import HashRing, stable
 
 TICK = 0.05  # seconds
@@ -87,7 +87,7 @@
                 case Save(token, _):
                     self.saves += 1
                     self.at(self.now + SAVE * self.random_source.random(), self.saved, me, token)
-                case Committed():
+                case ProposalCommitted():
                     self.committed.append(self.now)
 
     def receive(self, sender: int, to: int, message: Any) -> None:
@@ -113,7 +113,7 @@
 
     def on_duty(self) -> bool:
         me = self.holder()
-        return bool(me) and self.ledgers[me].duty_from <= self.now
+        return bool(me) and self.ledgers[me].singleton_tasks_from <= self.now
 
     def propose(self) -> None:
         """A change is asked for and waited for."""
@@ -164,7 +164,7 @@
         orders_s = world.now - at
     else:
         orders_s = holder_s
-    epochs = (world.ledgers[world.holder()].record.number >> 32) - (before.number >> 32)
+    epochs = (world.ledgers[world.holder()].record.epoch >> 32) - (before.epoch >> 32)
     return Outcome(holder_s, orders_s, commit_s, epochs)
 
 
--- a/rowanshift/controlplane/api.py
+++ b/rowanshift/controlplane/api.py
@@ -17,7 +17,7 @@
     StaleMatch,
 )
 from rowanshift.controlplane.replica_runner import ReplicaRunner
-from rowanshift.controlplane.replication import STATE_LIMIT, NotPrimary, StateTooLarge
+from rowanshift.controlplane.replication import STATE_LIMIT_BYTES, NotPrimary, StateTooLarge
 from rowanshift.controlplane.status import ControlPlaneStatus
 from rowanshift.transport.http_connection import Message
 from rowanshift.transport.http_response import Response, error_body
@@ -52,7 +52,7 @@
         except OutcomeUnknown:
             return Response(503, error_body("not on enough disks in time: it may or may not be in force"), RETRY_SOON)
         except StateTooLarge:
-            return Response(413, error_body(f"with it the control state would be over {STATE_LIMIT} bytes"))
+            return Response(413, error_body(f"with it the control state would be over {STATE_LIMIT_BYTES} bytes"))
 
     def _redirect(self, primary: int, target: bytes) -> Response:
         """307 to the primary, 503 where none is known."""
--- a/rowanshift/controlplane/poll_endpoint.py
+++ b/rowanshift/controlplane/poll_endpoint.py
@@ -147,7 +147,7 @@
 
     def _missing_parts(self, poll: PollOfFormat3) -> MissingParts:
         """What the router lacks; each part has a serial, which counts within an epoch."""
-        epoch = self.replica_runner.replica.record.number
+        epoch = self.replica_runner.replica.record.epoch
         registry, membership = self.tasks.registry, self.membership
         announcements_version = epoch, registry.announcements_serial
         return MissingParts(
@@ -162,7 +162,7 @@
         """All that the router lacks, as it is committed."""
         replica, registry, holdings = self.replica_runner.replica, self.tasks.registry, self.tasks.holdings
         publication, membership = self.publication, self.membership
-        epoch, state, version = replica.record.number, publication.state, replica.committed_version
+        epoch, state, version = replica.record.epoch, publication.state, replica.committed_version
         known_epoch, known_serial = poll.prefix_holdings_version
         complete, stored, removed = holdings.since(known_serial if known_epoch == epoch else 0)
         has_announcements = missing.state or missing.announcements or not isinstance(poll, Poll)
--- a/rowanshift/controlplane/record_kinds.py
+++ b/rowanshift/controlplane/record_kinds.py
@@ -21,7 +21,7 @@
 
 EPOCH_RECORD = RecordLayout(
     replication.EpochRecord,
-    number=UINT64,
+    epoch=UINT64,
     primary=UINT64,
     in_sync=UINT64_LIST,
     witnesses=UINT64_LIST,
@@ -30,26 +30,28 @@
 STATE_VERSION = RecordLayout(replication.StateVersion, epoch=UINT64, sequence=UINT64)
 REPLICATION_LAYOUTS = {
     16: RecordLayout(Hello, machine=UINT64),
-    17: RecordLayout(replication.PreVote, number=UINT64),
-    18: RecordLayout(replication.PreVoted, number=UINT64, ok=BOOL),
-    19: RecordLayout(replication.Prepare, number=UINT64),
-    20: RecordLayout(replication.Promised, number=UINT64, ok=BOOL, promised=UINT64, accepted=EPOCH_RECORD),
-    21: RecordLayout(replication.Store, number=UINT64, version=STATE_VERSION, state=BYTES),
-    22: RecordLayout(replication.Stored, number=UINT64, version=STATE_VERSION, ok=BOOL, promised=UINT64),
-    23: RecordLayout(replication.Accept, number=UINT64, record=EPOCH_RECORD),
-    24: RecordLayout(replication.Accepted, number=UINT64, ok=BOOL, promised=UINT64),
-    25: RecordLayout(replication.Heartbeat, number=UINT64, serial=UINT64, record=EPOCH_RECORD),
+    17: RecordLayout(replication.PreVote, epoch=UINT64),
+    18: RecordLayout(replication.PreVoteReply, epoch=UINT64, ok=BOOL),
+    19: RecordLayout(replication.Prepare, epoch=UINT64),
+    20: RecordLayout(replication.PrepareReply, epoch=UINT64, ok=BOOL, promised=UINT64, accepted=EPOCH_RECORD),
+    21: RecordLayout(replication.Store, epoch=UINT64, version=STATE_VERSION, state=BYTES),
+    22: RecordLayout(replication.StoreReply, epoch=UINT64, version=STATE_VERSION, ok=BOOL, promised=UINT64),
+    23: RecordLayout(replication.Accept, epoch=UINT64, record=EPOCH_RECORD),
+    24: RecordLayout(replication.AcceptReply, epoch=UINT64, ok=BOOL, promised=UINT64),
+    25: RecordLayout(replication.Heartbeat, epoch=UINT64, serial=UINT64, record=EPOCH_RECORD),
     26: RecordLayout(
-        replication.HeartbeatReply, number=UINT64, serial=UINT64, ok=BOOL, promised=UINT64, version=STATE_VERSION
+        replication.HeartbeatReply, epoch=UINT64, serial=UINT64, ok=BOOL, promised=UINT64, version=STATE_VERSION
     ),
-    27: RecordLayout(replication.TransferLeadership, number=UINT64),
+    27: RecordLayout(replication.TransferLeadership, epoch=UINT64),
     28: RecordLayout(replication.RecoveryRequest, serial=UINT64),
     29: RecordLayout(replication.RecoveryReply, serial=UINT64, promised=UINT64, accepted=EPOCH_RECORD, amnesic=BOOL),
     30: RecordLayout(replication.Join, machine=UINT64),
     31: RecordLayout(replication.Leave, machine=UINT64),
-    32: RecordLayout(replication.LeaveReply, number=UINT64, released=BOOL),
-    33: RecordLayout(replication.StoreDelta, number=UINT64, version=STATE_VERSION, base=STATE_VERSION, delta=BYTES),
-    34: RecordLayout(replication.Located, zone=TEXT, region=TEXT, counts=BOOL, nobody_counts=BOOL),
+    32: RecordLayout(replication.LeaveReply, epoch=UINT64, granted=BOOL),
+    33: RecordLayout(replication.StoreDelta, epoch=UINT64, version=STATE_VERSION, base=STATE_VERSION, delta=BYTES),
+    34: RecordLayout(
+        replication.FailureDomainReport, zone=TEXT, region=TEXT, quorum_member=BOOL, no_quorum_members=BOOL
+    ),
     64: RecordLayout(
         replication.DurableState,
         promised=UINT64,
--- a/rowanshift/controlplane/replica_connections.py
+++ b/rowanshift/controlplane/replica_connections.py
@@ -8,7 +8,7 @@
 import trio
 
 from rowanshift.controlplane.record_kinds import CODEC, Hello
-from rowanshift.controlplane.replication import Located, Message, Store
+from rowanshift.controlplane.replication import FailureDomainReport, Message, Store
 from rowanshift.transport.record_links import MAX_QUEUED_RECORDS, WRITE_TIMEOUT_SECONDS, RecordSender
 from rowanshift.transport.runtime import Nursery, Runtime
 from rowanshift.wire.machine_ids import ip_from_machine_id
@@ -36,7 +36,7 @@
     """The connection by which a message goes."""
     if isinstance(message, Store) and len(message.state) > LARGE_STATE_BYTES:
         return Channel.LARGE_STATES
-    return Channel.FAILURE_DOMAINS if isinstance(message, Located) else Channel.MESSAGES
+    return Channel.FAILURE_DOMAINS if isinstance(message, FailureDomainReport) else Channel.MESSAGES
 
 
 class ReplicaConnections:
--- a/rowanshift/controlplane/replica_runner.py
+++ b/rowanshift/controlplane/replica_runner.py
@@ -16,15 +16,15 @@
 from rowanshift.controlplane.record_kinds import CODEC, Hello
 from rowanshift.controlplane.replica_connections import ReplicaConnections
 from rowanshift.controlplane.replication import (
-    Became,
-    Busy,
-    Committed,
     DurableState,
-    Failed,
+    ProposalCommitted,
+    ProposalFailed,
+    ProposalInProgress,
     ReadConfirmed,
     ReadFailed,
-    RedundancyWatch,
+    RedundancyMonitor,
     Replica,
+    RoleChanged,
     Save,
     Send,
 )
@@ -70,7 +70,7 @@
         self.on_commit = on_commit
         self.saves = 0
         self.save_seconds = 0.0  # that all of them took
-        self.redundancy_watch = RedundancyWatch(0.0)
+        self.redundancy_watch = RedundancyMonitor(0.0)
         self._tokens = count(1)
         self._pending: dict[int, PendingOperation] = {}  # by token
         self._change_turn = trio.Lock()  # one change at a time
@@ -108,7 +108,7 @@
         with self._pending_operation() as (token, pending):
             try:
                 self.replica.propose(token, state, trio.current_time())
-            except Busy as error:
+            except ProposalInProgress as error:
                 raise NotConfirmed from error
             self.carry_out_actions()
             await pending.ended.wait()
@@ -120,9 +120,9 @@
             async with self._change_turn:  # a change under way is answered first
                 self.replica.leave(trio.current_time())
                 self.carry_out_actions()
-        while not self.replica.released and trio.current_time() < until:
+        while not self.replica.leave_granted and trio.current_time() < until:
             await self.runtime.pause(RELEASE_CHECK_SECONDS)
-        return self.replica.released
+        return self.replica.leave_granted
 
     def lease_remaining(self) -> float:
         """Seconds for which this machine may still act as the only lease holder; 0 if it may not."""
@@ -167,22 +167,22 @@
                     self.connections.send(to, message)
                 case Save(token, durable):
                     self.nursery.start_soon(self._save, token, durable)
-                case Committed(token):
+                case ProposalCommitted(token):
                     self.on_commit()
                     self._end_operation(token, True)
                 case ReadConfirmed(token):
                     self._end_operation(token, True)
-                case Failed(token) | ReadFailed(token):
+                case ProposalFailed(token) | ReadFailed(token):
                     self._end_operation(token, False)
-                case Became(primary):
+                case RoleChanged(primary):
                     self._change_role(primary)
 
     def _change_role(self, primary: bool) -> None:
         event = "primary" if primary else "no_primary"
         in_sync = ",".join(map(ip_from_machine_id, self.replica.record.in_sync))
-        logger.info("event={} epoch={} in_sync={}", event, self.replica.record.number, in_sync)
+        logger.info("event={} epoch={} in_sync={}", event, self.replica.record.epoch, in_sync)
         if primary:
-            self.redundancy_watch = RedundancyWatch(trio.current_time())
+            self.redundancy_watch = RedundancyMonitor(trio.current_time())
         self.on_role_change(primary)
 
     def _end_operation(self, token: int, succeeded: bool) -> None:
@@ -219,12 +219,12 @@
         redundancy = change.redundancy
         logger.info(
             "event=redundancy copies={}/{} witnesses={}/{} until_full_s={} spread={}",
-            redundancy.copies,
-            redundancy.copies_wanted,
+            redundancy.replicas,
+            redundancy.replicas_wanted,
             redundancy.witnesses,
             redundancy.witnesses_wanted,
-            "-" if change.until_full_s is None else f"{change.until_full_s:.2f}",
-            redundancy.spread,
+            "-" if change.seconds_until_full is None else f"{change.seconds_until_full:.2f}",
+            redundancy.tolerance_met,
         )
-        if not redundancy.spread:
-            logger.warning("event=tolerance_not_met why={!r}", self.replica.lacking_spread())
+        if not redundancy.tolerance_met:
+            logger.warning("event=tolerance_not_met why={!r}", self.replica.unmet_tolerance())
--- a/rowanshift/controlplane/replication/actions.py
+++ b/rowanshift/controlplane/replication/actions.py
@@ -19,12 +19,12 @@
         self.hint = hint
 
 
-class Busy(ReplicationError):
+class ProposalInProgress(ReplicationError):
     """A proposal is under way: the caller proposes one at a time, each made from ``committed_state``."""
 
 
 class StateTooLarge(ReplicationError):
-    """The state is over STATE_LIMIT bytes."""
+    """The state is over STATE_LIMIT_BYTES bytes."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,14 +44,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Committed:
+class ProposalCommitted:
     """The proposal is on the disks of all in-sync machines."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
-class Failed:
+class ProposalFailed:
     """Leadership was lost while the proposal was under way: it may or may not be in force later."""
 
     token: int
@@ -72,10 +72,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Became:
+class RoleChanged:
     """This machine has become primary, or is so no longer."""
 
     primary: bool
 
 
-Action = Send | Save | Committed | Failed | ReadConfirmed | ReadFailed | Became
+Action = Send | Save | ProposalCommitted | ProposalFailed | ReadConfirmed | ReadFailed | RoleChanged
--- a/rowanshift/controlplane/replication/core.py
+++ b/rowanshift/controlplane/replication/core.py
@@ -13,13 +13,18 @@
     NO_VERSION,
     DurableState,
     EpochRecord,
-    Located,
+    FailureDomainReport,
     Message,
     RecoveryReply,
     RecoveryRequest,
     StateVersion,
 )
-from rowanshift.controlplane.replication.timing import DEFAULT_TIMING, DELTA_FROM, LEAST_BANDWIDTH, Timing
+from rowanshift.controlplane.replication.timing import (
+    DEFAULT_TIMING,
+    DELTA_MIN_STATE_BYTES,
+    MIN_BANDWIDTH_BYTES_PER_SECOND,
+    Timing,
+)
 
 NEVER = float("-inf")
 
@@ -28,7 +33,7 @@
 class Candidacy:
     """One number's way from pre-vote to effect. ``renewal`` if a primary renews its own epoch."""
 
-    number: int
+    epoch: int
     renewal: bool
     phase: str  # "pre-vote", "prepare", "store", "accept"
     started: float  # seconds
@@ -77,7 +82,7 @@
 class ReplicaCore:
     """One machine's state. All of it is plain data, so that a model checker can copy it."""
 
-    delta_from = DELTA_FROM  # bytes
+    delta_min_state_bytes = DELTA_MIN_STATE_BYTES  # bytes
 
     def __init__(
         self,
@@ -87,22 +92,28 @@
         bootstrap: bool,
         durable: DurableState | None,
         now: float,
-        chance: Callable[[], float],
-        duty_wait: float = 0.0,
+        random_fraction: Callable[[], float],
+        singleton_task_delay: float = 0.0,
         timing: Timing = DEFAULT_TIMING,
         *,
-        place: FailureDomain = UNKNOWN_FAILURE_DOMAIN,
+        failure_domain: FailureDomain = UNKNOWN_FAILURE_DOMAIN,
         tolerance: FaultTolerance | None = None,
     ) -> None:
-        """``f`` machines may be lost, or all that ``tolerance`` says. ``now`` and ``duty_wait`` are in seconds;
-        ``chance`` draws from [0, 1)."""
-        self.me, self.f, self.duty_wait, self.timing, self._chance = me, f, duty_wait, timing, chance
+        """``f`` machines may be lost, or all that ``tolerance`` says. ``now`` and ``singleton_task_delay`` are in
+        seconds; ``random_fraction`` draws from [0, 1)."""
+        self.me, self.f, self.singleton_task_delay, self.timing, self._random_fraction = (
+            me,
+            f,
+            singleton_task_delay,
+            timing,
+            random_fraction,
+        )
         self._now = self._started = now
         self.tolerance = tolerance or FaultTolerance(f)
-        self.places = {me: place}  # of the machines that have said where they are
+        self.failure_domains = {me: failure_domain}  # of the machines that have said where they are
         self._located: dict[int, float] = {}  # machine -> when it was told last where this one is
-        self._nobody_counts_by: dict[int, float] = {}  # machine -> when it said last that no member counts
-        self._places_matter = False  # to another machine that has said where it is
+        self._no_quorum_members_heard: dict[int, float] = {}  # machine -> when it said last that no member counts
+        self._failure_domains_matter = False  # to another machine that has said where it is
         seeds = tuple(sorted(seeds))
         self.wanted_witnesses = max(2 * self.tolerance.total + 1, len(seeds))
         self._on_disk = durable
@@ -116,7 +127,7 @@
         self._save_failed = NEVER
         self._actions: list[Action] = []
         self._to_self: list[Message] = []
-        self.known: set[int] = {*seeds, *durable.accepted.members()} - {me}
+        self.known_machines: set[int] = {*seeds, *durable.accepted.members()} - {me}
         self._heard: dict[int, float] = {}  # machine -> when it last sent what only one that remembers sends
         self._slow: dict[int, float] = {}  # machine -> until when it isn't chosen as a backup
         self._spares: dict[int, float] = {}  # machine -> when its Join was last heard
@@ -132,17 +143,17 @@
     def _init_witness(self) -> None:
         record = self._durable.accepted
         self._holder = record.primary  # whom this witness last answered, and when: it keeps from others
-        self._held = self._now if record.number else NEVER
+        self._held = self._now if record.epoch else NEVER
         self._holder_heard = NEVER  # when the holder itself was heard
 
     def _init_candidate(self) -> None:
         timing = self.timing
-        draw, record = timing.silence_draw * self._chance(), self._durable.accepted
+        draw, record = timing.election_jitter_seconds * self._random_fraction(), self._durable.accepted
         self._seen = self._durable.promised  # the highest number heard of
         if self._was_primary():
             self._stand_at = self._now
         else:
-            self._stand_at = self._now + draw + (timing.block if record.number else 0.0)
+            self._stand_at = self._now + draw + (timing.lease_guard_seconds if record.epoch else 0.0)
         self._candidacy: Candidacy | None = None
 
     def _was_primary(self) -> bool:
@@ -152,24 +163,24 @@
         disk, and whoever of it was asked lately, or restarted, refuses this machine (``_blocked``).
         """
         record = self._durable.accepted
-        return bool(record.number) and record.primary == self.me and not self._durable.amnesic
+        return bool(record.epoch) and record.primary == self.me and not self._durable.amnesic
 
     def _init_recovery(self) -> None:
-        self._recovery_serial = 1 + int(self._chance() * (1 << 31))
+        self._recovery_serial = 1 + int(self._random_fraction() * (1 << 31))
         self._recovery_replies: dict[int, RecoveryReply] = {}
         self._asked_recovery = NEVER
         self._joined = NEVER
 
     def _init_membership(self) -> None:
         self.leaving = False  # this machine was told to end
-        self.released = False  # and may do so
+        self.leave_granted = False  # and may do so
         self._epoch_given = 0  # number of the epoch that it gave leadership of
         self._leave_sent = NEVER
 
     def _init_primary(self) -> None:
-        self._epoch: EpochRecord | None = None  # that this machine is primary of
+        self._own_record: EpochRecord | None = None  # that this machine is primary of
         self._effective = NEVER
-        self.duty_from = float("inf")
+        self.singleton_tasks_from = float("inf")
         self.committed_state = b""
         self.committed_version = NO_VERSION
         self._sequence = 0
@@ -189,18 +200,18 @@
     # what the caller may look at
 
     @property
-    def counts(self) -> bool:
+    def quorum_member(self) -> bool:
         """Whether this is one of the machines of which f may be lost; any number of others may go, with their disks."""
-        return self.places[self.me].counts
+        return self.failure_domains[self.me].quorum_member
 
-    @counts.setter
-    def counts(self, counts: bool) -> None:
-        self.places[self.me] = replace(self.places[self.me], counts=counts)
+    @quorum_member.setter
+    def quorum_member(self, quorum_member: bool) -> None:
+        self.failure_domains[self.me] = replace(self.failure_domains[self.me], quorum_member=quorum_member)
 
     @property
     def is_primary(self) -> bool:
         """Whether this machine is primary as far as it knows."""
-        return self._epoch is not None
+        return self._own_record is not None
 
     @property
     def is_amnesic(self) -> bool:
@@ -210,28 +221,28 @@
     @property
     def record(self) -> EpochRecord:
         """The epoch this machine is primary of, else the last record it has on disk."""
-        if self._epoch is not None:
-            return self._epoch
+        if self._own_record is not None:
+            return self._own_record
         return self._on_disk.accepted if self._on_disk is not None else NO_RECORD
 
     @property
     def primary_hint(self) -> int:
         """The machine that is primary as far as was heard here lately, or 0: an old hint sends callers nowhere."""
-        if self._epoch is not None:
+        if self._own_record is not None:
             return self.me
-        recent = self._now < self._holder_heard + self.timing.block
+        recent = self._now < self._holder_heard + self.timing.lease_guard_seconds
         return self._holder if recent and self._holder != self.me else 0
 
     def lease_until(self, now: float) -> float:
         """Steady time until which this machine may act as single holder; not after ``now`` if it may not."""
-        until = self._lease_from + self.timing.lease
-        return min(now, until) if self._epoch is None else until
+        until = self._lease_from + self.timing.lease_seconds
+        return min(now, until) if self._own_record is None else until
 
     def next_wake(self, now: float) -> float:
         """The steady time by which ``tick`` should be called."""
-        if self._epoch or self._candidacy or self._durable.amnesic or self._on_disk is not self._durable:
+        if self._own_record or self._candidacy or self._durable.amnesic or self._on_disk is not self._durable:
             return now + 0.05
-        return max(now, min(self._stand_at, now + self.timing.join_gap))
+        return max(now, min(self._stand_at, now + self.timing.join_interval_seconds))
 
     def drain(self) -> list[Action]:
         """What is to be done, in this order."""
@@ -241,7 +252,7 @@
     # sending and saving
 
     def _send(self, to: int, message: Message) -> None:
-        if self._observes() and not isinstance(message, RecoveryRequest | Located):
+        if self._observes() and not isinstance(message, RecoveryRequest | FailureDomainReport):
             return  # whoever is heard may be chosen for a copy or a vote
         if to == self.me:
             self._to_self.append(message)
@@ -274,59 +285,70 @@
         self._durable = changed
         self._seen = max(self._seen, changed.promised)
         candidacy = self._candidacy
-        own = candidacy.number if candidacy is not None and candidacy.phase != "pre-vote" else 0
+        own = candidacy.epoch if candidacy is not None and candidacy.phase != "pre-vote" else 0
         if own and changed.promised > own:
             self._end_candidacy(0.1)
-        if self._epoch is not None and changed.promised > max(own, self._epoch.number):
+        if self._own_record is not None and changed.promised > max(own, self._own_record.epoch):
             self._step_down()
 
     def _has_state(self, record: EpochRecord) -> bool:
         """Whether this machine holds all that ``record`` builds on: in sync, and its disk not lost since."""
-        return self.me in record.in_sync and self._durable.version.epoch >= record.number
+        return self.me in record.in_sync and self._durable.version.epoch >= record.epoch
 
     def _put_off(self, seconds: float) -> None:
         """Become a candidate no sooner than in so many seconds, and later if this machine lacks the state."""
-        behind = 0.0 if self._has_state(self._durable.accepted) else self.timing.round
-        wait = seconds + behind + self.timing.silence_draw * self._chance()
+        behind = 0.0 if self._has_state(self._durable.accepted) else self.timing.phase_timeout_seconds
+        wait = seconds + behind + self.timing.election_jitter_seconds * self._random_fraction()
         self._stand_at = max(self._stand_at, self._now + wait)
 
     @staticmethod
     def _transfer_time(state: bytes) -> float:
         """Seconds that a state may be under way to another machine."""
-        return len(state) / LEAST_BANDWIDTH
+        return len(state) / MIN_BANDWIDTH_BYTES_PER_SECOND
 
     def _observes(self) -> bool:
         """Whether this machine has no part in the record and may have none, as it doesn't count and others do."""
         members = self._durable.accepted.members()
-        return not self.counts and self.me not in members and not self._nobody_counts(members)
+        return not self.quorum_member and self.me not in members and not self._no_quorum_members(members)
 
-    def _nobody_counts(self, members: Collection[int]) -> bool:
+    def _no_quorum_members(self, members: Collection[int]) -> bool:
         """Whether it is known of all members that they don't count, by this machine or by one of them."""
-        if any(self._now < self._nobody_counts_by.get(member, NEVER) + self.timing.located_for for member in members):
+        if any(
+            self._now
+            < self._no_quorum_members_heard.get(member, NEVER) + self.timing.no_quorum_members_lifetime_seconds
+            for member in members
+        ):
             return True
-        return bool(members) and not any(self.places.get(member, UNKNOWN_FAILURE_DOMAIN).counts for member in members)
+        return bool(members) and not any(
+            self.failure_domains.get(member, UNKNOWN_FAILURE_DOMAIN).quorum_member for member in members
+        )
 
     # where machines are
 
     def _tick_located(self) -> None:
         """Tell the others where this machine is, if that matters."""
-        if self.counts and not self.tolerance.domains and not self._places_matter:
+        if self.quorum_member and not self.tolerance.domains and not self._failure_domains_matter:
             return
-        place, due = self.places[self.me], self._now - self.timing.locate_gap
+        failure_domain, due = self.failure_domains[self.me], self._now - self.timing.failure_domain_interval_seconds
         members = self._durable.accepted.members()
-        located = Located(place.zone, place.region, place.counts, self.me in members and self._nobody_counts(members))
-        for machine in sorted(self.known):
+        located = FailureDomainReport(
+            failure_domain.zone,
+            failure_domain.region,
+            failure_domain.quorum_member,
+            self.me in members and self._no_quorum_members(members),
+        )
+        for machine in sorted(self.known_machines):
             if self._located.get(machine, NEVER) <= due:
                 self._located[machine] = self._now
                 self._send(machine, located)
 
-    def _on_located(self, sender: int, message: Located) -> None:
-        self._places_matter = True
-        self.places[sender] = FailureDomain(message.zone, message.region, message.counts)
-        if message.nobody_counts:
-            self._nobody_counts_by[sender] = self._now
+    def _on_failure_domain_report(self, sender: int, message: FailureDomainReport) -> None:
+        self._failure_domains_matter = True
+        self.failure_domains[sender] = FailureDomain(message.zone, message.region, message.quorum_member)
+        if message.no_quorum_members:
+            self._no_quorum_members_heard[sender] = self._now
         else:
-            self._nobody_counts_by.pop(sender, None)
+            self._no_quorum_members_heard.pop(sender, None)
 
     def _leaves(self, machine: int) -> bool:
         """Whether a machine has said lately that it ends soon."""
--- a/rowanshift/controlplane/replication/membership.py
+++ b/rowanshift/controlplane/replication/membership.py
@@ -18,19 +18,19 @@
         self._settle()
 
     def _tick_leaving(self) -> None:
-        if self.released or self._now < self._leave_sent + self.timing.retry:
+        if self.leave_granted or self._now < self._leave_sent + self.timing.retry_seconds:
             return
         if self._durable.amnesic or self._observes():
-            self.released = True  # it holds nothing and counts for nothing
+            self.leave_granted = True  # it holds nothing and counts for nothing
             return
         self._ask_to_be_replaced()
 
     def _ask_to_be_replaced(self) -> None:
         """Have the primary give this machine's copy and vote to others; as primary, give leadership first."""
-        if self._epoch is not None and not self._give_leadership():
+        if self._own_record is not None and not self._give_leadership():
             return
         self._leave_sent = self._now
-        for machine in sorted(self.known):
+        for machine in sorted(self.known_machines):
             if self._epoch_given:  # it may have missed it, and would wait for a lease that is given up
                 self._send(machine, TransferLeadership(self._epoch_given))
             self._send(machine, Leave(self.me))
@@ -38,65 +38,65 @@
     def _tick_uncounted(self) -> None:
         """One that doesn't count makes itself known to the primary; a first member makes room for a spare that does."""
         if self._observes():
-            if not self.primary_hint and self._now >= self._joined + self.timing.join_gap:
+            if not self.primary_hint and self._now >= self._joined + self.timing.join_interval_seconds:
                 self._joined = self._now
                 self._ask_for_records()
-        elif self._knows_spare() and self._now >= self._leave_sent + self.timing.retry:
+        elif self._knows_spare() and self._now >= self._leave_sent + self.timing.retry_seconds:
             self._ask_to_be_replaced()
 
     def _knows_spare(self) -> bool:
         """Whether a machine that counts and is no witness has asked lately to be one."""
         witnesses = self._durable.accepted.witnesses
-        since = self._now - self.timing.spare_fresh
+        since = self._now - self.timing.spare_lifetime_seconds
         spares = {machine for machine, asked in self._spares.items() if asked > since and machine not in witnesses}
-        return any(self.places.get(machine, UNKNOWN_FAILURE_DOMAIN).counts for machine in spares)
+        return any(self.failure_domains.get(machine, UNKNOWN_FAILURE_DOMAIN).quorum_member for machine in spares)
 
     def _give_leadership(self) -> bool:
         """As primary, once nothing is under way; whether it is given."""
-        if len(self._epoch.in_sync) == 1:
-            self.released = True  # nobody else is to hold the state
+        if len(self._own_record.in_sync) == 1:
+            self.leave_granted = True  # nobody else is to hold the state
             return False
         if self._candidacy is not None or self._proposal is not None:
             return False
-        self._epoch_given = self._epoch.number
+        self._epoch_given = self._own_record.epoch
         self._transfer_leadership()
         return True
 
     def _on_leave(self, sender: int, message: Leave) -> None:
-        self._leaving[message.machine] = self._now + self.timing.leaving_for
-        if self._epoch is not None:
-            released = sender not in self._epoch.in_sync and not self._vote_is_being_given(sender)
-            self._send(sender, LeaveReply(self._epoch.number, released))
+        self._leaving[message.machine] = self._now + self.timing.leave_lifetime_seconds
+        if self._own_record is not None:
+            granted = sender not in self._own_record.in_sync and not self._vote_is_being_given(sender)
+            self._send(sender, LeaveReply(self._own_record.epoch, granted))
 
     def _vote_is_being_given(self, machine: int) -> bool:
         """Whether a leaving machine is a witness that a spare can replace, or is still asked as a former one.
 
         Until the former set is dropped, whoever takes over needs a majority of it as well.
         """
-        epoch = self._epoch
+        epoch = self._own_record
         return machine in epoch.former or (machine in epoch.witnesses and bool(self._live_spares()))
 
     def _live_spares(self) -> list[int]:
         """Machines that are no witness, live and asked to be one; this one first."""
-        fresh = {m for m, asked in self._spares.items() if self._now < asked + self.timing.spare_fresh}
+        fresh = {m for m, asked in self._spares.items() if self._now < asked + self.timing.spare_lifetime_seconds}
         spares = [self.me, *sorted(fresh & self._live_machines())]
-        return [machine for machine in spares if machine not in self._epoch.witnesses]
+        return [machine for machine in spares if machine not in self._own_record.witnesses]
 
     def _on_leave_reply(self, sender: int, message: LeaveReply) -> None:
         """It counts if no newer epoch was heard of here: one could have chosen this machine again."""
-        if self.leaving and message.released and message.number >= self._durable.promised:
-            self.released = True
+        if self.leaving and message.granted and message.epoch >= self._durable.promised:
+            self.leave_granted = True
 
     def _on_join(self, sender: int, message: Join) -> None:
         self._leaving.pop(message.machine, None)
         self._spares[message.machine] = self._now
-        if self._epoch is None:
+        if self._own_record is None:
             durable = self._durable
             self._send_saved(sender, RecoveryReply(0, durable.promised, durable.accepted, durable.amnesic))
 
     def _ask_to_join(self) -> None:
         self._joined = self._now
-        for machine in sorted(self.known):
+        for machine in sorted(self.known_machines):
             self._send(machine, Join(self.me))
 
     def _live_machines(self) -> set[int]:
--- a/rowanshift/controlplane/replication/messages.py
+++ b/rowanshift/controlplane/replication/messages.py
@@ -23,7 +23,7 @@
     ``former`` is not empty while a change of witnesses is under way: a majority of it is needed too.
     """
 
-    number: int
+    epoch: int
     primary: int
     in_sync: tuple[int, ...]
     witnesses: tuple[int, ...]
@@ -56,14 +56,14 @@
 class PreVote:
     """Would you promise this number? Nothing is changed by it."""
 
-    number: int
+    epoch: int
 
 
 @dataclass(frozen=True, slots=True)
-class PreVoted:
+class PreVoteReply:
     """The answer to PreVote; nothing was promised."""
 
-    number: int
+    epoch: int
     ok: bool
 
 
@@ -71,14 +71,14 @@
 class Prepare:
     """Promise to take part in no epoch below this number (Paxos, phase 1)."""
 
-    number: int
+    epoch: int
 
 
 @dataclass(frozen=True, slots=True)
-class Promised:
+class PrepareReply:
     """The answer to Prepare; ``accepted``: the last record this machine accepted."""
 
-    number: int
+    epoch: int
     ok: bool
     promised: int
     accepted: EpochRecord
@@ -88,7 +88,7 @@
 class Store:
     """Keep this state under a version of epoch ``number``."""
 
-    number: int
+    epoch: int
     version: StateVersion
     state: bytes
 
@@ -97,17 +97,17 @@
 class StoreDelta:
     """Keep the state that ``delta`` makes of the one under ``base``; who lacks that one gets a Store later."""
 
-    number: int
+    epoch: int
     version: StateVersion
     base: StateVersion
     delta: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Stored:
+class StoreReply:
     """The answer to Store and StoreDelta; ``ok``: the state of this version is on disk."""
 
-    number: int
+    epoch: int
     version: StateVersion
     ok: bool
     promised: int
@@ -117,15 +117,15 @@
 class Accept:
     """Accept the epoch record of this number (Paxos, phase 2)."""
 
-    number: int
+    epoch: int
     record: EpochRecord
 
 
 @dataclass(frozen=True, slots=True)
-class Accepted:
+class AcceptReply:
     """The answer to Accept; ``ok``: the record is on disk."""
 
-    number: int
+    epoch: int
     ok: bool
     promised: int
 
@@ -134,7 +134,7 @@
 class Heartbeat:
     """The primary lives; also the round that a read waits for."""
 
-    number: int
+    epoch: int
     serial: int
     record: EpochRecord
 
@@ -143,7 +143,7 @@
 class HeartbeatReply:
     """The answer to a heartbeat; not ``ok`` below a promise, or where an in-sync machine lacks the state."""
 
-    number: int
+    epoch: int
     serial: int
     ok: bool
     promised: int
@@ -154,7 +154,7 @@
 class TransferLeadership:
     """Become a candidate now. From the primary of epoch ``number`` it also gives up that epoch and its lease."""
 
-    number: int
+    epoch: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -175,14 +175,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Located:
+class FailureDomainReport:
     """The sender is in this zone and region; ``counts``: among the machines of which the fault tolerance speaks;
-    ``nobody_counts``: as far as the sender knows, no member of its epoch is."""
+    ``no_quorum_members``: as far as the sender knows, no member of its epoch is."""
 
     zone: str
     region: str
-    counts: bool
-    nobody_counts: bool
+    quorum_member: bool
+    no_quorum_members: bool
 
 
 @dataclass(frozen=True, slots=True)
@@ -203,26 +203,26 @@
 class LeaveReply:
     """From the primary of epoch ``number``; ``released``: nothing in force needs the leaving machine any more."""
 
-    number: int
-    released: bool
+    epoch: int
+    granted: bool
 
 
 Message = (
     PreVote
-    | PreVoted
+    | PreVoteReply
     | Prepare
-    | Promised
+    | PrepareReply
     | Store
     | StoreDelta
-    | Stored
+    | StoreReply
     | Accept
-    | Accepted
+    | AcceptReply
     | Heartbeat
     | HeartbeatReply
     | TransferLeadership
     | RecoveryRequest
     | RecoveryReply
-    | Located
+    | FailureDomainReport
     | Join
     | Leave
     | LeaveReply
--- a/rowanshift/controlplane/replication/replica.py
+++ b/rowanshift/controlplane/replication/replica.py
@@ -9,31 +9,37 @@
 from __future__ import annotations
 
 from rowanshift.controlplane.replication import messages
-from rowanshift.controlplane.replication.actions import Busy, NotPrimary, StateTooLarge
+from rowanshift.controlplane.replication.actions import NotPrimary, ProposalInProgress, StateTooLarge
 from rowanshift.controlplane.replication.candidate import CandidateRole
 from rowanshift.controlplane.replication.core import Proposal, Read
-from rowanshift.controlplane.replication.messages import Join, Located, Message, RecoveryReply, RecoveryRequest
+from rowanshift.controlplane.replication.messages import (
+    FailureDomainReport,
+    Join,
+    Message,
+    RecoveryReply,
+    RecoveryRequest,
+)
 from rowanshift.controlplane.replication.primary import PrimaryRole
 from rowanshift.controlplane.replication.recovery import RecoveryRole
-from rowanshift.controlplane.replication.timing import STATE_LIMIT
+from rowanshift.controlplane.replication.timing import STATE_LIMIT_BYTES
 from rowanshift.controlplane.replication.witness import WitnessRole
 
 HANDLERS: dict[type, str] = {
     messages.PreVote: "_on_pre_vote",
-    messages.PreVoted: "_on_pre_voted",
+    messages.PreVoteReply: "_on_pre_vote_reply",
     messages.Prepare: "_on_prepare",
-    messages.Promised: "_on_promised",
+    messages.PrepareReply: "_on_prepare_reply",
     messages.Store: "_on_store",
     messages.StoreDelta: "_on_store_delta",
-    messages.Stored: "_on_stored",
+    messages.StoreReply: "_on_store_reply",
     messages.Accept: "_on_accept",
-    messages.Accepted: "_on_accepted",
+    messages.AcceptReply: "_on_accept_reply",
     messages.Heartbeat: "_on_heartbeat",
     messages.HeartbeatReply: "_on_heartbeat_reply",
     messages.TransferLeadership: "_on_transfer_leadership",
     messages.RecoveryRequest: "_on_recovery_request",
     messages.RecoveryReply: "_on_recovery_reply",
-    messages.Located: "_on_located",
+    messages.FailureDomainReport: "_on_failure_domain_report",
     messages.Join: "_on_join",
     messages.Leave: "_on_leave",
     messages.LeaveReply: "_on_leave_reply",
@@ -47,12 +53,14 @@
         """A message has come from another machine."""
         self._now = max(self._now, now)
         if sender != self.me:
-            self.known.add(sender)
-            if not isinstance(message, RecoveryRequest | Located) and not (
+            self.known_machines.add(sender)
+            if not isinstance(message, RecoveryRequest | FailureDomainReport) and not (
                 isinstance(message, RecoveryReply) and message.amnesic
             ):
                 self._heard[sender] = self._now
-        if self._durable.amnesic and not isinstance(message, RecoveryRequest | RecoveryReply | Join | Located):
+        if self._durable.amnesic and not isinstance(
+            message, RecoveryRequest | RecoveryReply | Join | FailureDomainReport
+        ):
             return  # it doesn't know what it promised
         self._dispatch(sender, message)
         self._settle()
@@ -78,16 +86,16 @@
             return
         self._writing, self._on_disk, self._waiting = None, None, []
         self._save_failed = self._now
-        if self._epoch is not None:
+        if self._own_record is not None:
             self._transfer_leadership()
-        self._end_candidacy(self.timing.rest)
+        self._end_candidacy(self.timing.cooldown_seconds)
         self._settle()
 
     def tick(self, now: float) -> None:
         """Time has passed."""
         self._now = max(self._now, now)
         dirty = self._on_disk is not self._durable and self._writing is None
-        if dirty and self._now >= self._save_failed + self.timing.retry:
+        if dirty and self._now >= self._save_failed + self.timing.retry_seconds:
             self._start_save()
         if self._durable.amnesic:
             self._tick_recovery()
@@ -99,28 +107,31 @@
         self._settle()
 
     def _tick_member(self) -> None:
-        if not self.counts:
+        if not self.quorum_member:
             self._tick_uncounted()
             if self._observes():
                 return
-        if self._epoch is not None:
+        if self._own_record is not None:
             self._tick_primary()
         if self._candidacy is not None:
             self._tick_candidacy()
-        elif self._epoch is None:
+        elif self._own_record is None:
             if self._now >= self._stand_at:
                 self._stand()
-            elif self._now >= self._joined + self.timing.join_gap and self.me not in self._durable.accepted.witnesses:
+            elif (
+                self._now >= self._joined + self.timing.join_interval_seconds
+                and self.me not in self._durable.accepted.witnesses
+            ):
                 self._ask_to_join()
 
     def propose(self, token: int, state: bytes, now: float) -> None:
-        """Make ``state``, made from ``committed_state``, the next one: ``Committed`` or ``Failed`` follows."""
+        """Replicate ``state``, made from ``committed_state``; ``ProposalCommitted`` or ``ProposalFailed`` follows."""
         self._now = max(self._now, now)
-        if self._epoch is None:
+        if self._own_record is None:
             raise NotPrimary(self.primary_hint)
         if self._proposal is not None:
-            raise Busy
-        if len(state) > STATE_LIMIT:
+            raise ProposalInProgress
+        if len(state) > STATE_LIMIT_BYTES:
             raise StateTooLarge
         self._proposal = Proposal(token, state)
         if self._candidacy is None:
@@ -130,7 +141,7 @@
     def confirm_read(self, token: int, now: float) -> None:
         """``ReadConfirmed`` or ``ReadFailed`` follows; reads asked meanwhile share the next round."""
         self._now = max(self._now, now)
-        if self._epoch is None:
+        if self._own_record is None:
             raise NotPrimary(self.primary_hint)
         under_way = any(read.serial <= self._serial for read in self._reads)
         self._reads.append(Read(token, self._serial + 1, self._now))
--- a/rowanshift/controlplane/service.py
+++ b/rowanshift/controlplane/service.py
@@ -148,7 +148,7 @@
             trio.current_time(),
             self.random_source.random,
             self.settings.bounds.lease_ms / 1000 + ROLE_WAIT_MARGIN_SECONDS,
-            place=FailureDomain(file.zone, file.region, file.quorum_member),
+            failure_domain=FailureDomain(file.zone, file.region, file.quorum_member),
             tolerance=FaultTolerance(fault_tolerance.machines, fault_tolerance.zones, fault_tolerance.regions),
         )
 
@@ -184,7 +184,7 @@
             "event=started role=controlplane name={} amnesic={} epoch={}",
             settings.name,
             replica_runner.replica.is_amnesic,
-            replica_runner.replica.record.number,
+            replica_runner.replica.record.epoch,
         )
         return call_server
 
@@ -244,8 +244,8 @@
         try:
             self.settings = load_node_settings(self.settings.path)
             if self.replica_runner is not None:
-                self.replica_runner.replica.known |= {*self._seed_machines()} - {self.machine}
-                self.replica_runner.replica.counts = self.settings.file.quorum_member
+                self.replica_runner.replica.known_machines |= {*self._seed_machines()} - {self.machine}
+                self.replica_runner.replica.quorum_member = self.settings.file.quorum_member
         except NodeSettingsError as error:
             logger.warning("event=settings_kept why={!r}", str(error))
 
--- a/rowanshift/controlplane/settings_warnings.py
+++ b/rowanshift/controlplane/settings_warnings.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterator
 
-from rowanshift.controlplane.replication.fault_domains import FaultTolerance, bearable
+from rowanshift.controlplane.replication.fault_domains import FaultTolerance, can_be_tolerated
 from rowanshift.process.node_settings import File
 
 
@@ -13,7 +13,7 @@
     settings = file.fault_tolerance
     tolerance = FaultTolerance(settings.machines, settings.zones, settings.regions)
     regions_by_zone = file.zones or {file.zone: file.region}
-    if not bearable(tolerance, regions_by_zone):
+    if not can_be_tolerated(tolerance, regions_by_zone):
         yield (
             f"faultTolerance: the loss of {settings.machines} machines, {settings.zones} zones and {settings.regions} "
             f"regions at once leaves no majority in {len(regions_by_zone)} zones of "
--- a/rowanshift/controlplane/status.py
+++ b/rowanshift/controlplane/status.py
@@ -21,7 +21,7 @@
     """What the primary sees of backups and witnesses."""
 
     copies: int
-    copies_wanted: int
+    replicas_wanted: int
     witnesses: int
     witnesses_wanted: int
     full: bool
@@ -100,7 +100,7 @@
         machine=settings.ip,
         primary=replica.is_primary,
         primary_hint=ip_from_machine_id(replica.primary_hint),
-        epoch=replica.record.number,
+        epoch=replica.record.epoch,
         in_sync=[ip_from_machine_id(machine) for machine in replica.record.in_sync],
         witnesses=[ip_from_machine_id(machine) for machine in replica.record.witnesses],
         amnesic=replica.is_amnesic,
@@ -108,12 +108,12 @@
         redundancy=redundancy_status(replica_runner, now) if replica.is_primary else None,
         revision=publication.state.revision if replica.is_primary else None,
         versions=publication.state.versions if replica.is_primary else None,
-        known=[ip_from_machine_id(machine) for machine in sorted(replica.known)],
+        known=[ip_from_machine_id(machine) for machine in sorted(replica.known_machines)],
         members=list(member_ages),
         member_age_s=member_ages,
         reads_list=settings.cloud is not None and lease_remaining > 0,
         list_read=tasks.registry.serial > 0,
-        may_order=replica.duty_from <= now and lease_remaining > 0,
+        may_order=replica.singleton_tasks_from <= now and lease_remaining > 0,
         servers=server_statuses(tasks.registry),
         behind=servers_behind(tasks.registry, publication.state.versions, now),
         calls=tasks.endpoint_list.calls,
@@ -127,13 +127,13 @@
     """The redundancy as the primary sees it."""
     redundancy = replica_runner.replica.redundancy()
     return RedundancyStatus(
-        redundancy.copies,
-        redundancy.copies_wanted,
+        redundancy.replicas,
+        redundancy.replicas_wanted,
         redundancy.witnesses,
         redundancy.witnesses_wanted,
-        redundancy.full,
-        redundancy.spread,
-        round(replica_runner.redundancy_watch.lacking_for(now), 3),
+        redundancy.is_full,
+        redundancy.tolerance_met,
+        round(replica_runner.redundancy_watch.reduced_for_seconds(now), 3),
     )
 
 
--- a/rowanshift/controlplane/version_rollout.py
+++ b/rowanshift/controlplane/version_rollout.py
@@ -58,7 +58,7 @@
 
     def _may_order(self) -> bool:
         """Whether an order may go out now and still arrive while this machine is the only lease holder."""
-        former_holder_stopped = self.replica_runner.replica.duty_from <= trio.current_time()
+        former_holder_stopped = self.replica_runner.replica.singleton_tasks_from <= trio.current_time()
         return former_holder_stopped and self.replica_runner.lease_remaining() > LEASE_MARGIN_SECONDS
 
     async def run(self, nursery: Nursery) -> None:
@@ -109,7 +109,7 @@
         """Order a server to load a version; whether it has loaded it. Raises ``CallFailed`` where nothing was sent."""
         if not self._may_order():
             return False
-        order = LoadOrder(model, version, self.node_name, self.replica_runner.replica.record.number)
+        order = LoadOrder(model, version, self.node_name, self.replica_runner.replica.record.epoch)
         self.orders += 1
         timeout = min(ORDER_TIMEOUT_SECONDS, self.replica_runner.lease_remaining())
         status = await self.client.order(server, order, timeout)
--- a/rowanshift/emulation/cluster.py
+++ b/rowanshift/emulation/cluster.py
@@ -234,7 +234,7 @@
     core_service = await system.primary()
     record = core_service.replica_runner.replica.record
     say(
-        f"Primary: {core_service.settings.ip}, epoch {record.number}; "
+        f"Primary: {core_service.settings.ip}, epoch {record.epoch}; "
         f"in sync: {', '.join(map(ip_from_machine_id, record.in_sync))}; "
         f"witnesses: {', '.join(map(ip_from_machine_id, record.witnesses))}"
     )
--- a/rowanshift/modelcheck/cluster_model.py
+++ b/rowanshift/modelcheck/cluster_model.py
@@ -129,7 +129,7 @@
         machines = self.machines.values()
         records = [machine.replica.record for machine in machines if machine.replica is not None]
         records += [machine.disk.accepted for machine in machines if machine.disk is not None and not machine.removed]
-        return max(records, key=lambda record: record.number, default=replication.NO_RECORD)
+        return max(records, key=lambda record: record.epoch, default=replication.NO_RECORD)
 
     def carry_out_actions(self, machine_id: int) -> None:
         """Carry out and check the actions that a machine's replica has decided on."""
@@ -137,7 +137,7 @@
         replica = machine.running_replica
         for action in replica.drain():
             self._carry_out(machine_id, machine, replica, action)
-        if replica.is_primary and replica.record.number not in self.invariants.epoch_start_states:
+        if replica.is_primary and replica.record.epoch not in self.invariants.epoch_start_states:
             self.epoch_count += 1
             self.invariants.check_new_epoch(replica.record, replica.committed_state, self._accepted_numbers())
 
@@ -154,7 +154,7 @@
                     raise InvariantViolation(Invariant.ONE_OUTSTANDING_SAVE, "two are outstanding")
                 self.invariants.check_durable_state(durable)
                 machine.pending_save = action
-            case replication.Committed(token):
+            case replication.ProposalCommitted(token):
                 self.commit_count += 1
                 state = self.invariants.proposed_states[token]
                 self.invariants.check_commit(self._committed_version(machine_id, replica, state), state)
@@ -162,15 +162,15 @@
             case replication.ReadConfirmed(token):
                 self.invariants.check_confirmed_read(token, replica.committed_state)
                 self._notify_service(machine, token, succeeded=True)
-            case replication.Failed(token) | replication.ReadFailed(token):
+            case replication.ProposalFailed(token) | replication.ReadFailed(token):
                 self._notify_service(machine, token, succeeded=False)
 
     def _accepted_numbers(self) -> dict[int, int]:
         """The number of the record on each machine's disk; the highest number of a lost disk."""
         return {
-            machine_id: replication.NUMBER_LIMIT
+            machine_id: replication.EPOCH_LIMIT
             if machine.counts_as_failed or machine.disk is None
-            else machine.disk.accepted.number
+            else machine.disk.accepted.epoch
             for machine_id, machine in self.machines.items()
         }
 
@@ -183,7 +183,7 @@
             for version, stored_state in reversed(self.invariants.states_by_version.items())
             if stored_state == state and version.epoch & MACHINE_BITS == machine_id
         )
-        return max(next(stored_versions), replication.StateVersion(replica.record.number, 0))
+        return max(next(stored_versions), replication.StateVersion(replica.record.epoch, 0))
 
     @staticmethod
     def _notify_service(machine: MachineModel, token: int, succeeded: bool) -> None:
@@ -198,7 +198,7 @@
             if machine.replica is not None and machine.replica.is_primary:
                 clock = self.clock(machine)
                 if machine.replica.lease_until(clock) > clock:
-                    holders.append(LeaseHolder(machine.replica.record.number, machine_id))
+                    holders.append(LeaseHolder(machine.replica.record.epoch, machine_id))
         self.invariants.check_leases(holders)
 
     def deliver(self, index: int, duplicate: bool = False) -> None:
--- a/rowanshift/modelcheck/errors.py
+++ b/rowanshift/modelcheck/errors.py
@@ -27,7 +27,7 @@
     CHANGES_APPLY_ONCE = "TAKEN-ONCE"
     ROUTERS_NEVER_GO_BACK = "MONOTONIC"
     POLL_ANSWERS_ARE_COMPLETE = "POLL"
-    ROUTERS_ARE_FRESH = "FRESH"
+    ROUTERS_ARE_FRESH = "ALIVE_SECONDS"
 
 
 class ModelCheckError(Exception):
--- a/rowanshift/modelcheck/fault_injection.py
+++ b/rowanshift/modelcheck/fault_injection.py
@@ -26,11 +26,11 @@
 BLOCKED_TYPES = (1, 2, 3)  # how many kinds of messages are blocked
 BLOCKABLE_MESSAGES = (
     replication.Prepare,
-    replication.Promised,
+    replication.PrepareReply,
     replication.Store,
-    replication.Stored,
+    replication.StoreReply,
     replication.Accept,
-    replication.Accepted,
+    replication.AcceptReply,
     replication.Heartbeat,
     replication.HeartbeatReply,
 )
@@ -206,14 +206,14 @@
         """Stop counting failures whose redundancy is restored: the in-sync machines hold the state and a machine with
         a lost disk has recovered its promises, or a removed one has no vote."""
         cluster = self.cluster
-        if cluster.now < cluster.last_failure_at + 2 * self.timing.recovery_wait:
+        if cluster.now < cluster.last_failure_at + 2 * self.timing.recovery_delay_seconds:
             return
         record = cluster.newest_record()
-        if record.number not in cluster.invariants.epoch_start_states:
+        if record.epoch not in cluster.invariants.epoch_start_states:
             return
         for member in record.in_sync:
             disk = cluster.machines[member].disk
-            if disk is None or disk.version.epoch < record.number:
+            if disk is None or disk.version.epoch < record.epoch:
                 return
         for machine_id, machine in cluster.machines.items():
             if machine.removed:
--- a/rowanshift/modelcheck/invariants.py
+++ b/rowanshift/modelcheck/invariants.py
@@ -46,7 +46,7 @@
     def check_durable_state(self, durable: replication.DurableState) -> None:
         """Check what a machine is about to write to its disk."""
         self._check_state_of_version(durable.version, durable.state)
-        if durable.promised < durable.accepted.number:
+        if durable.promised < durable.accepted.epoch:
             raise InvariantViolation(Invariant.PROMISE_COVERS_ACCEPTED_RECORD, "a record is accepted above the promise")
 
     def _check_state_of_version(self, version: replication.StateVersion, state: StateBytes) -> None:
@@ -65,14 +65,14 @@
     def _is_durable(message: replication.Message, disk: replication.DurableState | None) -> bool:
         """Whether the disk holds what a message tells of it; true of a message that tells nothing."""
         match message:
-            case replication.Promised(number, True):
+            case replication.PrepareReply(number, True):
                 return disk is not None and disk.promised >= number
-            case replication.Accepted(number, True):
-                return disk is not None and disk.promised >= number and disk.accepted.number >= number
-            case replication.Stored(number, version, True):
+            case replication.AcceptReply(number, True):
+                return disk is not None and disk.promised >= number and disk.accepted.epoch >= number
+            case replication.StoreReply(number, version, True):
                 return disk is not None and disk.promised >= number and disk.version >= version
             case replication.HeartbeatReply(number, _, True):
-                return disk is not None and disk.accepted.number >= number
+                return disk is not None and disk.accepted.epoch >= number
         return True
 
     def check_new_epoch(
@@ -83,11 +83,11 @@
         ``accepted_numbers`` maps each machine to the number of the record on its disk; a lost disk counts as the
         highest number.
         """
-        number = record.number
+        number = record.epoch
         if number in self.epoch_start_states:
             return
         previous = self.newest_record
-        if number > previous.number:
+        if number > previous.epoch:
             self.newest_record = record
             voters = {machine_id for machine_id, accepted in accepted_numbers.items() if accepted >= number}
             for witnesses in (record.witnesses, previous.witnesses):
--- a/rowanshift/modelcheck/membership_walk.py
+++ b/rowanshift/modelcheck/membership_walk.py
@@ -55,7 +55,7 @@
     ) -> None:
         self.opening_stores: dict[int, Iterator[None]] = {}  # by machine
         self.leaving: dict[int, float] = {}  # machine -> seconds of the model at which it ends
-        self.released: set[int] = set()  # machines that have left
+        self.leave_granted: set[int] = set()  # machines that have left
         self.joining: list[float] = []  # seconds of the model at which a machine joins
         self.member_random = random.Random(f"members of {seed}")
         self.rounds = 0
@@ -164,8 +164,8 @@
     def _advance_leave(self, machine_id: int) -> None:
         """End a leaving machine soon after its release, or when its grace or its process is over."""
         replica, now = self.cluster.machines[machine_id].replica, self.cluster.now
-        if replica is not None and replica.released and machine_id not in self.released:
-            self.released.add(machine_id)
+        if replica is not None and replica.leave_granted and machine_id not in self.leave_granted:
+            self.leave_granted.add(machine_id)
             self.leaving[machine_id] = min(self.leaving[machine_id], now + RELEASE_TO_EXIT_SECONDS)
             record = self.cluster.invariants.newest_record
             if machine_id in record.in_sync and not replica.is_amnesic:
@@ -215,7 +215,7 @@
         """What keeps the next failures from being tolerated; empty if nothing does."""
         cluster = self.cluster
         record = cluster.newest_record()
-        if self.leaving or self.joining or record.number not in cluster.invariants.epoch_start_states:
+        if self.leaving or self.joining or record.epoch not in cluster.invariants.epoch_start_states:
             return "an epoch is not in force, or machines leave and join"
         copies = [member for member in record.in_sync if self._is_recovered(member) and self._holds(member, record)]
         if len(copies) < max(cluster.max_failures + 1, len(record.in_sync)):
@@ -234,7 +234,7 @@
     def _holds(self, machine_id: int, record: replication.EpochRecord) -> bool:
         """Whether a machine's disk holds a state of an epoch, or of a later one."""
         disk = self.cluster.machines[machine_id].disk
-        return disk is not None and disk.version.epoch >= record.number
+        return disk is not None and disk.version.epoch >= record.epoch
 
     def _await_recovery(self) -> None:
         """Run without faults until the next failures can be tolerated and a change is committed."""
--- a/rowanshift/modelcheck/random_walk.py
+++ b/rowanshift/modelcheck/random_walk.py
@@ -14,22 +14,22 @@
 
 # seconds; without leases and waits, so that only numbers and majorities keep two primaries apart
 CONTENDED_TIMING = replication.Timing(
-    lease=0.0,
-    block=0.0,
-    lapse=1.5,
-    silence_draw=1.0,
-    retry=0.3,
-    round=1.0,
-    stand_limit=2.0,
-    recovery_wait=2.5,
-    renew_gap=0.2,
-    witness_silence=1.0,
-    change_gap=0.2,
-    join_gap=0.3,
+    lease_seconds=0.0,
+    lease_guard_seconds=0.0,
+    quorum_loss_seconds=1.5,
+    election_jitter_seconds=1.0,
+    retry_seconds=0.3,
+    phase_timeout_seconds=1.0,
+    candidacy_limit_seconds=2.0,
+    recovery_delay_seconds=2.5,
+    renewal_interval_seconds=0.2,
+    witness_timeout_seconds=1.0,
+    witness_change_interval_seconds=0.2,
+    join_interval_seconds=0.3,
 )
 
 # a primary that hears of no other goes on for long: reads and changes must be safe from it all the same
-LONG_TENURE_TIMING = replace(CONTENDED_TIMING, lapse=8.0)
+LONG_TENURE_TIMING = replace(CONTENDED_TIMING, quorum_loss_seconds=8.0)
 
 RECOVERY_LIMIT_SECONDS = 40.0  # without faults, until a walk must commit again
 RECOVERY_COMMITS = 3  # that end a walk's recovery
--- a/rowanshift/modelcheck/worst_case_walk.py
+++ b/rowanshift/modelcheck/worst_case_walk.py
@@ -55,7 +55,7 @@
         self.fault_free = False
         if not without_faults:  # the spare itself may have been hit by a fault
             is_replaced = machine_id not in self.cluster.newest_record().members()
-        return 0 if is_replaced and machine_id in self.released else 1
+        return 0 if is_replaced and machine_id in self.leave_granted else 1
 
     def _complete_leave(self, machine_id: int) -> None:
         """Let a machine leave, and go on until it has ended."""
@@ -111,7 +111,7 @@
 
     def _start_replica(self, machine_id: int, seeds: tuple[int, ...], bootstrap: bool) -> None:
         super()._start_replica(machine_id, seeds, bootstrap)
-        self.cluster.machines[machine_id].running_replica.counts = machine_id != self.observer
+        self.cluster.machines[machine_id].running_replica.quorum_member = machine_id != self.observer
 
     def _may_be_witness(self, machine_id: int) -> bool:
         return machine_id != self.observer
--- a/rowanshift/simulation/fleet_machines.py
+++ b/rowanshift/simulation/fleet_machines.py
@@ -73,7 +73,7 @@
 
     def _on_role_change(self, primary: bool) -> None:
         if primary:
-            self.told(self.replica_runner.replica.record.number)
+            self.told(self.replica_runner.replica.record.epoch)
         super()._on_role_change(primary)
 
 
--- a/tests/capacity/test_capacity.py
+++ b/tests/capacity/test_capacity.py
@@ -30,7 +30,7 @@
 from rowanshift.controlplane.configuration import parse
 from rowanshift.controlplane.control_state import unpack
 from rowanshift.controlplane.record_kinds import CODEC
-from rowanshift.controlplane.replication import EpochRecord, Heartbeat, HeartbeatReply, StateVersion, Store, Stored
+from rowanshift.controlplane.replication import EpochRecord, Heartbeat, HeartbeatReply, StateVersion, Store, StoreReply
 from rowanshift.wire.control_updates import Redirect, Update
 
 ROUTERS, SERVERS, TENANTS, ROUTES, POOLS = 3, 5, 4, 3, 2
@@ -111,7 +111,7 @@
             (sizes.confirm(2, 3), Heartbeat(7, 1, record)),
             (sizes.confirmed(), HeartbeatReply(7, 1, True, 7, StateVersion(7, 0))),
             (sizes.store(9), Store(7, StateVersion(7, 0), b"9 bytes..")),
-            (sizes.stored(), Stored(7, StateVersion(7, 0), True, 7)),
+            (sizes.stored(), StoreReply(7, StateVersion(7, 0), True, 7)),
         ):
             with self.subTest(type(made).__name__):
                 self.assertEqual(len(CODEC.pack(made)), length)
--- a/tests/controlplane/replication/test_fault_domains.py
+++ b/tests/controlplane/replication/test_fault_domains.py
@@ -6,19 +6,22 @@
 import trio
 from loguru import logger
 
-from rowanshift.controlplane import replication as p
+from rowanshift.controlplane import replication
 from rowanshift.controlplane.replication.fault_domains import (
-    MOST_WITNESSES,
+    MAX_WITNESSES,
     FailureDomain,
     FaultTolerance,
-    bearable,
-    better_witnesses,
+    can_be_tolerated,
     choose_backups,
-    copies_left,
-    most_lost,
+    improved_witnesses,
+    surviving_replicas,
     vote_margin,
+    worst_case_losses,
+)
+from rowanshift.controlplane.replication.timing import (
+    FAILURE_DOMAIN_INTERVAL_SECONDS,
+    NO_QUORUM_MEMBERS_LIFETIME_SECONDS,
 )
-from rowanshift.controlplane.replication.timing import LOCATE_GAP, LOCATED_FOR
 from rowanshift.simulation.fleet import Fleet, config_of, play
 from rowanshift.simulation.fleet_settings import CONTROL
 from rowanshift.simulation.fleet_troubles import Unit
@@ -126,7 +129,7 @@
         async def main(fleet: Fleet) -> str:
             await fleet.start()
             await trio.sleep(REPLACED_WITHIN)
-            return fleet.primary().program.replica_runner.replica.lacking_spread()
+            return fleet.primary().program.replica_runner.replica.unmet_tolerance()
 
         self.assertIn("no core machine counts", play(main, "told", routers=1, counts=False)[0])
         self.assertEqual(play(main, "told", routers=1)[0], "")
@@ -135,60 +138,72 @@
 class Belief(unittest.TestCase):
     """Who is taken to count, by what machines say."""
 
-    def replica(self) -> p.Replica:
-        place = p.FailureDomain("z", "r", counts=False)
-        made = p.Replica(4, 1, (1, 2, 3), False, None, 0.0, lambda: 0.5, place=place)
-        record = p.EpochRecord(1 << 32 | 1, 1, (1, 2), (1, 2, 3))
-        made._durable = p.DurableState(record.number, record, p.NO_VERSION, b"", amnesic=False)
+    def replica(self) -> replication.Replica:
+        failure_domain = replication.FailureDomain("z", "r", quorum_member=False)
+        made = replication.Replica(4, 1, (1, 2, 3), False, None, 0.0, lambda: 0.5, failure_domain=failure_domain)
+        record = replication.EpochRecord(1 << 32 | 1, 1, (1, 2), (1, 2, 3))
+        made._durable = replication.DurableState(record.epoch, record, replication.NO_VERSION, b"", amnesic=False)
         return made
 
     def test_one_that_says_nothing_counts(self) -> None:
         made = self.replica()
         for machine in (1, 2):
-            made.receive(machine, p.Located("z", "r", False, False), 1.0)
+            made.receive(machine, replication.FailureDomainReport("z", "r", False, False), 1.0)
         self.assertTrue(made._observes())
-        made.receive(3, p.Located("z", "r", False, False), 1.0)
+        made.receive(3, replication.FailureDomainReport("z", "r", False, False), 1.0)
         self.assertFalse(made._observes())
 
     def test_a_member_is_believed_for_a_while(self) -> None:
         made = self.replica()
-        made.receive(1, p.Located("z", "r", False, True), 1.0)
+        made.receive(1, replication.FailureDomainReport("z", "r", False, True), 1.0)
         self.assertFalse(made._observes())
-        made.tick(1.0 + LOCATED_FOR + 0.1)
+        made.tick(1.0 + NO_QUORUM_MEMBERS_LIFETIME_SECONDS + 0.1)
         self.assertTrue(made._observes())
 
     def test_one_that_is_no_member_is_not(self) -> None:
         made = self.replica()
-        made.receive(9, p.Located("z", "r", False, True), 1.0)
+        made.receive(9, replication.FailureDomainReport("z", "r", False, True), 1.0)
         self.assertTrue(made._observes())
 
     def test_it_is_told_again_after_a_while_and_not_sooner(self) -> None:
         made = self.replica()
         made.drain()
-        for at, told in ((1.0, 3), (1.0 + LOCATE_GAP - 0.1, 0), (1.0 + LOCATE_GAP, 3)):
+        for at, told in (
+            (1.0, 3),
+            (1.0 + FAILURE_DOMAIN_INTERVAL_SECONDS - 0.1, 0),
+            (1.0 + FAILURE_DOMAIN_INTERVAL_SECONDS, 3),
+        ):
             made.tick(at)
-            sent = [action for action in made.drain() if isinstance(getattr(action, "message", None), p.Located)]
+            sent = [
+                action
+                for action in made.drain()
+                if isinstance(getattr(action, "message", None), replication.FailureDomainReport)
+            ]
             self.assertEqual(len(sent), told, at)
 
     def test_a_machine_that_counts_tells_nothing_until_it_matters(self) -> None:
-        made = p.Replica(1, 1, (1, 2, 3), True, None, 0.0, lambda: 0.5)
+        made = replication.Replica(1, 1, (1, 2, 3), True, None, 0.0, lambda: 0.5)
         for at, matters in ((1.0, False), (2.0, True)):
             if matters:
-                made.receive(2, p.Located("z", "r", False, False), at)
+                made.receive(2, replication.FailureDomainReport("z", "r", False, False), at)
             made.tick(at)
-            sent = [action for action in made.drain() if isinstance(getattr(action, "message", None), p.Located)]
+            sent = [
+                action
+                for action in made.drain()
+                if isinstance(getattr(action, "message", None), replication.FailureDomainReport)
+            ]
             self.assertEqual(bool(sent), matters)
 
 
 class Choice(unittest.TestCase):
     """The pure choice."""
 
-    def places(self, *zones: str) -> dict[int, FailureDomain]:
+    def failure_domains(self, *zones: str) -> dict[int, FailureDomain]:
         """Machine by machine, a region and a zone as two letters."""
         return {number: FailureDomain(zone[1], zone[0]) for number, zone in enumerate(zones, 1)}
 
     def test_what_the_worst_loss_takes(self) -> None:
-        places = self.places("aa", "aa", "ab", "ba", "bb", "ca")
+        failure_domains = self.failure_domains("aa", "aa", "ab", "ba", "bb", "ca")
         for tolerance, taken in (
             (FaultTolerance(), 0),
             (FaultTolerance(2), 2),
@@ -200,56 +215,62 @@
             (FaultTolerance(1, 1, 1), 5),
             (FaultTolerance(0, 0, 3), 6),
         ):
-            self.assertEqual(most_lost(places, places, tolerance), taken, tolerance)
+            self.assertEqual(worst_case_losses(failure_domains, failure_domains, tolerance), taken, tolerance)
 
     def test_without_domains_the_preferred_are_chosen(self) -> None:
         random_source = random.Random(1)
         for _ in range(200):
             machines = random_source.sample(range(2, 12), random_source.randrange(1, 8))
-            places = {machine: FailureDomain(random_source.choice("abc")) for machine in machines}
+            failure_domains = {machine: FailureDomain(random_source.choice("abc")) for machine in machines}
             for f in range(4):
-                chosen = choose_backups(1, machines, places, FaultTolerance(f))
+                chosen = choose_backups(1, machines, failure_domains, FaultTolerance(f))
                 self.assertEqual(chosen, machines[:f])
 
     def test_a_choice_survives_wherever_any_does(self) -> None:
         """Against all choices of machines, for drawn places."""
         random_source = random.Random(2)
         for _ in range(300):
-            places = {
+            failure_domains = {
                 machine: FailureDomain(random_source.choice("abc"), random_source.choice("xy"))
                 for machine in range(1, 7)
             }
             tolerance = FaultTolerance(
                 random_source.randrange(2), random_source.randrange(2), random_source.randrange(2)
             )
-            chosen = choose_backups(1, [2, 3, 4, 5, 6], places, tolerance)
-            left = copies_left([1, *chosen], places, tolerance)
-            self.assertEqual(left > 0, copies_left([*places], places, tolerance) > 0, (places, tolerance))
+            chosen = choose_backups(1, [2, 3, 4, 5, 6], failure_domains, tolerance)
+            left = surviving_replicas([1, *chosen], failure_domains, tolerance)
+            self.assertEqual(
+                left > 0,
+                surviving_replicas([*failure_domains], failure_domains, tolerance) > 0,
+                (failure_domains, tolerance),
+            )
 
     def test_votes_move_to_where_a_loss_leaves_a_majority(self) -> None:
-        places = self.places("aa", "aa", "aa", "ab", "ac")
+        failure_domains = self.failure_domains("aa", "aa", "aa", "ab", "ac")
         tolerance = FaultTolerance(0, 1)
-        witnesses = better_witnesses([1, 2, 3], [4, 5], places, tolerance)
-        self.assertGreater(len({places[witness].zone for witness in witnesses}), 1)
+        witnesses = improved_witnesses([1, 2, 3], [4, 5], failure_domains, tolerance)
+        self.assertGreater(len({failure_domains[witness].zone for witness in witnesses}), 1)
         self.assertGreaterEqual(
-            vote_margin(better_witnesses(witnesses, [4, 5], places, tolerance), places, tolerance), 0
+            vote_margin(improved_witnesses(witnesses, [4, 5], failure_domains, tolerance), failure_domains, tolerance),
+            0,
         )
-        self.assertEqual(better_witnesses([1, 4, 5], [2], places, tolerance), ())
+        self.assertEqual(improved_witnesses([1, 4, 5], [2], failure_domains, tolerance), ())
 
     def test_no_more_votes_than_the_limit(self) -> None:
-        places = {machine: FailureDomain("a", "r") for machine in range(MOST_WITNESSES + 1)}
-        everyone = list(range(MOST_WITNESSES))
-        self.assertEqual(better_witnesses(everyone, [MOST_WITNESSES], places, FaultTolerance(0, 1)), ())
+        failure_domains = {machine: FailureDomain("a", "r") for machine in range(MAX_WITNESSES + 1)}
+        everyone = list(range(MAX_WITNESSES))
+        self.assertEqual(improved_witnesses(everyone, [MAX_WITNESSES], failure_domains, FaultTolerance(0, 1)), ())
         self.assertEqual(
-            len(better_witnesses(everyone[:-1], [MOST_WITNESSES], places, FaultTolerance(0, 1))), MOST_WITNESSES
+            len(improved_witnesses(everyone[:-1], [MAX_WITNESSES], failure_domains, FaultTolerance(0, 1))),
+            MAX_WITNESSES,
         )
 
     def test_what_zones_can_bear(self) -> None:
         three, two = {"a": "r", "b": "r", "c": "r"}, {"a": "r", "b": "r"}
-        self.assertTrue(bearable(FaultTolerance(1, 1), three))
-        self.assertTrue(bearable(FaultTolerance(3), two))
-        self.assertFalse(bearable(FaultTolerance(0, 1), two))
-        self.assertFalse(bearable(FaultTolerance(0, 0, 1), three))
+        self.assertTrue(can_be_tolerated(FaultTolerance(1, 1), three))
+        self.assertTrue(can_be_tolerated(FaultTolerance(3), two))
+        self.assertFalse(can_be_tolerated(FaultTolerance(0, 1), two))
+        self.assertFalse(can_be_tolerated(FaultTolerance(0, 0, 1), three))
 
 
 def takes_part(fleet: Fleet, unit: Unit) -> bool:
--- a/tests/controlplane/replication/test_membership.py
+++ b/tests/controlplane/replication/test_membership.py
@@ -6,9 +6,9 @@
 import trio
 from loguru import logger
 
-from rowanshift.controlplane import replication as p
+from rowanshift.controlplane import replication
 from rowanshift.controlplane.replication.core import ReplicaCore
-from rowanshift.controlplane.replication.redundancy import RedundancyWatch
+from rowanshift.controlplane.replication.redundancy import RedundancyMonitor
 from rowanshift.controlplane.replication.timing import Timing
 from rowanshift.simulation.fleet import Fleet, play
 from tests.controlplane.replication.test_replication import FOURTH, Rig, number, single
@@ -31,7 +31,7 @@
         replica = rig.ledger(machine)
         replica.leave(rig.cluster.now)
         rig.cluster.carry_out_actions(machine)
-        return rig.run(seconds, lambda: replica.released)
+        return rig.run(seconds, lambda: replica.leave_granted)
 
     def end(self, rig: Rig, machine: int) -> None:
         rig.cluster.crash(machine, save_persisted=False)
@@ -73,11 +73,11 @@
         third = next(m for m in (1, 2, 3) if m not in (primary, leaving))
         self.end(rig, third)
         self.leave(rig, leaving)
-        self.assertFalse(rig.ledger(leaving).released)
+        self.assertFalse(rig.ledger(leaving).leave_granted)
         self.assertEqual(rig.commit(), 1)  # it goes on as a backup meanwhile
         rig.start(third)
-        rig.run(2.0, lambda: rig.ledger(leaving).released)
-        self.assertTrue(rig.ledger(leaving).released)
+        rig.run(2.0, lambda: rig.ledger(leaving).leave_granted)
+        self.assertTrue(rig.ledger(leaving).leave_granted)
 
     def test_the_only_copy_is_given_on_before_its_machine_ends(self) -> None:
         rig = Rig(spares=1)
@@ -88,7 +88,7 @@
         leaving = self.backup_of(rig)
         self.end(rig, primary)
         self.leave(rig, leaving, 6.0)
-        self.assertTrue(rig.ledger(leaving).released)
+        self.assertTrue(rig.ledger(leaving).leave_granted)
         self.end(rig, leaving)
         rig.run(4.0, lambda: rig.primary() != 0)
         self.assertEqual(rig.ledger(rig.primary()).committed_state, kept)
@@ -99,7 +99,7 @@
         rig.run(4.0)
         leaving = next(m for m in (1, 2, 3) if m not in rig.ledger(primary).record.in_sync)
         self.leave(rig, leaving, 3.0)
-        self.assertTrue(rig.ledger(leaving).released)
+        self.assertTrue(rig.ledger(leaving).leave_granted)
         self.assertEqual(set(rig.ledger(primary).record.witnesses), {1, 2, 3, FOURTH} - {leaving})
 
     def test_all_in_turn_lose_nothing_and_are_all_released(self) -> None:
@@ -108,7 +108,7 @@
         for machine in (1, 2, 3):
             rig.commit()
             self.leave(rig, machine, 3.0)
-            self.assertTrue(rig.ledger(machine).released, machine)
+            self.assertTrue(rig.ledger(machine).leave_granted, machine)
             self.end(rig, machine)
             rig.run(0.5)
             rig.start(machine)
@@ -119,21 +119,21 @@
         rig = Rig(machines=1, f=0)
         rig.elect()
         self.leave(rig, 1)
-        self.assertTrue(rig.ledger(1).released)
+        self.assertTrue(rig.ledger(1).leave_granted)
 
     def test_an_amnesic_machine_holds_nothing(self) -> None:
         replica = single(bootstrap=False)
         replica.leave(1.0)
-        self.assertTrue(replica.released)
+        self.assertTrue(replica.leave_granted)
 
     def test_a_release_by_an_older_epoch_does_not_count(self) -> None:
         replica = single()
-        replica.receive(3, p.Prepare(number(5, 3)), 1.0)
+        replica.receive(3, replication.Prepare(number(5, 3)), 1.0)
         replica.leave(1.1)
-        replica.receive(2, p.LeaveReply(number(4, 2), True), 1.2)
-        self.assertFalse(replica.released)
-        replica.receive(3, p.LeaveReply(number(5, 3), True), 1.3)
-        self.assertTrue(replica.released)
+        replica.receive(2, replication.LeaveReply(number(4, 2), True), 1.2)
+        self.assertFalse(replica.leave_granted)
+        replica.receive(3, replication.LeaveReply(number(5, 3), True), 1.3)
+        self.assertTrue(replica.leave_granted)
 
 
 class Redundancy(unittest.TestCase):
@@ -141,33 +141,38 @@
         rig = Rig()
         primary = rig.elect()
         replica = rig.ledger(primary)
-        self.assertEqual(replica.redundancy(), p.Redundancy(2, 2, 3, 3, changing=False))
+        self.assertEqual(replica.redundancy(), replication.Redundancy(2, 2, 3, 3, witnesses_changing=False))
         backup = next(m for m in replica.record.in_sync if m != primary)
         rig.cluster.crash(backup, save_persisted=False)
         rig.run(0.65)
-        self.assertFalse(replica.redundancy().full)
+        self.assertFalse(replica.redundancy().is_full)
         rig.run(1.0)
-        self.assertEqual((replica.redundancy().copies, replica.redundancy().witnesses), (2, 2))
+        self.assertEqual((replica.redundancy().replicas, replica.redundancy().witnesses), (2, 2))
         rig.start(backup)
         rig.run(0.5)
-        self.assertTrue(replica.redundancy().full)
+        self.assertTrue(replica.redundancy().is_full)
 
     def test_a_backup_is_no_machine(self) -> None:
-        self.assertEqual(single().redundancy().copies_wanted, 0)
+        self.assertEqual(single().redundancy().replicas_wanted, 0)
 
     def test_the_watch_tells_changes_and_how_long_any_were_lacking(self) -> None:
-        full, lacking = p.Redundancy(2, 2, 3, 3, changing=False), p.Redundancy(2, 2, 2, 3, changing=False)
-        watch = RedundancyWatch(10.0)
-        self.assertEqual(watch.observe(full, 10.5).until_full_s, 0.5)
+        full, lacking = (
+            replication.Redundancy(2, 2, 3, 3, witnesses_changing=False),
+            replication.Redundancy(2, 2, 2, 3, witnesses_changing=False),
+        )
+        watch = RedundancyMonitor(10.0)
+        self.assertEqual(watch.observe(full, 10.5).seconds_until_full, 0.5)
         self.assertIsNone(watch.observe(full, 11.0))
-        self.assertEqual(watch.lacking_for(11.0), 0.0)
-        self.assertIsNone(watch.observe(lacking, 12.0).until_full_s)
-        self.assertIsNone(watch.observe(p.Redundancy(1, 2, 2, 3, changing=False), 12.5).until_full_s)
-        self.assertEqual(watch.lacking_for(13.0), 1.0)
-        self.assertEqual(watch.observe(full, 14.0).until_full_s, 2.0)
+        self.assertEqual(watch.reduced_for_seconds(11.0), 0.0)
+        self.assertIsNone(watch.observe(lacking, 12.0).seconds_until_full)
+        self.assertIsNone(
+            watch.observe(replication.Redundancy(1, 2, 2, 3, witnesses_changing=False), 12.5).seconds_until_full
+        )
+        self.assertEqual(watch.reduced_for_seconds(13.0), 1.0)
+        self.assertEqual(watch.observe(full, 14.0).seconds_until_full, 2.0)
 
     def test_a_change_of_witnesses_under_way_is_not_full(self) -> None:
-        self.assertFalse(p.Redundancy(2, 2, 3, 3, changing=True).full)
+        self.assertFalse(replication.Redundancy(2, 2, 3, 3, witnesses_changing=True).is_full)
 
 
 class FirstStart(unittest.TestCase):
@@ -197,7 +202,7 @@
 def full(fleet: Fleet) -> bool:
     """Whether the primary that holds the lease sees all copies and witnesses that are wanted."""
     hosts = [unit.program.replica_runner for unit in fleet.cores if unit.machine.running and unit.program is not None]
-    return any(host is not None and host.lease_remaining() and host.replica.redundancy().full for host in hosts)
+    return any(host is not None and host.lease_remaining() and host.replica.redundancy().is_full for host in hosts)
 
 
 class RepairTime(unittest.TestCase):
@@ -246,7 +251,7 @@
         self.assertLess(self.repaired_after("terminate", "primary"), 3.0)
 
     def test_a_recovery_that_waits_too_long_is_found(self) -> None:
-        late = Timing(recovery_wait=4.0)
+        late = Timing(recovery_delay_seconds=4.0)
         with mock.patch.object(ReplicaCore.__init__, "__defaults__", (0.0, late)):
             self.assertGreater(self.repaired_after("empty_disk", "backup", seeds=range(1)), 3.0)
 
--- a/tests/controlplane/replication/test_replication.py
+++ b/tests/controlplane/replication/test_replication.py
@@ -5,9 +5,9 @@
 import unittest
 from collections.abc import Callable
 
-from rowanshift.controlplane import replication as p
+from rowanshift.controlplane import replication
 from rowanshift.controlplane.replication import timing
-from rowanshift.controlplane.replication.timing import BLOCK, PRE_VOTE_RETRY
+from rowanshift.controlplane.replication.timing import LEASE_GUARD_SECONDS, PRE_VOTE_RETRY_SECONDS
 from rowanshift.modelcheck.breadth_first_search import search_breadth_first
 from rowanshift.modelcheck.cluster_model import ClusterModel, MachineModel, fixed_random
 from rowanshift.modelcheck.fault_search import find_fault
@@ -17,35 +17,44 @@
 ME, OTHER, THIRD, FOURTH = 1, 2, 3, 4
 
 
-def never(sender: int, to: int, message: p.Message) -> bool:
+def never(sender: int, to: int, message: replication.Message) -> bool:
     return False
 
 
 class Rig:
     """Machines whose messages arrive at once and whose saves land at once, unless a test says otherwise."""
 
-    def __init__(self, machines: int = 3, f: int = 1, spares: int = 0, duty_wait: float = 0.0) -> None:
+    def __init__(self, machines: int = 3, f: int = 1, spares: int = 0, singleton_task_delay: float = 0.0) -> None:
         seeds = tuple(range(1, machines + 1))
         self.cluster = ClusterModel({}, f, seeds)
-        self.duty_wait = duty_wait
-        self.drop: Callable[[int, int, p.Message], bool] = never
+        self.singleton_task_delay = singleton_task_delay
+        self.drop: Callable[[int, int, replication.Message], bool] = never
         self.stuck: set[int] = set()  # machines whose saves don't land
         self.paused: set[int] = set()
-        self.events: list[tuple[float, int, p.Action]] = []
+        self.events: list[tuple[float, int, replication.Action]] = []
         for me in range(1, machines + spares + 1):
             self.cluster.machines[me] = MachineModel(None)
             self.start(me, bootstrap=me <= machines)
 
     def start(self, me: int, bootstrap: bool = False) -> None:
         machine, cluster = self.cluster.machines[me], self.cluster
-        ledger = p.Replica(
-            me, cluster.max_failures, cluster.seeds, bootstrap, machine.disk, cluster.now, fixed_random, self.duty_wait
+        ledger = replication.Replica(
+            me,
+            cluster.max_failures,
+            cluster.seeds,
+            bootstrap,
+            machine.disk,
+            cluster.now,
+            fixed_random,
+            self.singleton_task_delay,
         )
         drain = ledger.drain
 
-        def noted() -> list[p.Action]:
+        def noted() -> list[replication.Action]:
             actions = drain()
-            self.events += [(cluster.now, me, a) for a in actions if not isinstance(a, p.Send | p.Save)]
+            self.events += [
+                (cluster.now, me, a) for a in actions if not isinstance(a, replication.Send | replication.Save)
+            ]
             return actions
 
         ledger.drain = noted
@@ -82,13 +91,13 @@
             self.settle()
         return self.cluster.now - began
 
-    def ledger(self, me: int) -> p.Replica:
+    def ledger(self, me: int) -> replication.Replica:
         return self.cluster.machines[me].replica
 
     def primary(self) -> int:
         """The machine that is primary by the highest number, or 0."""
         found = [
-            (h.replica.record.number, me)
+            (h.replica.record.epoch, me)
             for me, h in self.cluster.machines.items()
             if h.replica is not None and h.replica.is_primary
         ]
@@ -105,19 +114,21 @@
         self.settle()
         return self.cluster.commit_count
 
-    def of(self, kind: type) -> list[tuple[float, int, p.Action]]:
+    def of(self, kind: type) -> list[tuple[float, int, replication.Action]]:
         return [event for event in self.events if isinstance(event[2], kind)]
 
 
-def answers(ledger: p.Replica) -> list[p.Message]:
-    return [action.message for action in ledger.drain() if isinstance(action, p.Send)]
+def answers(ledger: replication.Replica) -> list[replication.Message]:
+    return [action.message for action in ledger.drain() if isinstance(action, replication.Send)]
 
 
-def single(durable: p.DurableState | None = None, bootstrap: bool = True, now: float = 0.0) -> p.Replica:
+def single(
+    durable: replication.DurableState | None = None, bootstrap: bool = True, now: float = 0.0
+) -> replication.Replica:
     """One machine of three, its first save landed."""
-    ledger = p.Replica(ME, 1, (ME, OTHER, THIRD), bootstrap, durable, now, fixed_random)
+    ledger = replication.Replica(ME, 1, (ME, OTHER, THIRD), bootstrap, durable, now, fixed_random)
     for action in ledger.drain():
-        if isinstance(action, p.Save):
+        if isinstance(action, replication.Save):
             ledger.saved(action.token, now)
     return ledger
 
@@ -126,14 +137,14 @@
     return round_ << 32 | machine
 
 
-RECORD = p.EpochRecord(number(1, OTHER), OTHER, (ME, OTHER), (ME, OTHER, THIRD))
-HELD = p.DurableState(RECORD.number, RECORD, p.StateVersion(RECORD.number, 3), b"abcd", False)
+RECORD = replication.EpochRecord(number(1, OTHER), OTHER, (ME, OTHER), (ME, OTHER, THIRD))
+HELD = replication.DurableState(RECORD.epoch, RECORD, replication.StateVersion(RECORD.epoch, 3), b"abcd", False)
 
 
 class Saves(unittest.TestCase):
     def test_a_promise_is_sent_only_once_it_is_saved(self):
         ledger = single()
-        ledger.receive(OTHER, p.Prepare(number(1, OTHER)), 1.0)
+        ledger.receive(OTHER, replication.Prepare(number(1, OTHER)), 1.0)
         save, *more = ledger.drain()
         self.assertEqual(([], number(1, OTHER)), (more, save.durable.promised))
         ledger.saved(save.token, 1.1)
@@ -141,115 +152,126 @@
 
     def test_one_save_is_outstanding_and_later_ones_go_together(self):
         ledger = single()
-        ledger.receive(OTHER, p.Prepare(number(1, OTHER)), 1.0)
+        ledger.receive(OTHER, replication.Prepare(number(1, OTHER)), 1.0)
         first = ledger.drain()[0]
-        ledger.receive(THIRD, p.Prepare(number(2, THIRD)), 1.0)
-        ledger.receive(THIRD, p.Store(number(2, THIRD), p.StateVersion(number(2, THIRD), 0), b"abcd"), 1.0)
+        ledger.receive(THIRD, replication.Prepare(number(2, THIRD)), 1.0)
+        ledger.receive(
+            THIRD, replication.Store(number(2, THIRD), replication.StateVersion(number(2, THIRD), 0), b"abcd"), 1.0
+        )
         self.assertEqual([], ledger.drain())
         ledger.saved(first.token, 1.1)
         sent, second = ledger.drain()
         self.assertEqual((OTHER, b"abcd"), (sent.to, second.durable.state))
         ledger.saved(second.token, 1.2)
-        self.assertEqual([p.Promised, p.Stored], [type(m) for m in answers(ledger)])
+        self.assertEqual([replication.PrepareReply, replication.StoreReply], [type(m) for m in answers(ledger)])
 
     def test_nothing_is_answered_after_a_failed_save(self):
         ledger = single()
-        ledger.receive(OTHER, p.Prepare(number(1, OTHER)), 1.0)
+        ledger.receive(OTHER, replication.Prepare(number(1, OTHER)), 1.0)
         ledger.save_failed(ledger.drain()[0].token, 1.1)
         ledger.tick(1.2)
-        self.assertEqual([], [m for m in answers(ledger) if isinstance(m, p.Promised)])
-        ledger.receive(THIRD, p.Prepare(number(0, THIRD)), 1.2)
+        self.assertEqual([], [m for m in answers(ledger) if isinstance(m, replication.PrepareReply)])
+        ledger.receive(THIRD, replication.Prepare(number(0, THIRD)), 1.2)
         self.assertEqual([False], [m.ok for m in answers(ledger)])  # the promise may have reached the disk
 
     def test_a_record_not_yet_saved_is_not_shown(self):
         ledger = single()
-        ledger.receive(OTHER, p.Heartbeat(RECORD.number, 1, RECORD), 1.0)
-        self.assertEqual(0, ledger.record.number)
+        ledger.receive(OTHER, replication.Heartbeat(RECORD.epoch, 1, RECORD), 1.0)
+        self.assertEqual(0, ledger.record.epoch)
         ledger.saved(ledger.drain()[0].token, 1.1)
         self.assertEqual(RECORD, ledger.record)
-        self.assertEqual([p.HeartbeatReply], [type(m) for m in answers(ledger)])
+        self.assertEqual([replication.HeartbeatReply], [type(m) for m in answers(ledger)])
 
     def test_a_durable_wins_over_bootstrap(self):
         self.assertEqual(RECORD, single(HELD, bootstrap=True).record)
 
 
 class Witness(unittest.TestCase):
-    def ask(self, ledger: p.Replica, message: p.Message, now: float, sender: int = THIRD) -> p.Message:
+    def ask(
+        self, ledger: replication.Replica, message: replication.Message, now: float, sender: int = THIRD
+    ) -> replication.Message:
         ledger.receive(sender, message, now)
         actions = ledger.drain()
         for action in actions:
-            if isinstance(action, p.Save):
+            if isinstance(action, replication.Save):
                 ledger.saved(action.token, now)
-        found = [a.message for a in (*actions, *ledger.drain()) if isinstance(a, p.Send) and a.to == sender]
+        found = [a.message for a in (*actions, *ledger.drain()) if isinstance(a, replication.Send) and a.to == sender]
         return found[-1] if found else None
 
     def test_it_promises_no_lower_number(self):
         ledger = single()
-        self.assertTrue(self.ask(ledger, p.Prepare(number(2, THIRD)), 1.0).ok)
-        self.assertTrue(self.ask(ledger, p.Prepare(number(2, THIRD)), 1.0).ok)
-        self.assertFalse(self.ask(ledger, p.Prepare(number(1, THIRD)), 1.0).ok)
+        self.assertTrue(self.ask(ledger, replication.Prepare(number(2, THIRD)), 1.0).ok)
+        self.assertTrue(self.ask(ledger, replication.Prepare(number(2, THIRD)), 1.0).ok)
+        self.assertFalse(self.ask(ledger, replication.Prepare(number(1, THIRD)), 1.0).ok)
 
     def test_below_its_promise_it_neither_accepts_nor_stores_nor_confirms(self):
         ledger = single(HELD)
         high = number(2, THIRD)
-        self.assertTrue(self.ask(ledger, p.Prepare(high), 10.0).ok)
-        low = RECORD.number
-        store = p.Store(low, p.StateVersion(low, 4), b"abcdefgh")
-        for message in (p.Accept(low, RECORD), store, p.Heartbeat(low, 9, RECORD)):
+        self.assertTrue(self.ask(ledger, replication.Prepare(high), 10.0).ok)
+        low = RECORD.epoch
+        store = replication.Store(low, replication.StateVersion(low, 4), b"abcdefgh")
+        for message in (replication.Accept(low, RECORD), store, replication.Heartbeat(low, 9, RECORD)):
             answer = self.ask(ledger, message, 10.0, OTHER)
             self.assertEqual((False, high), (answer.ok, answer.promised))
 
     def test_it_promises_to_no_other_while_a_lease_may_be_held(self):
         ledger = single(HELD)
-        self.assertTrue(self.ask(ledger, p.Heartbeat(RECORD.number, 1, RECORD), 10.0, OTHER).ok)
-        late = 10.0 + timing.BLOCK - 0.01
-        self.assertFalse(self.ask(ledger, p.PreVote(number(2, THIRD)), late).ok)
-        self.assertFalse(self.ask(ledger, p.Prepare(number(2, THIRD)), late).ok)
-        self.assertTrue(self.ask(ledger, p.Prepare(number(2, OTHER)), late, OTHER).ok)  # the holder itself
-        self.assertTrue(self.ask(ledger, p.Prepare(number(3, THIRD)), 10.0 + timing.BLOCK).ok)
+        self.assertTrue(self.ask(ledger, replication.Heartbeat(RECORD.epoch, 1, RECORD), 10.0, OTHER).ok)
+        late = 10.0 + timing.LEASE_GUARD_SECONDS - 0.01
+        self.assertFalse(self.ask(ledger, replication.PreVote(number(2, THIRD)), late).ok)
+        self.assertFalse(self.ask(ledger, replication.Prepare(number(2, THIRD)), late).ok)
+        self.assertTrue(self.ask(ledger, replication.Prepare(number(2, OTHER)), late, OTHER).ok)  # the holder itself
+        self.assertTrue(self.ask(ledger, replication.Prepare(number(3, THIRD)), 10.0 + timing.LEASE_GUARD_SECONDS).ok)
 
     def test_it_waits_after_its_own_start(self):
         ledger = single(HELD, now=100.0)
-        self.assertFalse(self.ask(ledger, p.Prepare(number(2, THIRD)), 100.0 + timing.BLOCK - 0.01).ok)
-        self.assertTrue(self.ask(ledger, p.Prepare(number(2, THIRD)), 100.0 + timing.BLOCK).ok)
+        self.assertFalse(
+            self.ask(ledger, replication.Prepare(number(2, THIRD)), 100.0 + timing.LEASE_GUARD_SECONDS - 0.01).ok
+        )
+        self.assertTrue(self.ask(ledger, replication.Prepare(number(2, THIRD)), 100.0 + timing.LEASE_GUARD_SECONDS).ok)
 
     def test_a_primary_that_hands_over_gives_up_its_lease(self):
         ledger = single(HELD)
-        self.ask(ledger, p.Heartbeat(RECORD.number, 1, RECORD), 10.0, OTHER)
-        self.ask(ledger, p.TransferLeadership(RECORD.number - 1), 10.0, OTHER)
-        self.assertFalse(self.ask(ledger, p.Prepare(number(2, THIRD)), 10.1).ok)
-        self.ask(ledger, p.TransferLeadership(RECORD.number), 10.1, OTHER)
-        self.assertTrue(self.ask(ledger, p.Prepare(number(2, THIRD)), 10.2).ok)
+        self.ask(ledger, replication.Heartbeat(RECORD.epoch, 1, RECORD), 10.0, OTHER)
+        self.ask(ledger, replication.TransferLeadership(RECORD.epoch - 1), 10.0, OTHER)
+        self.assertFalse(self.ask(ledger, replication.Prepare(number(2, THIRD)), 10.1).ok)
+        self.ask(ledger, replication.TransferLeadership(RECORD.epoch), 10.1, OTHER)
+        self.assertTrue(self.ask(ledger, replication.Prepare(number(2, THIRD)), 10.2).ok)
 
     def test_a_forgotten_one_takes_part_in_nothing(self):
         ledger = single(bootstrap=False)
         high = number(9, THIRD)
-        record = p.EpochRecord(high, THIRD, (ME, THIRD), (ME, OTHER, THIRD))
+        record = replication.EpochRecord(high, THIRD, (ME, THIRD), (ME, OTHER, THIRD))
+        store = replication.Store(high, replication.StateVersion(high, 0), b"")
         for message in (
-            p.PreVote(high), p.Prepare(high), p.Store(high, p.StateVersion(high, 0), b""), p.Accept(high, record),
-            p.Heartbeat(high, 1, record), p.TransferLeadership(high),
-        ):  # fmt: skip
+            replication.PreVote(high),
+            replication.Prepare(high),
+            store,
+            replication.Accept(high, record),
+            replication.Heartbeat(high, 1, record),
+            replication.TransferLeadership(high),
+        ):
             self.assertIsNone(self.ask(ledger, message, 1.0), message)
         self.assertTrue(ledger.is_amnesic)
 
-    def recalled(self, ledger: p.Replica, now: float) -> int:
+    def recalled(self, ledger: replication.Replica, now: float) -> int:
         """Tick; the serial it asks with, or 0."""
         ledger.tick(now)
-        return next((m.serial for m in answers(ledger) if isinstance(m, p.RecoveryRequest)), 0)
+        return next((m.serial for m in answers(ledger) if isinstance(m, replication.RecoveryRequest)), 0)
 
     def test_it_remembers_once_two_of_three_others_answered(self):
         ledger = single(bootstrap=False)
-        self.assertEqual(0, self.recalled(ledger, timing.RECOVERY_WAIT - 0.1))
-        serial = self.recalled(ledger, timing.RECOVERY_WAIT)
-        self.ask(ledger, p.RecoveryReply(serial, number(4, THIRD), RECORD, False), 3.0, OTHER)
-        self.ask(ledger, p.RecoveryReply(serial, number(4, THIRD), RECORD, False), 3.0, OTHER)
-        self.ask(ledger, p.RecoveryReply(serial + 1, number(4, THIRD), RECORD, False), 3.0, THIRD)
-        self.ask(ledger, p.RecoveryReply(serial, number(4, THIRD), RECORD, True), 3.0, THIRD)
+        self.assertEqual(0, self.recalled(ledger, timing.RECOVERY_DELAY_SECONDS - 0.1))
+        serial = self.recalled(ledger, timing.RECOVERY_DELAY_SECONDS)
+        self.ask(ledger, replication.RecoveryReply(serial, number(4, THIRD), RECORD, False), 3.0, OTHER)
+        self.ask(ledger, replication.RecoveryReply(serial, number(4, THIRD), RECORD, False), 3.0, OTHER)
+        self.ask(ledger, replication.RecoveryReply(serial + 1, number(4, THIRD), RECORD, False), 3.0, THIRD)
+        self.ask(ledger, replication.RecoveryReply(serial, number(4, THIRD), RECORD, True), 3.0, THIRD)
         self.assertTrue(ledger.is_amnesic)
-        self.ask(ledger, p.RecoveryReply(serial, number(5, THIRD), p.NO_RECORD, False), 3.0, THIRD)
+        self.ask(ledger, replication.RecoveryReply(serial, number(5, THIRD), replication.NO_RECORD, False), 3.0, THIRD)
         self.assertFalse(ledger.is_amnesic)
-        self.assertFalse(self.ask(ledger, p.Prepare(number(4, OTHER)), 9.0, OTHER).ok)
-        self.assertEqual(RECORD, self.ask(ledger, p.Prepare(number(6, OTHER)), 9.0, OTHER).accepted)
+        self.assertFalse(self.ask(ledger, replication.Prepare(number(4, OTHER)), 9.0, OTHER).ok)
+        self.assertEqual(RECORD, self.ask(ledger, replication.Prepare(number(6, OTHER)), 9.0, OTHER).accepted)
 
 
 class Office(unittest.TestCase):
@@ -259,7 +281,7 @@
         self.assertEqual(1, rig.commit())
         rig.cluster.read(primary)
         rig.settle()
-        self.assertEqual(1, len(rig.of(p.ReadConfirmed)))
+        self.assertEqual(1, len(rig.of(replication.ReadConfirmed)))
         self.assertEqual(2, len(rig.ledger(primary).record.in_sync))
         now = rig.cluster.now
         self.assertGreater(rig.ledger(primary).lease_until(now), now)
@@ -268,10 +290,10 @@
         rig = Rig(machines=1, f=0)
         rig.elect()
         rig.cluster.read(1)
-        self.assertEqual((1, 1), (rig.commit(), len(rig.of(p.ReadConfirmed))))
+        self.assertEqual((1, 1), (rig.commit(), len(rig.of(replication.ReadConfirmed))))
 
     def test_a_takeover_keeps_what_was_committed(self):
-        rig = Rig(duty_wait=4.0)
+        rig = Rig(singleton_task_delay=4.0)
         first = rig.elect()
         rig.commit()
         kept = rig.ledger(first).committed_state
@@ -280,7 +302,7 @@
         self.assertLess(took, 2.0)
         second = rig.ledger(rig.primary())
         self.assertEqual(kept, second.committed_state)
-        self.assertAlmostEqual(rig.cluster.now + 4.0, second.duty_from, delta=0.01)
+        self.assertAlmostEqual(rig.cluster.now + 4.0, second.singleton_tasks_from, delta=0.01)
         self.assertEqual(2, rig.commit())
 
     def test_an_old_primary_confirms_no_read_after_a_takeover(self):
@@ -302,15 +324,15 @@
         token = rig.cluster.last_token
         rig.run(2)
         self.assertFalse(rig.ledger(first).is_primary)
-        self.assertEqual([], [e for e in rig.of(p.ReadConfirmed) if e[1] == first])
-        self.assertEqual([token], [e[2].token for e in rig.of(p.Failed)])
-        self.assertEqual([token - 1], [e[2].token for e in rig.of(p.ReadFailed)])
+        self.assertEqual([], [e for e in rig.of(replication.ReadConfirmed) if e[1] == first])
+        self.assertEqual([token], [e[2].token for e in rig.of(replication.ProposalFailed)])
+        self.assertEqual([token - 1], [e[2].token for e in rig.of(replication.ReadFailed)])
 
     def test_a_primary_without_a_majority_gives_up(self):
         rig = Rig()
         first = rig.elect()
         rig.drop = lambda sender, to, message: first in (sender, to)
-        rig.run(timing.LAPSE + 0.3)
+        rig.run(timing.QUORUM_LOSS_SECONDS + 0.3)
         self.assertFalse(rig.ledger(first).is_primary)
 
     def test_a_silent_backup_is_replaced_and_the_proposal_goes_through(self):
@@ -323,9 +345,9 @@
         rig.run(1.5, lambda: rig.cluster.commit_count == 1)
         self.assertEqual(1, rig.cluster.commit_count)
         after = rig.ledger(primary).record
-        self.assertGreater(after.number, record.number)
+        self.assertGreater(after.epoch, record.epoch)
         self.assertNotIn(backup, after.in_sync)
-        self.assertEqual(1, len(rig.of(p.Became)))  # primary all the while
+        self.assertEqual(1, len(rig.of(replication.RoleChanged)))  # primary all the while
 
     def test_a_backup_with_a_slow_disk_is_replaced(self):
         rig = Rig()
@@ -354,8 +376,8 @@
         rig.stuck = {first}
         rig.commit()
         rig.cluster.complete_save(first, succeeded=False)
-        self.assertEqual([False], [e[2].primary for e in rig.of(p.Became)][1:])
-        self.assertEqual(1, len(rig.of(p.Failed)))
+        self.assertEqual([False], [e[2].primary for e in rig.of(replication.RoleChanged)][1:])
+        self.assertEqual(1, len(rig.of(replication.ProposalFailed)))
         rig.run(1.0, lambda: bool(rig.primary()))
         self.assertNotIn(rig.primary(), (0, first))
 
@@ -366,7 +388,7 @@
         rig.commit()
         took = rig.run(4, lambda: rig.primary() not in (0, first))
         self.assertNotIn(rig.primary(), (0, first))
-        self.assertLess(took, timing.SLOW_SAVE + 0.6)
+        self.assertLess(took, timing.SLOW_SAVE_SECONDS + 0.6)
 
     def test_a_lost_disk_is_made_good(self):
         rig = Rig()
@@ -389,7 +411,9 @@
         record = rig.ledger(primary).record
         backup = next(m for m in record.in_sync if m != primary)
         rig.cluster.crash(backup, save_persisted=False)
-        rig.cluster.machines[backup].disk = p.DurableState(record.number, record, p.NO_VERSION, b"", False)
+        rig.cluster.machines[backup].disk = replication.DurableState(
+            record.epoch, record, replication.NO_VERSION, b"", False
+        )
         rig.start(backup)
         rig.run(0.5)
         self.assertEqual(record, rig.ledger(primary).record)
@@ -410,9 +434,9 @@
         self.assertEqual(record.witnesses, rig.ledger(gone).record.witnesses)
 
     def test_a_change_of_witnesses_wants_a_majority_of_both_sets(self):
-        candidacy = p.Candidacy(
+        candidacy = replication.Candidacy(
             number(5, ME), True, "accept", 0.0, 0.0, 0.0, base=RECORD,
-            record=p.EpochRecord(number(5, ME), ME, (ME, OTHER), (ME, OTHER, FOURTH), (ME, OTHER, THIRD)),
+            record=replication.EpochRecord(number(5, ME), ME, (ME, OTHER), (ME, OTHER, FOURTH), (ME, OTHER, THIRD)),
         )  # fmt: skip
         sets = single()._deciding(candidacy)
         self.assertEqual({(ME, OTHER, THIRD), (ME, OTHER, FOURTH)}, set(sets))
@@ -421,15 +445,15 @@
         rig = Rig()
         primary = rig.elect()
         other = next(m for m in (1, 2, 3) if m != primary)
-        with self.assertRaises(p.NotPrimary) as caught:
+        with self.assertRaises(replication.NotPrimary) as caught:
             rig.ledger(other).propose(1, b"", rig.cluster.now)
         self.assertEqual(primary, caught.exception.hint)
-        with self.assertRaises(p.NotPrimary):
+        with self.assertRaises(replication.NotPrimary):
             rig.ledger(other).confirm_read(1, rig.cluster.now)
-        with self.assertRaises(p.StateTooLarge):
-            rig.ledger(primary).propose(1, bytes(p.STATE_LIMIT + 1), rig.cluster.now)
+        with self.assertRaises(replication.StateTooLarge):
+            rig.ledger(primary).propose(1, bytes(replication.STATE_LIMIT_BYTES + 1), rig.cluster.now)
         rig.ledger(primary).propose(1, b"aaaa", rig.cluster.now)
-        with self.assertRaises(p.Busy):
+        with self.assertRaises(replication.ProposalInProgress):
             rig.ledger(primary).propose(2, b"bbbb", rig.cluster.now)
         self.assertEqual(b"", rig.ledger(primary).committed_state)
 
@@ -454,7 +478,7 @@
         self.assertEqual(rig.ledger(former)._candidacy.phase, "pre-vote")
         for me in {1, 2, 3} - {former}:
             rig.start(me)
-        self.assertLessEqual(rig.run(1.0, lambda: rig.primary() == former), 2 * PRE_VOTE_RETRY)
+        self.assertLessEqual(rig.run(1.0, lambda: rig.primary() == former), 2 * PRE_VOTE_RETRY_SECONDS)
 
     def test_only_the_former_primary_goes_on_at_once(self):
         rig = Rig()
@@ -464,7 +488,7 @@
             rig.cluster.crash(me, save_persisted=False)
         for me in others:
             rig.start(me)
-        self.assertGreaterEqual(rig.run(3.0, lambda: rig.primary() != 0), BLOCK)
+        self.assertGreaterEqual(rig.run(3.0, lambda: rig.primary() != 0), LEASE_GUARD_SECONDS)
 
     def test_walks_of_three(self):
         self.walk(range(1000, 1020), 3, 1, 0)
--- a/tests/controlplane/replication/test_state_delta.py
+++ b/tests/controlplane/replication/test_state_delta.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from rowanshift.controlplane import replication as p
+from rowanshift.controlplane import replication
 from rowanshift.modelcheck.cluster_model import Envelope, fixed_random
 from rowanshift.modelcheck.implementations import Implementations
 from rowanshift.modelcheck.random_walk import RandomWalk
@@ -14,20 +14,20 @@
 
 
 def state(changed: int) -> bytes:
-    """A state over DELTA_FROM whose row in the middle names the change."""
+    """A state over DELTA_MIN_STATE_BYTES whose row in the middle names the change."""
     rows = [ROW % n for n in range(ROWS)]
     rows[ROWS // 2] = ROW % changed
     return b"".join(rows)
 
 
-class AlwaysByDelta(p.Replica):
+class AlwaysByDelta(replication.Replica):
     """States of the model checker only grow: a difference is the state before and what was appended."""
 
-    def _delta_of(self, proposal: p.Proposal) -> p.StoreDelta | None:
+    def _delta_of(self, proposal: replication.Proposal) -> replication.StoreDelta | None:
         base = self.committed_state
         appended = proposal.state[len(base) :]
         delta = OPERATION.pack(COPY, 0, len(base)) + OPERATION.pack(LITERAL, 0, len(appended)) + appended
-        return p.StoreDelta(self._epoch.number, proposal.version, self.committed_version, delta)
+        return replication.StoreDelta(self._own_record.epoch, proposal.version, self.committed_version, delta)
 
 
 class Backups(unittest.TestCase):
@@ -35,8 +35,8 @@
         """Types of the Stores that go out from now on, as they do."""
         kinds: list[type] = []
 
-        def note(sender: int, to: int, message: p.Message) -> bool:
-            if isinstance(message, p.Store | p.StoreDelta):
+        def note(sender: int, to: int, message: replication.Message) -> bool:
+            if isinstance(message, replication.Store | replication.StoreDelta):
                 kinds.append(type(message))
             return False
 
@@ -52,10 +52,10 @@
             self.carry(rig, primary, action)
         rig.run(0.05)
 
-    def carry(self, rig: Rig, me: int, action: p.Action) -> None:
-        if isinstance(action, p.Send):
+    def carry(self, rig: Rig, me: int, action: replication.Action) -> None:
+        if isinstance(action, replication.Send):
             rig.cluster.in_flight.append(Envelope(me, action.to, action.message))
-        elif isinstance(action, p.Save):
+        elif isinstance(action, replication.Save):
             rig.cluster.machines[me].pending_save = action
 
     def backup(self, rig: Rig) -> int:
@@ -69,10 +69,10 @@
         rig.elect()
         kinds = self.sent(rig)
         self.propose(rig, state(90001))
-        self.assertEqual(set(kinds), {p.Store})
+        self.assertEqual(set(kinds), {replication.Store})
         kinds.clear()
         self.propose(rig, state(90002))
-        self.assertEqual(kinds, [p.StoreDelta])
+        self.assertEqual(kinds, [replication.StoreDelta])
         for member in rig.ledger(rig.primary()).record.in_sync:
             self.assertEqual(rig.cluster.machines[member].disk.state, state(90002))
 
@@ -81,7 +81,7 @@
         rig.cluster.invariants.check_commit = lambda *_: None
         rig.elect()
         self.propose(rig, state(90001))
-        rig.drop = lambda sender, to, message: isinstance(message, p.StoreDelta)
+        rig.drop = lambda sender, to, message: isinstance(message, replication.StoreDelta)
         self.propose(rig, state(90002))
         self.assertEqual(rig.cluster.machines[self.backup(rig)].disk.state, state(90001))
         rig.run(0.3)
@@ -95,7 +95,7 @@
         kinds = self.sent(rig)
         for made in (b"small", b"smaller", state(90001), bytes(100_000), state(90002)):
             self.propose(rig, made)
-        self.assertEqual(set(kinds), {p.Store})
+        self.assertEqual(set(kinds), {replication.Store})
 
     def test_one_to_another_state_than_is_held_is_left_and_not_answered(self) -> None:
         """The walks don't come to it: a backup that lost its disk is replaced before it may answer again."""
@@ -105,12 +105,12 @@
         self.propose(rig, state(90001))
         replica, primary = rig.ledger(self.backup(rig)), rig.primary()
         held = replica._durable
-        base = p.StateVersion(held.version.epoch, held.version.sequence + 1)
-        version = p.StateVersion(held.version.epoch, held.version.sequence + 2)
+        base = replication.StateVersion(held.version.epoch, held.version.sequence + 1)
+        version = replication.StateVersion(held.version.epoch, held.version.sequence + 2)
         delta = OPERATION.pack(COPY, 0, 10)
-        replica.receive(primary, p.StoreDelta(held.version.epoch, version, base, delta), rig.cluster.now)
+        replica.receive(primary, replication.StoreDelta(held.version.epoch, version, base, delta), rig.cluster.now)
         self.assertEqual((replica.drain(), replica._durable), ([], held))
-        replica.receive(primary, p.StoreDelta(held.version.epoch, base, held.version, delta), rig.cluster.now)
+        replica.receive(primary, replication.StoreDelta(held.version.epoch, base, held.version, delta), rig.cluster.now)
         self.assertEqual(replica._durable.state, state(90001)[:10])
 
     def test_below_its_promise_none_is_taken(self) -> None:
@@ -119,32 +119,40 @@
         rig.elect()
         self.propose(rig, state(90001))
         replica = rig.ledger(self.backup(rig))
-        version = p.StateVersion(0, 5)
-        replica.receive(rig.primary(), p.StoreDelta(0, version, replica._durable.version, b""), rig.cluster.now)
-        answers = [a.message for a in replica.drain() if isinstance(a, p.Send)]
-        self.assertEqual([(type(m), m.ok) for m in answers], [(p.Stored, False)])
+        version = replication.StateVersion(0, 5)
+        replica.receive(
+            rig.primary(), replication.StoreDelta(0, version, replica._durable.version, b""), rig.cluster.now
+        )
+        answers = [a.message for a in replica.drain() if isinstance(a, replication.Send)]
+        self.assertEqual([(type(m), m.ok) for m in answers], [(replication.StoreReply, False)])
 
 
-class AppliesToAnyBase(p.Replica):
+class AppliesToAnyBase(replication.Replica):
     """Planted: a backup takes a difference to a state that it doesn't hold."""
 
-    def _on_store_delta(self, sender: int, message: p.StoreDelta) -> None:
+    def _on_store_delta(self, sender: int, message: replication.StoreDelta) -> None:
         held = self._durable.version
-        super()._on_store_delta(sender, p.StoreDelta(message.number, message.version, held, message.delta))
+        super()._on_store_delta(sender, replication.StoreDelta(message.epoch, message.version, held, message.delta))
 
 
 class AnotherBase(unittest.TestCase):
-    def state_after(self, replica_class: type[p.Replica]) -> bytes:
+    def state_after(self, replica_class: type[replication.Replica]) -> bytes:
         """What a backup holds after a difference to a version that it never stored."""
         epoch = 1 << 32 | 2
         replica = replica_class(1, 1, (1, 2, 3), True, None, 0.0, fixed_random)
-        replica.receive(2, p.Store(epoch, p.StateVersion(epoch, 1), state(1)), 1.0)
+        replica.receive(2, replication.Store(epoch, replication.StateVersion(epoch, 1), state(1)), 1.0)
         delta = OPERATION.pack(COPY, 0, 10)
-        replica.receive(2, p.StoreDelta(epoch, p.StateVersion(epoch, 3), p.StateVersion(epoch, 2), delta), 1.1)
+        replica.receive(
+            2,
+            replication.StoreDelta(
+                epoch, replication.StateVersion(epoch, 3), replication.StateVersion(epoch, 2), delta
+            ),
+            1.1,
+        )
         return replica._durable.state
 
     def test_it_keeps_what_it_holds(self) -> None:
-        self.assertEqual(self.state_after(p.Replica), state(1))
+        self.assertEqual(self.state_after(replication.Replica), state(1))
 
     def test_one_that_applies_it_all_the_same_is_found(self) -> None:
         self.assertNotEqual(self.state_after(AppliesToAnyBase), state(1))
--- a/tests/modelcheck/test_closing_fault.py
+++ b/tests/modelcheck/test_closing_fault.py
@@ -34,7 +34,7 @@
 
     def start(self, me: int, bootstrap: bool = False) -> None:
         super().start(me, bootstrap)
-        self.ledger(me).counts = me not in self.uncounted
+        self.ledger(me).quorum_member = me not in self.uncounted
 
     def strike(self, wiped: int, gone: int = 0) -> None:
         """Disks keep what was synced, but for the one that is wiped; a machine that is gone stays away."""
@@ -73,8 +73,8 @@
         replica = rig.ledger(leaving)
         replica.leave(rig.cluster.now)
         rig.cluster.carry_out_actions(leaving)
-        rig.run(3.0, lambda: replica.released)
-        self.assertTrue(replica.released)
+        rig.run(3.0, lambda: replica.leave_granted)
+        self.assertTrue(replica.leave_granted)
 
     def test_a_machine_is_not_released_while_its_former_vote_is_asked_for(self) -> None:
         rig = ClosingRig(spares=1)
@@ -91,7 +91,7 @@
     def rig(self, uncounted: int = FOURTH, spares: int = 1) -> ClosingRig:
         rig = ClosingRig(spares=spares)
         rig.uncounted = {uncounted}
-        rig.ledger(uncounted).counts = False
+        rig.ledger(uncounted).quorum_member = False
         rig.elect()
         rig.run(6.0)
         rig.commit()
@@ -134,7 +134,7 @@
     def test_it_may_end_at_once(self) -> None:
         rig = self.rig()
         rig.ledger(FOURTH).leave(rig.cluster.now)
-        self.assertTrue(rig.ledger(FOURTH).released)
+        self.assertTrue(rig.ledger(FOURTH).leave_granted)
 
     def test_one_of_the_first_members_makes_room_for_a_spare_that_counts(self) -> None:
         for uncounted in (1, 2, 3):
@@ -146,7 +146,7 @@
     def test_where_none_counts_the_first_members_go_on(self) -> None:
         rig = ClosingRig()
         for machine in (1, 2, 3):
-            rig.ledger(machine).counts = False
+            rig.ledger(machine).quorum_member = False
         rig.elect()
         rig.cluster.crash(self.record(rig).in_sync[0], save_persisted=False)
         rig.run(6.0)
--- a/tests/simulation/test_fleet_faults.py
+++ b/tests/simulation/test_fleet_faults.py
@@ -168,7 +168,7 @@
             "is primary of epoch",
             scenario,
             mock.patch.object(ReplicaRunner, "change", alone),
-            timing(lapse=1000.0),
+            timing(quorum_loss_seconds=1000.0),
         )
 
     def test_duties_are_held_after_the_lease(self):
@@ -184,7 +184,7 @@
             "ONE",
             "after",
             scenario,
-            timing(lease=1000.0, lapse=1000.0),
+            timing(lease_seconds=1000.0, quorum_loss_seconds=1000.0),
             seeds=("f", "1", "2", "3", "4", "5"),  # the two holders must take turns at one server
             servers=6,
             load=2.0,
--- a/tests/simulation/test_system_simulation.py
+++ b/tests/simulation/test_system_simulation.py
@@ -600,7 +600,7 @@
         self.assertIn(rule, {breach.rule for breach in breaches})
 
     def test_a_change_is_acknowledged_before_the_backup_has_stored_it(self):
-        true = Replica._on_stored
+        true = Replica._on_store_reply
 
         def eager(ledger, sender, message):
             true(ledger, sender, message)
@@ -618,7 +618,7 @@
             fleet.back(*fleet.cores)
             await fleet.operator.read_config(20.0)
 
-        self.found("CONFIG", scenario, mock.patch.object(Replica, "_on_stored", eager))
+        self.found("CONFIG", scenario, mock.patch.object(Replica, "_on_store_reply", eager))
 
     async def crashes(self, fleet):
         for n in range(6):
--- a/tests/support/planted_client_faults.py
+++ b/tests/support/planted_client_faults.py
@@ -134,7 +134,7 @@
     def _on_heartbeat_reply(self, sender, message):
         before = self._lease_from
         super()._on_heartbeat_reply(sender, message)
-        if self._lease_from != before and self._epoch is not None:
+        if self._lease_from != before and self._own_record is not None:
             self._lease_from = self._now
 
 
@@ -150,8 +150,8 @@
 
     def _on_leave(self, sender, message):
         super()._on_leave(sender, message)
-        if self._epoch is not None:
-            self._send(sender, replication.LeaveReply(self._epoch.number, True))
+        if self._own_record is not None:
+            self._send(sender, replication.LeaveReply(self._own_record.epoch, True))
 
 
 class DirectoriesSyncedOnlyWhenNew(StoreModel):
--- a/tests/support/planted_replication_faults.py
+++ b/tests/support/planted_replication_faults.py
@@ -10,8 +10,8 @@
 class AcknowledgesAlone(replication.Replica):
     """The primary commits when its own disk has the state."""
 
-    def _on_stored(self, sender, message):
-        super()._on_stored(sender, message)
+    def _on_store_reply(self, sender, message):
+        super()._on_store_reply(sender, message)
         proposal = self._proposal
         if proposal is not None and sender == self.me and message.ok and proposal.version == message.version:
             self._commit()
@@ -21,26 +21,35 @@
     """A machine that lost its disk starts as if it were the first start."""
 
     def __init__(
-        self, me, f, seeds, bootstrap, durable, now, random_source, duty_wait=0.0, timing=replication.DEFAULT_TIMING
+        self,
+        me,
+        f,
+        seeds,
+        bootstrap,
+        durable,
+        now,
+        random_fraction,
+        singleton_task_delay=0.0,
+        timing=replication.DEFAULT_TIMING,
     ):
-        super().__init__(me, f, seeds, True, durable, now, random_source, duty_wait, timing)
+        super().__init__(me, f, seeds, True, durable, now, random_fraction, singleton_task_delay, timing)
 
 
 class AcceptsBeforeSave(replication.Replica):
     def _send_saved(self, to, message):
-        (self._send if isinstance(message, replication.Accepted) else super()._send_saved)(to, message)
+        (self._send if isinstance(message, replication.AcceptReply) else super()._send_saved)(to, message)
 
 
 class PromiseNotDurable(replication.Replica):
     def _send_saved(self, to, message):
-        (self._send if isinstance(message, replication.Promised) else super()._send_saved)(to, message)
+        (self._send if isinstance(message, replication.PrepareReply) else super()._send_saved)(to, message)
 
 
 class CommitsBeforeOwnSave(replication.Replica):
     """What is stored is acknowledged before it is on the disk of the one that stored it."""
 
     def _send_saved(self, to, message):
-        (self._send if isinstance(message, replication.Stored) else super()._send_saved)(to, message)
+        (self._send if isinstance(message, replication.StoreReply) else super()._send_saved)(to, message)
 
 
 class OutOfSyncCandidateGoesOn(replication.Replica):
@@ -59,7 +68,7 @@
 
 class ReadsUnconfirmed(replication.Replica):
     def confirm_read(self, token, now):
-        if self._epoch is None:
+        if self._own_record is None:
             raise replication.NotPrimary(0)
         self._actions.append(replication.ReadConfirmed(token))
 
@@ -76,15 +85,15 @@
     def _on_accept(self, sender, message):
         self._adopt(message.record)
         self._hold(sender)
-        self._send_saved(sender, replication.Accepted(message.number, True, message.number))
+        self._send_saved(sender, replication.AcceptReply(message.epoch, True, message.epoch))
 
 
 class IgnoresRecordsRead(replication.Replica):
     """A candidate goes by the record it knew before."""
 
-    def _on_promised(self, sender, message):
+    def _on_prepare_reply(self, sender, message):
         own = self._candidacy.base if self._candidacy is not None else message.accepted
-        super()._on_promised(sender, replication.Promised(message.number, message.ok, message.promised, own))
+        super()._on_prepare_reply(sender, replication.PrepareReply(message.epoch, message.ok, message.promised, own))
 
 
 class NewSetAlone(replication.Replica):
@@ -138,9 +147,9 @@
 class StoresBelowPromise(replication.Replica):
     def _on_store(self, sender, message):
         if message.version > self._durable.version:
-            promised = max(self._durable.promised, message.number)
+            promised = max(self._durable.promised, message.epoch)
             self._change(promised=promised, version=message.version, state=message.state)
-        self._send_saved(sender, replication.Stored(message.number, message.version, True, message.number))
+        self._send_saved(sender, replication.StoreReply(message.epoch, message.version, True, message.epoch))
 
 
 class RecoversFromOne(replication.Replica):
@@ -155,10 +164,10 @@
 class CountsAnyStored(replication.Replica):
     """An answer to an earlier Store counts for the present proposal."""
 
-    def _on_stored(self, sender, message):
+    def _on_store_reply(self, sender, message):
         if self._proposal is not None and self._candidacy is None and message.ok:
-            message = replication.Stored(message.number, self._proposal.version, True, message.promised)
-        super()._on_stored(sender, message)
+            message = replication.StoreReply(message.epoch, self._proposal.version, True, message.promised)
+        super()._on_store_reply(sender, message)
 
 
 class CountsAnyHeartbeatReply(replication.Replica):
@@ -167,7 +176,7 @@
     def _on_heartbeat_reply(self, sender, message):
         super()._on_heartbeat_reply(
             sender,
-            replication.HeartbeatReply(message.number, self._serial, message.ok, message.promised, message.version),
+            replication.HeartbeatReply(message.epoch, self._serial, message.ok, message.promised, message.version),
         )
 
 
@@ -175,15 +184,15 @@
     """A primary with a slow disk nominates its backups and stays."""
 
     def _transfer_leadership(self):
-        for member in sorted({*self._epoch.witnesses, *self._epoch.in_sync} - {self.me}):
-            self._send(member, replication.TransferLeadership(self._epoch.number))
+        for member in sorted({*self._own_record.witnesses, *self._own_record.in_sync} - {self.me}):
+            self._send(member, replication.TransferLeadership(self._own_record.epoch))
 
 
 class ReleasesFormerWitness(replication.Replica):
     """A leaving witness may end as soon as a spare has its place, while its former vote is still asked for."""
 
     def _vote_is_being_given(self, machine):
-        return machine in self._epoch.witnesses and bool(self._live_spares())
+        return machine in self._own_record.witnesses and bool(self._live_spares())
 
 
 class CountsEveryMachine(replication.Replica):
