--- a/rowanshift/capacity/child.py
+++ b/rowanshift/capacity/child.py
@@ -57,8 +57,8 @@
         while (command := await told(pipe)) != "stop":
             registry, mark = command
             with trio.fail_after(WITHIN):
-                while channel.registry < registry or channel.fingerprint != mark:
-                    await channel.changed(0.5)
+                while channel.cache.registry_version < registry or channel.cache.fingerprint != mark:
+                    await channel.cache.wait_for_update(0.5)
             pipe.send(figures(host))
         nursery.cancel_scope.cancel()
 
--- a/rowanshift/capacity/delivery.py
+++ b/rowanshift/capacity/delivery.py
@@ -8,7 +8,7 @@
 
 from rowanshift.capacity.hollow import changed, configuration
 from rowanshift.capacity.sizes import update
-from rowanshift.dataplane.routing_table import routing_table_of
+from rowanshift.dataplane.routing_table import parse_routing_table
 from rowanshift.wire.codec import FRAME_HEADER
 
 DIFFERENCE_HEAD = FRAME_HEADER.size + 16 + 8 + 8 + 4  # frame, stamp, base's revision, revision, length
@@ -35,7 +35,7 @@
     at = time.process_time()
     packed = zlib.compress(body, 1)
     packed_at = time.process_time()
-    routing_table_of(2, zlib.decompress(packed), {})
+    parse_routing_table(2, zlib.decompress(packed), {})
     read_at = time.process_time()
     apart = difference(before, after)
     moved = after["routes"][0] | {"timeoutMs": 16000} if routes else None
--- a/rowanshift/capacity/hollow.py
+++ b/rowanshift/capacity/hollow.py
@@ -19,6 +19,7 @@
 from rowanshift.controlplane.registered_server import RegisteredServer, parse_registered_server
 from rowanshift.controlplane.replication import NotPrimary
 from rowanshift.controlplane.service import ControlPlaneService
+from rowanshift.dataplane.control_cache import ControlCache
 from rowanshift.dataplane.control_client import LONG_POLL_SECONDS, ControlClient
 from rowanshift.process.node_settings import Bounds, node_settings_of
 from rowanshift.transport.buffer import RingBuffer
@@ -364,4 +365,6 @@
 
 def real_channel(host: Loopback, address: Address) -> ControlClient:
     """A router's whole knowledge: the real channel, which reads the configuration and lays the rings."""
-    return ControlClient(host, MACHINE, address[1], lambda: [address], Bounds(), random.Random(1), lambda engine: None)
+    random_source = random.Random(1)
+    cache = ControlCache(Bounds(), random_source, lambda endpoint: None, lambda peers: None)
+    return ControlClient(host, MACHINE, address[1], lambda: [address], cache, random_source)
--- a/rowanshift/controlplane/state_publication.py
+++ b/rowanshift/controlplane/state_publication.py
@@ -10,7 +10,7 @@
 
 from rowanshift.controlplane.control_state import ControlState, unpack
 from rowanshift.controlplane.replication import Replica
-from rowanshift.dataplane.routing_table import routing_table_of
+from rowanshift.dataplane.routing_table import parse_routing_table
 from rowanshift.transport.streams import Address
 
 
@@ -82,10 +82,10 @@
 
 def prefix_store_addresses(state: ControlState) -> set[Address]:
     """The addresses of the prefix stores among the configuration's services."""
-    routing_table = routing_table_of(state.revision, state.config, state.versions)
+    routing_table = parse_routing_table(state.revision, state.config, state.versions)
     addresses: set[Address] = set()
     for service in routing_table.services.values():
-        ip, _, port = service.store.rpartition(":")
+        ip, _, port = service.store_address.rpartition(":")
         if ip and port.isdigit():
             addresses.add((ip, int(port)))
     return addresses
--- a/rowanshift/dataplane/endpoints.py
+++ b/rowanshift/dataplane/endpoints.py
@@ -1,6 +1,10 @@
-"""The servers that a counter knows of, as the registry names them; state only. Times in seconds."""
+"""The model servers that a router knows of, as the registry lists them, and its own load on each. No I/O.
+
+Times are steady seconds.
+"""
 
 import random
+from collections.abc import Iterable
 from dataclasses import dataclass
 
 from rowanshift.placement.shadows import Pool
@@ -8,76 +12,93 @@
 
 @dataclass(slots=True, eq=False)
 class Endpoint:
-    """What a counter knows of one server."""
+    """One server as a router sees it."""
 
     id: str
     service: str
-    address: str
+    address: str  # IP:PORT
     zone: str
-    slots: int
-    versions: dict[str, int]
-    draining: bool = False
-    loading: bool = False
-    listed: bool = True
-    inflight: int = 0  # own open requests
-    heard_at: float = 0.0  # the last byte, or the first send after none was out
-    silent_until: float = 0.0
-    strikes: int = 0
-
-    def sent(self, now: float) -> None:
-        """A request is sent there."""
-        if not self.inflight:
-            self.heard_at = now
-        self.inflight += 1
-
-    def ended(self) -> None:
-        """It is over."""
-        self.inflight -= 1
-
-    def heard(self, now: float) -> None:
-        """Bytes came from there."""
-        self.heard_at, self.strikes, self.silent_until = now, 0, 0.0
+    slots: int  # requests that it runs at once
+    versions: dict[str, int]  # of the weights of each model
+    draining: bool = False  # it finishes what it has and gets nothing new
+    loading: bool = False  # it is loading new weights
+    listed: bool = True  # False once the registry no longer lists it
+    open_requests: int = 0  # of this router
+    last_received_at: float = 0.0  # the last byte, or the first request that was sent while none was open
+    backed_off_until: float = 0.0  # it gets no requests before
+    failed_dials: int = 0  # in a row
+
+    def on_request_sent(self, now: float) -> None:
+        """A request was sent there."""
+        if not self.open_requests:
+            self.last_received_at = now
+        self.open_requests += 1
+
+    def on_request_ended(self) -> None:
+        """A request that was sent there has ended."""
+        self.open_requests -= 1
+
+    def on_bytes_received(self, now: float) -> None:
+        """Bytes came from there: it isn't backed off any longer."""
+        self.last_received_at, self.failed_dials, self.backed_off_until = now, 0, 0.0
 
 
 class Endpoints:
-    """All servers by their id, and the pool of each service."""
+    """All endpoints by their id, and the pool of each service."""
 
     def __init__(self, random_source: random.Random) -> None:
         self.random_source = random_source
-        self.pools: dict[str, Pool] = {}
-        self.engines: dict[str, Endpoint] = {}
+        self.pools: dict[str, Pool] = {}  # by service
+        self.by_id: dict[str, Endpoint] = {}
 
     def pool(self, service: str) -> Pool:
-        """The servers of a service that may take requests."""
+        """The endpoints of a service that may get requests."""
         if service not in self.pools:
             self.pools[service] = Pool(self.random_source)
         return self.pools[service]
 
-    def update(self, engines: list[Endpoint]) -> list[Endpoint]:
-        """Takes the whole registry in; the engines that are gone or are somewhere else now."""
-        gone = []
-        for engine in engines:
-            known = self.engines.get(engine.id)
-            if known is not None and known.address == engine.address and known.service == engine.service:
-                known.draining, known.loading, known.slots = engine.draining, engine.loading, engine.slots
-                known.versions = engine.versions
-                known.listed = True
+    def apply_listed(self, listed: list[Endpoint]) -> list[Endpoint]:
+        """Applies the complete list of the registry; the endpoints that left it or are at another address now.
+
+        An endpoint that stays the same keeps its object, and with it the load and the state of its connections.
+        """
+        removed = []
+        for endpoint in listed:
+            known = self.by_id.get(endpoint.id)
+            if known is not None and is_same_server(known, endpoint):
+                apply_changes(known, endpoint)
                 continue
             if known is not None:
-                known.listed = False
-                gone.append(known)
-            self.engines[engine.id] = engine
-        named = {engine.id for engine in engines}
-        for engine in [engine for engine in self.engines.values() if engine.id not in named]:
-            engine.listed = False
-            gone.append(engine)
-            del self.engines[engine.id]
-        services: dict[str, list[Endpoint]] = {service: [] for service in self.pools}
-        for engine in self.engines.values():
-            if not engine.draining:
-                services.setdefault(engine.service, []).append(engine)
-        for service, ready in services.items():
+                removed.append(known)
+            self.by_id[endpoint.id] = endpoint
+        listed_ids = {endpoint.id for endpoint in listed}
+        for endpoint in [endpoint for endpoint in self.by_id.values() if endpoint.id not in listed_ids]:
+            removed.append(endpoint)
+            del self.by_id[endpoint.id]
+        for endpoint in removed:
+            endpoint.listed = False
+        self._fill_pools(self.by_id.values())
+        return removed
+
+    def _fill_pools(self, endpoints: Iterable[Endpoint]) -> None:
+        """Puts the endpoints that may get requests into the pools of their services."""
+        available: dict[str, list[Endpoint]] = {service: [] for service in self.pools}
+        for endpoint in endpoints:
+            if not endpoint.draining:
+                available.setdefault(endpoint.service, []).append(endpoint)
+        for service, members in available.items():
             pool = self.pool(service)
-            if set(ready) != set(pool.engines):
-                pool.lay(ready)
-        return gone
+            if set(members) != set(pool.engines):
+                pool.lay(members)
+
+
+def is_same_server(known: Endpoint, endpoint: Endpoint) -> bool:
+    """Whether both are at one address and of one service."""
+    return known.address == endpoint.address and known.service == endpoint.service
+
+
+def apply_changes(known: Endpoint, endpoint: Endpoint) -> None:
+    """Takes over what may change at a server that stays."""
+    known.draining, known.loading, known.slots = endpoint.draining, endpoint.loading, endpoint.slots
+    known.versions = endpoint.versions
+    known.listed = True
--- a/rowanshift/dataplane/forwarder.py
+++ b/rowanshift/dataplane/forwarder.py
@@ -68,19 +68,19 @@
     """What is known of the configuration and of the servers."""
 
     routing_table: RoutingTable
-    servers: Endpoints
-    stored: set[int]  # marks of the parts that a store keeps
+    endpoints: Endpoints
+    stored_block_hashes: set[int]  # of the prefix blocks that stores hold
 
-    def version(self, model: str, now: float) -> int:
+    def required_version(self, model: str, now: float) -> int:
         """The least version of a model's weights that a server must have."""
 
-    def overdue_for(self, model: str, version: int, now: float) -> float | None:
+    def seconds_overdue(self, model: str, version: int, now: float) -> float | None:
         """Seconds since the first name that weights of ``version`` lack, if their bound is near or over."""
 
-    async def fresh(self, left: float) -> None:
+    async def wait_until_fresh(self, timeout: float) -> None:
         """Wait, briefly, while what is known may be old."""
 
-    async def confirmed(self, within: float) -> bool:
+    async def wait_until_may_refuse(self, timeout: float) -> bool:
         """Wait until what is known is recent; whether it is."""
 
     def may_refuse(self) -> bool:
@@ -89,7 +89,7 @@
     def may_admit_key(self, came_at: float) -> bool:
         """Whether a request that came at that time may be let in by its key."""
 
-    async def changed(self, within: float) -> None:
+    async def wait_for_update(self, timeout: float) -> None:
         """Wait until something was learnt, so many seconds at most."""
 
 
@@ -116,7 +116,7 @@
         routing_table = self.state.routing_table
         if not routing_table.revision:
             raise Refusal(503, "no configuration yet", 0.5)
-        route = routing_table.match(request.host, request.path)
+        route = routing_table.find_route(request.host, request.path)
         if route is None:
             raise Refusal(404, "no route")
         tenant = None
@@ -214,7 +214,7 @@
             if forwarding.spare is not None:
                 forwarding.granted = False
                 return forwarding.spare.engine
-            pool = self.state.servers.pool(forwarding.service)
+            pool = self.state.endpoints.pool(forwarding.service)
             if not forwarding.excluded:
                 pool.sample(forwarding.mark, now)
             endpoint = self._pick(forwarding, pool, now)
@@ -228,12 +228,12 @@
 
     def _pick(self, forwarding: Forwarding, pool: Pool, now: float) -> Endpoint | None:
         request = forwarding.request
-        version = self.state.version(request.model, now)
+        version = self.state.required_version(request.model, now)
         return pool.pick(forwarding.mark, now, request.model, version, forwarding.excluded)
 
     def _granted(self, forwarding: Forwarding, now: float) -> bool:
         """Whether the route and the retry budget allow one more attempt; the budget is drawn on if so."""
-        if len(forwarding.request.tried) >= forwarding.route.servers:
+        if len(forwarding.request.tried) >= forwarding.route.max_attempts:
             return False
         if not forwarding.granted:
             forwarding.granted = self.retries(forwarding.service).take(now)
@@ -242,13 +242,13 @@
     async def _hold(self, forwarding: Forwarding, pool: Pool, now: float) -> None:
         """Waits for a server to be there; ``Refusal`` once that has taken too long, or one was tried."""
         if not forwarding.held_until:
-            hold = min(HOLD_MOST, HOLD_PART * forwarding.route.aim)
+            hold = min(HOLD_MOST, HOLD_PART * forwarding.route.target_latency)
             if any(endpoint.loading for endpoint in pool.engines):  # it will soon be back
                 hold = min(LOAD_HOLD, LOAD_PART * (forwarding.until - now))
             forwarding.held_until = now + hold
         if forwarding.request.tried or now >= forwarding.held_until:
             raise forwarding.last
-        await self.state.changed(min(forwarding.held_until, forwarding.until) - now)
+        await self.state.wait_for_update(min(forwarding.held_until, forwarding.until) - now)
 
     async def _lightest(self, forwarding: Forwarding, pool: Pool, first: Endpoint) -> Endpoint:
         """The server picked, or another that serves as well and has far less to read, over all routers."""
@@ -274,7 +274,7 @@
         version = endpoint.versions.get(request.model, 0)
         data = self._written(forwarding, endpoint, version)
         self.counts.repeats += forwarding.arrived
-        endpoint.sent(trio.current_time())
+        endpoint.on_request_sent(trio.current_time())
         load = await self.loads.add(endpoint.id, max(1, request.tokens[0]))
         verdict = DatagramKind.DROPPED
         link, forwarding.spare = forwarding.spare, None
@@ -295,7 +295,7 @@
         finally:
             if link is not None and not link.pooled:
                 self.upstream.close(link)
-            endpoint.ended()
+            endpoint.on_request_ended()
             await self.loads.ended(load, verdict)
 
     async def _connected(self, endpoint: Endpoint, until: float) -> Link:
@@ -305,7 +305,7 @@
     def _written(self, forwarding: Forwarding, endpoint: Endpoint, version: int) -> bytes:
         """The request as it goes to a server."""
         request, tenant, now = forwarding.request, forwarding.tenant, trio.current_time()
-        pool = self.state.servers.pool(forwarding.service)
+        pool = self.state.endpoints.pool(forwarding.service)
         near = source_of(pool, request, forwarding.mark, version, endpoint, now)
         fetch, save = self.moves.choose(request, tenant, version, near, now)
         return written(
@@ -327,7 +327,7 @@
             return True
         if endpoint.versions.get(request.model, 0) != version:
             return True
-        if version < self.state.version(request.model, trio.current_time()):
+        if version < self.state.required_version(request.model, trio.current_time()):
             return True
         if forwarding.may_have_run or forwarding.out.begun:
             return False
@@ -364,9 +364,9 @@
         if not forwarding.kind.repeatable:
             return None
         now = trio.current_time()
-        silent = now - link.engine.heard_at > SILENT_FOR
+        silent = now - link.engine.last_received_at > SILENT_FOR
         begun = link.message is not None
-        overdue = not begun and self.state.overdue_for(forwarding.request.model, version, now) is not None
+        overdue = not begun and self.state.seconds_overdue(forwarding.request.model, version, now) is not None
         if not (silent or overdue):
             return None
         return Outcome.SILENT if self._sure_of_another(forwarding, now) else None
@@ -377,7 +377,7 @@
             return False
         if not self._may_be_sent(forwarding, now):
             return False
-        pool = self.state.servers.pool(forwarding.service)
+        pool = self.state.endpoints.pool(forwarding.service)
         return self._pick(forwarding, pool, now) is not None and self._granted(forwarding, now)
 
     async def _patiently(self, forwarding: Forwarding, link: Link, wait: Callable[[], Awaitable[T]]) -> T:
@@ -391,7 +391,7 @@
 
     async def _other_is_up(self, forwarding: Forwarding, link: Link) -> bool:
         """Whether there is a connection for the next attempt, and the silent server has still said nothing."""
-        pool = self.state.servers.pool(forwarding.service)
+        pool = self.state.endpoints.pool(forwarding.service)
         endpoint = self._pick(forwarding, pool, trio.current_time())
         if endpoint is None:
             await trio.sleep(LOOK)  # never a loop without a wait
@@ -419,7 +419,7 @@
         message = await self._patiently(
             forwarding, link, lambda: self.upstream.head(link, forwarding.request.id, forwarding.until, look)
         )
-        endpoint.heard(trio.current_time())
+        endpoint.on_bytes_received(trio.current_time())
         if 200 <= message.status < 300 and message.flow is not None:
             self._warn_if_overdue(forwarding, endpoint, version)
             await self.loads.ended(load, DatagramKind.DONE)
@@ -438,7 +438,7 @@
     def _warn_if_overdue(self, forwarding: Forwarding, endpoint: Endpoint, version: int) -> None:
         """A line, a few a second at most, for a request that began on weights whose bound is near or over."""
         now, model = trio.current_time(), forwarding.request.model
-        overdue = self.state.overdue_for(model, version, now)
+        overdue = self.state.seconds_overdue(model, version, now)
         if overdue is None or now < self.warned_at + WARN_EVERY:
             return
         self.warned_at = now
@@ -466,16 +466,16 @@
             if instance != endpoint.id:
                 back_off(endpoint, now)
                 self.upstream.leave(endpoint)
-            endpoint.silent_until = max(endpoint.silent_until, now + STALE_FOR)
+            endpoint.backed_off_until = max(endpoint.backed_off_until, now + STALE_FOR)
         elif ending is ExchangeOutcome.NOT_EXECUTED and message.status in (429, 503):
-            endpoint.silent_until = max(endpoint.silent_until, now + FULL_FOR)
+            endpoint.backed_off_until = max(endpoint.backed_off_until, now + FULL_FOR)
 
     async def _stream(self, forwarding: Forwarding, link: Link, look: Callable[[], Outcome | None]) -> None:
         """Passes a stream on in whole events; what came of one that broke off is dropped."""
-        out, streaming, message, held = forwarding.out, forwarding.route.streaming, link.message, b""
+        out, streaming, message, held = forwarding.out, forwarding.route.is_streaming, link.message, b""
         length = message.length if not streaming else None
         while data := await self._patiently(forwarding, link, lambda: self.upstream.body(link, forwarding.until, look)):
-            link.engine.heard(trio.current_time())
+            link.engine.on_bytes_received(trio.current_time())
             held += data
             cut = end_of_events(held) if streaming else len(held)
             if not cut:
@@ -485,7 +485,7 @@
                 out.last = ids[-1]
             head = b"" if out.begun else out.head(message, length)
             await out.send(head + out.piece(events))
-        link.engine.heard(trio.current_time())
+        link.engine.on_bytes_received(trio.current_time())
         head = b"" if out.begun else out.head(message, length)
         rest = out.piece(held) if held else b""
         await out.send(head + rest + (LAST_CHUNK if out.chunked else b""))
--- a/rowanshift/dataplane/forwarding.py
+++ b/rowanshift/dataplane/forwarding.py
@@ -62,7 +62,7 @@
     @property
     def kind(self) -> RequestIdempotency:
         """What may be done with its request."""
-        return kind_of(self.route.streaming, self.route.repeatable)
+        return kind_of(self.route.is_streaming, self.route.is_repeatable)
 
     @property
     def until(self) -> float:
@@ -72,7 +72,7 @@
     @property
     def service(self) -> str:
         """The service that its route and draw choose."""
-        return self.route.service(self.draw)
+        return self.route.choose_service(self.draw)
 
     @property
     def request_kind(self) -> RequestKind:
@@ -92,7 +92,7 @@
     @property
     def progress(self) -> Progress:
         """What decisions are taken by."""
-        left = self.route.servers - len(self.request.tried)
+        left = self.route.max_attempts - len(self.request.tried)
         return Progress(self.may_have_run, self.out.begun, bool(self.out.last), left)
 
     def note(self, ending: ExchangeOutcome, decision: Decision) -> None:
--- a/rowanshift/dataplane/frontend.py
+++ b/rowanshift/dataplane/frontend.py
@@ -173,7 +173,7 @@
     async def serve(self, stream: Stream) -> None:
         """Answer one request after another on a connection."""
         connection = Connection(
-            stream, httptools.HttpRequestParser, self.memory, largest=self.state.routing_table.largest_body
+            stream, httptools.HttpRequestParser, self.memory, largest=self.state.routing_table.max_body_bytes
         )
         client = Client(connection)
         try:
@@ -202,8 +202,8 @@
 
     async def _next_message(self, client: Client) -> Message | None:
         connection, routing_table = client.connection, self.state.routing_table
-        connection.largest = routing_table.largest_body
-        until, began = trio.current_time() + routing_table.idle_for, 0.0
+        connection.largest = routing_table.max_body_bytes
+        until, began = trio.current_time() + routing_table.idle_timeout, 0.0
         while True:
             if (message := connection.next()) is not None:
                 return message
@@ -211,7 +211,7 @@
             if connection.partial:
                 self.reading.add(client)
                 began = began or now
-                until = began + (routing_table.header_within if connection.in_head else BODY_WITHIN)
+                until = began + (routing_table.header_timeout if connection.in_head else BODY_WITHIN)
                 self.idle.pop(client, None)
             elif not connection.pending():
                 self.idle[client] = None
@@ -309,7 +309,7 @@
     async def _forward(self, request: Request, out: Out) -> None:
         if self.drain.leaving:
             self.forwarder.refuse_if_leaving(request, out)
-        await self.state.fresh(request.until - request.came_at)
+        await self.state.wait_until_fresh(request.until - request.came_at)
         await self._confirm_refusal(request)
         await self.forwarder.forward(request, out)
 
@@ -321,7 +321,7 @@
             self.forwarder.allowed(request)
         except Refusal as refusal:
             if refusal.status in DENIALS:
-                await self.state.confirmed(min(CONFIRM_WITHIN, request.until - request.came_at))
+                await self.state.wait_until_may_refuse(min(CONFIRM_WITHIN, request.until - request.came_at))
 
     def _unless_old(self, refusal: Refusal) -> Refusal:
         """The refusal, or one that lets the client come again where it rests on what may be old."""
--- a/rowanshift/dataplane/kv_moves.py
+++ b/rowanshift/dataplane/kv_moves.py
@@ -34,7 +34,7 @@
     """What is known of stores."""
 
     routing_table: RoutingTable
-    stored: set[int]  # marks of the parts that a store keeps
+    stored_block_hashes: set[int]  # of the prefix blocks that stores hold
 
 
 class KvMoves:
@@ -53,8 +53,10 @@
         if not shared or not version:
             return None, None
         near = home.address.encode() if home is not None else None
-        stored = self.state.stored
-        stores = [service.store for service in self.state.routing_table.services.values() if service.store]
+        stored = self.state.stored_block_hashes
+        stores = [
+            service.store_address for service in self.state.routing_table.services.values() if service.store_address
+        ]
         store = store_for((at for at in stores if there(at) in stored), shared[-1][0].decode("latin-1"))
         if store is None or request.shared < LEAST_MOVED:
             return near, None
--- a/rowanshift/dataplane/routing_table.py
+++ b/rowanshift/dataplane/routing_table.py
@@ -1,159 +1,186 @@
-"""The configuration as a counter uses it: routes by host and path, tenants by key. No I/O.
+"""The configuration as a router uses it: routes by host and path, tenants by key, services. No I/O.
 
-The ledger has checked it; a counter reads it without the checks.
+The control plane has checked it against its schema; a router reads what it needs without these checks.
 """
 
+from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 from typing import Any
 
 import orjson
 
-STREAMING, IDEMPOTENT = "streaming", "idempotent"
+from rowanshift.dataplane.errors import UnreadableConfiguration
 
+STREAMING, IDEMPOTENT = "streaming", "idempotent"  # types of routes
+DEFAULT_MAX_BODY_BYTES = 4 << 20
+DEFAULT_HEADER_TIMEOUT_MS = 3000
+DEFAULT_IDLE_TIMEOUT_MS = 15_000
+DEFAULT_ROUTE_TIMEOUT_MS = 60_000
+DEFAULT_TARGET_LATENCY_MS = 1000
+DEFAULT_MAX_CONNECTIONS = 64
 
-class BadControlState(ValueError):
-    """A configuration that a counter can't read."""
+JsonObject = Mapping[str, Any]
 
 
 @dataclass(slots=True, frozen=True)
 class Service:
-    """A service as requests are sent to it."""
+    """A service, or a store of prefix blocks, that requests are sent to."""
 
     name: str
-    health: bytes
-    connections: int  # that a server takes from all callers
-    store: str = ""  # IP:PORT, if it is a store of prompts
-    token_bytes: int = 0
+    health_path: bytes
+    max_connections: int  # that one of its servers accepts from all routers
+    store_address: str = ""  # IP:PORT, if it is a store of prefix blocks
+    kv_token_bytes: int = 0  # that a token takes in its prefix cache
+
+
+@dataclass(slots=True, frozen=True)
+class WeightedService:
+    """A service that gets a part of a route's requests."""
+
+    name: str
+    weight: float
 
 
 @dataclass(slots=True, frozen=True)
 class Route:
-    """A route as requests are matched; times in seconds."""
+    """A route as requests are matched to it; times in seconds."""
 
     name: str
     host: bytes
-    prefix: bytes
-    kind: str
-    timeout: float  # seconds
-    aim: float  # seconds
+    path_prefix: bytes
+    route_type: str  # STREAMING, IDEMPOTENT or another
+    timeout: float  # for a request
+    target_latency: float  # to its first event
     priority: int
-    split: tuple[tuple[str, float], ...]  # services and weights
-    servers: int  # that one request may be sent to
-    public: bool
-    resumable: bool
+    services: tuple[WeightedService, ...]
+    max_attempts: int  # servers that one request may be sent to
+    public: bool  # whether no key is asked for
+    resumable: bool  # whether a stream that broke may go on at another server
 
     @property
-    def streaming(self) -> bool:
-        """Whether its answers are streams of events."""
-        return self.kind == STREAMING
+    def is_streaming(self) -> bool:
+        """Whether its responses are streams of events."""
+        return self.route_type == STREAMING
 
     @property
-    def repeatable(self) -> bool:
+    def is_repeatable(self) -> bool:
         """Whether a request may run more than once."""
-        return self.kind == IDEMPOTENT or (self.streaming and self.resumable)
+        return self.route_type == IDEMPOTENT or (self.is_streaming and self.resumable)
 
-    def service(self, draw: float) -> str:
-        """The service for a number from 0 to 1."""
-        left = draw * sum(weight for _, weight in self.split)
-        for name, weight in self.split:
-            left -= weight
+    def choose_service(self, draw: float) -> str:
+        """The service for a number from [0, 1), by weight; the last one with a weight for 1."""
+        left = draw * sum(service.weight for service in self.services)
+        for service in self.services:
+            left -= service.weight
             if left < 0:
-                return name
-        return next(name for name, weight in reversed(self.split) if weight > 0)
+                return service.name
+        return next(service.name for service in reversed(self.services) if service.weight > 0)
 
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
-    """Who holds a key."""
+    """The owner of a set of API keys."""
 
     name: bytes
-    priority: int | None
-    isolated: bool
+    priority: int | None  # of its requests, in place of the route's
+    isolated: bool  # whether its prefix blocks are not shared with other tenants
 
 
 @dataclass(slots=True)
 class RoutingTable:
     """A configuration in the form that requests are matched by."""
 
-    revision: int = 0
+    revision: int = 0  # 0: there is no configuration yet
     routes: dict[bytes, list[Route]] = field(default_factory=dict)  # by host, the longest prefix first
-    tenants: dict[bytes, Tenant] | None = None  # by key; None: keys are not asked for
+    tenants: dict[bytes, Tenant] | None = None  # by key; None: no route asks for keys
     services: dict[str, Service] = field(default_factory=dict)
-    versions: dict[str, int] = field(default_factory=dict)  # named, of each model
-    largest_body: int = 4 << 20  # bytes
-    header_within: float = 3.0  # seconds
-    idle_for: float = 15.0  # seconds
-    all_keyed: bool = False  # whether no request is served without a key
-
-    def match(self, host: bytes, path: bytes) -> Route | None:
-        """The route of a host and path with the longest prefix, None if there is none."""
+    versions: dict[str, int] = field(default_factory=dict)  # the newest that was announced, of each model
+    max_body_bytes: int = DEFAULT_MAX_BODY_BYTES
+    header_timeout: float = DEFAULT_HEADER_TIMEOUT_MS / 1000  # seconds
+    idle_timeout: float = DEFAULT_IDLE_TIMEOUT_MS / 1000  # seconds
+    requires_keys: bool = False  # whether no request is served without a key
+
+    def find_route(self, host: bytes, path: bytes) -> Route | None:
+        """The route of a host and path with the longest prefix, ``None`` if there is none."""
         for route in self.routes.get(host, ()):
-            if path.startswith(route.prefix):
+            if path.startswith(route.path_prefix):
                 return route
         return None
 
 
-def routing_table_of(revision: int, config: bytes, versions: dict[str, int]) -> RoutingTable:
-    """``BadControlState`` if the bytes hold no configuration."""
+def parse_routing_table(revision: int, config: bytes, versions: dict[str, int]) -> RoutingTable:
+    """The table of a configuration in JSON, an empty one for no bytes. Raises ``UnreadableConfiguration``."""
     if not config:
         return RoutingTable(versions=dict(versions))
     try:
-        data = orjson.loads(config)
-        limits = data.get("limits") or {}
-        tenants = data.get("tenants")
-        routing_table = RoutingTable(
+        document = orjson.loads(config)
+        limits = document.get("limits") or {}
+        tenants = document.get("tenants")
+        routes = parse_routes(document.get("routes") or ())
+        has_public_route = any(route.public for of_host in routes.values() for route in of_host)
+        return RoutingTable(
             revision,
-            {},
-            None if tenants is None else {},
-            versions=dict(versions),
-            largest_body=int(limits.get("maxBodyBytes") or 4 << 20),
-            header_within=float(limits.get("headerTimeoutMs") or 3000) / 1000,
-            idle_for=float(limits.get("idleTimeoutMs") or 15000) / 1000,
+            routes,
+            None if tenants is None else parse_tenants(tenants or ()),
+            {row["name"]: parse_service(row) for row in document.get("backends") or ()},
+            dict(versions),
+            max_body_bytes=int(limits.get("maxBodyBytes") or DEFAULT_MAX_BODY_BYTES),
+            header_timeout=float(limits.get("headerTimeoutMs") or DEFAULT_HEADER_TIMEOUT_MS) / 1000,
+            idle_timeout=float(limits.get("idleTimeoutMs") or DEFAULT_IDLE_TIMEOUT_MS) / 1000,
+            requires_keys=tenants is not None and not has_public_route,
         )
-        for row in data.get("backends") or ():
-            routing_table.services[row["name"]] = service_of(row)
-        for row in data.get("routes") or ():
-            route = route_of(row)
-            routing_table.routes.setdefault(route.host, []).append(route)
-        for row in tenants or ():
-            tenant = Tenant(row["name"].encode(), row.get("priority"), bool(row.get("isolated")))
-            routing_table.tenants.update(dict.fromkeys((key.encode() for key in row.get("apiKeys") or ()), tenant))
     except (ValueError, KeyError, TypeError, AttributeError) as error:
-        raise BadControlState(repr(error)) from error
-    for routes in routing_table.routes.values():
-        routes.sort(key=lambda route: -len(route.prefix))
-    public = any(route.public for routes in routing_table.routes.values() for route in routes)
-    routing_table.all_keyed = tenants is not None and not public
-    return routing_table
+        raise UnreadableConfiguration(repr(error)) from error
+
+
+def parse_routes(rows: Iterable[JsonObject]) -> dict[bytes, list[Route]]:
+    """Routes by their host, the longest prefix first."""
+    routes: dict[bytes, list[Route]] = {}
+    for row in rows:
+        route = parse_route(row)
+        routes.setdefault(route.host, []).append(route)
+    for of_host in routes.values():
+        of_host.sort(key=lambda route: -len(route.path_prefix))
+    return routes
+
+
+def parse_tenants(rows: Iterable[JsonObject]) -> dict[bytes, Tenant]:
+    """Tenants by each of their keys."""
+    tenants: dict[bytes, Tenant] = {}
+    for row in rows:
+        tenant = Tenant(row["name"].encode(), row.get("priority"), bool(row.get("isolated")))
+        for key in row.get("apiKeys") or ():
+            tenants[key.encode()] = tenant
+    return tenants
 
 
-def service_of(row: dict[str, Any]) -> Service:
+def parse_service(row: JsonObject) -> Service:
     """A service from its JSON object."""
     engine = row.get("engine") or {}
     return Service(
         row["name"],
         (row.get("healthCheck") or "").encode(),
-        int(row.get("maxConnections") or 64),
+        int(row.get("maxConnections") or DEFAULT_MAX_CONNECTIONS),
         str(row.get("kvStoreAddress") or ""),
         int(engine.get("kvTokenBytes") or 0),
     )
 
 
-def route_of(row: dict[str, Any]) -> Route:
+def parse_route(row: JsonObject) -> Route:
     """A route from its JSON object."""
     if row.get("trafficSplit"):
-        split = tuple((part["backend"], float(part["weight"])) for part in row["trafficSplit"])
+        services = tuple(WeightedService(part["backend"], float(part["weight"])) for part in row["trafficSplit"])
     else:
-        split = ((row["backend"], 1.0),)
+        services = (WeightedService(row["backend"], 1.0),)
     return Route(
         row.get("name") or "",
         row["hostname"].lower().encode(),
         row["pathPrefix"].encode(),
         row.get("routeType") or "",
-        float(row.get("timeoutMs") or 60000) / 1000,
-        float(row.get("targetLatencyMs") or 1000) / 1000,
+        float(row.get("timeoutMs") or DEFAULT_ROUTE_TIMEOUT_MS) / 1000,
+        float(row.get("targetLatencyMs") or DEFAULT_TARGET_LATENCY_MS) / 1000,
         int(row.get("priority") or 0),
-        split,
+        services,
         max(1, int(row.get("retries") or 1)),
         bool(row.get("public")),
         bool(row.get("resumable")),
--- a/rowanshift/dataplane/service.py
+++ b/rowanshift/dataplane/service.py
@@ -7,6 +7,7 @@
 import trio
 from loguru import logger
 
+from rowanshift.dataplane.control_cache import ControlCache
 from rowanshift.dataplane.control_client import ControlClient
 from rowanshift.dataplane.drain import Drain, Phase
 from rowanshift.dataplane.frontend import BACKLOG, Frontend, log_ending
@@ -65,7 +66,7 @@
 
     def ready(self) -> bool:
         """Whether new connections may come."""
-        return not self.drain.leaving and self.control_client.ready()
+        return not self.drain.leaving and self.control_cache.ready()
 
     def seeds(self) -> list[tuple[str, int]]:
         """The seeds as the settings name them now."""
@@ -84,10 +85,10 @@
                 bounds.retry_budget_ratio, bounds.retry_budget_slack, bounds.retry_window_s
             )
         budget, now = self.budgets[service], trio.current_time()
-        if self.joined_at is None and self.control_client.members:
+        if self.joined_at is None and self.control_cache.member_count:
             self.joined_at = now
         long = self.joined_at is not None and now - self.joined_at > bounds.retry_window_s
-        budget.members = self.control_client.members if long else 0
+        budget.members = self.control_cache.member_count if long else 0
         return budget
 
     async def run(self) -> None:
@@ -132,19 +133,18 @@
                 memory = MemoryBudget(boot.limits.memory_mb * MEMORY_PART)
                 budget = DescriptorBudget(host.descriptors(boot.limits.max_fds), FILES)
                 self.back = Upstream(host, budget, memory)
+                self.loads = LoadIndex(host, boot.inner, machine_id_from_ip(boot.ip))
+                self.control_cache = ControlCache(boot.bounds, self.random_source, self.back.leave, self.loads.meet)
                 self.control_client = ControlClient(
                     host,
                     machine_id_from_ip(boot.ip),
                     boot.inner[1],
                     self.seeds,
-                    boot.bounds,
+                    self.control_cache,
                     self.random_source,
-                    self.back.leave,
                 )
-                self.loads = LoadIndex(host, boot.inner, machine_id_from_ip(boot.ip))
-                self.control_client.met = self.loads.meet
                 self.front = Frontend(
-                    self.control_client,
+                    self.control_cache,
                     self.back,
                     budget,
                     memory,
@@ -203,7 +203,7 @@
                 leave.longest_standstill = max(leave.longest_standstill, now - at - BEAT)
             if now - at - BEAT > STOOD_STILL:
                 logger.warning("event=stood_still seconds={:.2f}", now - at - BEAT)
-                self.control_client.doubt()
+                self.control_client.mark_stale()
             if now - swept > SWEEP:
                 swept = now
                 self.back.sweep(now)
--- a/rowanshift/modelcheck/router_model.py
+++ b/rowanshift/modelcheck/router_model.py
@@ -28,7 +28,7 @@
     def resume(self, now: float) -> None:
         """Notice that it was paused."""
         self.resumed_at = now
-        self.freshness.doubt(now)
+        self.freshness.mark_stale(now)
 
     def next_poll(self, now: float) -> Poll | None:
         """The poll to send now, if it is time for one."""
@@ -52,9 +52,9 @@
         self.update_count += 1
         self.client_invariants.check_router_update(self.state, update.state)
         self.version, self.state = update.version, update.state
-        self.freshness.confirmed(self._confirmed_at(update, now))
+        self.freshness.confirm(self._confirmed_at(update, now))
         self.client_invariants.check_freshness(self.state, self.freshness.known_as_of)
-        if not self.freshness.in_doubt:
+        if not self.freshness.is_stale:
             self.client_invariants.check_freshness(self.state, self.resumed_at)
 
     def _confirmed_at(self, update: Update, now: float) -> float:
--- a/rowanshift/placement/shadows.py
+++ b/rowanshift/placement/shadows.py
@@ -14,16 +14,16 @@
 
 def is_open(engine, now: float) -> bool:
     """Whether a new request may go to a server, its load aside."""
-    if not engine.listed or engine.draining or engine.loading or now < engine.silent_until:
+    if not engine.listed or engine.draining or engine.loading or now < engine.backed_off_until:
         return False
-    return not (engine.inflight and now - engine.heard_at > SILENT)
+    return not (engine.open_requests and now - engine.last_received_at > SILENT)
 
 
 def back_off(engine, now: float) -> None:
     """A dial failed, or the server isn't there any more."""
-    engine.strikes += 1
-    until = now + min(LONGEST_BACK_OFF, BACK_OFF * 2 ** min(engine.strikes - 1, 8))
-    engine.silent_until = max(engine.silent_until, until)
+    engine.failed_dials += 1
+    until = now + min(LONGEST_BACK_OFF, BACK_OFF * 2 ** min(engine.failed_dials - 1, 8))
+    engine.backed_off_until = max(engine.backed_off_until, until)
 
 
 def lighter(first, others: list, waiting: dict[str, int], shared: int):
@@ -69,11 +69,11 @@
         shadows = hot.shadows if (hot := self.hotness.get(mark)) is not None else 0
         walk = [engine for engine in self.ring.walk(mark, WALK + shadows) if fit(engine)]
         if not walk:
-            return min(filter(fit, self.engines), default=None, key=lambda engine: engine.inflight)
-        most = MARGIN * sum(engine.inflight for engine in self.engines) / len(self.engines) + SPARE
+            return min(filter(fit, self.engines), default=None, key=lambda engine: engine.open_requests)
+        most = MARGIN * sum(engine.open_requests for engine in self.engines) / len(self.engines) + SPARE
         if shadows:
             return self._replica(mark, walk[: shadows + 1], most)
-        return next((engine for engine in walk if engine.inflight < most), walk[0])
+        return next((engine for engine in walk if engine.open_requests < most), walk[0])
 
     def others(self, mark: int, now: float, model: str, first, out) -> list:
         """The next servers on the ring walk that could serve as well as the first that was picked."""
@@ -86,8 +86,8 @@
         kept = self.drawn.get(mark)
         if kept not in replicas:
             kept = replicas[int(self.random_source.random() * len(replicas))]
-        elif kept.inflight >= most:
-            kept = min(replicas, key=lambda engine: engine.inflight)
+        elif kept.open_requests >= most:
+            kept = min(replicas, key=lambda engine: engine.open_requests)
         self.drawn[mark] = kept
         return kept
 
--- a/rowanshift/simulation/core_play.py
+++ b/rowanshift/simulation/core_play.py
@@ -124,8 +124,8 @@
         known: dict[str, int] = {}
         while True:
             for unit in self.fleet.routers:
-                client = getattr(unit.program, "control_client", None)
-                revision = client.routing_table.revision if client is not None else 0
+                cache = getattr(unit.program, "control_cache", None)
+                revision = cache.routing_table.revision if cache is not None else 0
                 if known.get(unit.name) != revision:
                     known[unit.name] = revision
                     self.applied.append(Applied(self.fleet.now(), unit.name, revision))
--- a/tests/admin/test_commands.py
+++ b/tests/admin/test_commands.py
@@ -196,7 +196,7 @@
     def test_routers_that_hold_a_lease(self) -> None:
         self.until(
             lambda: all(
-                router.control_client.members == 2
+                router.control_cache.member_count == 2
                 for router in self.system.routers
                 if hasattr(router, "control_client")
             )
--- a/tests/controlplane/test_inherited_versions.py
+++ b/tests/controlplane/test_inherited_versions.py
@@ -104,7 +104,9 @@
 def dated_at(unit: Unit) -> float:
     """When a program takes version 2 to have been named."""
     program = unit.program
-    announcements = program.tasks.registry.announcements if unit.core else program.control_client.names
+    announcements = (
+        program.tasks.registry.announcements if unit.core else program.control_cache.version_deadlines.announcements
+    )
     return announcements.missing_since(MODEL, 1) or 0.0
 
 
--- a/tests/dataplane/test_drain_order_of_events.py
+++ b/tests/dataplane/test_drain_order_of_events.py
@@ -92,7 +92,7 @@
 
             async def clients(rig: Rig, path: str = path) -> None:
                 rig.front.state.may_refuse = lambda: False
-                rig.front.state.confirmed = trio.sleep
+                rig.front.state.wait_until_may_refuse = trio.sleep
                 data = request_bytes(path, "r1", within=WITHIN)
                 client = Client(rig)
                 await client.send(data[:-1])
--- a/tests/dataplane/test_endpoints.py
+++ b/tests/dataplane/test_endpoints.py
@@ -34,7 +34,7 @@
 
 def registry(many=6, seed=1, **more):
     made = Endpoints(random.Random(seed))
-    made.update([engine(n, **more) for n in range(many)])
+    made.apply_listed([engine(n, **more) for n in range(many)])
     return made
 
 
@@ -65,7 +65,7 @@
 
     def test_each_counter_has_the_same(self):
         other = Endpoints(random.Random(9))
-        other.update([engine(n) for n in reversed(range(6))])
+        other.apply_listed([engine(n) for n in reversed(range(6))])
         for mark in marks():
             self.assertEqual(other.pool(SERVICE).pick(mark, 0.0, MODEL, 1, ()).id, self.pick(mark).id)
 
@@ -76,10 +76,10 @@
 
     def test_one_that_comes_or_goes_moves_only_its_own(self):
         before = {mark: self.pick(mark).id for mark in marks()}
-        self.engines.update([engine(n) for n in range(5)])
+        self.engines.apply_listed([engine(n) for n in range(5)])
         for mark, id in before.items():
             self.assertTrue(self.pick(mark).id == id or id == "i-5")
-        self.engines.update([engine(n) for n in range(7)])
+        self.engines.apply_listed([engine(n) for n in range(7)])
         moved = [self.pick(mark).id for mark, id in before.items() if self.pick(mark).id != id]
         self.assertEqual(set(moved), {"i-6"})
 
@@ -91,7 +91,7 @@
 
 class Skipped(Case):
     def test_one_that_is_out_of_the_question(self):
-        for name, value in (("draining", True), ("loading", True), ("listed", False), ("silent_until", 5.0)):
+        for name, value in (("draining", True), ("loading", True), ("listed", False), ("backed_off_until", 5.0)):
             self.setUp()
             setattr(self.walk[0], name, value)
             self.assertFalse(is_open(self.walk[0], 1.0))
@@ -111,34 +111,34 @@
 
     def test_one_that_says_nothing(self):
         server = self.walk[0]
-        server.sent(0.0)
+        server.on_request_sent(0.0)
         self.assertTrue(is_open(server, SILENT))
         self.assertFalse(is_open(server, SILENT + 0.01))
-        server.heard(11.0)
+        server.on_bytes_received(11.0)
         self.assertTrue(is_open(server, 11.0))
-        server.ended()
+        server.on_request_ended()
         self.assertTrue(is_open(server, 100.0))  # nothing is out there
-        server.sent(100.0)
+        server.on_request_sent(100.0)
         self.assertTrue(is_open(server, 99.99 + SILENT))
 
     def test_back_off_shortens_no_longer_pause(self):
         server = engine(1)
-        server.silent_until = 100.0
+        server.backed_off_until = 100.0
         back_off(server, 10.0)
-        self.assertEqual(server.silent_until, 100.0)
+        self.assertEqual(server.backed_off_until, 100.0)
 
     def test_back_off_doubles_to_its_bound(self):
         server, spans = self.walk[0], []
         for _ in range(20):
             back_off(server, 10.0)
-            spans.append(server.silent_until - 10.0)
+            spans.append(server.backed_off_until - 10.0)
         self.assertEqual(spans[:3], [BACK_OFF, 2 * BACK_OFF, 4 * BACK_OFF])
         self.assertEqual(spans[-1], LONGEST_BACK_OFF)
         self.assertFalse(is_open(server, 10.1))
-        server.heard(10.2)
+        server.on_bytes_received(10.2)
         self.assertTrue(is_open(server, 10.2))
         back_off(server, 10.0)
-        self.assertEqual(server.silent_until, 10.0 + BACK_OFF)
+        self.assertEqual(server.backed_off_until, 10.0 + BACK_OFF)
 
     def test_none_fits(self):
         self.assertIsNone(self.pick(version=2))
@@ -156,30 +156,30 @@
         for server in walk[:WALK]:
             server.draining = True
         for n, server in enumerate(walk[WALK:]):
-            server.inflight = 5 - n
+            server.open_requests = 5 - n
         self.assertIs(self.pick(), walk[-1])
 
 
 class Margin(Case):
     def test_over_it_the_next_on_the_walk(self):
         most = next(n for n in range(100) if n >= MARGIN * n / 6 + SPARE)
-        self.walk[0].inflight = most - 1
+        self.walk[0].open_requests = most - 1
         self.assertIs(self.pick(), self.walk[0])
-        self.walk[0].inflight = most
+        self.walk[0].open_requests = most
         self.assertIs(self.pick(), self.walk[1])
-        self.walk[1].inflight = self.walk[0].inflight = 20
+        self.walk[1].open_requests = self.walk[0].open_requests = 20
         self.assertIs(self.pick(), self.walk[2])
 
     def test_all_over_it(self):
         """One alone holds the mean itself, so only what is spare can be over it."""
         for server in self.walk[1:]:
             server.draining = True
-        self.walk[0].inflight = 1000
+        self.walk[0].open_requests = 1000
         self.assertIs(self.pick(), self.walk[0])
 
     def test_an_even_load_moves_nothing(self):
         for server in self.walk:
-            server.inflight = 50
+            server.open_requests = 50
         self.assertIs(self.pick(), self.walk[0])
 
 
@@ -235,11 +235,11 @@
         now = self.heat()
         first = self.pick(now=now)
         (other,) = (server for server in self.walk[:2] if server is not first)
-        first.inflight, first.heard_at = 30, now
+        first.open_requests, first.last_received_at = 30, now
         self.assertIs(self.pick(now=now), other)
-        first.inflight = 0
+        first.open_requests = 0
         self.assertIs(self.pick(now=now), other)  # and stays there
-        first.inflight, other.inflight, other.heard_at = 30, 40, now
+        first.open_requests, other.open_requests, other.last_received_at = 30, 40, now
         self.assertIs(self.pick(now=now), first)
 
     def test_a_replica_that_is_out_is_not_kept(self):
@@ -248,7 +248,7 @@
         first.loading = True
         self.assertIsNot(self.pick(now=now), first)
         first.loading = False
-        self.engines.update([engine(n) for n in range(6) if f"i-{n}" != first.id])
+        self.engines.apply_listed([engine(n) for n in range(6) if f"i-{n}" != first.id])
         self.assertNotIn(first, self.pool.drawn.values())
         self.assertIsNot(self.pick(now=now), first)
 
@@ -333,54 +333,54 @@
 
 class Updates(Case):
     def given(self, *engines):
-        return self.engines.update([engine(n) for n in range(1, 6)] + list(engines))
+        return self.engines.apply_listed([engine(n) for n in range(1, 6)] + list(engines))
 
     def test_the_same_again(self):
-        before = dict(self.engines.engines)
+        before = dict(self.engines.by_id)
         self.assertEqual(self.given(engine(0)), [])
-        self.assertEqual(self.engines.engines, before)
+        self.assertEqual(self.engines.by_id, before)
 
     def test_what_is_known_of_one_is_kept(self):
-        server = self.engines.engines["i-0"]
-        server.sent(5.0)
+        server = self.engines.by_id["i-0"]
+        server.on_request_sent(5.0)
         self.assertEqual(self.given(engine(0, 7, loading=True)), [])
-        self.assertIs(self.engines.engines["i-0"], server)
-        self.assertEqual((server.inflight, server.versions, server.loading), (1, {MODEL: 7}, True))
+        self.assertIs(self.engines.by_id["i-0"], server)
+        self.assertEqual((server.open_requests, server.versions, server.loading), (1, {MODEL: 7}, True))
 
     def test_one_is_gone(self):
-        server = self.engines.engines["i-0"]
+        server = self.engines.by_id["i-0"]
         self.assertEqual(self.given(), [server])
-        self.assertFalse(server.listed or "i-0" in self.engines.engines or server in self.pool.engines)
+        self.assertFalse(server.listed or "i-0" in self.engines.by_id or server in self.pool.engines)
         self.assertNotIn(server, {self.pick(mark) for mark in marks()})
 
     def test_all_are_gone(self):
-        self.assertEqual(len(self.engines.update([])), 6)
+        self.assertEqual(len(self.engines.apply_listed([])), 6)
         self.assertIsNone(self.pick())
 
     def test_its_address_has_another_id(self):
-        old, new = self.engines.engines["i-0"], engine(0)
+        old, new = self.engines.by_id["i-0"], engine(0)
         new.id = "i-0-next"
         self.assertEqual(self.given(new), [old])
         self.assertFalse(old.listed)
-        self.assertIs(self.engines.engines["i-0-next"], new)
+        self.assertIs(self.engines.by_id["i-0-next"], new)
         self.assertTrue(new.listed and new in self.pool.engines and old not in self.pool.engines)
 
     def test_the_same_id_is_elsewhere(self):
         for name, value in (("address", "10.9.9.9:80"), ("service", "t")):
             self.setUp()
-            old, new = self.engines.engines["i-0"], engine(0)
+            old, new = self.engines.by_id["i-0"], engine(0)
             mine = [mark for mark in marks() if self.pick(mark) is old]
             setattr(new, name, value)
             self.assertEqual(self.given(new), [old])
             self.assertFalse(old.listed)
-            self.assertIs(self.engines.engines["i-0"], new)
+            self.assertIs(self.engines.by_id["i-0"], new)
             self.assertEqual(new in self.pool.engines, name == "address")
             for mark in mine:
                 self.assertEqual(self.pick(mark) is new, name == "address")
         self.assertIs(self.engines.pool("t").pick(self.mark, 0.0, MODEL, 1, ()), new)
 
     def test_draining_and_back(self):
-        server = self.engines.engines["i-0"]
+        server = self.engines.by_id["i-0"]
         mine = [mark for mark in marks() if self.pick(mark) is server]
         self.assertTrue(mine)
         self.assertEqual(self.given(engine(0, draining=True)), [])
@@ -390,11 +390,11 @@
         self.assertEqual({self.pick(mark) for mark in mine}, {server})
 
     def test_gone_and_back(self):
-        old = self.engines.engines["i-0"]
+        old = self.engines.by_id["i-0"]
         self.given()
         self.assertEqual(self.given(engine(0)), [])
-        self.assertIsNot(self.engines.engines["i-0"], old)
-        self.assertIn(self.engines.engines["i-0"], self.pool.engines)
+        self.assertIsNot(self.engines.by_id["i-0"], old)
+        self.assertIn(self.engines.by_id["i-0"], self.pool.engines)
 
     def test_drawn_rosters(self):
         random_source = random.Random(4)
@@ -404,9 +404,9 @@
                 for n in range(12)
                 if random_source.random() < 0.7
             ]
-            before = set(self.engines.engines.values())
-            gone = self.engines.update(wanted)
-            now = set(self.engines.engines.values())
+            before = set(self.engines.by_id.values())
+            gone = self.engines.apply_listed(wanted)
+            now = set(self.engines.by_id.values())
             self.assertEqual(set(gone), before - now)
             self.assertEqual(len(gone), len(set(gone)))
             self.assertFalse(any(server.listed for server in gone))
--- a/tests/dataplane/test_exchange_attempts.py
+++ b/tests/dataplane/test_exchange_attempts.py
@@ -95,7 +95,7 @@
             async def hear() -> None:
                 while True:
                     for endpoint in rig.endpoints:
-                        endpoint.heard(rig.now())
+                        endpoint.on_bytes_received(rig.now())
                     await trio.sleep(self.HEARD_EVERY)
 
             rig.nursery.start_soon(hear)
@@ -193,8 +193,8 @@
     def test_another_server_comes_back_meanwhile(self) -> None:
         async def main(rig: Rig) -> tuple[str, float]:
             for endpoint in rig.endpoints:
-                endpoint.silent_until = rig.now() + 2.6
-            rig.endpoints[0].silent_until = 0.0
+                endpoint.backed_off_until = rig.now() + 2.6
+            rig.endpoints[0].backed_off_until = 0.0
             made = await exchange(rig, "idempotent", Behaviour(then=Then.SILENCE, cut=0))
             return outcome("idempotent", made.id, made.got), made.got.at
 
--- a/tests/dataplane/test_graceful_shutdown_of_router.py
+++ b/tests/dataplane/test_graceful_shutdown_of_router.py
@@ -186,7 +186,7 @@
             made.ask(ONCE, 15.0)  # without it the router would have ended
             await made.until(GRACE - 1.2)
             made.fleet.cut(made.unit, made.fleet.cores)
-            made.unit.program.control_client.doubt()
+            made.unit.program.control_client.mark_stale()
             for _ in range(4):  # each waits until what is known is confirmed
                 made.ask(REPEATED, 0.5)
                 await trio.sleep(0.1)
--- a/tests/dataplane/test_requests.py
+++ b/tests/dataplane/test_requests.py
@@ -6,6 +6,7 @@
 
 import orjson
 
+from rowanshift.dataplane.errors import UnreadableConfiguration
 from rowanshift.dataplane.requests import (
     LONGEST_MS,
     parts_of,
@@ -15,7 +16,7 @@
     tokens_of,
     written,
 )
-from rowanshift.dataplane.routing_table import BadControlState, RoutingTable, Tenant, routing_table_of
+from rowanshift.dataplane.routing_table import RoutingTable, Tenant, parse_routing_table
 from rowanshift.transport.http_connection import MalformedMessage, Message
 
 SHEET = {
@@ -57,7 +58,7 @@
 
 
 def routing_table(sheet=SHEET):
-    return routing_table_of(3, orjson.dumps(sheet), {"m": 2})
+    return parse_routing_table(3, orjson.dumps(sheet), {"m": 2})
 
 
 def read(*fields, target=b"/v1/chat", method=b"POST", body=b"{}", now=100.0):
@@ -80,33 +81,33 @@
             (b"/v2", "root"),
             (b"/", "root"),
         ):
-            self.assertEqual(routing_table().match(b"h.example", path).name, name)
+            self.assertEqual(routing_table().find_route(b"h.example", path).name, name)
 
     def test_the_order_of_routes_does_not_matter(self):
         random_source = random.Random(1)
         for _ in range(50):
             rows = random_source.sample(SHEET["routes"], len(SHEET["routes"]))
             made = routing_table({**SHEET, "routes": rows})
-            self.assertEqual(made.match(b"h.example", b"/v1/chat/x").name, "deep")
-            self.assertEqual(made.match(b"h.example", b"/v1").name, "v1")
+            self.assertEqual(made.find_route(b"h.example", b"/v1/chat/x").name, "deep")
+            self.assertEqual(made.find_route(b"h.example", b"/v1").name, "v1")
 
     def test_no_route(self):
-        self.assertIsNone(routing_table().match(b"o.example", b"/y"))
-        self.assertIsNone(routing_table().match(b"none", b"/"))
-        self.assertIsNone(routing_table().match(b"h.example", b""))
+        self.assertIsNone(routing_table().find_route(b"o.example", b"/y"))
+        self.assertIsNone(routing_table().find_route(b"none", b"/"))
+        self.assertIsNone(routing_table().find_route(b"h.example", b""))
 
     def test_all_fields(self):
         made = routing_table()
-        route = made.match(b"h.example", b"/v1/chat")
-        self.assertEqual((route.timeout, route.aim, route.servers, route.priority), (1.5, 0.2, 3, 4))
-        self.assertTrue(route.streaming and route.repeatable and not route.public)
-        self.assertEqual((made.largest_body, made.header_within, made.idle_for), (1000, 0.5, 2.0))
-        self.assertEqual((made.services["a"].health, made.services["a"].connections), (b"/up", 7))
-        self.assertEqual((made.services["k"].store, made.services["a"].token_bytes), ("10.0.0.7:9000", 16))
+        route = made.find_route(b"h.example", b"/v1/chat")
+        self.assertEqual((route.timeout, route.target_latency, route.max_attempts, route.priority), (1.5, 0.2, 3, 4))
+        self.assertTrue(route.is_streaming and route.is_repeatable and not route.public)
+        self.assertEqual((made.max_body_bytes, made.header_timeout, made.idle_timeout), (1000, 0.5, 2.0))
+        self.assertEqual((made.services["a"].health_path, made.services["a"].max_connections), (b"/up", 7))
+        self.assertEqual((made.services["k"].store_address, made.services["a"].kv_token_bytes), ("10.0.0.7:9000", 16))
         self.assertEqual((made.revision, made.versions), (3, {"m": 2}))
         self.assertIs(made.tenants[b"k1"], made.tenants[b"k2"])
         self.assertTrue(made.tenants[b"k3"].isolated)
-        self.assertTrue(made.match(b"o.example", b"/x").public)
+        self.assertTrue(made.find_route(b"o.example", b"/x").public)
 
     def test_what_may_run_more_than_once(self):
         for kind, resumable, expected in (
@@ -116,27 +117,27 @@
             ("", True, False),
         ):
             row = {"hostname": "h", "pathPrefix": "/", "backend": "a", "routeType": kind, "resumable": resumable}
-            self.assertEqual(routing_table({"routes": [row]}).match(b"h", b"/").repeatable, expected)
+            self.assertEqual(routing_table({"routes": [row]}).find_route(b"h", b"/").is_repeatable, expected)
 
     def test_without_tenants_no_key_is_asked_for(self):
         self.assertIsNone(routing_table({}).tenants)
         self.assertEqual(routing_table({"tenants": []}).tenants, {})
 
     def test_weights(self):
-        route = routing_table().match(b"h.example", b"/v1")
-        self.assertEqual([route.service(n / 1000) for n in range(1000)].count("a"), 750)
-        self.assertEqual((route.service(0.0), route.service(1.0)), ("a", "b"))
+        route = routing_table().find_route(b"h.example", b"/v1")
+        self.assertEqual([route.choose_service(n / 1000) for n in range(1000)].count("a"), 750)
+        self.assertEqual((route.choose_service(0.0), route.choose_service(1.0)), ("a", "b"))
 
     def test_a_weight_of_zero_gets_nothing(self):
         for weights in ((0, 1, 0), (0, 0, 2), (5, 0, 0)):
             split = [{"backend": name, "weight": weight} for name, weight in zip("xyz", weights, strict=True)]
             row = {"hostname": "h", "pathPrefix": "/", "trafficSplit": split}
-            route = routing_table({"routes": [row]}).match(b"h", b"/")
+            route = routing_table({"routes": [row]}).find_route(b"h", b"/")
             only = "xyz"[[weight > 0 for weight in weights].index(True)]
-            self.assertEqual({route.service(n / 100) for n in range(101)}, {only})
+            self.assertEqual({route.choose_service(n / 100) for n in range(101)}, {only})
 
     def test_priority(self):
-        route = routing_table().match(b"h.example", b"/v1/chat")
+        route = routing_table().find_route(b"h.example", b"/v1/chat")
         for tenant, expected in (
             (None, 4),
             (Tenant(b"t", None, False), 4),
@@ -147,7 +148,7 @@
             self.assertEqual(priority_of(route, tenant), expected)
 
     def test_no_configuration(self):
-        self.assertEqual(routing_table_of(9, b"", {"m": 1}), RoutingTable(versions={"m": 1}))
+        self.assertEqual(parse_routing_table(9, b"", {"m": 1}), RoutingTable(versions={"m": 1}))
 
     def test_junk(self):
         for data in (
@@ -165,14 +166,14 @@
             b'{"tenants": 1}',
             b'{"backends": [{"name": "a", "maxConnections": "x"}]}',
         ):
-            with self.assertRaises(BadControlState, msg=data):
-                routing_table_of(1, data, {})
+            with self.assertRaises(UnreadableConfiguration, msg=data):
+                parse_routing_table(1, data, {})
         random_source, good = random.Random(2), orjson.dumps(SHEET)
         for _ in range(3000):
             spoilt = bytearray(good)
             spoilt[random_source.randrange(len(spoilt))] = random_source.randrange(256)
-            with suppress(BadControlState):
-                routing_table_of(1, bytes(spoilt), {})
+            with suppress(UnreadableConfiguration):
+                parse_routing_table(1, bytes(spoilt), {})
 
 
 class Reading(unittest.TestCase):
--- a/tests/dataplane/test_revocation.py
+++ b/tests/dataplane/test_revocation.py
@@ -9,7 +9,7 @@
 from loguru import logger
 
 from rowanshift.dataplane.freshness import Freshness
-from rowanshift.dataplane.routing_table import routing_table_of
+from rowanshift.dataplane.routing_table import parse_routing_table
 from rowanshift.invariants.configuration_rules import revoked
 from rowanshift.invariants.facts import Answered, Asked, Began, ConfigAnswered, ConfigSent
 from rowanshift.process.node_settings import Bounds
@@ -33,13 +33,13 @@
     def test_by_the_age_of_what_is_known_as_the_request_came(self) -> None:
         freshness = Freshness(0.0, 1.5, 5.0)
         self.assertFalse(freshness.may_admit_key(0.0))
-        freshness.confirmed(10.0)
+        freshness.confirm(10.0)
         self.assertEqual([freshness.may_admit_key(at) for at in (9.0, 15.0, 15.01)], [True, True, False])
 
     def test_a_doubt_takes_nothing_from_what_was_known(self) -> None:
         freshness = Freshness(0.0, 1.5, 5.0)
-        freshness.confirmed(10.0)
-        freshness.doubt(14.0)
+        freshness.confirm(10.0)
+        freshness.mark_stale(14.0)
         self.assertEqual([freshness.may_admit_key(at) for at in (15.0, 15.01)], [True, False])
 
     def test_without_a_bound(self) -> None:
@@ -53,15 +53,15 @@
 class AllKeyed(unittest.TestCase):
     """Whether a router that may not go by keys has anything left to serve."""
 
-    def all_keyed(self, config: dict) -> bool:
-        return routing_table_of(1, orjson.dumps(config), {}).all_keyed
+    def requires_keys(self, config: dict) -> bool:
+        return parse_routing_table(1, orjson.dumps(config), {}).requires_keys
 
     def test_of_routes_and_tenants(self) -> None:
         config = config_of(1)
-        self.assertTrue(self.all_keyed(config))
+        self.assertTrue(self.requires_keys(config))
         config["routes"][0]["public"] = True
-        self.assertFalse(self.all_keyed(config))
-        self.assertFalse(self.all_keyed({name: value for name, value in config_of(1).items() if name != "tenants"}))
+        self.assertFalse(self.requires_keys(config))
+        self.assertFalse(self.requires_keys({name: value for name, value in config_of(1).items() if name != "tenants"}))
 
 
 class Rule(unittest.TestCase):
--- a/tests/kv_index/test_kv_index.py
+++ b/tests/kv_index/test_kv_index.py
@@ -258,7 +258,9 @@
 
     def front(self, stored):
         services = {at: Service(at, b"", 8, at, 64) for at in self.STORES}
-        state = SimpleNamespace(routing_table=RoutingTable(1, services=services), stored=stored, servers=None)
+        state = SimpleNamespace(
+            routing_table=RoutingTable(1, services=services), stored_block_hashes=stored, endpoints=None
+        )
         return KvMoves(state)
 
     def request(self, prefix):
--- a/tests/process/test_process_end.py
+++ b/tests/process/test_process_end.py
@@ -182,7 +182,7 @@
     try:
         process.until_started()
         process.until(lambda: put_config(machine.ports()[0], 1).startswith(b"HTTP/1.1 200"))
-        process.until(lambda: "event=config" in router.said())
+        process.until(lambda: "event=configuration_applied" in router.said())
         with socket.create_connection(machine.ports()[0], WITHIN) as operator:
             operator.sendall(config_call(2))
             process.running.send_signal(signal.SIGTERM)
--- a/tests/simulation/test_fleet_faults.py
+++ b/tests/simulation/test_fleet_faults.py
@@ -15,7 +15,7 @@
 from rowanshift.controlplane.replication.timing import Timing
 from rowanshift.dataplane import drain
 from rowanshift.dataplane.client_answer import ClientGone, Out
-from rowanshift.dataplane.control_client import ControlClient
+from rowanshift.dataplane.control_cache import ControlCache
 from rowanshift.dataplane.retry_budget import RetryBudget
 from rowanshift.simulation.fleet import ONCE, REPEATED, RESUMED, config_of, play, routes_of
 
@@ -94,17 +94,15 @@
         self.found("LOST", "kept connection", scenario, mock.patch.object(Out, "send", cut))
 
     def test_a_router_takes_an_older_update(self):
-        true, first = ControlClient._take, {}
+        true, first = ControlCache.apply, {}
 
-        def take(client, update, asked_at):
-            taken = true(client, update, asked_at)
+        def take(cache, update, asked_at):
+            taken = true(cache, update, asked_at)
             if update.has_state and update.revision == 1:
-                first[client] = update
-            elif not update.has_state and client.routing_table.revision == 2:
-                older = replace(
-                    first[client], fingerprint=update.fingerprint, has_server_records=False, has_peers=False
-                )
-                true(client, older, asked_at)
+                first[cache] = update
+            elif not update.has_state and cache.routing_table.revision == 2:
+                older = replace(first[cache], fingerprint=update.fingerprint, has_server_records=False, has_peers=False)
+                true(cache, older, asked_at)
             return taken
 
         async def scenario(fleet):
@@ -115,7 +113,7 @@
             await fleet.put(config_of(2, routes=routes))
             await trio.sleep(3)
 
-        self.found("CONFIG", "was seen at", scenario, mock.patch.object(ControlClient, "_take", take))
+        self.found("CONFIG", "was seen at", scenario, mock.patch.object(ControlCache, "apply", take))
 
     def test_a_primary_forgets_the_orders_that_it_took(self):
         true = CHANGES[b"PUT"]
--- a/tests/simulation/test_system_simulation.py
+++ b/tests/simulation/test_system_simulation.py
@@ -21,7 +21,7 @@
 from rowanshift.controlplane.service import ControlPlaneService
 from rowanshift.controlplane.store import DamagedRecord, StoreClosed, StoreWriteFailed
 from rowanshift.controlplane.version_rollout import VersionRollout
-from rowanshift.dataplane import client_answer, control_client, forwarder, requests
+from rowanshift.dataplane import client_answer, control_cache, forwarder, requests
 from rowanshift.dataplane.routing_table import Route
 from rowanshift.invariants import system as rules
 from rowanshift.invariants.system import Answered, Began, Loaded, Ordered, VersionNamed
@@ -667,7 +667,7 @@
         self.found("WALL", scenario, mock.patch.object(requests, "salt_of", lambda tenant, version: b"v%d" % version))
 
     def test_a_counter_keeps_its_first_configuration(self):
-        true = control_client.ControlClient._take
+        true = control_cache.ControlCache.apply
 
         def take(self, update, asked_at):
             update = update if not self.routing_table.revision else replace(update, has_state=False)
@@ -678,10 +678,10 @@
             await fleet.put(config_of(2, {"t1": ["key-1"]}))
             await trio.sleep(APPLY + 1)
 
-        self.found("CONFIG", scenario, mock.patch.object(control_client.ControlClient, "_take", take))
+        self.found("CONFIG", scenario, mock.patch.object(control_cache.ControlCache, "apply", take))
 
     def test_a_server_that_leaves_gets_more(self):
-        true = control_client.endpoint_of
+        true = control_cache.endpoint_from_record
 
         async def scenario(fleet):
             fleet.crowd(6)
@@ -692,9 +692,9 @@
             "DRAIN",
             scenario,
             mock.patch.object(
-                control_client,
-                "endpoint_of",
-                lambda row: true(replace(row, state=row.state & ~control_client.SERVER_DRAINING)),
+                control_cache,
+                "endpoint_from_record",
+                lambda row: true(replace(row, state=row.state & ~control_cache.SERVER_DRAINING)),
             ),
         )
 
@@ -704,7 +704,7 @@
             await fleet.name_version(2)
             await trio.sleep(VERSION + 1)
 
-        patch = mock.patch.multiple(control_client.ControlClient, version=lambda self, model, now: 0)
+        patch = mock.patch.multiple(control_cache.ControlCache, required_version=lambda self, model, now: 0)
         with mock.patch.object(VersionRollout, "_may_order", lambda rollout: False):
             self.found("VERSION", scenario, patch)
 
--- a/tests/soak/test_soak_versions.py
+++ b/tests/soak/test_soak_versions.py
@@ -7,7 +7,7 @@
 from loguru import logger
 
 from rowanshift.controlplane.version_rollout import VersionRollout
-from rowanshift.dataplane import control_client
+from rowanshift.dataplane.control_cache import ControlCache
 from rowanshift.invariants.facts import Asked, Began, VersionNamed
 from rowanshift.simulation.fleet import ONCE, Fleet, play
 from rowanshift.simulation.fleet_settings import CONTACT, MODEL, VERSION, VERSION_ALL
@@ -87,7 +87,7 @@
         return {breach.rule for breach in versions.versions([*started, *fleet.facts])}
 
     def test_it_is_found(self) -> None:
-        with mock.patch.object(control_client.ControlClient, "version", lambda client, model, now: 0):
+        with mock.patch.object(ControlCache, "required_version", lambda cache, model, now: 0):
             self.assertEqual(self.found(), {"VERSION"})
         self.assertEqual(self.found(), set())
 
--- a/tests/support/exchange_rig.py
+++ b/tests/support/exchange_rig.py
@@ -19,7 +19,7 @@
 from rowanshift.dataplane.endpoints import Endpoint, Endpoints
 from rowanshift.dataplane.frontend import BACKLOG, Frontend
 from rowanshift.dataplane.load_index import DatagramKind
-from rowanshift.dataplane.routing_table import RoutingTable, routing_table_of
+from rowanshift.dataplane.routing_table import RoutingTable, parse_routing_table
 from rowanshift.dataplane.upstream import Upstream
 from rowanshift.simulation.clock import Determined, VirtualClock
 from rowanshift.simulation.machine import Machine
@@ -395,28 +395,28 @@
     """What the channel would tell, never changing."""
 
     def __init__(self, endpoints: Endpoints, routing_table: RoutingTable) -> None:
-        self.servers, self.routing_table = endpoints, routing_table
-        self.stored: set[int] = set()
+        self.endpoints, self.routing_table = endpoints, routing_table
+        self.stored_block_hashes: set[int] = set()
         self.least_version = 0
         self.overdue_at = float("inf")  # from when all weights in use are overdue
 
-    def overdue_for(self, model: str, version: int, now: float) -> float | None:
+    def seconds_overdue(self, model: str, version: int, now: float) -> float | None:
         return now - self.overdue_at if now >= self.overdue_at else None
 
-    def version(self, model: str, now: float) -> int:
+    def required_version(self, model: str, now: float) -> int:
         return self.least_version
 
-    async def fresh(self, left: float) -> None:
+    async def wait_until_fresh(self, timeout: float) -> None:
         await trio.lowlevel.checkpoint()
 
     def may_refuse(self) -> bool:
         return True
 
-    async def confirmed(self, within: float) -> bool:
+    async def wait_until_may_refuse(self, timeout: float) -> bool:
         return True
 
-    async def changed(self, within: float) -> None:
-        await trio.sleep(max(0.0, within))
+    async def wait_for_update(self, timeout: float) -> None:
+        await trio.sleep(max(0.0, timeout))
 
 
 def routing_table() -> RoutingTable:
@@ -434,7 +434,7 @@
         }
         for kind, (route_type, resumable) in KINDS.items()
     ]
-    return routing_table_of(1, orjson.dumps({"routes": rows, "backends": [{"name": "s"}]}), {})
+    return parse_routing_table(1, orjson.dumps({"routes": rows, "backends": [{"name": "s"}]}), {})
 
 
 class Rig:
@@ -467,7 +467,7 @@
     def _frontend(self) -> tuple[Frontend, Upstream]:
         endpoints = Endpoints(random.Random(1))
         self.endpoints = [Endpoint(s.name, "s", f"{s.machine.address}:{SERVED}", "z", 8, {"": 0}) for s in self.servers]
-        endpoints.update(self.endpoints)
+        endpoints.apply_listed(self.endpoints)
         budget, memory = DescriptorBudget(4096, 0), MemoryBudget(512)
         upstream = Upstream(self.router, budget, memory)
         self.state = FixedState(endpoints, routing_table())
