--- a/tests/controlplane/test_configuration.py
+++ b/tests/controlplane/test_configuration.py
@@ -303,7 +303,7 @@
             }
         )
         route = parse(body).routes[0]
-        self.assertFalse(route.is_repeatable or route.public or route.sticky or route.is_streaming)
+        self.assertFalse(route.repeatable or route.public or route.sticky or route.streaming)
         self.assertEqual((route.timeout_ms, route.gap_aim_ms), (None, None))
         self.assertEqual((route.retries, route.priority), (1, 5.0))
         first, second = parse(body), parse(body)
--- a/tests/simulation/test_system_simulation.py
+++ b/tests/simulation/test_system_simulation.py
@@ -634,7 +634,7 @@
         await trio.sleep(1)
 
     def test_what_may_have_run_is_sent_again(self):
-        self.found("TWICE", self.crashes, mock.patch.object(Route, "repeatable", True))
+        self.found("TWICE", self.crashes, mock.patch.object(Route, "is_repeatable", True))
 
     def test_what_may_have_run_is_refused(self):
         true = client_answer.Out.refuse
