--- a/tests/modelcheck/test_closing_fault.py
+++ b/tests/modelcheck/test_closing_fault.py
@@ -1,7 +1,8 @@
-"""The worst loss that is to be borne: f disks gone, and all other machines without power at the same moment."""
+"""The worst tolerated loss: f disks are lost, and all other machines lose power at the same moment."""
 
 import unittest
 from dataclasses import dataclass
+from typing import NamedTuple
 
 import trio
 from loguru import logger
@@ -12,11 +13,11 @@
 from rowanshift.simulation.fleet_settings import MODEL
 from tests.controlplane.replication.test_replication import FOURTH, Rig
 
-APART = (0.0, 0.05, 0.2, 1.0)  # seconds from the end of a machine that leaves to the closing fault, at most
-SYNCED = 4.0  # seconds for which a machine counts as lost after its start
-NAMED = 2  # the version of the model that is named before the closing fault
-CHANGE_PAUSE = 0.05  # seconds
-READ_BACK_WITHIN = 20.0  # seconds
+CLOSING_FAULT_DELAYS_SECONDS = (0.0, 0.05, 0.2, 1.0)  # from the event before to the closing fault, at most
+COUNTS_AS_FAILED_SECONDS = 4.0  # for which a machine counts as failed after its start
+NAMED_VERSION = 2  # of the model, named before the closing fault
+CHANGE_PAUSE_SECONDS = 0.05
+READ_BACK_LIMIT_SECONDS = 20.0
 
 
 def setUpModule() -> None:
@@ -36,38 +37,38 @@
         super().start(me, bootstrap)
         self.ledger(me).quorum_member = me not in self.uncounted
 
-    def strike(self, wiped: int, gone: int = 0) -> None:
-        """Disks keep what was synced, but for the one that is wiped; a machine that is gone stays away."""
+    def inject_closing_fault(self, lost_disk: int, removed: int = 0) -> None:
+        """Disks keep what was synced, but for the one that is lost; a removed machine doesn't start again."""
         machines = self.cluster.machines
         for machine in machines:
             self.cluster.crash(machine, save_persisted=False)
         self.cluster.in_flight.clear()
-        machines[wiped].disk = None
+        machines[lost_disk].disk = None
         for machine in machines:
-            if machine != gone:
+            if machine != removed:
                 self.start(machine)
 
     def read_back(self) -> bytes | None:
-        """The state of the next primary, None if there is none in time."""
-        self.run(READ_BACK_WITHIN, lambda: self.primary() != 0)
+        """The state of the next primary; ``None`` if there is none in time."""
+        self.run(READ_BACK_LIMIT_SECONDS, lambda: self.primary() != 0)
         return self.ledger(self.primary()).committed_state if self.primary() else None
 
 
 class AfterARelease(unittest.TestCase):
-    """A spare has long been there; a machine leaves as planned, and all is lost that may be lost right after it."""
+    """A spare has long been there; a machine leaves as planned, and right after it the closing fault comes."""
 
     def test_what_was_acknowledged_is_there_whoever_left_and_whichever_disk_is_lost(self) -> None:
         for leaving in (1, 2, 3):
-            for wiped in {1, 2, 3, FOURTH} - {leaving}:
-                with self.subTest(leaving=leaving, wiped=wiped):
+            for lost_disk in {1, 2, 3, FOURTH} - {leaving}:
+                with self.subTest(leaving=leaving, lost_disk=lost_disk):
                     rig = ClosingRig(spares=1)
                     rig.elect()
                     rig.run(6.0)
                     rig.commit()
-                    kept = rig.ledger(rig.primary()).committed_state
+                    acknowledged = rig.ledger(rig.primary()).committed_state
                     self.leave(rig, leaving)
-                    rig.strike(wiped, gone=leaving)
-                    self.assertEqual(rig.read_back(), kept)
+                    rig.inject_closing_fault(lost_disk, removed=leaving)
+                    self.assertEqual(rig.read_back(), acknowledged)
 
     def leave(self, rig: Rig, leaving: int) -> None:
         replica = rig.ledger(leaving)
@@ -111,17 +112,17 @@
 
     def test_nothing_is_lost_when_it_goes_with_f_disks(self) -> None:
         for away in (1, 2, 3):
-            for wiped in (1, 2, 3):
-                with self.subTest(away=away, wiped=wiped):
+            for lost_disk in (1, 2, 3):
+                with self.subTest(away=away, lost_disk=lost_disk):
                     rig = self.rig()
                     rig.cluster.crash(away, save_persisted=False)
                     rig.run(6.0)
                     rig.start(away)
                     rig.run(6.0)
                     rig.commit()
-                    kept = rig.ledger(rig.primary()).committed_state
-                    rig.strike(wiped, gone=FOURTH)
-                    self.assertEqual(rig.read_back(), kept)
+                    acknowledged = rig.ledger(rig.primary()).committed_state
+                    rig.inject_closing_fault(lost_disk, removed=FOURTH)
+                    self.assertEqual(rig.read_back(), acknowledged)
 
     def test_it_knows_the_record_and_the_primary(self) -> None:
         rig = self.rig()
@@ -153,20 +154,20 @@
         self.assertEqual(rig.commit(), 1)
 
 
-class DrawnFleet(unittest.TestCase):
-    """Whole programs under changes without a pause: machines leave, are replaced or join; then the closing fault."""
+class RandomFleet(unittest.TestCase):
+    """The programs under changes without a pause: machines leave, are replaced or join; then the closing fault."""
 
     def test_the_newest_acknowledged_configuration_and_version_are_read_back(self) -> None:
         for seed in range(8):
             with self.subTest(seed=seed):
-                day = play(closing_day, f"closing/{seed}")[0]
-                self.assertGreaterEqual(day.read, day.acknowledged)
-                self.assertEqual(day.version, NAMED)
-                self.assertGreater(day.acknowledged, 10)
+                outcome = play(play_closing_fault, f"closing/{seed}")[0]
+                self.assertGreaterEqual(outcome.read, outcome.acknowledged)
+                self.assertEqual(outcome.version, NAMED_VERSION)
+                self.assertGreater(outcome.acknowledged, 10)
 
 
 @dataclass(frozen=True)
-class ClosingDay:
+class ClosingOutcome:
     """Revisions of the configuration, and the version that the model has afterwards."""
 
     acknowledged: int  # last, before the closing fault
@@ -174,76 +175,84 @@
     version: int
 
 
-async def closing_day(fleet: Fleet) -> ClosingDay:
-    """Changes without a pause, something that befalls a machine, and the closing fault."""
+class Survivors(NamedTuple):
+    """The machines that return after the closing fault, and the one among them whose disk is lost in it."""
+
+    returning: list[Unit]
+    lost_disk: Unit
+
+
+async def play_closing_fault(fleet: Fleet) -> ClosingOutcome:
+    """Changes without a pause, an event before the closing fault, and the closing fault."""
     random_source = fleet.random_source
     await fleet.start()
-    extra = fleet.spare(counts=False)
+    observer = fleet.spare(counts=False)
     changing = trio.CancelScope()
     fleet.nursery.start_soon(keep_changing, fleet, changing)
-    left, wiped = await BEFORE[random_source.choice(sorted(BEFORE))](fleet)
-    await fleet.name_version(NAMED)
-    await trio.sleep(random_source.choice(APART) * random_source.random())
+    returning, lost_disk = await random_source.choice(PRECEDING_EVENTS)(fleet)
+    await fleet.name_version(NAMED_VERSION)
+    await trio.sleep(random_source.choice(CLOSING_FAULT_DELAYS_SECONDS) * random_source.random())
     acknowledged = fleet.revision
-    fleet.cut_power(extra, *fleet.routers)
-    fleet.empty_disk(wiped)
-    fleet.cut_power(*(unit for unit in left if unit is not wiped))
+    fleet.cut_power(observer, *fleet.routers)
+    fleet.empty_disk(lost_disk)
+    fleet.cut_power(*(unit for unit in returning if unit is not lost_disk))
     changing.cancel()
     await trio.sleep(1.0)
-    fleet.back(*left, *fleet.routers)
-    read = (await fleet.operator.read_config(READ_BACK_WITHIN) or {}).get("revision", 0)
+    fleet.back(*returning, *fleet.routers)
+    read = (await fleet.operator.read_config(READ_BACK_LIMIT_SECONDS) or {}).get("revision", 0)
     primary = fleet.primary()
-    return ClosingDay(acknowledged, read, primary.program.publication.versions().get(MODEL, 0) if primary else 0)
+    return ClosingOutcome(acknowledged, read, primary.program.publication.versions().get(MODEL, 0) if primary else 0)
 
 
-async def nothing(fleet: Fleet) -> tuple[list[Unit], Unit]:
-    """The machines that return after the closing fault, and the one whose disk is lost in it; as of those below."""
-    await trio.sleep(SYNCED)
-    left = fleet.cores[:3]
-    return left, fleet.random_source.choice(left)
+async def nothing(fleet: Fleet) -> Survivors:
+    """No machine has changed."""
+    await trio.sleep(COUNTS_AS_FAILED_SECONDS)
+    returning = fleet.cores[:3]
+    return Survivors(returning, fleet.random_source.choice(returning))
 
 
-async def leaves(fleet: Fleet) -> tuple[list[Unit], Unit]:
+async def leaves(fleet: Fleet) -> Survivors:
     """A spare has long been there, and a machine leaves as planned."""
     spare, leaving = fleet.spare(), fleet.random_source.choice(fleet.cores[:3])
-    await trio.sleep(SYNCED)
+    await trio.sleep(COUNTS_AS_FAILED_SECONDS)
     fleet.terminate(leaving)
     await fleet.until(lambda: not leaving.machine.running)
-    left = [unit for unit in (*fleet.cores[:3], spare) if unit is not leaving]
-    return left, fleet.random_source.choice(left)
+    returning = [unit for unit in (*fleet.cores[:3], spare) if unit is not leaving]
+    return Survivors(returning, fleet.random_source.choice(returning))
 
 
-async def is_replaced(fleet: Fleet) -> tuple[list[Unit], Unit]:
-    """A machine is gone without a word, and another has taken its place for as long as that counts as lost."""
-    gone = fleet.random_source.choice(fleet.cores[:3])
-    await trio.sleep(SYNCED)
-    fleet.empty_disk(gone)
-    left = [unit for unit in (*fleet.cores[:3], fleet.spare()) if unit is not gone]
-    await trio.sleep(SYNCED)
-    return left, fleet.random_source.choice(left)
+async def is_replaced(fleet: Fleet) -> Survivors:
+    """A machine is lost without notice, and its replacement has run for as long as that counts as failed."""
+    lost = fleet.random_source.choice(fleet.cores[:3])
+    await trio.sleep(COUNTS_AS_FAILED_SECONDS)
+    fleet.empty_disk(lost)
+    returning = [unit for unit in (*fleet.cores[:3], fleet.spare()) if unit is not lost]
+    await trio.sleep(COUNTS_AS_FAILED_SECONDS)
+    return Survivors(returning, fleet.random_source.choice(returning))
 
 
-async def joins(fleet: Fleet) -> tuple[list[Unit], Unit]:
-    """A machine has just been told to stop, and another starts in its place: that one's disk is lost."""
+async def joins(fleet: Fleet) -> Survivors:
+    """A machine has just been asked to end, and another starts in its place: that one's disk is lost."""
     leaving = fleet.random_source.choice(fleet.cores[:3])
-    await trio.sleep(SYNCED)
+    await trio.sleep(COUNTS_AS_FAILED_SECONDS)
     fleet.terminate(leaving)
-    await trio.sleep(fleet.random_source.random() * SYNCED)
+    await trio.sleep(fleet.random_source.random() * COUNTS_AS_FAILED_SECONDS)
     joined = fleet.spare()
-    await trio.sleep(fleet.random_source.random() * SYNCED)
-    return [*fleet.cores[:3], joined], joined
+    await trio.sleep(fleet.random_source.random() * COUNTS_AS_FAILED_SECONDS)
+    return Survivors([*fleet.cores[:3], joined], joined)
 
 
-BEFORE = {before.__name__: before for before in (nothing, leaves, is_replaced, joins)}
+# the order is part of what a seed means
+PRECEDING_EVENTS = (is_replaced, joins, leaves, nothing)
 
 
 async def keep_changing(fleet: Fleet, scope: trio.CancelScope) -> None:
     with scope:
-        await fleet.keep_changing(CHANGE_PAUSE)
+        await fleet.keep_changing(CHANGE_PAUSE_SECONDS)
 
 
 class UncountedFleet(unittest.TestCase):
-    """The same as whole programs in the virtual network, told by their settings."""
+    """The same with the programs themselves in the virtual network, by their settings."""
 
     def test_what_was_acknowledged_outlasts_a_disk_and_a_machine_that_does_not_count(self) -> None:
         for seed in range(3):
@@ -253,21 +262,21 @@
 
     async def _play(self, fleet: Fleet) -> tuple[int, int]:
         await fleet.start()
-        extra = fleet.spare(counts=False)
-        await trio.sleep(4.0)
+        observer = fleet.spare(counts=False)
+        await trio.sleep(COUNTS_AS_FAILED_SECONDS)
         away = fleet.backups()[1]
         fleet.cut_power(away)
-        await trio.sleep(4.0)
+        await trio.sleep(COUNTS_AS_FAILED_SECONDS)
         fleet.back(away)
-        await trio.sleep(4.0)
+        await trio.sleep(COUNTS_AS_FAILED_SECONDS)
         await fleet.put(config_of(fleet.sent + 1))
         counted = fleet.cores[:3]
-        fleet.cut_power(extra, *fleet.routers)
+        fleet.cut_power(observer, *fleet.routers)
         fleet.empty_disk(counted[0])
         fleet.cut_power(*counted[1:])
         await trio.sleep(1.0)
         fleet.back(*counted, *fleet.routers)
-        return fleet.revision, (await fleet.operator.read_config(20.0) or {}).get("revision", 0)
+        return fleet.revision, (await fleet.operator.read_config(READ_BACK_LIMIT_SECONDS) or {}).get("revision", 0)
 
 
 if __name__ == "__main__":
--- a/tests/support/planted_client_faults.py
+++ b/tests/support/planted_client_faults.py
@@ -203,25 +203,25 @@
         heavy_load=True,
     ),
     RefusesByProposal: FaultSearch(
-        2,
+        0,
         fault_kinds=(FaultKind.SLOW_DISK, FaultKind.SAVE_ERROR, FaultKind.PAUSE, FaultKind.LINK_CUTS),
         walk="clients",
         heavy_load=True,
     ),
     AcknowledgesProposed: FaultSearch(0, walk="clients"),
-    AcknowledgesUnknown: FaultSearch(4, walk="clients"),
-    RefusesUnknown: FaultSearch(4, walk="clients"),
-    AnswersPollsWithoutLease: FaultSearch(4, fault_kinds=(FaultKind.PAUSE,), walk="clients", heavy_load=True),
+    AcknowledgesUnknown: FaultSearch(2, walk="clients"),
+    RefusesUnknown: FaultSearch(1, walk="clients"),
+    AnswersPollsWithoutLease: FaultSearch(5, fault_kinds=(FaultKind.PAUSE,), walk="clients", heavy_load=True),
     AnswersPollsWithProposed: FaultSearch(
-        8, fault_kinds=(FaultKind.SLOW_DISK, FaultKind.PAUSE, FaultKind.LINK_CUTS), walk="clients", heavy_load=True
+        18, fault_kinds=(FaultKind.SLOW_DISK, FaultKind.PAUSE, FaultKind.LINK_CUTS), walk="clients", heavy_load=True
     ),
     RouterAppliesOlderEpoch: FaultSearch(0, walk="clients"),
     RouterOrdersBySequence: FaultSearch(0, walk="clients"),
     RouterFreshFromAnswer: FaultSearch(0, walk="clients"),
     LeaseFromAnswer: FaultSearch(256, fault_kinds=(FaultKind.PAUSE,)),
     RemovedWitnessKept: FaultSearch(0, spares=1, walk="members"),
-    ReleasesCopies: FaultSearch(3, spares=1, walk="members"),
-    DirectoriesSyncedOnlyWhenNew: FaultSearch(10, spares=1, walk="members"),
+    ReleasesCopies: FaultSearch(0, spares=1, walk="members"),
+    DirectoriesSyncedOnlyWhenNew: FaultSearch(1, spares=1, walk="members"),
     ParentDirectoryNotSynced: FaultSearch(0, spares=1, walk="members"),
     RecordNotSynced: FaultSearch(0, spares=1, walk="members"),
 }
--- a/tests/support/planted_replication_faults.py
+++ b/tests/support/planted_replication_faults.py
@@ -36,11 +36,15 @@
 
 
 class AcceptsBeforeSave(replication.Replica):
+    """A witness says that it has accepted a record before the record is on its disk."""
+
     def _send_saved(self, to, message):
         (self._send if isinstance(message, replication.AcceptReply) else super()._send_saved)(to, message)
 
 
 class PromiseNotDurable(replication.Replica):
+    """A witness gives a promise before it is on its disk."""
+
     def _send_saved(self, to, message):
         (self._send if isinstance(message, replication.PrepareReply) else super()._send_saved)(to, message)
 
@@ -52,14 +56,14 @@
         (self._send if isinstance(message, replication.StoreReply) else super()._send_saved)(to, message)
 
 
-class OutOfSyncCandidateGoesOn(replication.Replica):
-    """A candidate goes on although it isn't in sync."""
+class OutOfSyncCandidate(replication.Replica):
+    """A candidate continues although it isn't in sync."""
 
     def _has_state(self, record):
         return True
 
 
-class LostStateGoesOn(replication.Replica):
+class CandidateWithoutState(replication.Replica):
     """An in-sync machine stands although its disk was lost since."""
 
     def _has_state(self, record):
@@ -67,6 +71,8 @@
 
 
 class ReadsUnconfirmed(replication.Replica):
+    """A primary answers a read without asking the other in-sync machines."""
+
     def confirm_read(self, token, now):
         if self._own_record is None:
             raise replication.NotPrimary(0)
@@ -82,6 +88,8 @@
 
 
 class AcceptsLowerNumber(replication.Replica):
+    """A witness accepts a record whose number is below its promise."""
+
     def _on_accept(self, sender, message):
         self._adopt(message.record)
         self._hold(sender)
@@ -124,7 +132,7 @@
 
 
 class RestartedDoesNotWait(replication.Replica):
-    """A witness that was started anew promises at once."""
+    """A restarted witness promises at once."""
 
     def __init__(self, *args, **options):
         super().__init__(*args, **options)
@@ -132,8 +140,8 @@
         self._stand_at = self._now
 
 
-class CopiesGoOnAtOnce(replication.Replica):
-    """Whoever holds a copy goes on at once in a new life, as only the former primary may; witnesses in a new life let
+class BackupsStandAtOnce(replication.Replica):
+    """Any in-sync machine stands as soon as it has started, as only the former primary may; restarted witnesses let
     it."""
 
     def _was_primary(self):
@@ -145,6 +153,8 @@
 
 
 class StoresBelowPromise(replication.Replica):
+    """A backup stores a state under an epoch below its promise."""
+
     def _on_store(self, sender, message):
         if message.version > self._durable.version:
             promised = max(self._durable.promised, message.epoch)
@@ -171,7 +181,7 @@
 
 
 class CountsAnyHeartbeatReply(replication.Replica):
-    """An answer to an earlier Confirm counts for the round last asked."""
+    """An answer to an earlier Heartbeat counts for the round last asked."""
 
     def _on_heartbeat_reply(self, sender, message):
         super()._on_heartbeat_reply(
@@ -181,7 +191,7 @@
 
 
 class KeepsLeaseTransferring(replication.Replica):
-    """A primary with a slow disk nominates its backups and stays."""
+    """A primary with a slow disk transfers leadership and stays."""
 
     def _transfer_leadership(self):
         for member in sorted({*self._own_record.witnesses, *self._own_record.in_sync} - {self.me}):
@@ -206,7 +216,7 @@
 
 
 FAULTS: dict[type[replication.Replica], FaultSearch] = {
-    AcknowledgesAlone: FaultSearch(0),
+    AcknowledgesAlone: FaultSearch(2),
     EmptyDiskVotes: FaultSearch(2),
     AcceptsBeforeSave: FaultSearch(
         0,
@@ -219,14 +229,14 @@
         fault_kinds=(FaultKind.FORCED_CANDIDACY, FaultKind.POWER_LOSS, FaultKind.POWER_LOSS, FaultKind.MESSAGE_BLOCK),
     ),
     CommitsBeforeOwnSave: FaultSearch(0),
-    OutOfSyncCandidateGoesOn: FaultSearch(1),
-    LostStateGoesOn: FaultSearch(2),
-    ReadsUnconfirmed: FaultSearch(81),
-    ReadsProposed: FaultSearch(3),
-    AcceptsLowerNumber: FaultSearch(29, machine_count=5),
+    OutOfSyncCandidate: FaultSearch(0),
+    CandidateWithoutState: FaultSearch(2),
+    ReadsUnconfirmed: FaultSearch(11),
+    ReadsProposed: FaultSearch(6),
+    AcceptsLowerNumber: FaultSearch(55, machine_count=5),
     IgnoresRecordsRead: FaultSearch(2),
     NewSetAlone: FaultSearch(
-        16,
+        0,
         spares=1,
         fault_kinds=(FaultKind.PAUSE, FaultKind.LINK_CUTS, FaultKind.MESSAGE_BLOCK, FaultKind.FORCED_CANDIDACY),
     ),
@@ -234,17 +244,19 @@
         1, spares=1, fault_kinds=(FaultKind.PAUSE, FaultKind.PAUSE, FaultKind.LINK_CUTS, FaultKind.MESSAGE_BLOCK)
     ),
     LeaseNotAwaited: FaultSearch(
-        4, fault_kinds=(FaultKind.FORCED_CANDIDACY, FaultKind.FORCED_CANDIDACY, FaultKind.PAUSE, FaultKind.LINK_CUTS)
+        18, fault_kinds=(FaultKind.FORCED_CANDIDACY, FaultKind.FORCED_CANDIDACY, FaultKind.PAUSE, FaultKind.LINK_CUTS)
     ),
     RestartedDoesNotWait: FaultSearch(
         4, fault_kinds=(FaultKind.MASS_RESTART, FaultKind.MASS_RESTART, FaultKind.LINK_CUTS)
     ),
-    CopiesGoOnAtOnce: FaultSearch(0, fault_kinds=(FaultKind.MASS_RESTART, FaultKind.MASS_RESTART, FaultKind.LINK_CUTS)),
+    BackupsStandAtOnce: FaultSearch(
+        0, fault_kinds=(FaultKind.MASS_RESTART, FaultKind.MASS_RESTART, FaultKind.LINK_CUTS)
+    ),
     StoresBelowPromise: FaultSearch(
         16, fault_kinds=(FaultKind.PAUSE, FaultKind.FORCED_CANDIDACY, FaultKind.MESSAGE_BLOCK)
     ),
     RecoversFromOne: FaultSearch(
-        74, fault_kinds=(FaultKind.DISK_LOSS, FaultKind.LINK_CUTS, FaultKind.FORCED_CANDIDACY)
+        46, fault_kinds=(FaultKind.DISK_LOSS, FaultKind.LINK_CUTS, FaultKind.FORCED_CANDIDACY)
     ),
     CountsAnyStored: FaultSearch(
         192, fault_kinds=(FaultKind.LINK_CUTS, FaultKind.MESSAGE_BLOCK, FaultKind.POWER_LOSS, FaultKind.SLOW_DISK)
@@ -252,7 +264,7 @@
     CountsAnyHeartbeatReply: FaultSearch(
         240, fault_kinds=(FaultKind.PAUSE, FaultKind.LINK_CUTS, FaultKind.MESSAGE_BLOCK)
     ),
-    KeepsLeaseTransferring: FaultSearch(130, fault_kinds=(FaultKind.SLOW_DISK, FaultKind.SAVE_ERROR, FaultKind.PAUSE)),
-    ReleasesFormerWitness: FaultSearch(0, spares=1, walk="closing"),
-    CountsEveryMachine: FaultSearch(0, spares=1, walk="uncounted"),
+    KeepsLeaseTransferring: FaultSearch(36, fault_kinds=(FaultKind.SLOW_DISK, FaultKind.SAVE_ERROR, FaultKind.PAUSE)),
+    ReleasesFormerWitness: FaultSearch(20, spares=1, walk="closing"),
+    CountsEveryMachine: FaultSearch(5, spares=1, walk="uncounted"),
 }
