--- a/rowanshift/controlplane/poll_endpoint.py
+++ b/rowanshift/controlplane/poll_endpoint.py
@@ -12,7 +12,7 @@
 from rowanshift.controlplane.server_registry import ServerRegistry
 from rowanshift.controlplane.singleton_tasks import SingletonTasks
 from rowanshift.controlplane.state_publication import StatePublication, UpdateSignal
-from rowanshift.kv_index.index import packed
+from rowanshift.kv_index.block_hashes import pack_block_hashes
 from rowanshift.transport.runtime import Runtime
 from rowanshift.transport.streams import Stream, send_all
 from rowanshift.wire.control_updates import (
@@ -164,7 +164,7 @@
         publication, membership = self.publication, self.membership
         epoch, state, version = replica.record.epoch, publication.state, replica.committed_version
         known_epoch, known_serial = poll.prefix_holdings_version
-        complete, stored, removed = holdings.since(known_serial if known_epoch == epoch else 0)
+        holdings_update = holdings.since(known_serial if known_epoch == epoch else 0)
         has_announcements = missing.state or missing.announcements or not isinstance(poll, Poll)
         return Update(
             state_version=(version.epoch, version.sequence),
@@ -178,9 +178,9 @@
             server_records=self._server_records(registry) if missing.server_records else (),
             member_count=membership.budget_shares(now),
             prefix_holdings_version=(epoch, holdings.serial),
-            prefix_holdings_complete=complete,
-            stored_block_hashes=packed(stored),
-            removed_block_hashes=packed(removed),
+            prefix_holdings_complete=holdings_update.is_complete,
+            stored_block_hashes=pack_block_hashes(holdings_update.stored),
+            removed_block_hashes=pack_block_hashes(holdings_update.removed),
             peers_version=(epoch, membership.peers_serial) if missing.peers else poll.peers_version,
             has_peers=missing.peers,
             peer_machines=membership.peers if missing.peers else (),
--- a/rowanshift/controlplane/singleton_tasks.py
+++ b/rowanshift/controlplane/singleton_tasks.py
@@ -13,7 +13,7 @@
 from rowanshift.controlplane.replica_runner import ReplicaRunner
 from rowanshift.controlplane.server_registry import ServerRegistry
 from rowanshift.controlplane.version_rollout import VersionRollout
-from rowanshift.kv_index.index import KvIndex
+from rowanshift.kv_index.prefix_holdings import PrefixHoldings
 from rowanshift.process.node_settings import NodeSettings
 from rowanshift.transport.memory_budget import MemoryBudget
 from rowanshift.transport.runtime import Nursery, Runtime
@@ -56,7 +56,7 @@
         self.prefix_stores = PrefixStoreFollower(runtime, memory, replica_runner, store_addresses, on_change)
 
     @property
-    def holdings(self) -> KvIndex:
+    def holdings(self) -> PrefixHoldings:
         """What all prefix stores hold."""
         return self.prefix_stores.holdings
 
--- a/rowanshift/dataplane/control_cache.py
+++ b/rowanshift/dataplane/control_cache.py
@@ -16,7 +16,7 @@
 from rowanshift.dataplane.freshness import Freshness
 from rowanshift.dataplane.routing_table import RoutingTable, parse_routing_table
 from rowanshift.dataplane.version_deadlines import VersionDeadlines
-from rowanshift.kv_index.index import unpacked
+from rowanshift.kv_index.block_hashes import unpack_block_hashes
 from rowanshift.process.node_settings import Bounds
 from rowanshift.wire.control_updates import SERVER_DRAINING, SERVER_LOADING, ServerRecord, Update
 
@@ -162,10 +162,10 @@
     def _apply_prefix_holdings(self, update: Update) -> None:
         self.prefix_holdings_version = update.prefix_holdings_version
         if update.prefix_holdings_complete:
-            self.stored_block_hashes = set(unpacked(update.stored_block_hashes))
+            self.stored_block_hashes = set(unpack_block_hashes(update.stored_block_hashes))
         else:
-            self.stored_block_hashes.update(unpacked(update.stored_block_hashes))
-            self.stored_block_hashes.difference_update(unpacked(update.removed_block_hashes))
+            self.stored_block_hashes.update(unpack_block_hashes(update.stored_block_hashes))
+            self.stored_block_hashes.difference_update(unpack_block_hashes(update.removed_block_hashes))
 
     def _apply_server_records(self, update: Update) -> None:
         self.registry_version = update.registry_version
--- a/rowanshift/dataplane/kv_moves.py
+++ b/rowanshift/dataplane/kv_moves.py
@@ -6,7 +6,7 @@
 from rowanshift.dataplane.endpoints import Endpoint
 from rowanshift.dataplane.requests import Request, salt_of
 from rowanshift.dataplane.routing_table import RoutingTable, Tenant
-from rowanshift.kv_index.index import mark_of, store_for, there
+from rowanshift.kv_index.block_hashes import block_hash, presence_hash, store_for_prefix
 from rowanshift.placement.shadows import Pool, is_open
 
 LEAST_MOVED = 64  # tokens in common that are worth a move
@@ -57,17 +57,17 @@
         stores = [
             service.store_address for service in self.state.routing_table.services.values() if service.store_address
         ]
-        store = store_for((at for at in stores if there(at) in stored), shared[-1][0].decode("latin-1"))
+        store = store_for_prefix((at for at in stores if presence_hash(at) in stored), shared[-1][0].decode("latin-1"))
         if store is None or request.shared < LEAST_MOVED:
             return near, None
         address, salt = store.encode(), salt_of(tenant, version).decode("latin-1")
-        marks = [mark_of(store, request.model, salt, id.decode("latin-1")) for id, _ in shared]
-        lacking = [mark for mark in marks if mark not in stored]
-        fetch = near if lacking and (near or len(lacking) == len(marks)) else address
-        if not lacking or all(self.saved.get(mark, 0.0) > now for mark in lacking):
+        hashes = [block_hash(store, request.model, salt, id.decode("latin-1")) for id, _ in shared]
+        lacking = [hash_ for hash_ in hashes if hash_ not in stored]
+        fetch = near if lacking and (near or len(lacking) == len(hashes)) else address
+        if not lacking or all(self.saved.get(hash_, 0.0) > now for hash_ in lacking):
             return fetch, None
         while len(self.saved) >= MOST_SAVED:
             self.saved.popitem(last=False)
-        for mark in lacking:
-            self.saved[mark] = now + SAVED_FOR
+        for hash_ in lacking:
+            self.saved[hash_] = now + SAVED_FOR
         return fetch, address
--- a/rowanshift/kv_index/__init__.py
+++ b/rowanshift/kv_index/__init__.py
@@ -1,1 +1,1 @@
-"""What servers and stores keep of prompts."""
+"""Index of prefix blocks: which stores hold which parts of prompts, and how that is passed on to routers."""
--- a/tests/kv_index/test_kv_index.py
+++ b/tests/kv_index/test_kv_index.py
@@ -1,4 +1,4 @@
-"""The index of kept prompt parts: what sources tell, and what is told on; a lie of it costs only headers."""
+"""The index of prefix blocks: what holders report, and what routers get; a lie of it costs only headers."""
 
 import random
 import unittest
@@ -8,19 +8,16 @@
 from rowanshift.dataplane.kv_moves import KvMoves
 from rowanshift.dataplane.requests import request_of, written
 from rowanshift.dataplane.routing_table import RoutingTable, Service, Tenant
-from rowanshift.kv_index import index
-from rowanshift.kv_index.index import (
-    MOST_CHANGES,
-    MOST_PARTS,
-    BadEvents,
-    KvIndex,
-    Source,
-    mark_of,
-    packed,
-    store_for,
-    there,
-    unpacked,
+from rowanshift.kv_index.block_hashes import (
+    block_hash,
+    pack_block_hashes,
+    presence_hash,
+    store_for_prefix,
+    unpack_block_hashes,
 )
+from rowanshift.kv_index.block_holder import MAX_HELD_BLOCKS, BlockHolder
+from rowanshift.kv_index.errors import MalformedHoldings
+from rowanshift.kv_index.prefix_holdings import MAX_CHANGES, HoldingsUpdate, PrefixHoldings
 from rowanshift.transport.http_connection import Message
 
 AT = "10.0.0.1:9000"
@@ -34,37 +31,37 @@
     return {"bootEpoch": boot, "nextToken": following, "lost": lost, "events": events}
 
 
-def mark(id, salt="v1.", model="m"):
-    return mark_of(AT, model, salt, id)
+def hash_of(id, salt="v1.", model="m"):
+    return block_hash(AT, model, salt, id)
 
 
-class Sources(unittest.TestCase):
+class Holders(unittest.TestCase):
     def setUp(self):
-        self.source = Source(AT)
-        self.source.take_list(listed([["v1.", "a", 64, "m"], ["v1.", "b", 32, "m"]]))
+        self.holder = BlockHolder(AT)
+        self.holder.apply_list(listed([["v1.", "a", 64, "m"], ["v1.", "b", 32, "m"]]))
 
     def test_nothing_before_the_list(self):
-        self.assertEqual(Source(AT).marks(), set())
+        self.assertEqual(BlockHolder(AT).hashes(), set())
 
     def test_the_list(self):
-        self.assertEqual(self.source.marks(), {mark("a"), mark("b"), there(AT)})
-        self.assertEqual((self.source.boot, self.source.since), (1, 5))
-        self.assertEqual(self.source.parts[mark("a")], 64)
+        self.assertEqual(self.holder.hashes(), {hash_of("a"), hash_of("b"), presence_hash(AT)})
+        self.assertEqual((self.holder.boot_epoch, self.holder.next_event), (1, 5))
+        self.assertEqual(self.holder.blocks[hash_of("a")], 64)
 
-    def test_a_source_that_keeps_nothing_is_there(self):
-        source = Source(AT)
-        source.take_list(listed([], boot=0))
-        self.assertEqual(source.marks(), {there(AT)})
+    def test_a_holder_of_nothing_is_there(self):
+        holder = BlockHolder(AT)
+        holder.apply_list(listed([], boot=0))
+        self.assertEqual(holder.hashes(), {presence_hash(AT)})
 
     def test_another_list_takes_the_place_of_the_first(self):
-        self.source.take_list(listed([["v2.", "a", 1, "m"]]))
-        self.assertEqual(self.source.marks(), {mark("a", "v2."), there(AT)})
+        self.holder.apply_list(listed([["v2.", "a", 1, "m"]]))
+        self.assertEqual(self.holder.hashes(), {hash_of("a", "v2."), presence_hash(AT)})
 
     def test_events(self):
         events = [[6, "+", "v1.", "c", 10, "m"], [7, "-", "v1.", "a", 0, "m"], [8, "-", "v1.", "none", 0, "m"]]
-        self.assertTrue(self.source.take_events(told(events)))
-        self.assertEqual(self.source.marks(), {mark("b"), mark("c"), there(AT)})
-        self.assertEqual(self.source.since, 9)
+        self.assertTrue(self.holder.apply_events(told(events)))
+        self.assertEqual(self.holder.hashes(), {hash_of("b"), hash_of("c"), presence_hash(AT)})
+        self.assertEqual(self.holder.next_event, 9)
 
     def test_events_in_their_order(self):
         events = [
@@ -73,22 +70,22 @@
             [8, "+", "v1.", "c", 8, "m"],
             [9, "-", "v1.", "c", 0, "m"],
         ]
-        self.assertTrue(self.source.take_events(told(events)))
-        self.assertEqual(self.source.marks(), {mark("a"), mark("b"), there(AT)})
+        self.assertTrue(self.holder.apply_events(told(events)))
+        self.assertEqual(self.holder.hashes(), {hash_of("a"), hash_of("b"), presence_hash(AT)})
 
     def test_gaps(self):
         for gap in (told([], lost=True), told([], boot=2), told([[6, "+", "v1.", "c", 1, "m"]], boot=0)):
             self.setUp()
-            self.assertFalse(self.source.take_events(gap))
-            self.assertEqual((self.source.marks(), self.source.boot, self.source.since), (set(), -1, 0))
-            self.source.take_list(listed([["v1.", "c", 1, "m"]], boot=2))
-            self.assertEqual(self.source.marks(), {mark("c"), there(AT)})
+            self.assertFalse(self.holder.apply_events(gap))
+            self.assertEqual((self.holder.hashes(), self.holder.boot_epoch, self.holder.next_event), (set(), -1, 0))
+            self.holder.apply_list(listed([["v1.", "c", 1, "m"]], boot=2))
+            self.assertEqual(self.holder.hashes(), {hash_of("c"), presence_hash(AT)})
 
-    def test_marks_tell_all_apart(self):
+    def test_hashes_tell_all_apart(self):
         self.assertEqual(
             len(
                 {
-                    mark_of(*fields)
+                    block_hash(*fields)
                     for fields in (
                         (AT, "m", "v1.", "a"),
                         ("b:1", "m", "v1.", "a"),
@@ -131,12 +128,12 @@
             told([], following={}),
             {"bootEpoch": 1, "nextToken": 1, "events": []},
         ]
-        before = self.source.marks()
-        for take, answers in ((self.source.take_list, junk), (self.source.take_events, junk + events)):
+        before = self.holder.hashes()
+        for apply, answers in ((self.holder.apply_list, junk), (self.holder.apply_events, junk + events)):
             for answer in answers:
-                with self.assertRaises(BadEvents, msg=repr(answer)):
-                    take(answer)
-                self.assertEqual((self.source.marks(), self.source.boot, self.source.since), (before, 1, 5))
+                with self.assertRaises(MalformedHoldings, msg=repr(answer)):
+                    apply(answer)
+                self.assertEqual((self.holder.hashes(), self.holder.boot_epoch, self.holder.next_event), (before, 1, 5))
 
     def test_drawn_junk(self):
         random_source = random.Random(1)
@@ -151,104 +148,105 @@
             return random_source.choice((None, True, -1, 2**70, 0.5, "", "+", "12", "\ud800"))
 
         for _ in range(3000):
-            source = Source(AT)
-            for take in (source.take_list, source.take_events):
-                before = source.marks()
+            holder = BlockHolder(AT)
+            for apply in (holder.apply_list, holder.apply_events):
+                before = holder.hashes()
                 try:
-                    take(value())
-                except BadEvents:
-                    self.assertEqual(source.marks(), before)
-
-    def test_parts_are_bounded(self):
-        self.source.take_list(listed([["v", str(n), 1, "m"] for n in range(MOST_PARTS + 10)]))
-        self.assertEqual(len(self.source.parts), MOST_PARTS)
-        self.assertNotIn(mark("9", "v"), self.source.parts)
+                    apply(value())
+                except MalformedHoldings:
+                    self.assertEqual(holder.hashes(), before)
+
+    def test_blocks_are_bounded(self):
+        self.holder.apply_list(listed([["v", str(n), 1, "m"] for n in range(MAX_HELD_BLOCKS + 10)]))
+        self.assertEqual(len(self.holder.blocks), MAX_HELD_BLOCKS)
+        self.assertNotIn(hash_of("9", "v"), self.holder.blocks)
         events = [[1, "+", "v", "10", 1, "m"], [2, "+", "v", "new", 1, "m"]]
-        self.assertTrue(self.source.take_events(told(events)))
-        self.assertEqual(len(self.source.parts), MOST_PARTS)
-        self.assertIn(mark("10", "v"), self.source.parts)  # told of again
-        self.assertNotIn(mark("11", "v"), self.source.parts)
+        self.assertTrue(self.holder.apply_events(told(events)))
+        self.assertEqual(len(self.holder.blocks), MAX_HELD_BLOCKS)
+        self.assertIn(hash_of("10", "v"), self.holder.blocks)  # told of again
+        self.assertNotIn(hash_of("11", "v"), self.holder.blocks)
 
 
-class Stocks(unittest.TestCase):
-    def through(self, stock, had, serial):
+class Holdings(unittest.TestCase):
+    def through(self, holdings, had, serial):
         """What one has after an answer, who had that."""
-        whole, kept, dropped = stock.since(serial)
-        self.assertFalse(set(kept) & set(dropped))
-        return set(kept) if whole else (had | set(kept)) - set(dropped)
+        update = holdings.since(serial)
+        stored, removed = set(update.stored), set(update.removed)
+        self.assertFalse(stored & removed)
+        return stored if update.is_complete else (had | stored) - removed
 
     def test_nothing_changed(self):
-        stock = KvIndex()
-        self.assertTrue(stock.update({1, 2}))
-        serial = stock.serial
-        self.assertFalse(stock.update({2, 1}))
-        self.assertEqual(stock.serial, serial)
-        self.assertEqual(stock.since(serial), (False, [], []))
-
-    def test_one_who_has_none_or_an_unknown_one_gets_the_whole(self):
-        stock = KvIndex()
-        self.assertEqual(stock.since(0), (True, [], []))
-        stock.update({3, 1})
-        for serial in (0, stock.serial + 1, 2**60):
-            self.assertEqual(stock.since(serial), (True, [1, 3], []))
+        holdings = PrefixHoldings()
+        self.assertTrue(holdings.update({1, 2}))
+        serial = holdings.serial
+        self.assertFalse(holdings.update({2, 1}))
+        self.assertEqual(holdings.serial, serial)
+        self.assertEqual(holdings.since(serial), HoldingsUpdate(False, [], []))
+
+    def test_one_who_has_none_or_an_unknown_one_gets_all(self):
+        holdings = PrefixHoldings()
+        self.assertEqual(holdings.since(0), HoldingsUpdate(True, [], []))
+        holdings.update({3, 1})
+        for serial in (0, holdings.serial + 1, 2**60):
+            self.assertEqual(holdings.since(serial), HoldingsUpdate(True, [1, 3], []))
 
     def test_every_serial(self):
         for seed, many in ((1, 3), (2, 40), (3, 400)):
-            random_source, stock = random.Random(seed), KvIndex()
-            past = {stock.serial: set()}
+            random_source, holdings = random.Random(seed), PrefixHoldings()
+            past = {holdings.serial: set()}
             for _ in range(120):
-                held = set(stock.held)
+                held = set(holdings.block_hashes)
                 for _ in range(random_source.randrange(many) + 1):
                     held ^= {random_source.randrange(1000)}
-                stock.update(held)
-                past[stock.serial] = held
+                holdings.update(held)
+                past[holdings.serial] = held
             wholes = 0
             for serial, had in past.items():
-                self.assertEqual(self.through(stock, had, serial), stock.held)
-                wholes += stock.since(serial)[0]
-            self.assertLessEqual(len(stock.changes), MOST_CHANGES)
+                self.assertEqual(self.through(holdings, had, serial), holdings.block_hashes)
+                wholes += holdings.since(serial).is_complete
+            self.assertLessEqual(len(holdings.changes), MAX_CHANGES)
             self.assertEqual(wholes > 0, many == 400)  # older than what is kept
 
     def test_one_change_larger_than_what_is_kept(self):
-        for size in (MOST_CHANGES - 1, MOST_CHANGES, MOST_CHANGES + 1, 3 * MOST_CHANGES):
-            stock, before = KvIndex(), set(range(5))
-            stock.update(before)
-            serial = stock.serial
-            stock.update(set(range(100, 100 + size)))
-            self.assertEqual(self.through(stock, before, serial), stock.held)
-            self.assertEqual(self.through(stock, set(), serial - 1), stock.held)
+        for size in (MAX_CHANGES - 1, MAX_CHANGES, MAX_CHANGES + 1, 3 * MAX_CHANGES):
+            holdings, before = PrefixHoldings(), set(range(5))
+            holdings.update(before)
+            serial = holdings.serial
+            holdings.update(set(range(100, 100 + size)))
+            self.assertEqual(self.through(holdings, before, serial), holdings.block_hashes)
+            self.assertEqual(self.through(holdings, set(), serial - 1), holdings.block_hashes)
 
     def test_the_net_of_what_came_and_went(self):
-        stock = KvIndex()
-        stock.update({1})
-        serial = stock.serial
-        stock.update({1, 2})
-        stock.update({2})
-        stock.update({1})
-        whole, kept, dropped = stock.since(serial)
-        self.assertEqual((whole, sorted(kept), sorted(dropped)), (False, [1], [2]))
-
-    def test_marks_there_and_back(self):
-        marks = [0, 1, 2**64 - 1, there(AT)]
-        self.assertEqual(unpacked(packed(marks)), tuple(marks))
-        self.assertEqual(unpacked(packed([])), ())
-        self.assertEqual(unpacked(packed(marks)[:-3]), tuple(marks[:-1]))
+        holdings = PrefixHoldings()
+        holdings.update({1})
+        serial = holdings.serial
+        holdings.update({1, 2})
+        holdings.update({2})
+        holdings.update({1})
+        update = holdings.since(serial)
+        self.assertEqual((update.is_complete, sorted(update.stored), sorted(update.removed)), (False, [1], [2]))
+
+    def test_hashes_there_and_back(self):
+        hashes = [0, 1, 2**64 - 1, presence_hash(AT)]
+        self.assertEqual(unpack_block_hashes(pack_block_hashes(hashes)), tuple(hashes))
+        self.assertEqual(unpack_block_hashes(pack_block_hashes([])), ())
+        self.assertEqual(unpack_block_hashes(pack_block_hashes(hashes)[:-3]), tuple(hashes[:-1]))
 
 
 class Stores(unittest.TestCase):
     def test_a_lost_store_moves_only_its_own_prefixes(self):
         stores = [f"10.0.1.{n}:9000" for n in range(5)]
-        before = {f"p{n}": store_for(stores, f"p{n}") for n in range(2000)}
+        before = {f"p{n}": store_for_prefix(stores, f"p{n}") for n in range(2000)}
         for lost in stores:
             left = [at for at in stores if at != lost]
             share = sum(at == lost for at in before.values())
             self.assertTrue(250 < share < 550, share)
             for prefix, at in before.items():
-                moved = store_for(reversed(left), prefix)
+                moved = store_for_prefix(reversed(left), prefix)
                 self.assertTrue(moved == at if at != lost else moved in left)
 
     def test_no_store(self):
-        self.assertIsNone(store_for([], "p"))
+        self.assertIsNone(store_for_prefix([], "p"))
 
 
 class Lies(unittest.TestCase):
@@ -285,8 +283,8 @@
     def test_any_index_changes_only_those_headers(self):
         random_source = random.Random(1)
         home = Endpoint("i-0", "s", "10.0.2.1:80", "z", 1, {"m": 3})
-        every = [there(at) for at in self.STORES] + [
-            index.mark_of(at, "m", salt, id)
+        every = [presence_hash(at) for at in self.STORES] + [
+            block_hash(at, "m", salt, id)
             for at in self.STORES
             for salt in ("v3.", "v2.", "v3.t")
             for id in ("a", "b", "c")
@@ -309,11 +307,11 @@
                 self.assertEqual(seen, set())  # nothing is shared
 
     def test_a_store_that_does_not_answer_is_not_named(self):
-        marks = {index.mark_of(at, "m", "v3.", "a") for at in self.STORES}
-        self.assertEqual(self.sent(marks, b"a:100,b:1", None)[1], [])
+        hashes = {block_hash(at, "m", "v3.", "a") for at in self.STORES}
+        self.assertEqual(self.sent(hashes, b"a:100,b:1", None)[1], [])
 
     def test_what_is_given_to_a_store_is_not_given_again_at_once(self):
-        front, request = self.front({there(self.STORES[0])}), self.request(b"a:100,b:1")
+        front, request = self.front({presence_hash(self.STORES[0])}), self.request(b"a:100,b:1")
         address = self.STORES[0].encode()
         save = [front.choose(request, None, 3, None, at)[1] for at in (1.0, 2.0, 20.0)]
         self.assertEqual(save, [address, None, address])
@@ -322,7 +320,7 @@
 
     def test_a_part_is_fetched_from_the_store_that_keeps_it(self):
         address, home = self.STORES[0].encode(), Endpoint("i-0", "s", "10.0.2.1:80", "z", 1, {"m": 3})
-        stored = {there(self.STORES[0]), index.mark_of(self.STORES[0], "m", "v3.", "a")}
+        stored = {presence_hash(self.STORES[0]), block_hash(self.STORES[0], "m", "v3.", "a")}
         front = self.front(stored)
         self.assertEqual(front.choose(self.request(b"a:100,b:1"), None, 3, None, 1.0), (address, None))
         self.assertEqual(front.choose(self.request(b"a:100,b:1"), None, 3, home, 1.0), (address, None))
