--- a/rowanshift/admin/commands.py
+++ b/rowanshift/admin/commands.py
@@ -321,12 +321,12 @@
 
 def config_changed(method: bytes, at: str, file: Path, if_match: int | None) -> Shown:
     """Sends a change of the configuration, whole or as a patch, until it is settled."""
-    from rowanshift.controlplane.configuration import load
+    from rowanshift.controlplane.configuration_reader import read_document
     from rowanshift.controlplane.errors import InvalidConfiguration
 
     body = read(file)
     try:
-        load(body)
+        read_document(body)
     except InvalidConfiguration as error:
         raise UnusableInput(f"{file}: {error}") from error
 
@@ -368,11 +368,11 @@
 
 
 def parsed(place: object, body: bytes) -> Any:
-    from rowanshift.controlplane.configuration import parse
+    from rowanshift.controlplane.configuration_reader import parse_configuration
     from rowanshift.controlplane.errors import InvalidConfiguration
 
     try:
-        return parse(body)
+        return parse_configuration(body)
     except InvalidConfiguration as error:
         raise UnusableInput(f"{place}: {error}") from error
 
@@ -419,8 +419,8 @@
 
 def config_diff(at: str, file: Path, patch: bool = False) -> Shown:
     """How the configuration in ``file``, or the one that the patch there makes, differs from the one in force."""
-    from rowanshift.controlplane.configuration import configuration_of, load
-    from rowanshift.controlplane.configuration_patch import patched
+    from rowanshift.controlplane.configuration_patch import apply_patch
+    from rowanshift.controlplane.configuration_reader import configuration_from, read_document
     from rowanshift.controlplane.errors import InvalidConfiguration
 
     body = read(file)
@@ -429,8 +429,8 @@
     revision, current = asked(at, Control.config)
     before = orjson.loads(current or b"{}")
     try:
-        after = patched(before, load(body)) if patch else load(body)
-        configuration_of(after)
+        after = apply_patch(before, read_document(body)) if patch else read_document(body)
+        configuration_from(after)
     except InvalidConfiguration as error:
         raise UnusableInput(f"{file}: {error}") from error
     lines = differences(before, after)
--- a/rowanshift/controlplane/__init__.py
+++ b/rowanshift/controlplane/__init__.py
@@ -1,1 +1,1 @@
-"""The core: holds the control state on disk, acknowledges changes to it, and hands it to the counters."""
+"""The control plane: replicates the control state, applies operators' changes to it, and serves it to the routers."""
--- a/rowanshift/controlplane/configuration.py
+++ b/rowanshift/controlplane/configuration.py
@@ -1,53 +1,35 @@
-"""The operator's configuration: read by pyserde, checked whole, and compared with the one in force.
-
-``parse`` refuses what the protocol's page calls invalid and nothing else: fields it does not know are
-ignored, ``null`` stands for an absent field wherever a field may be absent, and a number may be written
-with or without a fraction. Names in the dataclasses are Python's, those on the wire are given to ``wire``.
-Each field's reader checks its type strictly, and tells the place; pyserde's own check, which would do so a
-second time without the place, and refuse a whole number where a float is declared, is off.
-
-What the page leaves open is settled so:
-
-- A route with neither ``backend`` nor ``trafficSplit`` names no service and is invalid. One with both is
-  split, and the services of both must be known.
-- Hosts are compared without regard to case, ports and all; prefixes as they stand.
-- Two services or two routes of one name are no error; the last service of a name is the one meant.
-- ``If-Match`` may be quoted as an entity tag. A change without it, or with one that is no number, is
-  answered 412: the operator ends such a call at once, whereas it would send 428 three times.
+"""The operator's configuration as typed records, read from JSON by pyserde.
+
+Names in the dataclasses are Python's; those in the JSON document are given to ``json_field``. Each field's reader
+checks its type strictly and reports the path; pyserde's own check, which would do so a second time without the path,
+and refuse a whole number where a float is declared, is off.
 """
 
-# ruff: noqa: RUF009 -- wire() makes the fields of dataclasses
+# ruff: noqa: RUF009 -- json_field() makes the fields of dataclasses
 
 from dataclasses import dataclass
-from hashlib import sha256
-from typing import Any
 
-import orjson
 from serde import disabled, serde
 
 from rowanshift.controlplane.configuration_fields import (
-    an,
-    each,
-    flag,
-    inside,
-    number,
-    one,
-    text,
-    texts,
-    whole,
-    wire,
+    json_field,
+    list_reader,
+    object_reader,
+    read_boolean,
+    read_integer,
+    read_number,
+    read_text,
+    read_texts,
 )
-from rowanshift.controlplane.control_state import MAX_REVISION
-from rowanshift.controlplane.errors import InvalidConfiguration, StaleMatch
 
 
 @serde(type_check=disabled)
 @dataclass(slots=True)
-class Split:
+class TrafficSplit:
     """A service's share of a route's requests: its ``weight`` over the sum of the weights."""
 
-    backend: str = wire("backend", text)
-    weight: float = wire("weight", number)
+    backend: str = json_field("backend", read_text)
+    weight: float = json_field("weight", read_number)
 
 
 @serde(type_check=disabled)
@@ -55,27 +37,27 @@
 class Route:
     """Requests of a host whose path begins with a prefix, and the services that may take them."""
 
-    hostname: str = wire("hostname", text)
-    path_prefix: str = wire("pathPrefix", text)
-    name: str = wire("name", text, "")
-    route_type: str = wire("routeType", text, "non_idempotent")
-    timeout_ms: float | None = wire("timeoutMs", number, None)  # None: no bound
-    target_latency_ms: float | None = wire("targetLatencyMs", number, None)
-    priority: float = wire("priority", number, 5.0)  # 0 is the highest
-    backend: str | None = wire("backend", text, None)
-    traffic_split: list[Split] = wire("trafficSplit", each(Split), factory=list)
-    retries: int = wire("retries", whole, 1)  # the most servers that one try is sent to
-    public: bool = wire("public", flag, False)
-    sticky: bool = wire("sticky", flag, False)
-    resumable: bool = wire("resumable", flag, False)
-    gap_aim_ms: float | None = wire("gap_aim_ms", number, None)  # the longest pause between events
+    hostname: str = json_field("hostname", read_text)
+    path_prefix: str = json_field("pathPrefix", read_text)
+    name: str = json_field("name", read_text, "")
+    route_type: str = json_field("routeType", read_text, "non_idempotent")
+    timeout_ms: float | None = json_field("timeoutMs", read_number, None)  # None: no bound
+    target_latency_ms: float | None = json_field("targetLatencyMs", read_number, None)
+    priority: float = json_field("priority", read_number, 5.0)  # 0 is the highest
+    backend: str | None = json_field("backend", read_text, None)
+    traffic_split: list[TrafficSplit] = json_field("trafficSplit", list_reader(TrafficSplit), factory=list)
+    retries: int = json_field("retries", read_integer, 1)  # the most servers that one try is sent to
+    public: bool = json_field("public", read_boolean, False)
+    sticky: bool = json_field("sticky", read_boolean, False)
+    resumable: bool = json_field("resumable", read_boolean, False)
+    gap_aim_ms: float | None = json_field("gap_aim_ms", read_number, None)  # the longest pause between events
 
     @property
-    def targets(self) -> list[tuple[str, float]]:
+    def targets(self) -> list[TrafficSplit]:
         """The services of this route with their weights: the split, or else the one backend."""
         if self.traffic_split:
-            return [(split.backend, split.weight) for split in self.traffic_split]
-        return [] if self.backend is None else [(self.backend, 1.0)]
+            return self.traffic_split
+        return [] if self.backend is None else [TrafficSplit(self.backend, 1.0)]
 
     @property
     def streaming(self) -> bool:
@@ -90,53 +72,53 @@
 
 @serde(type_check=disabled)
 @dataclass(slots=True)
-class Model:
+class ServedModel:
     """A model that a service's servers run."""
 
-    name: str = wire("name", text)
+    name: str = json_field("name", read_text)
 
 
 @serde(type_check=disabled)
 @dataclass(slots=True)
 class Engine:
-    """What the servers of a service for models can do. ``None``: not said."""
+    """What the servers of a service for models can do. ``None``: not given."""
 
-    slots: int | None = wire("slots", whole, None)
-    kv_token_capacity: float | None = wire("kvTokenCapacity", number, None)  # tokens
-    kv_token_bytes: float | None = wire("kvTokenBytes", number, None)  # bytes a token
-    link_mbps: float | None = wire("linkMbps", number, None)
-    stride: float | None = wire("stride", number, None)
-    max_concurrent: int | None = wire("maxConcurrent", whole, None)  # calls of /kv-events at once
-    models: list[Model] = wire("models", each(Model), factory=list)
+    slots: int | None = json_field("slots", read_integer, None)
+    kv_token_capacity: float | None = json_field("kvTokenCapacity", read_number, None)  # tokens
+    kv_token_bytes: float | None = json_field("kvTokenBytes", read_number, None)  # bytes a token
+    link_mbps: float | None = json_field("linkMbps", read_number, None)
+    stride: float | None = json_field("stride", read_number, None)
+    max_concurrent: int | None = json_field("maxConcurrent", read_integer, None)  # calls of /kv-events at once
+    models: list[ServedModel] = json_field("models", list_reader(ServedModel), factory=list)
 
 
 @serde(type_check=disabled)
 @dataclass(slots=True)
-class Service:
-    """A service: its servers are on the platform's list, or, with ``kv_store_address``, it is a store."""
-
-    name: str = wire("name", text)
-    health_check: str | None = wire("healthCheck", text, None)  # None: no path to ask
-    max_connections: int | None = wire("maxConnections", whole, None)  # a server's, from all callers
-    protocol: str = wire("protocol", text, "h1")
-    tls: bool = wire("tls", flag, False)
-    engine: Engine | None = wire("engine", an(Engine), None)
-    kv_store_address: str | None = wire("kvStoreAddress", text, None)  # IP:PORT
-    zone: str | None = wire("zone", text, None)
-    kv_token_capacity: float | None = wire("kvTokenCapacity", number, None)  # a store's, in tokens
-    link_mbps: float | None = wire("linkMbps", number, None)
-    max_concurrent: int | None = wire("maxConcurrent", whole, None)
+class BackendService:
+    """A service: its servers are on the platform's list, or, with ``kv_store_address``, it is a prefix store."""
+
+    name: str = json_field("name", read_text)
+    health_check: str | None = json_field("healthCheck", read_text, None)  # None: no path to ask
+    max_connections: int | None = json_field("maxConnections", read_integer, None)  # a server's, from all callers
+    protocol: str = json_field("protocol", read_text, "h1")
+    tls: bool = json_field("tls", read_boolean, False)
+    engine: Engine | None = json_field("engine", object_reader(Engine), None)
+    kv_store_address: str | None = json_field("kvStoreAddress", read_text, None)  # IP:PORT
+    zone: str | None = json_field("zone", read_text, None)
+    kv_token_capacity: float | None = json_field("kvTokenCapacity", read_number, None)  # a store's, in tokens
+    link_mbps: float | None = json_field("linkMbps", read_number, None)
+    max_concurrent: int | None = json_field("maxConcurrent", read_integer, None)
 
 
 @serde(type_check=disabled)
 @dataclass(slots=True)
-class Limits:
-    """What a client may send, in bytes, and how long it may take or stay idle, in ms. ``None``: not said."""
+class ClientLimits:
+    """What a client may send, in bytes, and how long it may take or stay idle, in ms. ``None``: not given."""
 
-    max_header_bytes: int | None = wire("maxHeaderBytes", whole, None)
-    max_body_bytes: int | None = wire("maxBodyBytes", whole, None)
-    header_timeout_ms: float | None = wire("headerTimeoutMs", number, None)
-    idle_timeout_ms: float | None = wire("idleTimeoutMs", number, None)
+    max_header_bytes: int | None = json_field("maxHeaderBytes", read_integer, None)
+    max_body_bytes: int | None = json_field("maxBodyBytes", read_integer, None)
+    header_timeout_ms: float | None = json_field("headerTimeoutMs", read_number, None)
+    idle_timeout_ms: float | None = json_field("idleTimeoutMs", read_number, None)
 
 
 @serde(type_check=disabled)
@@ -144,153 +126,24 @@
 class Tenant:
     """Who holds which keys; ``priority``, where given, goes before that of the route."""
 
-    name: str = wire("name", text)
-    api_keys: list[str] = wire("apiKeys", texts, factory=list)
-    priority: float | None = wire("priority", number, None)
-    isolated: bool = wire("isolated", flag, False)
+    name: str = json_field("name", read_text)
+    api_keys: list[str] = json_field("apiKeys", read_texts, factory=list)
+    priority: float | None = json_field("priority", read_number, None)
+    isolated: bool = json_field("isolated", read_boolean, False)
 
 
 @serde(type_check=disabled)
 @dataclass(slots=True)
 class Configuration:
-    """A whole configuration. Without ``tenants`` (``None``) no keys are checked; an empty list knows none."""
+    """A complete configuration. Without ``tenants`` (``None``) no keys are checked; an empty list knows none."""
 
-    revision: int = wire("revision", whole)
-    routes: list[Route] = wire("routes", each(Route), factory=list)
-    backends: list[Service] = wire("backends", each(Service), factory=list)
-    limits: Limits = wire("limits", an(Limits), factory=Limits)
-    tenants: list[Tenant] | None = wire("tenants", each(Tenant), None)
+    revision: int = json_field("revision", read_integer)
+    routes: list[Route] = json_field("routes", list_reader(Route), factory=list)
+    backends: list[BackendService] = json_field("backends", list_reader(BackendService), factory=list)
+    limits: ClientLimits = json_field("limits", object_reader(ClientLimits), factory=ClientLimits)
+    tenants: list[Tenant] | None = json_field("tenants", list_reader(Tenant), None)
 
     @property
-    def services(self) -> dict[str, Service]:
+    def services(self) -> dict[str, BackendService]:
         """The services by name."""
         return {service.name: service for service in self.backends}
-
-
-def load(body: bytes) -> dict[str, Any]:
-    """The JSON object in ``body``. Raises ``InvalidConfiguration`` where it can't be read whole."""
-    try:
-        raw = orjson.loads(body)
-    except orjson.JSONDecodeError as error:
-        raise InvalidConfiguration("", f"can't be read whole: {error}") from error
-    if type(raw) is not dict:
-        raise InvalidConfiguration("", "can't be read whole: no JSON object")
-    return raw
-
-
-def configuration_of(raw: dict[str, Any]) -> Configuration:
-    """The configuration in a JSON object, checked. Raises ``InvalidConfiguration``."""
-    config = one(Configuration, raw)
-    check(config)
-    return config
-
-
-def parse(body: bytes) -> Configuration:
-    """The configuration in the operator's ``body``, checked. Raises ``InvalidConfiguration``."""
-    return configuration_of(load(body))
-
-
-def check(config: Configuration) -> None:
-    """Raise ``InvalidConfiguration`` for what is invalid in a configuration that could be read."""
-    check_bounds(config.revision)
-    known = {service.name for service in config.backends}
-    places: dict[tuple[str, str], int] = {}
-    for index, route in enumerate(config.routes):
-        place = f"routes[{index}]"
-        check_targets(place, route, known)
-        if route.timeout_ms is not None and route.timeout_ms <= 0:
-            raise InvalidConfiguration(f"{place}.timeoutMs", "a time above 0 expected")
-        other = places.setdefault((route.hostname.lower(), route.path_prefix), index)
-        if other != index:
-            raise InvalidConfiguration(place, f"has host and prefix of routes[{other}]")
-    holders: dict[str, int] = {}
-    for index, tenant in enumerate(config.tenants or ()):
-        for key in tenant.api_keys:
-            other = holders.setdefault(key, index)
-            if other != index:
-                raise InvalidConfiguration(f"tenants[{index}].apiKeys", f"shares a key with tenants[{other}]")
-
-
-def check_targets(place: str, route: Route, known: set[str]) -> None:
-    """Raise ``InvalidConfiguration`` unless the route's services are ``known`` and have some weight."""
-    if route.traffic_split:
-        total = 0.0
-        for index, split in enumerate(route.traffic_split):
-            where = f"{place}.trafficSplit[{index}]"
-            if split.backend not in known:
-                raise InvalidConfiguration(f"{where}.backend", f"unknown service {split.backend!r}")
-            if split.weight < 0:
-                raise InvalidConfiguration(f"{where}.weight", "a weight of 0 or more expected")
-            total += split.weight
-        if total <= 0:
-            raise InvalidConfiguration(f"{place}.trafficSplit", "the weights add up to 0")
-        if not route.backend:  # absent, or left empty beside a split
-            return
-    if route.backend is None:
-        raise InvalidConfiguration(place, "names no service")
-    if route.backend not in known:
-        raise InvalidConfiguration(f"{place}.backend", f"unknown service {route.backend!r}")
-
-
-def matched(if_match: str | None) -> int | None:
-    """The revision that an ``If-Match`` names, or ``None`` where it names none."""
-    if if_match is None:
-        return None
-    named = if_match.strip().removeprefix("W/")
-    if len(named) >= 2 and named[0] == named[-1] == '"':
-        named = named[1:-1]
-    if not (named.isascii() and named.isdigit() and len(named) <= 20):
-        return None
-    return int(named)
-
-
-def check_change(current_revision: int, if_match: str | None, config: Configuration) -> None:
-    """Whether ``config`` may follow the current revision (0: there is none yet).
-
-    Raises ``StaleMatch`` unless ``if_match`` names the current revision, then ``InvalidConfiguration`` unless
-    the configuration's own is above it.
-    """
-    check_match(current_revision, if_match)
-    check_revision(current_revision, config)
-
-
-def check_match(current_revision: int, if_match: str | None) -> None:
-    """Raise ``StaleMatch`` unless ``if_match`` names the current revision (0: there is none yet)."""
-    if matched(if_match) != current_revision:
-        raise StaleMatch(current_revision, if_match)
-
-
-def check_revision(current_revision: int, config: Configuration) -> None:
-    """Raise ``InvalidConfiguration`` unless the configuration's revision is above the current one."""
-    if config.revision <= current_revision:
-        reason = f"{config.revision} is not above the current {current_revision}"
-        raise InvalidConfiguration("revision", reason)
-
-
-def revision_of(raw: dict[str, Any]) -> int:
-    """The revision of a JSON object that may hold nothing else. Raises ``InvalidConfiguration``."""
-    try:
-        revision = whole(raw.get("revision"))
-    except InvalidConfiguration as error:
-        raise inside("revision", error) from None
-    check_bounds(revision)
-    return revision
-
-
-def check_bounds(revision: int) -> None:
-    """Raise ``InvalidConfiguration`` for a revision that can't be kept."""
-    if not 0 < revision <= MAX_REVISION:
-        raise InvalidConfiguration("revision", f"a number from 1 to {MAX_REVISION} expected")
-
-
-def digest_of(raw: dict[str, Any]) -> bytes:
-    """32 bytes that tell whether two JSON objects are the same, whatever the order of their fields."""
-    return sha256(orjson.dumps(raw, option=orjson.OPT_SORT_KEYS)).digest()
-
-
-def digest(body: bytes) -> bytes:
-    """32 bytes that tell whether two bodies hold the very same configuration, unknown fields and all.
-
-    The order of an object's fields and the space between them don't count. Raises ``InvalidConfiguration``.
-    """
-    return digest_of(load(body))
--- a/rowanshift/controlplane/configuration_change.py
+++ b/rowanshift/controlplane/configuration_change.py
@@ -11,18 +11,11 @@
 
 import orjson
 
-from rowanshift.controlplane.configuration import (
-    Configuration,
-    check_change,
-    check_match,
-    check_revision,
-    configuration_of,
-    digest_of,
-    load,
-    revision_of,
-)
-from rowanshift.controlplane.configuration_patch import patched
+from rowanshift.controlplane.configuration import Configuration
+from rowanshift.controlplane.configuration_patch import apply_patch
+from rowanshift.controlplane.configuration_reader import configuration_from, document_digest, read_document
 from rowanshift.controlplane.control_state import ControlState
+from rowanshift.controlplane.revision_match import check_change, check_follows, check_match, document_revision
 
 
 class ConfigurationChange(NamedTuple):
@@ -42,13 +35,13 @@
     ``InvalidConfiguration`` (400), then ``OrderTooOld`` where nobody knows whether it was applied, then ``StaleMatch``
     (412), then ``InvalidConfiguration`` if its revision is not above the current one.
     """
-    document = load(body)
-    digest = digest_of(document)
+    document = read_document(body)
+    digest = document_digest(document)
     if state.orders.contains(digest):
         return None
-    config = configuration_of(document)
+    config = configuration_from(document)
     state.orders.check_not_dropped(config.revision)
-    check_change(state.revision, if_match, config)
+    check_change(state.revision, if_match, config.revision)
     return _with_config(state, config, bytes(body), digest)
 
 
@@ -59,15 +52,15 @@
     patch has no proper revision, ``OrderTooOld``, ``StaleMatch`` where it builds on another revision, and then
     ``InvalidConfiguration`` for the patch and for the configuration that it makes.
     """
-    patch = load(body)
-    digest = digest_of({"patch": patch})
+    patch = read_document(body)
+    digest = document_digest({"patch": patch})
     if state.orders.contains(digest):
         return None
-    state.orders.check_not_dropped(revision_of(patch))
+    state.orders.check_not_dropped(document_revision(patch))
     check_match(state.revision, if_match)
-    document = patched(load(state.config) if state.config else {}, patch)
-    config = configuration_of(document)
-    check_revision(state.revision, config)
+    document = apply_patch(read_document(state.config) if state.config else {}, patch)
+    config = configuration_from(document)
+    check_follows(state.revision, config.revision)
     return _with_config(state, config, orjson.dumps(document), digest)
 
 
--- a/tests/capacity/test_capacity.py
+++ b/tests/capacity/test_capacity.py
@@ -27,7 +27,7 @@
 from rowanshift.capacity.sweep import Shape
 from rowanshift.capacity.takeover import Play
 from rowanshift.cli import main
-from rowanshift.controlplane.configuration import parse
+from rowanshift.controlplane.configuration_reader import parse_configuration
 from rowanshift.controlplane.control_state import unpack
 from rowanshift.controlplane.record_kinds import CODEC
 from rowanshift.controlplane.replication import EpochRecord, Heartbeat, HeartbeatReply, StateVersion, Store, StoreReply
@@ -132,7 +132,7 @@
 class DeliveryTest(unittest.TestCase):
     def test_a_generated_configuration_is_valid_and_the_same_for_a_seed(self) -> None:
         made = configuration(TENANTS, ROUTES, POOLS)
-        self.assertEqual(len(parse(orjson.dumps(made)).tenants), TENANTS)
+        self.assertEqual(len(parse_configuration(orjson.dumps(made)).tenants), TENANTS)
         self.assertEqual(made, configuration(TENANTS, ROUTES, POOLS))
 
     def test_a_difference_carries_the_changed_rows_alone(self) -> None:
--- a/tests/controlplane/test_configuration.py
+++ b/tests/controlplane/test_configuration.py
@@ -6,13 +6,10 @@
 
 import orjson
 
-from rowanshift.controlplane.configuration import (
-    InvalidConfiguration,
-    StaleMatch,
-    check_change,
-    digest,
-    parse,
-)
+from rowanshift.controlplane.configuration import TrafficSplit
+from rowanshift.controlplane.configuration_reader import body_digest, parse_configuration
+from rowanshift.controlplane.errors import InvalidConfiguration, StaleMatch
+from rowanshift.controlplane.revision_match import check_change
 
 
 def small() -> dict[str, Any]:
@@ -82,7 +79,7 @@
 class Refused(unittest.TestCase):
     def refused(self, body: bytes, place: str, reason: str = "") -> None:
         with self.assertRaises(InvalidConfiguration) as caught:
-            parse(body)
+            parse_configuration(body)
         self.assertEqual(caught.exception.path, place, str(caught.exception))
         self.assertIn(reason, caught.exception.reason)
         self.assertTrue(caught.exception.reason)
@@ -159,7 +156,7 @@
         body = changed("tenants", 1, "apiKeys", to=["k3", "k2"])
         self.refused(body, "tenants[1].apiKeys", "shares a key with tenants[0]")
         with self.assertRaises(InvalidConfiguration) as caught:
-            parse(body)
+            parse_configuration(body)
         self.assertNotIn("k2", str(caught.exception))  # keys are secrets
 
     def test_wrong_types(self) -> None:
@@ -217,7 +214,7 @@
                 key = draw.choice(list(inner)) if isinstance(inner, dict) else draw.randrange(len(inner))
             inner[key] = draw.choice(odd)
             try:
-                parse(orjson.dumps(config))
+                parse_configuration(orjson.dumps(config))
             except InvalidConfiguration as error:
                 refused += 1
                 self.assertTrue(error.reason)
@@ -226,12 +223,12 @@
 
 class Accepted(unittest.TestCase):
     def test_everything_is_read(self) -> None:
-        config = parse(orjson.dumps(small()))
+        config = parse_configuration(orjson.dumps(small()))
         plain, shared = config.routes
         self.assertEqual(config.revision, 3)
         self.assertEqual((plain.hostname, plain.path_prefix, plain.timeout_ms), ("a.test", "/x/", 900.0))
-        self.assertEqual(plain.targets, [("s1", 1.0)])
-        self.assertEqual(shared.targets, [("s1", 3.0), ("s2", 1.0)])
+        self.assertEqual(plain.targets, [TrafficSplit("s1", 1.0)])
+        self.assertEqual(shared.targets, [TrafficSplit("s1", 3.0), TrafficSplit("s2", 1.0)])
         self.assertEqual((shared.gap_aim_ms, shared.target_latency_ms, shared.priority), (200.0, 500.0, 2.0))
         self.assertEqual((plain.retries, plain.public, plain.sticky), (2, True, False))
         self.assertTrue(shared.sticky and shared.resumable and shared.repeatable and plain.repeatable)
@@ -287,12 +284,12 @@
         }
         for name, body in cases.items():
             with self.subTest(name):
-                parse(body)
+                parse_configuration(body)
 
     def test_tenants_absent_or_empty(self) -> None:
-        self.assertIsNone(parse(changed("tenants")).tenants)
-        self.assertIsNone(parse(changed("tenants", to=None)).tenants)
-        self.assertEqual(parse(changed("tenants", to=[])).tenants, [])
+        self.assertIsNone(parse_configuration(changed("tenants")).tenants)
+        self.assertIsNone(parse_configuration(changed("tenants", to=None)).tenants)
+        self.assertEqual(parse_configuration(changed("tenants", to=[])).tenants, [])
 
     def test_defaults(self) -> None:
         body = orjson.dumps(
@@ -302,44 +299,44 @@
                 "routes": [{"hostname": "h", "pathPrefix": "/", "backend": "s"}],
             }
         )
-        route = parse(body).routes[0]
+        route = parse_configuration(body).routes[0]
         self.assertFalse(route.repeatable or route.public or route.sticky or route.streaming)
         self.assertEqual((route.timeout_ms, route.gap_aim_ms), (None, None))
         self.assertEqual((route.retries, route.priority), (1, 5.0))
-        first, second = parse(body), parse(body)
+        first, second = parse_configuration(body), parse_configuration(body)
         first.routes[0].traffic_split.append(None)  # type: ignore[arg-type]
         self.assertEqual(second.routes[0].traffic_split, [])
 
     def test_a_streaming_route_that_cannot_be_resumed_is_not_repeated(self) -> None:
-        self.assertFalse(parse(changed("routes", 1, "resumable", to=False)).routes[1].repeatable)
+        self.assertFalse(parse_configuration(changed("routes", 1, "resumable", to=False)).routes[1].repeatable)
 
 
 class Changes(unittest.TestCase):
     def test_in_order(self) -> None:
-        config = parse(orjson.dumps(small()))
+        config = parse_configuration(orjson.dumps(small()))
         for named in ("2", '"2"', ' "2" ', 'W/"2"', "02"):
-            check_change(2, named, config)
-        check_change(0, "0", config)
+            check_change(2, named, config.revision)
+        check_change(0, "0", config.revision)
 
     def test_stale(self) -> None:
-        config = parse(orjson.dumps(small()))
+        config = parse_configuration(orjson.dumps(small()))
         for named in ("1", "3", "0", "", None, "*", "two", "-2", "+2", "2.0", "٢", "2, 3", '"', "9" * 5000):
             with self.subTest(named=named), self.assertRaises(StaleMatch) as caught:
-                check_change(2, named, config)
+                check_change(2, named, config.revision)
             self.assertEqual((caught.exception.status, caught.exception.current), (412, 2))
             self.assertIn("revision 2 is current", str(caught.exception))
 
     def test_revision_not_above(self) -> None:
-        config = parse(orjson.dumps(small()))
+        config = parse_configuration(orjson.dumps(small()))
         for current in (3, 4):
             with self.assertRaises(InvalidConfiguration) as caught:
-                check_change(current, str(current), config)
+                check_change(current, str(current), config.revision)
             self.assertEqual(caught.exception.path, "revision")
             self.assertIn("not above", caught.exception.reason)
 
     def test_stale_goes_before_the_revision(self) -> None:
         with self.assertRaises(StaleMatch):
-            check_change(5, "4", parse(orjson.dumps(small())))
+            check_change(5, "4", parse_configuration(orjson.dumps(small())).revision)
 
 
 class Digests(unittest.TestCase):
@@ -347,11 +344,11 @@
         config = small()
         backwards = dict(reversed(config.items()))
         spaced = orjson.dumps(backwards, option=orjson.OPT_INDENT_2)
-        self.assertEqual(digest(orjson.dumps(config)), digest(spaced))
-        self.assertEqual(len(digest(spaced)), 32)
+        self.assertEqual(body_digest(orjson.dumps(config)), body_digest(spaced))
+        self.assertEqual(len(body_digest(spaced)), 32)
 
     def test_any_difference_tells(self) -> None:
-        seen = {digest(orjson.dumps(small()))}
+        seen = {body_digest(orjson.dumps(small()))}
         others = [
             changed("revision", to=4),
             changed("colour", to=1),
@@ -362,12 +359,12 @@
             changed("routes", 0, "timeoutMs", to=901),
             changed("tenants", 0, "apiKeys", to=["k2", "k1"]),
         ]
-        seen |= {digest(body) for body in others}
+        seen |= {body_digest(body) for body in others}
         self.assertEqual(len(seen), len(others) + 1)
 
     def test_unreadable(self) -> None:
         with self.assertRaises(InvalidConfiguration):
-            digest(b"{")
+            body_digest(b"{")
 
 
 if __name__ == "__main__":
--- a/tests/controlplane/test_configuration_patch.py
+++ b/tests/controlplane/test_configuration_patch.py
@@ -11,7 +11,7 @@
 
 from rowanshift.controlplane import configuration_change, control_state
 from rowanshift.controlplane.configuration_change import patch_config, put_config
-from rowanshift.controlplane.configuration_patch import MOST_NAME, NAMED_LISTS, patched
+from rowanshift.controlplane.configuration_patch import MAX_QUOTED_NAME_CHARACTERS, NAMED_LISTS, apply_patch
 from rowanshift.controlplane.control_state import ControlState, unpack
 from rowanshift.controlplane.errors import InvalidConfiguration, OrderTooOld, StaleMatch
 from rowanshift.invariants.facts import ConfigAnswered, ConfigRead, OrderReplied
@@ -106,7 +106,7 @@
     def test_the_base_is_left_as_it_is(self) -> None:
         base = whole()
         before = copy.deepcopy(base)
-        patched(base, {"revision": 2, "upsert": {"routes": [route("b"), route("d")]}, "remove": {"routes": ["a"]}})
+        apply_patch(base, {"revision": 2, "upsert": {"routes": [route("b"), route("d")]}, "remove": {"routes": ["a"]}})
         self.assertEqual(base, before)
 
     def test_drawn_patches_against_items_by_name(self) -> None:
@@ -117,7 +117,7 @@
             changed = draw.sample(range(16), draw.randrange(6))
             items = [route(f"n{n}", timeoutMs=draw.randrange(1, 9)) for n in changed]
             gone = [f"n{n}" for n in draw.sample(range(16), draw.randrange(6)) if n not in changed]
-            made = patched(base, {"revision": 2, "upsert": {"routes": items}, "remove": {"routes": gone}})
+            made = apply_patch(base, {"revision": 2, "upsert": {"routes": items}, "remove": {"routes": gone}})
             wanted = {item["name"]: item for item in [*base["routes"], *items] if item["name"] not in gone}
             self.assertEqual(made["routes"], list(wanted.values()))
 
@@ -173,10 +173,10 @@
             self.assertIn(told, str(caught.exception))
 
     def test_a_long_name_is_cut_in_the_reason(self) -> None:
-        name = "n" * (MOST_NAME + 1)
+        name = "n" * (MAX_QUOTED_NAME_CHARACTERS + 1)
         with self.assertRaises(InvalidConfiguration) as caught:
             patch(state_of(), {"revision": 2, "upsert": {name: []}})
-        self.assertIn("." + name[:MOST_NAME] + ":", str(caught.exception))
+        self.assertIn("." + name[:MAX_QUOTED_NAME_CHARACTERS] + ":", str(caught.exception))
         self.assertNotIn(name, str(caught.exception))
 
     def test_what_is_no_json_object(self) -> None:
--- a/tests/controlplane/test_control_state.py
+++ b/tests/controlplane/test_control_state.py
@@ -10,8 +10,8 @@
 import orjson
 
 from rowanshift.controlplane import order_history
-from rowanshift.controlplane.configuration import digest
 from rowanshift.controlplane.configuration_change import put_config
+from rowanshift.controlplane.configuration_reader import body_digest
 from rowanshift.controlplane.control_state import (
     ControlState,
     put_version,
@@ -110,7 +110,7 @@
     def test_one_after_the_other(self) -> None:
         first = after(ControlState(), "0", body(3))
         self.assertEqual((first.revision, first.config), (3, body(3)))
-        self.assertEqual((first.orders.revisions(), first.orders.contains(digest(body(3)))), ([3], True))
+        self.assertEqual((first.orders.revisions(), first.orders.contains(body_digest(body(3)))), ([3], True))
         made = put_config(first, "3", body(9))
         assert made is not None
         second, config = made
@@ -204,7 +204,7 @@
         self.assertLess(len(ControlState(orders=history).pack()), 500_000)
 
     def test_what_was_taken_under_format_1_is_known(self) -> None:
-        old = [(3, digest(body(3))), (4, digest(body(4)))]
+        old = [(3, body_digest(body(3))), (4, body_digest(body(4)))]
         packed = Struct(">4sHQIIH").pack(b"RSSH", 1, 4, len(body(4)), 0, 2) + body(4)
         state = unpack(packed + b"".join(ORDER_FORMAT_1.pack(*order) for order in old))
         self.assertEqual((state.revision, state.config, state.orders.revisions()), (4, body(4), [3, 4]))
--- a/tests/modelcheck/test_client_walk.py
+++ b/tests/modelcheck/test_client_walk.py
@@ -6,7 +6,7 @@
 from unittest import mock
 
 from rowanshift.controlplane import order_history
-from rowanshift.controlplane.configuration import parse
+from rowanshift.controlplane.configuration_reader import parse_configuration
 from rowanshift.modelcheck.client_messages import ConfigChange, Status
 from rowanshift.modelcheck.client_walk import ClientWalk
 
@@ -39,7 +39,7 @@
             self.walk(range(2020, 2036), 3, 1, 0, 100)
 
     def test_a_change_of_the_model_is_a_valid_configuration(self) -> None:
-        self.assertEqual(7, parse(ConfigChange(3, 6, 7).body).revision)
+        self.assertEqual(7, parse_configuration(ConfigChange(3, 6, 7).body).revision)
         self.assertNotEqual(ConfigChange(3, 6, 7).body, ConfigChange(4, 6, 7).body)
 
     def test_statuses_are_those_of_the_api(self) -> None:
