--- a/tests/admin/test_commands.py
+++ b/tests/admin/test_commands.py
@@ -144,6 +144,11 @@
         path.write_bytes(orjson.dumps(config))
         return path
 
+    def put(self, path: Path) -> None:
+        """Put a configuration; it is in force then."""
+        revision = orjson.loads(path.read_bytes())["revision"]
+        self.assertEqual(self.ask("config", "put", path), (0, f"revision {revision} is in force\n"))
+
     def newer(self, **changes) -> dict:
         """A configuration that can be put next."""
         return cluster.CONFIG | {"revision": self.revision() + 1} | changes
@@ -246,7 +251,7 @@
         self.assertIn(f"revision {config['revision']} was taken earlier", said)
 
     def test_a_put_that_is_refused_tells_the_control_planes_reason(self) -> None:
-        self.assertEqual(self.ask("config", "put", self.write("a.json", self.newer()))[0], 0)
+        self.put(self.write("a.json", self.newer()))
         current = self.revision()
         path = self.write("b.json", self.newer(limits={}))
         code, said = self.ask("config", "put", path, "--if-match", current - 1)
@@ -260,7 +265,7 @@
         self.assertEqual(self.ask("config", "put", path, "--if-match", current)[0], 0)
 
     def test_items_that_are_patched(self) -> None:
-        self.assertEqual(self.ask("config", "put", self.write("base.json", self.newer()))[0], 0)
+        self.put(self.write("base.json", self.newer()))
         base = self.revision()
         added = {"name": "extra", "hostname": "extra.example", "pathPrefix": "/", "backend": "chat", "timeoutMs": 9}
         path = self.write("patch.json", {"revision": base + 1, "upsert": {"routes": [added]}})
@@ -272,7 +277,7 @@
         self.assertEqual(orjson.loads(said)["routes"][-1], added)
 
     def test_a_patch_that_can_not_be_used(self) -> None:
-        self.assertEqual(self.ask("config", "put", self.write("base.json", self.newer()))[0], 0)
+        self.put(self.write("base.json", self.newer()))
         base = self.revision()
         path = self.write("patch.json", {"revision": base + 1, "upsert": {"limits": []}})
         code, said = self.ask("config", "patch", path)
@@ -286,7 +291,7 @@
         self.assertEqual(self.revision(), base)
 
     def test_how_a_configuration_differs_from_the_one_in_force(self) -> None:
-        self.assertEqual(self.ask("config", "put", self.write("base.json", self.newer()))[0], 0)
+        self.put(self.write("base.json", self.newer()))
         revision = self.revision()
         same = self.write("same.json", self.newer())
         self.assertEqual(
