--- a/benchmarks/loopback_system.py
+++ b/benchmarks/loopback_system.py
@@ -12,7 +12,6 @@
 import subprocess
 import sys
 import tarfile
-import time
 import urllib.request
 from collections import deque
 from collections.abc import Sequence
@@ -22,6 +21,7 @@
 
 import orjson
 import trio
+from process_usage import ProcessUsage
 
 sys.path.insert(0, str(Path(__file__).resolve().parents[1]))
 
@@ -162,14 +162,19 @@
         self.settings_file.write_bytes(orjson.dumps(settings))
         self.compiled = folder.parent / "compiled"  # bytecode, shared by all processes of a run
         self.process: subprocess.Popen | None = None
+        self.usage: ProcessUsage | None = None
+
+    def environment(self) -> dict[str, str]:
+        """The environment of its processes."""
+        environment = {name: os.environ[name] for name in ("PATH", "HOME", "LANG") if name in os.environ}
+        return environment | {"PYTHONPYCACHEPREFIX": str(self.compiled)}
 
     def start(self) -> None:
         """Start the process."""
-        environment = {name: os.environ[name] for name in ("PATH", "HOME", "LANG") if name in os.environ}
-        environment["PYTHONPYCACHEPREFIX"] = str(self.compiled)
         command = [sys.executable, "rowanshift.py", self.role, "--boot", str(self.settings_file)]
         with self.log_file.open("ab") as log:
-            self.process = subprocess.Popen(command, cwd=self.tree.path, env=environment, stdout=log, stderr=log)
+            self.process = subprocess.Popen(command, cwd=self.tree.path, env=self.environment(), stdout=log, stderr=log)
+        self.usage = ProcessUsage(self.process.pid)
 
     @property
     def running(self) -> bool:
@@ -192,10 +197,7 @@
         if self.process is not None:
             self.process.kill()
             self.process.wait()
-
-    def cpu_seconds(self) -> float:
-        """User and system time of the process so far; Linux, whose clock of another process has this number."""
-        return time.clock_gettime(~self.process.pid << 3 | 2)
+            self.usage.close()
 
     def log(self) -> str:
         """What the process has logged."""
--- a/tests/benchmarks/test_benchmarks.py
+++ b/tests/benchmarks/test_benchmarks.py
@@ -17,6 +17,7 @@
 ROOT = Path(__file__).parents[2]
 PROXY = ROOT / "benchmarks" / "proxy.py"
 MIXED_VERSIONS = ROOT / "benchmarks" / "mixed_versions.py"
+COST = ROOT / "benchmarks" / "cost.py"
 REVISION = "HEAD" if (ROOT / ".git").exists() else "."  # a copy without a repository holds no revisions
 SHORT = ["--rounds", "1", "--requests", "256", "--connections", "64", "--json"]
 
@@ -25,7 +26,8 @@
     spec = importlib.util.spec_from_file_location(f"{name}_benchmark", PROXY.with_name(f"{name}.py"))
     module = importlib.util.module_from_spec(spec)
     sys.modules[spec.name] = module
-    spec.loader.exec_module(module)
+    with mock.patch.object(sys, "path", [str(PROXY.parent), *sys.path]):  # as it is where the file is run
+        spec.loader.exec_module(module)
     return module
 
 
@@ -115,3 +117,48 @@
             stream(),
         ):
             self.assertFalse(system.is_complete(attempt, 8), attempt)
+
+
+class Cost(unittest.TestCase):
+    def run_tool(self, *options: str) -> subprocess.CompletedProcess:
+        return subprocess.run([sys.executable, COST, *options], capture_output=True, text=True, timeout=180, cwd=ROOT)
+
+    def test_a_short_run_compares_a_revision_with_this_checkout(self) -> None:
+        short = ("--rounds", "1", "--requests", "20", "--streams", "4")
+        done = self.run_tool("--revision", REVISION, *short, "--limit", "0.01")
+        rows = [[cell.strip() for cell in line.split("|")[1:-1]] for line in done.stdout.splitlines()]
+        self.assertEqual(rows[0][2:4], [REVISION, "."], done.stderr)
+        names = [*dict.fromkeys(row[0] for row in rows[2:])]
+        self.assertEqual(len(names), 8, done.stdout)
+        for row in rows[2:]:
+            self.assertTrue(all(float(cell) > 0 for cell in row[2:5]), row)
+        exceeded = [f"benchmarks/cost.py: {name}: over 0.01 times the cost" for name in names[:6]]
+        self.assertEqual((done.returncode, done.stderr.splitlines()), (1, exceeded))
+
+    def test_what_can_not_be_measured(self) -> None:
+        for options in (
+            ("--revision", "no-such-revision"),
+            ("--requests", "3"),
+            ("--requests", "6"),
+            ("--streams", "0"),
+            ("--rounds", "0"),
+        ):
+            with self.subTest(options):
+                done = self.run_tool(*options)
+                self.assertEqual((done.returncode, done.stdout), (2, ""))
+                self.assertIn("cost.py: ", done.stderr)
+
+    def test_a_ratio_is_the_median_over_the_rounds(self) -> None:
+        cost = loaded("cost")
+        by_time, by_instructions = cost.cost("request", "us", "thousand"), cost.cost("request", "us", "thousand")
+        for first, other in ((100, 103), (200, 190), (50, 52)):
+            for side, used in enumerate((first, other)):
+                by_time.add(side, cost.Usage(used * 1e-6, None))
+                by_instructions.add(side, cost.Usage(1.0 + side, 1000 * used), 10)
+        self.assertAlmostEqual(by_time.time.ratio(), 1.03)
+        self.assertEqual((by_time.exceeds(1.02), by_time.exceeds(1.04)), (True, False))
+        self.assertEqual(by_instructions.instructions.values[0], [10.0, 20.0, 5.0])
+        self.assertEqual((by_instructions.exceeds(1.02), by_instructions.exceeds(1.04)), (True, False))
+
+    def test_each_side_goes_first_in_every_second_round(self) -> None:
+        self.assertEqual([loaded("cost").sides(number) for number in range(4)], [(0, 1), (1, 0)] * 2)
