--- a/benchmarks/cost.py
+++ b/benchmarks/cost.py
@@ -28,6 +28,7 @@
 from loopback_system import (
     CONTROL_PORT,
     READINESS_PORT,
+    START_TIMEOUT_SECONDS,
     WORKING_TREE,
     LoopbackSystem,
     Machine,
@@ -42,12 +43,12 @@
 )
 from process_usage import ProcessUsage, Usage
 
-START_TIMEOUT_SECONDS = 30.0
 PROBE_SECONDS = 0.001
 ROUTERS, CLIENTS = 2, 4  # clients of all routers together
 TOKENS_PER_EVENT = 4
 EVENTS_PER_STREAM = 100
 WARM_UP_REQUESTS = 100
+SETTLE_SECONDS = 1.0  # after requests, before a second without them
 IDLE_SECONDS = 1.0
 TIME_UNITS = {"ms": 1e-3, "us": 1e-6}  # seconds
 INSTRUCTION_UNITS = {"million": 1e6, "thousand": 1e3}
@@ -157,7 +158,7 @@
         try:
             core.start()
             with trio.fail_after(START_TIMEOUT_SECONDS):
-                status = await system.operator.put_config(configuration(1), 0)
+                status = await system.operator.put_config(configuration(1), 0, within=START_TIMEOUT_SECONDS)
             if status != 200:
                 raise NothingMeasured(f"{tree.name}: the first configuration was answered {status}")
             return core.usage.read()
@@ -247,6 +248,7 @@
                 short, long = await self.used(side, requests, 1), await self.used(side, streams, EVENTS_PER_STREAM)
                 request.add(side, short, requests)
                 event.add(side, long - scaled(short, streams / requests), streams * (EVENTS_PER_STREAM - 1))
+            await trio.sleep(SETTLE_SECONDS)
             before = [(usage_of(system.routers), usage_of(system.core)) for system in self.systems]
             await trio.sleep(IDLE_SECONDS)
             for side, (system, (routers, core)) in enumerate(zip(self.systems, before, strict=True)):
