--- a/rowanshift/modelcheck/cluster_model.py
+++ b/rowanshift/modelcheck/cluster_model.py
@@ -13,7 +13,7 @@
 from rowanshift.modelcheck.invariants import Invariants, LeaseHolder, StateBytes
 from rowanshift.modelcheck.store_model import StoreModel
 
-MACHINE_BITS = (1 << 32) - 1  # of an epoch number: the machine that chose it
+MACHINE_BITS = (1 << 32) - 1  # of an epoch: the machine that chose it
 ID_BYTES = 4  # of a change's id in the model's states
 
 
@@ -139,7 +139,7 @@
             self._carry_out(machine_id, machine, replica, action)
         if replica.is_primary and replica.record.epoch not in self.invariants.epoch_start_states:
             self.epoch_count += 1
-            self.invariants.check_new_epoch(replica.record, replica.committed_state, self._accepted_numbers())
+            self.invariants.check_new_epoch(replica.record, replica.committed_state, self._accepted_epochs())
 
     def _carry_out(
         self, machine_id: int, machine: MachineModel, replica: replication.Replica, action: replication.Action
@@ -165,8 +165,8 @@
             case replication.ProposalFailed(token) | replication.ReadFailed(token):
                 self._notify_service(machine, token, succeeded=False)
 
-    def _accepted_numbers(self) -> dict[int, int]:
-        """The number of the record on each machine's disk; the highest number of a lost disk."""
+    def _accepted_epochs(self) -> dict[int, int]:
+        """The epoch of the record on each machine's disk; the highest possible one for a lost disk."""
         return {
             machine_id: replication.EPOCH_LIMIT
             if machine.counts_as_failed or machine.disk is None
--- a/rowanshift/modelcheck/invariants.py
+++ b/rowanshift/modelcheck/invariants.py
@@ -13,7 +13,7 @@
 class LeaseHolder(NamedTuple):
     """A machine that holds a valid lease."""
 
-    epoch_number: int
+    epoch: int
     machine_id: int
 
 
@@ -29,7 +29,7 @@
         self.proposed_states: dict[int, StateBytes] = {}  # by token
         self.committed_states: dict[replication.StateVersion, StateBytes] = {replication.NO_VERSION: b""}
         self.longest_commit: StateBytes = b""
-        self.epoch_start_states: dict[int, StateBytes] = {}  # by epoch number
+        self.epoch_start_states: dict[int, StateBytes] = {}  # by epoch
         self.pending_reads: dict[int, StateBytes] = {}  # token -> the longest state committed before it was asked
         self.read_states: list[StateBytes] = []
         self.highest_lease_epoch = 0
@@ -65,37 +65,37 @@
     def _is_durable(message: replication.Message, disk: replication.DurableState | None) -> bool:
         """Whether the disk holds what a message tells of it; true of a message that tells nothing."""
         match message:
-            case replication.PrepareReply(number, True):
-                return disk is not None and disk.promised >= number
-            case replication.AcceptReply(number, True):
-                return disk is not None and disk.promised >= number and disk.accepted.epoch >= number
-            case replication.StoreReply(number, version, True):
-                return disk is not None and disk.promised >= number and disk.version >= version
-            case replication.HeartbeatReply(number, _, True):
-                return disk is not None and disk.accepted.epoch >= number
+            case replication.PrepareReply(epoch, True):
+                return disk is not None and disk.promised >= epoch
+            case replication.AcceptReply(epoch, True):
+                return disk is not None and disk.promised >= epoch and disk.accepted.epoch >= epoch
+            case replication.StoreReply(epoch, version, True):
+                return disk is not None and disk.promised >= epoch and disk.version >= version
+            case replication.HeartbeatReply(epoch, _, True):
+                return disk is not None and disk.accepted.epoch >= epoch
         return True
 
     def check_new_epoch(
-        self, record: replication.EpochRecord, state: StateBytes, accepted_numbers: dict[int, int]
+        self, record: replication.EpochRecord, state: StateBytes, accepted_epochs: dict[int, int]
     ) -> None:
         """Check an epoch that a primary has begun with a state.
 
-        ``accepted_numbers`` maps each machine to the number of the record on its disk; a lost disk counts as the
-        highest number.
+        ``accepted_epochs`` maps each machine to the epoch of the record on its disk; a lost disk counts as the
+        highest epoch.
         """
-        number = record.epoch
-        if number in self.epoch_start_states:
+        epoch = record.epoch
+        if epoch in self.epoch_start_states:
             return
         previous = self.newest_record
-        if number > previous.epoch:
+        if epoch > previous.epoch:
             self.newest_record = record
-            voters = {machine_id for machine_id, accepted in accepted_numbers.items() if accepted >= number}
+            voters = {machine_id for machine_id, accepted in accepted_epochs.items() if accepted >= epoch}
             for witnesses in (record.witnesses, previous.witnesses):
                 if not replication.has_majority(voters, witnesses):
                     detail = f"{record} is in force and on the disks of {voters} alone"
                     raise InvariantViolation(Invariant.RECORD_DECIDED_BY_MAJORITIES, detail)
-        self.epoch_start_states[number] = state
-        self.check_commit(replication.StateVersion(number, 0), state)
+        self.epoch_start_states[epoch] = state
+        self.check_commit(replication.StateVersion(epoch, 0), state)
 
     def check_commit(self, version: replication.StateVersion, state: StateBytes) -> None:
         """Check that a commit builds on all commits of lower versions, and those of higher versions on it."""
@@ -133,7 +133,7 @@
         if len(holders) > 1:
             raise InvariantViolation(Invariant.ONE_LEASE_HOLDER, f"{[tuple(holder) for holder in holders]}")
         for holder in holders:
-            if holder.epoch_number < self.highest_lease_epoch:
-                detail = "a lease is held under a lower number after a higher one"
+            if holder.epoch < self.highest_lease_epoch:
+                detail = "a lease is held under a lower epoch after a higher one"
                 raise InvariantViolation(Invariant.LEASE_EPOCHS_INCREASE, detail)
-            self.highest_lease_epoch = holder.epoch_number
+            self.highest_lease_epoch = holder.epoch
--- a/rowanshift/modelcheck/membership_walk.py
+++ b/rowanshift/modelcheck/membership_walk.py
@@ -246,13 +246,13 @@
         began, commits_before = cluster.now, cluster.commit_count
         while missing := self.missing_redundancy():
             if cluster.now > began + REDUNDANCY_LIMIT_SECONDS:
-                detail = f"after {REDUNDANCY_LIMIT_SECONDS} s of calm {missing}"
+                detail = f"after {REDUNDANCY_LIMIT_SECONDS} s without faults {missing}"
                 raise InvariantViolation(Invariant.REDUNDANCY_IS_RESTORED, detail)
             self.step()
         self.longest_recovery = max(self.longest_recovery, cluster.now - began)
         while cluster.commit_count == commits_before:
             if cluster.now > began + COMMIT_LIMIT_SECONDS:
-                raise InvariantViolation(Invariant.COMMITS_RESUME, f"none in {COMMIT_LIMIT_SECONDS} s of calm")
+                raise InvariantViolation(Invariant.COMMITS_RESUME, f"none in {COMMIT_LIMIT_SECONDS} s without faults")
             self.step()
         for machine in cluster.machines.values():
             machine.counts_as_failed = machine.counts_as_failed and machine.removed
--- a/rowanshift/modelcheck/random_walk.py
+++ b/rowanshift/modelcheck/random_walk.py
@@ -12,7 +12,7 @@
 from rowanshift.modelcheck.fault_injection import FaultInjection, FaultKind, MessageBlock
 from rowanshift.modelcheck.implementations import DEFAULT_IMPLEMENTATIONS, Implementations
 
-# seconds; without leases and waits, so that only numbers and majorities keep two primaries apart
+# seconds; without leases and waits, so that only epochs and majorities keep two primaries apart
 CONTENDED_TIMING = replication.Timing(
     lease_seconds=0.0,
     lease_guard_seconds=0.0,
@@ -228,7 +228,7 @@
         while cluster.commit_count < enough or self._unrecovered():
             if cluster.now > began + RECOVERY_LIMIT_SECONDS:
                 problem = self._unrecovered() or "nothing is committed"
-                return f"after {RECOVERY_LIMIT_SECONDS:.0f} s calm: {problem}"
+                return f"after {RECOVERY_LIMIT_SECONDS:.0f} s without faults: {problem}"
             self.step()
         return ""
 
