--- a/rowanshift/modelcheck/breadth_first_search.py
+++ b/rowanshift/modelcheck/breadth_first_search.py
@@ -6,11 +6,12 @@
 import time
 from collections import deque
 from dataclasses import dataclass
+from typing import NamedTuple
 
 from rowanshift.controlplane import replication
-from rowanshift.modelcheck.cluster_model import ClusterModel, Envelope, MachineModel
+from rowanshift.modelcheck.cluster_model import Envelope, MachineModel
 from rowanshift.modelcheck.errors import InvariantViolation
-from rowanshift.modelcheck.search_starts import STARTS, EventBudget, advance_clock, start_machine
+from rowanshift.modelcheck.search_starts import STARTS, EventBudget, SearchState, advance_clock, start_machine
 
 CLOCK_STEPS_SECONDS = (0.25, 1.4)  # by which an event may advance the clock
 DEFAULT_START = "quiet-primary"
@@ -77,6 +78,13 @@
 Event = Deliver | CompleteSave | StartMachine | Crash | LoseDisk | Read | Propose | AdvanceClock
 
 
+class PackedState(NamedTuple):
+    """A state that is yet to be expanded."""
+
+    depth: int  # events from the start
+    packed: bytes  # a pickled SearchState
+
+
 @dataclass
 class SearchResult:
     """What a search came to."""
@@ -87,16 +95,16 @@
     violation: str = ""  # of an invariant; "" if all hold
 
 
-def possible_events(cluster: ClusterModel, budget: EventBudget) -> list[Event]:
+def possible_events(state: SearchState) -> list[Event]:
     """Every event that can come next. A message that is lost is one that is never delivered."""
     events: list[Event] = []
     distinct: set[Envelope] = set()
-    for index, envelope in enumerate(cluster.in_flight):
-        if envelope not in distinct and cluster.machines[envelope.recipient].replica is not None:
+    for index, envelope in enumerate(state.cluster.in_flight):
+        if envelope not in distinct and state.cluster.machines[envelope.recipient].replica is not None:
             distinct.add(envelope)
             events.append(Deliver(index))
-    for machine_id, machine in cluster.machines.items():
-        events.extend(_events_of_machine(machine_id, machine, budget))
+    for machine_id, machine in state.cluster.machines.items():
+        events.extend(_events_of_machine(machine_id, machine, state.budget))
     events.extend(AdvanceClock(seconds) for seconds in CLOCK_STEPS_SECONDS)
     return events
 
@@ -120,10 +128,9 @@
     return events
 
 
-def apply_event(
-    cluster: ClusterModel, budget: EventBudget, event: Event, replica_class: type[replication.Replica]
-) -> None:
-    """Change the cluster by an event. Raises ``InvariantViolation``."""
+def apply_event(state: SearchState, event: Event, replica_class: type[replication.Replica]) -> None:
+    """Change a state by an event. Raises ``InvariantViolation``."""
+    cluster, budget = state.cluster, state.budget
     match event:
         case Deliver(index):
             cluster.deliver(index)
@@ -157,33 +164,35 @@
     """Visit the states that events lead to from a start, until so many states, so many events deep or a violation."""
     began = time.monotonic()
     first = STARTS[start](replica_class)
-    queue = deque([(0, pickle.dumps((first.cluster, first.budget)))])
-    visited = {state_hash(first.cluster, first.budget)}
+    queue = deque([PackedState(0, pickle.dumps(first))])
+    visited = {state_hash(first)}
     depth = 0
     while queue:
-        depth, state = queue.popleft()
+        depth, packed = queue.popleft()
         if len(visited) >= max_states or depth >= max_depth:
             break
-        for event in possible_events(*_unpack(state)):
-            cluster, budget = _unpack(state)
+        for event in possible_events(_unpack(packed)):
+            state = _unpack(packed)
             try:
-                apply_event(cluster, budget, event, replica_class)
+                apply_event(state, event, replica_class)
             except InvariantViolation as violation:
                 return SearchResult(len(visited), depth, time.monotonic() - began, str(violation))
-            key = state_hash(cluster, budget)
+            key = state_hash(state)
             if key not in visited:
                 visited.add(key)
-                queue.append((depth + 1, pickle.dumps((cluster, budget))))
+                queue.append(PackedState(depth + 1, pickle.dumps(state)))
     return SearchResult(len(visited), depth, time.monotonic() - began)
 
 
-def _unpack(state: bytes) -> tuple[ClusterModel, EventBudget]:
-    cluster, budget = pickle.loads(state)
-    return cluster, budget
+def _unpack(packed: bytes) -> SearchState:
+    """A new copy of a state, which an event may change."""
+    state: SearchState = pickle.loads(packed)
+    return state
 
 
-def state_hash(cluster: ClusterModel, budget: EventBudget) -> int:
+def state_hash(state: SearchState) -> int:
     """A hash that is the same for states from which the same can follow."""
+    cluster = state.cluster
     machines = [
         (machine.disk, machine.pending_save, machine.replica and vars(machine.replica))
         for machine in cluster.machines.values()
@@ -191,4 +200,4 @@
     invariants = cluster.invariants
     history = (invariants.committed_states, invariants.pending_reads, invariants.highest_lease_epoch)
     in_flight = sorted(map(repr, cluster.in_flight))
-    return hash((repr(machines), repr(in_flight), cluster.now, repr(history), repr(budget)))
+    return hash((repr(machines), repr(in_flight), cluster.now, repr(history), repr(state.budget)))
--- a/rowanshift/modelcheck/search_starts.py
+++ b/rowanshift/modelcheck/search_starts.py
@@ -26,8 +26,8 @@
 
 
 @dataclass
-class SearchStart:
-    """The state that a search starts from."""
+class SearchState:
+    """A state that a search visits, or starts from."""
 
     cluster: ClusterModel
     budget: EventBudget
@@ -103,16 +103,16 @@
     cluster.tick_all()
 
 
-def quiet_primary(replica_class: type[replication.Replica] = replication.Replica) -> SearchStart:
+def quiet_primary(replica_class: type[replication.Replica] = replication.Replica) -> SearchState:
     """A primary that has committed a change, with one more proposed and a read asked."""
     run = DirectedRun(replica_class)
     run.commit()
     run.cluster.propose(run.primary())
     run.cluster.read(run.primary())
-    return SearchStart(run.cluster, EventBudget())
+    return SearchState(run.cluster, EventBudget())
 
 
-def takeover(replica_class: type[replication.Replica] = replication.Replica) -> SearchStart:
+def takeover(replica_class: type[replication.Replica] = replication.Replica) -> SearchState:
     """The primary's process ended with a change proposed; another machine's Prepares are in flight."""
     run = DirectedRun(replica_class)
     run.commit()
@@ -120,10 +120,10 @@
     run.cluster.propose(first_primary)
     run.cluster.crash(first_primary, save_persisted=True)
     run.run_until(lambda: run.is_sent(replication.Prepare))
-    return SearchStart(run.cluster, EventBudget())
+    return SearchState(run.cluster, EventBudget())
 
 
-def membership_change(replica_class: type[replication.Replica] = replication.Replica) -> SearchStart:
+def membership_change(replica_class: type[replication.Replica] = replication.Replica) -> SearchState:
     """A witness is removed; the primary's Prepares of the epoch with a spare in its place are in flight."""
     run = DirectedRun(replica_class, spares=1)
     run.commit()
@@ -144,10 +144,10 @@
         return candidacy is not None and bool(candidacy.witnesses) and run.is_sent(replication.Prepare)
 
     run.run_until(is_changing)
-    return SearchStart(run.cluster, EventBudget(disk_losses=0))
+    return SearchState(run.cluster, EventBudget(disk_losses=0))
 
 
-def recovery(replica_class: type[replication.Replica] = replication.Replica) -> SearchStart:
+def recovery(replica_class: type[replication.Replica] = replication.Replica) -> SearchState:
     """A backup lost its disk; its RecoveryRequests are in flight while a change is proposed."""
     run = DirectedRun(replica_class)
     run.commit()
@@ -158,11 +158,11 @@
     start_machine(run.cluster, backup, replica_class)
     run.run_until(lambda: run.is_sent(replication.RecoveryRequest))
     run.cluster.propose(run.primary())
-    return SearchStart(run.cluster, EventBudget(disk_losses=0))
+    return SearchState(run.cluster, EventBudget(disk_losses=0))
 
 
 # by the names that the command line gives them
-STARTS: dict[str, Callable[[type[replication.Replica]], SearchStart]] = {
+STARTS: dict[str, Callable[[type[replication.Replica]], SearchState]] = {
     "quiet-primary": quiet_primary,
     "takeover": takeover,
     "membership-change": membership_change,
