--- a/rowanshift/dataplane/control_client.py
+++ b/rowanshift/dataplane/control_client.py
@@ -29,11 +29,11 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Primary:
-    """The machine that answered as the primary, and the connection to it."""
+class ReplicaConnection:
+    """A replica of the control plane, and the connection to it."""
 
-    machine: int
-    connection: RecordClient
+    machine: int  # its id
+    client: RecordClient
 
 
 @dataclass(slots=True)
@@ -42,7 +42,7 @@
 
     progress: trio.Event = field(default_factory=trio.Event)  # an answer has come, or none will
     pending: int = 0  # machines that were asked and have not answered
-    found: Primary | None = None
+    found: ReplicaConnection | None = None
 
 
 class ControlClient:
@@ -77,9 +77,9 @@
         while True:
             primary = await self._find_primary()
             await self._follow(primary)
-            primary.connection.close()
+            primary.client.close()
 
-    async def _find_primary(self) -> Primary:
+    async def _find_primary(self) -> ReplicaConnection:
         """Asks replicas until one answers as the primary; its update is applied."""
         while True:
             found = await self._search_once()
@@ -87,7 +87,7 @@
                 return found
             await self.runtime.pause(SEARCH_RETRY_SECONDS * (0.5 + self.random_source.random()))
 
-    async def _search_once(self) -> Primary | None:
+    async def _search_once(self) -> ReplicaConnection | None:
         """Asks each replica once; ``None`` if none of them is the primary."""
         self.search.begin(self._replicas(), trio.current_time())
         search = Search()
@@ -103,20 +103,21 @@
 
     async def _ask_for_primary(self, search: Search, machine: int, scope: trio.CancelScope) -> None:
         """Asks one machine; ends the search if it is the primary."""
-        connection = RecordClient(self.runtime, CONTROL_UPDATE_CODEC, (ip_from_machine_id(machine), self.port))
+        address = ip_from_machine_id(machine), self.port
+        replica = ReplicaConnection(machine, RecordClient(self.runtime, CONTROL_UPDATE_CODEC, address))
         try:
-            if await self._poll(Primary(machine, connection), 0.0) and search.found is None:
-                search.found = Primary(machine, connection)
+            if await self._poll(replica, 0.0) and search.found is None:
+                search.found = replica
                 scope.cancel()
         except ConnectionFailed as error:
             self._on_no_answer(machine, error)
         finally:
-            if search.found is None or search.found.connection is not connection:
-                connection.close()
+            if search.found is not replica:
+                replica.client.close()
             search.pending -= 1
         search.progress.set()
 
-    async def _follow(self, primary: Primary) -> None:
+    async def _follow(self, primary: ReplicaConnection) -> None:
         """One long poll after another at the primary, until it gives no answer or is no longer primary."""
         while True:
             long_poll_seconds = 0.0 if self.cache.freshness.is_stale else LONG_POLL_SECONDS
@@ -128,7 +129,7 @@
                 self._on_no_answer(primary.machine, error)
                 return
 
-    async def _poll(self, asked: Primary, long_poll_seconds: float) -> bool:
+    async def _poll(self, replica: ReplicaConnection, long_poll_seconds: float) -> bool:
         """One poll; whether the machine answered as the primary, and with nothing older than the copy.
 
         Raises ``ConnectionFailed``.
@@ -136,10 +137,10 @@
         asked_at = trio.current_time()
         timeout = LONG_POLL_SECONDS + POLL_ANSWER_SECONDS if long_poll_seconds else SEARCH_ANSWER_SECONDS
         poll = self._poll_record(long_poll_seconds)
-        answer = await asked.connection.ask(poll, timeout)
+        answer = await replica.client.ask(poll, timeout)
         if isinstance(answer, Redirect):
             self.cache.core_machines = answer.core_machines or self.cache.core_machines
-            self.search.on_primary_hint(answer.primary if answer.primary not in (0, asked.machine) else None)
+            self.search.on_primary_hint(answer.primary if answer.primary not in (0, replica.machine) else None)
             return False
         if not isinstance(answer, Update) or answer.state_version < self.cache.state_version:
             return False
--- a/tests/dataplane/test_endpoints.py
+++ b/tests/dataplane/test_endpoints.py
@@ -1,4 +1,4 @@
-"""Which server a prefix goes to, over the servers that a counter knows of."""
+"""The endpoints that a router knows of, and which of them a prefix goes to."""
 
 import random
 import unittest
@@ -28,13 +28,13 @@
 SERVICE, MODEL = "s", "m"
 
 
-def engine(n, version=1, service=SERVICE, **more):
+def endpoint(n, version=1, service=SERVICE, **more):
     return Endpoint(f"i-{n}", service, f"10.0.0.{n}:80", "z", 4, {MODEL: version}, **more)
 
 
-def registry(many=6, seed=1, **more):
+def endpoints_of(many=6, seed=1, **more):
     made = Endpoints(random.Random(seed))
-    made.apply_listed([engine(n, **more) for n in range(many)])
+    made.apply_listed([endpoint(n, **more) for n in range(many)])
     return made
 
 
@@ -49,8 +49,8 @@
 
 class Case(unittest.TestCase):
     def setUp(self):
-        self.engines = registry()
-        self.pool = self.engines.pool(SERVICE)
+        self.endpoints = endpoints_of()
+        self.pool = self.endpoints.pool(SERVICE)
         self.mark = mark_of(MODEL, b"prefix")
         self.walk = self.pool.ring.walk(self.mark, 6)
 
@@ -65,7 +65,7 @@
 
     def test_each_counter_has_the_same(self):
         other = Endpoints(random.Random(9))
-        other.apply_listed([engine(n) for n in reversed(range(6))])
+        other.apply_listed([endpoint(n) for n in reversed(range(6))])
         for mark in marks():
             self.assertEqual(other.pool(SERVICE).pick(mark, 0.0, MODEL, 1, ()).id, self.pick(mark).id)
 
@@ -76,10 +76,10 @@
 
     def test_one_that_comes_or_goes_moves_only_its_own(self):
         before = {mark: self.pick(mark).id for mark in marks()}
-        self.engines.apply_listed([engine(n) for n in range(5)])
+        self.endpoints.apply_listed([endpoint(n) for n in range(5)])
         for mark, id in before.items():
             self.assertTrue(self.pick(mark).id == id or id == "i-5")
-        self.engines.apply_listed([engine(n) for n in range(7)])
+        self.endpoints.apply_listed([endpoint(n) for n in range(7)])
         moved = [self.pick(mark).id for mark, id in before.items() if self.pick(mark).id != id]
         self.assertEqual(set(moved), {"i-6"})
 
@@ -122,7 +122,7 @@
         self.assertTrue(is_open(server, 99.99 + SILENT))
 
     def test_back_off_shortens_no_longer_pause(self):
-        server = engine(1)
+        server = endpoint(1)
         server.backed_off_until = 100.0
         back_off(server, 10.0)
         self.assertEqual(server.backed_off_until, 100.0)
@@ -146,12 +146,12 @@
         for server in self.walk:
             server.loading = True
         self.assertIsNone(self.pick())
-        self.assertIsNone(self.engines.pool("unknown").pick(self.mark, 0.0, MODEL, 0, ()))
-        self.assertIsNone(self.engines.pool("unknown").home(self.mark))
+        self.assertIsNone(self.endpoints.pool("unknown").pick(self.mark, 0.0, MODEL, 0, ()))
+        self.assertIsNone(self.endpoints.pool("unknown").home(self.mark))
 
     def test_beyond_the_walk_the_one_with_the_least_open(self):
-        self.engines = registry(WALK + 4)
-        self.pool = self.engines.pool(SERVICE)
+        self.endpoints = endpoints_of(WALK + 4)
+        self.pool = self.endpoints.pool(SERVICE)
         walk = self.pool.ring.walk(self.mark, WALK + 4)
         for server in walk[:WALK]:
             server.draining = True
@@ -248,7 +248,7 @@
         first.loading = True
         self.assertIsNot(self.pick(now=now), first)
         first.loading = False
-        self.engines.apply_listed([engine(n) for n in range(6) if f"i-{n}" != first.id])
+        self.endpoints.apply_listed([endpoint(n) for n in range(6) if f"i-{n}" != first.id])
         self.assertNotIn(first, self.pool.drawn.values())
         self.assertIsNot(self.pick(now=now), first)
 
@@ -331,85 +331,87 @@
         self.assertIsNone(self.source(self.walk[1]))  # the fourth is not asked
 
 
-class Updates(Case):
-    def given(self, *engines):
-        return self.engines.apply_listed([engine(n) for n in range(1, 6)] + list(engines))
+class AppliedLists(Case):
+    def apply(self, *endpoints):
+        return self.endpoints.apply_listed([endpoint(n) for n in range(1, 6)] + list(endpoints))
 
     def test_the_same_again(self):
-        before = dict(self.engines.by_id)
-        self.assertEqual(self.given(engine(0)), [])
-        self.assertEqual(self.engines.by_id, before)
+        before = dict(self.endpoints.by_id)
+        self.assertEqual(self.apply(endpoint(0)), [])
+        self.assertEqual(self.endpoints.by_id, before)
 
     def test_what_is_known_of_one_is_kept(self):
-        server = self.engines.by_id["i-0"]
+        server = self.endpoints.by_id["i-0"]
         server.on_request_sent(5.0)
-        self.assertEqual(self.given(engine(0, 7, loading=True)), [])
-        self.assertIs(self.engines.by_id["i-0"], server)
+        self.assertEqual(self.apply(endpoint(0, 7, loading=True)), [])
+        self.assertIs(self.endpoints.by_id["i-0"], server)
         self.assertEqual((server.open_requests, server.versions, server.loading), (1, {MODEL: 7}, True))
 
-    def test_one_is_gone(self):
-        server = self.engines.by_id["i-0"]
-        self.assertEqual(self.given(), [server])
-        self.assertFalse(server.listed or "i-0" in self.engines.by_id or server in self.pool.engines)
+    def test_one_is_removed(self):
+        server = self.endpoints.by_id["i-0"]
+        self.assertEqual(self.apply(), [server])
+        self.assertFalse(server.listed or "i-0" in self.endpoints.by_id or server in self.pool.engines)
         self.assertNotIn(server, {self.pick(mark) for mark in marks()})
 
-    def test_all_are_gone(self):
-        self.assertEqual(len(self.engines.apply_listed([])), 6)
+    def test_all_are_removed(self):
+        self.assertEqual(len(self.endpoints.apply_listed([])), 6)
         self.assertIsNone(self.pick())
 
     def test_its_address_has_another_id(self):
-        old, new = self.engines.by_id["i-0"], engine(0)
+        old, new = self.endpoints.by_id["i-0"], endpoint(0)
         new.id = "i-0-next"
-        self.assertEqual(self.given(new), [old])
+        self.assertEqual(self.apply(new), [old])
         self.assertFalse(old.listed)
-        self.assertIs(self.engines.by_id["i-0-next"], new)
+        self.assertIs(self.endpoints.by_id["i-0-next"], new)
         self.assertTrue(new.listed and new in self.pool.engines and old not in self.pool.engines)
 
     def test_the_same_id_is_elsewhere(self):
         for name, value in (("address", "10.9.9.9:80"), ("service", "t")):
             self.setUp()
-            old, new = self.engines.by_id["i-0"], engine(0)
+            old, new = self.endpoints.by_id["i-0"], endpoint(0)
             mine = [mark for mark in marks() if self.pick(mark) is old]
             setattr(new, name, value)
-            self.assertEqual(self.given(new), [old])
+            self.assertEqual(self.apply(new), [old])
             self.assertFalse(old.listed)
-            self.assertIs(self.engines.by_id["i-0"], new)
+            self.assertIs(self.endpoints.by_id["i-0"], new)
             self.assertEqual(new in self.pool.engines, name == "address")
             for mark in mine:
                 self.assertEqual(self.pick(mark) is new, name == "address")
-        self.assertIs(self.engines.pool("t").pick(self.mark, 0.0, MODEL, 1, ()), new)
+        self.assertIs(self.endpoints.pool("t").pick(self.mark, 0.0, MODEL, 1, ()), new)
 
     def test_draining_and_back(self):
-        server = self.engines.by_id["i-0"]
+        server = self.endpoints.by_id["i-0"]
         mine = [mark for mark in marks() if self.pick(mark) is server]
         self.assertTrue(mine)
-        self.assertEqual(self.given(engine(0, draining=True)), [])
+        self.assertEqual(self.apply(endpoint(0, draining=True)), [])
         self.assertTrue(server.listed and server.draining and server not in self.pool.engines)
         self.assertNotIn(server, {self.pick(mark) for mark in mine})
-        self.assertEqual(self.given(engine(0)), [])
+        self.assertEqual(self.apply(endpoint(0)), [])
         self.assertEqual({self.pick(mark) for mark in mine}, {server})
 
-    def test_gone_and_back(self):
-        old = self.engines.by_id["i-0"]
-        self.given()
-        self.assertEqual(self.given(engine(0)), [])
-        self.assertIsNot(self.engines.by_id["i-0"], old)
-        self.assertIn(self.engines.by_id["i-0"], self.pool.engines)
+    def test_removed_and_back(self):
+        old = self.endpoints.by_id["i-0"]
+        self.apply()
+        self.assertEqual(self.apply(endpoint(0)), [])
+        self.assertIsNot(self.endpoints.by_id["i-0"], old)
+        self.assertIn(self.endpoints.by_id["i-0"], self.pool.engines)
 
-    def test_drawn_rosters(self):
+    def test_random_lists(self):
         random_source = random.Random(4)
         for _ in range(150):
             wanted = [
-                engine(n, random_source.randrange(3), random_source.choice("st"), draining=random_source.random() < 0.2)
+                endpoint(
+                    n, random_source.randrange(3), random_source.choice("st"), draining=random_source.random() < 0.2
+                )
                 for n in range(12)
                 if random_source.random() < 0.7
             ]
-            before = set(self.engines.by_id.values())
-            gone = self.engines.apply_listed(wanted)
-            now = set(self.engines.by_id.values())
-            self.assertEqual(set(gone), before - now)
-            self.assertEqual(len(gone), len(set(gone)))
-            self.assertFalse(any(server.listed for server in gone))
+            before = set(self.endpoints.by_id.values())
+            removed = self.endpoints.apply_listed(wanted)
+            now = set(self.endpoints.by_id.values())
+            self.assertEqual(set(removed), before - now)
+            self.assertEqual(len(removed), len(set(removed)))
+            self.assertFalse(any(server.listed for server in removed))
             self.assertTrue(all(server.listed for server in now))
             self.assertEqual(
                 {(server.id, server.service, server.draining, *server.versions.items()) for server in now},
@@ -417,7 +419,7 @@
             )
             for service in "st":
                 ready = {server for server in now if server.service == service and not server.draining}
-                pool = self.engines.pool(service)
+                pool = self.endpoints.pool(service)
                 self.assertEqual((set(pool.engines), set(pool.ring.points)), (ready, ready))
 
 
--- a/tests/wire/test_delta.py
+++ b/tests/wire/test_delta.py
@@ -1,4 +1,4 @@
-"""Deltas of byte strings: there and back, their size, and bytes that are none."""
+"""Deltas of byte strings: round trips, their size, and malformed bytes."""
 
 import random
 import unittest
@@ -19,7 +19,7 @@
 )
 from rowanshift.wire.errors import MalformedDelta
 
-MOST = 1 << 24
+MAX_BYTES = 1 << 24
 
 
 def configuration(revision: int, routes: int = 400, tenants: int = 1000, timeout: int = 5000) -> bytes:
@@ -38,25 +38,27 @@
         }
         for n in range(routes)
     ]
-    holders = [{"name": f"t-{n}", "apiKeys": [f"key-{n}-a", f"key-{n}-b"]} for n in range(tenants)]
-    made = {"revision": revision, "routes": rows, "backends": [{"name": "s"}], "tenants": holders}
+    tenants = [{"name": f"t-{n}", "apiKeys": [f"key-{n}-a", f"key-{n}-b"]} for n in range(tenants)]
+    made = {"revision": revision, "routes": rows, "backends": [{"name": "s"}], "tenants": tenants}
     return orjson.dumps(made)
 
 
-class ThereAndBack(unittest.TestCase):
+class RoundTrip(unittest.TestCase):
     def test_drawn_changes(self) -> None:
-        draw = random.Random(3)
+        random_source = random.Random(3)
         for _ in range(300):
-            old = b"".join(draw.choice((b'{"a":1},', b"},", b"x" * 900, draw.randbytes(50))) for _ in range(40))
+            old = b"".join(
+                random_source.choice((b'{"a":1},', b"},", b"x" * 900, random_source.randbytes(50))) for _ in range(40)
+            )
             new = bytearray(old)
-            for _ in range(draw.randrange(6)):
-                at = draw.randrange(len(new) + 1)
-                new[at : at + draw.randrange(300)] = draw.randbytes(draw.randrange(80))
-            self.assertEqual(apply_delta(old, make_delta(old, bytes(new)), MOST), bytes(new))
+            for _ in range(random_source.randrange(6)):
+                at = random_source.randrange(len(new) + 1)
+                new[at : at + random_source.randrange(300)] = random_source.randbytes(random_source.randrange(80))
+            self.assertEqual(apply_delta(old, make_delta(old, bytes(new)), MAX_BYTES), bytes(new))
 
-    def test_edges(self) -> None:
+    def test_limits(self) -> None:
         for old, new in ((b"", b""), (b"", b"a"), (b"a", b""), (b"ab", b"ab"), (b"},},", b"},"), (b"},", b"},},},")):
-            self.assertEqual(apply_delta(old, make_delta(old, new), MOST), new)
+            self.assertEqual(apply_delta(old, make_delta(old, new), MAX_BYTES), new)
 
     def test_blocks_cover_all_bytes_in_their_order(self) -> None:
         data = b"x" * (3 * MAX_BLOCK_BYTES + 5) + b"},},{}" + b"y" * MAX_BLOCK_BYTES
@@ -72,17 +74,17 @@
         after, _ = put_config(before, "1", configuration(500, timeout=7000))
         old, new = before.pack(), after.pack()
         delta = make_delta(old, new)
-        self.assertEqual(apply_delta(old, delta, MOST), new)
+        self.assertEqual(apply_delta(old, delta, MAX_BYTES), new)
         self.assertGreater(len(new), 100_000)
         self.assertLess(len(delta), 6 * MAX_BLOCK_BYTES)
 
-    def test_what_is_the_same_costs_one_operation(self) -> None:
+    def test_equal_bytes_cost_one_operation(self) -> None:
         data = configuration(1)
         self.assertEqual(len(make_delta(data, data)), OPERATION.size)
 
 
-class NoDeltas(unittest.TestCase):
-    def test_bytes_that_are_none(self) -> None:
+class MalformedDeltas(unittest.TestCase):
+    def test_bytes_that_are_no_delta(self) -> None:
         old = b"abcdef"
         for delta in (
             b"\0",
@@ -93,7 +95,7 @@
             OPERATION.pack(COPY, 0, 6)[:-1],
         ):
             with self.subTest(delta=delta), self.assertRaises(MalformedDelta):
-                apply_delta(old, delta, MOST)
+                apply_delta(old, delta, MAX_BYTES)
 
     def test_no_more_than_is_allowed(self) -> None:
         delta = OPERATION.pack(COPY, 0, 6) * 3
@@ -102,13 +104,13 @@
             apply_delta(b"abcdef", delta, 17)
 
     def test_any_bytes_changed_are_read_or_refused(self) -> None:
-        draw, old = random.Random(4), configuration(1, 20, 20)
+        random_source, old = random.Random(4), configuration(1, 20, 20)
         delta = make_delta(old, configuration(2, 20, 20, 9000))
         for _ in range(2000):
-            spoilt = bytearray(delta)
-            spoilt[draw.randrange(len(spoilt))] = draw.randrange(256)
+            damaged = bytearray(delta)
+            damaged[random_source.randrange(len(damaged))] = random_source.randrange(256)
             with suppress(MalformedDelta):
-                apply_delta(old, bytes(spoilt), MOST)
+                apply_delta(old, bytes(damaged), MAX_BYTES)
 
 
 if __name__ == "__main__":
--- a/tests/wire/test_wire_records.py
+++ b/tests/wire/test_wire_records.py
@@ -1,4 +1,4 @@
-"""Records and frames: there and back at the edges of each field, and bytes that are none."""
+"""Records and frames: round trips at the limits of each field, and malformed bytes."""
 
 import random
 import unittest
@@ -27,8 +27,8 @@
     RecordListType,
 )
 
-TOP = 2**64 - 1
-NUMBERS = (0, 1, 255, 2**32, 2**53, TOP)
+UINT64_MAX = 2**64 - 1
+NUMBERS = (0, 1, 255, 2**32, 2**53, UINT64_MAX)
 TEXTS = ("", "a", "naïve ☃ 𝄞", "\x00", "x" * 65_535)
 
 
@@ -39,12 +39,14 @@
     value: float
 
 
-def drawn(random_source, field_type):
+def random_value(random_source, field_type):
     match field_type:
         case RecordLayout():
-            return field_type.record_type(*(drawn(random_source, part) for part in field_type.field_types.values()))
+            return field_type.record_type(
+                *(random_value(random_source, part) for part in field_type.field_types.values())
+            )
         case RecordListType():
-            return tuple(drawn(random_source, field_type.layout) for _ in range(random_source.choice((0, 1, 3))))
+            return tuple(random_value(random_source, field_type.layout) for _ in range(random_source.choice((0, 1, 3))))
     if field_type is UINT64:
         return random_source.choice((*NUMBERS, random_source.getrandbits(64)))
     if field_type is BOOL:
@@ -62,9 +64,9 @@
     raise TypeError(f"no values for {field_type}")
 
 
-def records(random_source, count):
-    """Some of each kind of the whole record_kinds."""
-    return [drawn(random_source, layout) for layout in record_kinds.CODEC.layouts.values() for _ in range(count)]
+def random_records(random_source, count):
+    """Some records of each kind."""
+    return [random_value(random_source, layout) for layout in record_kinds.CODEC.layouts.values() for _ in range(count)]
 
 
 def layouts_of(codec):
@@ -80,15 +82,15 @@
     return found
 
 
-def unframed(data):
+def decode_frame(data):
     ((kind, call, body),) = FrameDecoder().feed(data)
     return record_kinds.CODEC.unpack(kind, body), call
 
 
 class RoundTrip(unittest.TestCase):
     def test_every_kind_with_drawn_fields(self):
-        for n, record in enumerate(records(random.Random(1), 40)):
-            self.assertEqual(unframed(record_kinds.CODEC.pack(record, n)), (record, n))
+        for n, record in enumerate(random_records(random.Random(1), 40)):
+            self.assertEqual(decode_frame(record_kinds.CODEC.pack(record, n)), (record, n))
 
     def test_a_layout_names_each_field_in_its_order(self):
         for layout in layouts_of(record_kinds.CODEC):
@@ -112,33 +114,33 @@
                 record = layout.record_type(*(empty.get(part, ()) for part in layout.field_types.values()))
                 self.assertEqual(len(layout.encode(record)), layout.minimum_size, layout.record_type)
 
-    def test_whole_numbers_at_their_edges(self):
+    def test_integers_at_their_limits(self):
         for number in NUMBERS:
             record = record_kinds.Hello(number)
-            self.assertEqual(unframed(record_kinds.CODEC.pack(record))[0], record)
+            self.assertEqual(decode_frame(record_kinds.CODEC.pack(record))[0], record)
 
-    def test_the_call_at_its_edges(self):
+    def test_call_numbers_at_their_limits(self):
         for call in (0, 1, 2**32 - 1):
-            self.assertEqual(unframed(record_kinds.CODEC.pack(record_kinds.Hello(1), call))[1], call)
+            self.assertEqual(decode_frame(record_kinds.CODEC.pack(record_kinds.Hello(1), call))[1], call)
 
-    def test_texts_at_their_edges(self):
+    def test_texts_at_their_limits(self):
         for text in TEXTS:
-            row = control_updates.ServerRecord(
-                text, "s", "a:1", "", 1, control_updates.SERVER_UP | control_updates.SERVER_LOADING, {text: TOP}
+            server = control_updates.ServerRecord(
+                text, "s", "a:1", "", 1, control_updates.SERVER_UP | control_updates.SERVER_LOADING, {text: UINT64_MAX}
             )
-            update = control_updates.Update((0, 0), 0, False, 0, b"", {}, (1, 1), True, (row,))
-            self.assertEqual(unframed(control_updates.CONTROL_UPDATE_CODEC.pack(update))[0], update)
+            update = control_updates.Update((0, 0), 0, False, 0, b"", {}, (1, 1), True, (server,))
+            self.assertEqual(decode_frame(control_updates.CONTROL_UPDATE_CODEC.pack(update))[0], update)
 
     def test_the_longest_tuple_and_dict(self):
-        whole = control_updates.Redirect(0, tuple(range(65_535)))
-        self.assertEqual(unframed(record_kinds.CODEC.pack(whole))[0], whole)
+        redirect = control_updates.Redirect(0, tuple(range(65_535)))
+        self.assertEqual(decode_frame(record_kinds.CODEC.pack(redirect))[0], redirect)
         versions = {str(n): n for n in range(65_535)}
         update = control_updates.Update((0, 0), 0, False, 0, b"", versions, (0, 0), False)
-        self.assertEqual(unframed(record_kinds.CODEC.pack(update))[0], update)
+        self.assertEqual(decode_frame(record_kinds.CODEC.pack(update))[0], update)
 
     def test_a_body_of_many_bytes(self):
         store = replication.Store(1, replication.StateVersion(2, 3), random.Random(1).randbytes(3 << 20))
-        self.assertEqual(unframed(record_kinds.CODEC.pack(store))[0], store)
+        self.assertEqual(decode_frame(record_kinds.CODEC.pack(store))[0], store)
 
     def test_floating_point_numbers(self):
         codec = Codec({1: RecordLayout(Measured, value=FLOAT64)})
@@ -147,21 +149,21 @@
             self.assertEqual(repr(codec.unpack(1, body).value), repr(value))
 
     def test_records_encoded_before_are_the_same_bytes(self):
-        row = control_updates.ServerRecord("i", "s", "a:1", "z", 2, control_updates.SERVER_DRAINING, {"m": 3})
+        server = control_updates.ServerRecord("i", "s", "a:1", "z", 2, control_updates.SERVER_DRAINING, {"m": 3})
         given = ((1, 2), 3, True, 4, b"c", {"m": 1}, (5, 6), True)
-        encoded = control_updates.SERVER_RECORDS.encode((row, row))
+        encoded = control_updates.SERVER_RECORDS.encode((server, server))
         self.assertEqual(
             control_updates.CONTROL_UPDATE_CODEC.pack(control_updates.Update(*given, encoded)),
-            control_updates.CONTROL_UPDATE_CODEC.pack(control_updates.Update(*given, (row, row))),
+            control_updates.CONTROL_UPDATE_CODEC.pack(control_updates.Update(*given, (server, server))),
         )
 
 
-class Pieces(unittest.TestCase):
+class FramesInPieces(unittest.TestCase):
     def setUp(self):
-        self.records = records(random.Random(2), 4)
+        self.records = random_records(random.Random(2), 4)
         self.data = b"".join(record_kinds.CODEC.pack(record, n) for n, record in enumerate(self.records))
 
-    def taken(self, pieces):
+    def decode_all(self, pieces):
         frames = FrameDecoder()
         made = [frame for piece in pieces for frame in frames.feed(piece)]
         self.assertEqual(bytes(frames.buffer), b"")
@@ -169,10 +171,10 @@
         return [record_kinds.CODEC.unpack(kind, body) for kind, _, body in made]
 
     def test_byte_by_byte(self):
-        self.assertEqual(self.taken(self.data[at : at + 1] for at in range(len(self.data))), self.records)
+        self.assertEqual(self.decode_all(self.data[at : at + 1] for at in range(len(self.data))), self.records)
 
     def test_all_at_once(self):
-        self.assertEqual(self.taken([self.data]), self.records)
+        self.assertEqual(self.decode_all([self.data]), self.records)
 
     def test_odd_pieces(self):
         for seed in range(50):
@@ -181,15 +183,15 @@
                 size = random_source.choice((0, 1, 3, 11, 12, 13, 97, 1000))
                 pieces.append(memoryview(self.data)[at : at + size])
                 at += size
-            self.assertEqual(self.taken(pieces), self.records)
+            self.assertEqual(self.decode_all(pieces), self.records)
 
-    def test_what_is_not_whole_gives_nothing_yet(self):
+    def test_an_incomplete_frame_gives_nothing_yet(self):
         frame, frames = record_kinds.CODEC.pack(record_kinds.Hello(7)), FrameDecoder()
         self.assertEqual(frames.feed(frame[:-1]), [])
         self.assertEqual(len(frames.feed(frame[-1:])), 1)
 
 
-class NoFrames(unittest.TestCase):
+class MalformedFrames(unittest.TestCase):
     def refused(self, magic=MAGIC, form=FORMAT, size=8):
         with self.assertRaises(MalformedRecord):
             FrameDecoder().feed(FRAME_HEADER.pack(magic, form, 16, 0, size))
@@ -228,11 +230,11 @@
         self.assertGreater(refused, 1500)
 
 
-class NoRecords(unittest.TestCase):
+class MalformedRecords(unittest.TestCase):
     def bodies(self, count=3):
         return [
             (*FrameDecoder().feed(record_kinds.CODEC.pack(record))[0][::2], record)
-            for record in records(random.Random(4), count)
+            for record in random_records(random.Random(4), count)
         ]
 
     def test_unknown_kinds(self):
@@ -255,17 +257,17 @@
                 with self.assertRaises(MalformedRecord):
                     record_kinds.CODEC.unpack(kind, body + more)
 
-    def test_lengths_that_lie(self):
+    def test_wrong_lengths(self):
         for body in (b"\0" * 8 + b"\xff\xff", b"\0" * 8 + b"\0\2" + bytes(8), b"\0" * 8 + b"\0\0" + bytes(8)):
             with self.assertRaises(MalformedRecord):
                 record_kinds.CODEC.unpack(3, body)
-        for lie in (b"\xff\xff\xff\xff", b"\0\0\1\0"):
+        for wrong_length in (b"\xff\xff\xff\xff", b"\0\0\1\0"):
             with self.assertRaises(MalformedRecord):
-                control_updates.SERVER_RECORDS.decode(ByteReader(lie + bytes(40)))
+                control_updates.SERVER_RECORDS.decode(ByteReader(wrong_length + bytes(40)))
             with self.assertRaises(MalformedRecord):
-                BYTES.decode(ByteReader(lie + bytes(40)))
+                BYTES.decode(ByteReader(wrong_length + bytes(40)))
 
-    def test_text_that_is_none(self):
+    def test_text_that_is_not_utf8(self):
         update = control_updates.Update((0, 0), 0, False, 0, b"", {"ab": 1}, (0, 0), False)
         ((kind, _, body),) = FrameDecoder().feed(control_updates.CONTROL_UPDATE_CODEC.pack(update))
         with self.assertRaises(MalformedRecord):
@@ -281,32 +283,32 @@
             except MalformedRecord:
                 refused += 1
             else:  # it is a record then, and has bytes of its own
-                self.assertEqual(unframed(record_kinds.CODEC.pack(record))[0], record)
+                self.assertEqual(decode_frame(record_kinds.CODEC.pack(record))[0], record)
         self.assertGreater(refused, 4000)
 
     def test_single_bytes_changed(self):
         random_source, bodies = random.Random(6), self.bodies()
         for _ in range(8000):
             kind, body, _ = random_source.choice(bodies)
-            spoilt = bytearray(body)
-            spoilt[random_source.randrange(len(spoilt))] = random_source.randrange(256)
+            damaged = bytearray(body)
+            damaged[random_source.randrange(len(damaged))] = random_source.randrange(256)
             with suppress(MalformedRecord):
-                record_kinds.CODEC.unpack(kind, bytes(spoilt))
+                record_kinds.CODEC.unpack(kind, bytes(damaged))
 
 
-class WrittenBefore(unittest.TestCase):
+class FormerFrames(unittest.TestCase):
     """Frames and records on disk, written by the program of before its names were changed."""
 
     written = orjson.loads((Path(__file__).parents[1] / "data" / "frames-before-rename.json").read_bytes())
 
-    def test_all_are_read_and_written_as_they_were(self):
+    def test_all_are_decoded_and_encoded_as_they_were(self):
         for name, frame in self.written.items():
             with self.subTest(name):
-                record, call = unframed(bytes.fromhex(frame))
+                record, call = decode_frame(bytes.fromhex(frame))
                 self.assertEqual(record_kinds.CODEC.pack(record, call).hex(), frame)
 
     def test_what_a_disk_held_is_understood(self):
-        durable, _ = unframed(bytes.fromhex(self.written["durable_state"]))
+        durable, _ = decode_frame(bytes.fromhex(self.written["durable_state"]))
         self.assertEqual((durable.promised, durable.version.epoch, durable.version.sequence), (7, 7, 3))
         self.assertEqual(durable.accepted.former, (2, 3, 4))
         self.assertEqual(unpack(durable.state).versions, {"m": 2})
