--- a/rowanshift/controlplane/status.py
+++ b/rowanshift/controlplane/status.py
@@ -1,4 +1,7 @@
-"""The status document of a core machine, for operators: what it knows now, which may be old."""
+"""The status document of a core machine, for operators: what it knows now, which may be old.
+
+The document's JSON keys are the names of the fields in camel case: a field is not renamed, as operators' tools read it.
+"""
 
 from __future__ import annotations
 
@@ -21,7 +24,7 @@
     """What the primary sees of backups and witnesses."""
 
     copies: int
-    replicas_wanted: int
+    copies_wanted: int
     witnesses: int
     witnesses_wanted: int
     full: bool
--- /dev/null
+++ b/tests/controlplane/test_status.py
@@ -0,0 +1,133 @@
+"""The status document of a core machine: the names of its fields, which operators' tools read."""
+
+import unittest
+
+import trio
+from loguru import logger
+
+from rowanshift.controlplane.status import (
+    ControlPlaneStatus,
+    RedundancyStatus,
+    ServerBehindStatus,
+    ServerStatus,
+    collect_status,
+)
+from rowanshift.simulation.fleet import Fleet, play
+
+FIELDS = [
+    "name",
+    "machine",
+    "primary",
+    "primaryHint",
+    "epoch",
+    "inSync",
+    "witnesses",
+    "amnesic",
+    "leaseS",
+    "redundancy",
+    "revision",
+    "versions",
+    "known",
+    "members",
+    "memberAgeS",
+    "readsList",
+    "listRead",
+    "mayOrder",
+    "servers",
+    "behind",
+    "calls",
+    "orders",
+    "saves",
+    "saveSeconds",
+]
+REDUNDANCY_FIELDS = ["copies", "copiesWanted", "witnesses", "witnessesWanted", "full", "spread", "lackingS"]
+
+
+def status(**fields: object) -> ControlPlaneStatus:
+    """A primary's status with a server of each kind."""
+    given = {
+        "name": "core-1",
+        "machine": "10.0.0.1",
+        "primary": True,
+        "primary_hint": "10.0.0.1",
+        "epoch": 7,
+        "in_sync": ["10.0.0.1"],
+        "witnesses": ["10.0.0.1"],
+        "amnesic": False,
+        "lease_s": 0.5,
+        "redundancy": RedundancyStatus(1, 2, 3, 3, False, True, 0.25),
+        "revision": 3,
+        "versions": {"m": 2},
+        "known": [],
+        "members": ["10.0.1.1"],
+        "member_age_s": {"10.0.1.1": 0.1},
+        "reads_list": True,
+        "list_read": True,
+        "may_order": True,
+        "servers": [ServerStatus("i-1", "s", "10.0.2.1:80", 1, {"m": 1})],
+        "behind": [ServerBehindStatus("i-1", "m", 1, 0.5, False)],
+        "calls": 1,
+        "orders": 2,
+        "saves": 3,
+        "save_seconds": 0.01,
+    }
+    return ControlPlaneStatus(**(given | fields))
+
+
+class FieldNames(unittest.TestCase):
+    def test_the_document(self) -> None:
+        self.assertEqual(list(status().as_json()), FIELDS)
+
+    def test_the_redundancy(self) -> None:
+        self.assertEqual(list(status().as_json()["redundancy"]), REDUNDANCY_FIELDS)
+
+    def test_servers_and_those_behind(self) -> None:
+        document = status().as_json()
+        self.assertEqual(
+            document["servers"],
+            [{"id": "i-1", "service": "s", "address": "10.0.2.1:80", "state": 1, "versions": {"m": 1}}],
+        )
+        self.assertEqual(
+            document["behind"], [{"id": "i-1", "model": "m", "version": 1, "lacksForS": 0.5, "loading": False}]
+        )
+
+    def test_what_only_the_primary_knows_is_null_elsewhere(self) -> None:
+        document = status(primary=False, redundancy=None, revision=None, versions=None).as_json()
+        self.assertEqual([document[name] for name in ("redundancy", "revision", "versions")], [None, None, None])
+
+
+class Collected(unittest.TestCase):
+    def setUp(self) -> None:
+        logger.disable("rowanshift")
+        self.addCleanup(logger.enable, "rowanshift")
+
+    def test_the_primary_lists_members_and_servers_and_a_backup_does_not(self) -> None:
+        async def main(fleet: Fleet) -> list[ControlPlaneStatus]:
+            await fleet.start()
+            await trio.sleep(4.0)  # until the members have settled
+            primary = fleet.primary()
+            machines = primary.program, next(unit for unit in fleet.cores if unit is not primary).program
+            return [
+                collect_status(
+                    core.settings,
+                    core.replica_runner,
+                    core.publication,
+                    core.membership,
+                    core.tasks,
+                    trio.current_time(),
+                )
+                for core in machines
+            ]
+
+        primary, backup = play(main, "status", routers=2)[0]
+        self.assertEqual((primary.primary, backup.primary), (True, False))
+        self.assertEqual(len(primary.members), 2)
+        self.assertTrue(primary.servers and primary.list_read and primary.reads_list)
+        self.assertEqual(backup.members, [])
+        self.assertEqual((backup.redundancy, backup.revision, backup.versions), (None, None, None))
+        self.assertEqual(backup.primary_hint, primary.machine)
+        self.assertEqual((primary.lease_s > 0, backup.lease_s), (True, 0.0))
+
+
+if __name__ == "__main__":
+    unittest.main()
