--- a/tests/controlplane/test_graceful_shutdown.py
+++ b/tests/controlplane/test_graceful_shutdown.py
@@ -5,7 +5,6 @@
 import subprocess
 import sys
 import unittest
-from collections.abc import Awaitable, Callable
 from dataclasses import replace
 from pathlib import Path
 from tempfile import TemporaryDirectory
@@ -14,26 +13,18 @@
 import trio
 from loguru import logger
 
-from rowanshift.admin import commands as staff
 from rowanshift.controlplane.record_kinds import CODEC
 from rowanshift.simulation.fleet import Fleet, config_of, play
 from rowanshift.simulation.fleet_machines import Unit
 from rowanshift.simulation.fleet_settings import BOUNDS, CONTROL, INNER
 from rowanshift.simulation.machine import Machine
-from rowanshift.transport import call_server
 from rowanshift.transport.call_client import CallFailed, call
-from rowanshift.transport.call_server import CallServer
-from rowanshift.transport.http_connection import Message
-from rowanshift.transport.http_response import Response
 from rowanshift.transport.record_links import ConnectionFailed, RecordClient
-from rowanshift.transport.streams import connect, send_all
 from rowanshift.wire.control_updates import Poll, Update
 
 ROOT = Path(__file__).parents[2]
-PORT = 700
-GRACE = BOUNDS["graceS"]  # seconds
-CROSSING = 0.02  # seconds in which a poll may cross the close of its connection
-ENDS_WITHIN = 0.5  # seconds for a server that has nothing to answer
+GRACE_SECONDS = BOUNDS["graceS"]
+CROSSING_SECONDS = 0.02  # in which a poll may cross the close of its connection
 
 
 def setUpModule() -> None:
@@ -44,180 +35,17 @@
     logger.enable("rowanshift")
 
 
-class Slow:
-    """A resource that answers after so many seconds; ``begun`` is set by its first call."""
+class UnderWay(unittest.TestCase):
+    """SIGTERM at a core machine while calls and polls are under way."""
 
-    def __init__(self, seconds: float) -> None:
-        self.seconds = seconds
-        self.calls = 0
-        self.begun = trio.Event()
-
-    async def call(self, message: Message) -> Response:
-        self.calls += 1
-        self.begun.set()
-        await trio.sleep(self.seconds)
-        return Response(200, b"{}")
-
-
-class ServerCase(unittest.TestCase):
-    """A ``CallServer`` on a machine of the virtual network, and its callers on another."""
-
-    def played(self, main: Callable[["ServerCase"], Awaitable[None]], seconds: float) -> None:
-        async def all_of_it(fleet: Fleet) -> None:
-            self.fleet, self.machine = fleet, fleet.standing("called", 0)
-            self.resource = Slow(seconds)
-            self.server = CallServer({b"/slow": self.resource}, fleet.memory, 1 << 20)
-            self.at = (self.machine.address, PORT)
-            self.ended = trio.Event()
-            fleet.nursery.start_soon(self.serve, fleet.nursery)
-            await trio.sleep(0.1)
-            await main()
-
-        play(all_of_it)
-
-    async def serve(self, nursery: trio.Nursery) -> None:
-        await self.server.serve(self.machine.listen(self.at, 64), nursery, trio.sleep)
-        self.ended.set()
-
-    async def ask(self, answers: list[int | str]) -> None:
-        try:
-            answer = await call(self.fleet.outside, self.fleet.memory, self.at, b"GET", b"/slow", within=10.0)
-            answers.append(answer.status)
-        except CallFailed as error:
-            answers.append(str(error))
-
-    async def leave(self, within: float) -> float:
-        """Have the server leave; the seconds that this took."""
-        began = trio.current_time()
-        await self.server.shut_down(within, trio.sleep)
-        return trio.current_time() - began
-
-
-class Calls(ServerCase):
-    def test_what_was_read_is_answered_before_the_server_ends(self) -> None:
-        async def main() -> None:
-            answers: list[int | str] = []
-            self.fleet.nursery.start_soon(self.ask, answers)
-            await self.resource.begun.wait()
-            took = await self.leave(2.0)
-            await trio.sleep(0.1)
-            self.assertEqual(answers, [200])
-            self.assertTrue(0.9 < took < 1.2, took)
-
-        self.played(main, 1.0)
-
-    def test_what_can_not_be_answered_in_time_is_told_so(self) -> None:
-        async def main() -> None:
-            answers: list[int | str] = []
-            self.fleet.nursery.start_soon(self.ask, answers)
-            await self.resource.begun.wait()
-            took = await self.leave(0.5)
-            await trio.sleep(0.1)
-            self.assertEqual(answers, [503])
-            self.assertLess(took, 0.5 + 2 * call_server.LAST_WRITES_SECONDS)
-
-        self.played(main, 30.0)
-
-    def test_a_call_that_comes_meanwhile_is_refused_at_once_and_not_begun(self) -> None:
-        async def main() -> None:
-            answers: list[int | str] = []
-            self.fleet.nursery.start_soon(self.ask, answers)
-            await self.resource.begun.wait()
-            stream = self.fleet.outside.stream()
-            await connect(stream, self.at)
-            await send_all(stream, b"GET /slow HTTP/1.1\r\nHost: a\r\n")  # not whole yet
-            await trio.sleep(0.1)
-            self.fleet.nursery.start_soon(self.leave, 2.0)
-            await trio.sleep(0.1)
-            await send_all(stream, b"\r\n")
-            await stream.wait_readable()
-            space = bytearray(4096)
-            said = bytes(space[: stream.recv_into(memoryview(space))])
-            self.assertTrue(said.startswith(b"HTTP/1.1 503 "), said)
-            self.assertIn(b"Retry-After: 0.3\r\n", said)
-            self.assertIn(b"Connection: close\r\n", said)
-            await trio.sleep(1.0)
-            self.assertEqual((answers, self.resource.calls), ([200], 1))
-
-        self.played(main, 1.0)
-
-    def test_connections_that_wait_to_be_accepted_are_taken_in_and_the_listener_is_closed(self) -> None:
-        async def main() -> None:
-            answers: list[int | str] = []
-            for _ in range(3):
-                self.fleet.nursery.start_soon(self.ask, answers)
-            self.machine.stand_still()
-            await trio.sleep(0.2)
-            self.server.accepting.cancel()
-            self.server.shutting_down = True
-            self.machine.go_on()
-            await trio.sleep(1.0)
-            self.assertEqual(answers, [503] * 3)
-            self.assertTrue(self.ended.is_set())
-            await self.ask(answers)
-            self.assertNotIn(answers[-1], (200, 503))  # nobody listens
-
-        self.played(main, 0.1)
-
-    def test_idle_connections_hold_up_nothing(self) -> None:
-        async def main() -> None:
-            stream = self.fleet.outside.stream()
-            await connect(stream, self.at)
-            await trio.sleep(0.1)
-            self.assertLess(await self.leave(5.0), ENDS_WITHIN)
-            self.assertEqual(self.server.open, 0)
-
-        self.played(main, 0.1)
-
-    def test_a_connection_that_is_closed_before_its_task_begins_is_no_failure(self) -> None:
-        async def main() -> None:
-            said: list[str] = []
-            sink = logger.add(said.append, format="{message}")
-            logger.enable("rowanshift")
-            try:
-                async with trio.open_nursery() as nursery:
-                    server = CallServer({}, self.fleet.memory)
-                    listener = staff.SYSTEM_RUNTIME.listen(("127.0.0.1", 0), 4)
-                    stream = staff.SYSTEM_RUNTIME.stream()
-                    await connect(stream, listener.sock.getsockname())
-                    nursery.start_soon(server.serve, listener, nursery, trio.sleep)
-                    await listener.wait()
-                    server.accepting.cancel()
-                    while not server.open:
-                        await trio.lowlevel.checkpoint()
-                    server._close_idle(1)
-                stream.close()
-            finally:
-                logger.disable("rowanshift")
-                logger.remove(sink)
-            self.assertEqual(said, [])
-
-        self.played(main, 0.1)
-
-    def test_an_idle_connection_makes_room_for_a_call(self) -> None:
-        async def main() -> None:
-            for _ in range(call_server.MAX_CALLERS):
-                await connect(self.fleet.outside.stream(), self.at)
-            await trio.sleep(0.1)
-            self.assertEqual(self.server.open, call_server.MAX_CALLERS)
-            answers: list[int | str] = []
-            await self.ask(answers)
-            self.assertEqual(answers, [200])
-
-        self.played(main, 0.1)
-
-
-class ControlPlane(unittest.TestCase):
-    """Whole programs: SIGTERM while something is under way."""
-
-    def ended_well(self, fleet: Fleet, unit: Unit, since: float) -> None:
+    def assert_ended_well(self, fleet: Fleet, unit: Unit, since: float) -> None:
         """The program has ended by itself, within its grace, and without an error."""
         self.assertFalse(unit.machine.running)
         self.assertEqual(fleet.ended, [])
-        self.assertLess(fleet.now() - since, GRACE)
+        self.assertLess(fleet.now() - since, GRACE_SECONDS)
 
     async def until_ended(self, fleet: Fleet, unit: Unit) -> None:
-        await fleet.until(lambda: not unit.machine.running, within=2 * GRACE)
+        await fleet.until(lambda: not unit.machine.running, within=2 * GRACE_SECONDS)
 
     def test_changes_and_polls_under_way_are_answered_when_nobody_can_release_the_machine(self) -> None:
         """The backup's disk hangs and the third machine is away: a change neither ends nor lets leadership go."""
@@ -237,7 +65,7 @@
             since = fleet.now()
             fleet.terminate(unit)
             await self.until_ended(fleet, unit)
-            self.ended_well(fleet, unit, since)
+            self.assert_ended_well(fleet, unit, since)
             await trio.sleep(0.1)
             self.assertEqual(unanswered, [])
             self.assertEqual(set(answers), {503})
@@ -257,8 +85,8 @@
                 answer = await call(fleet.outside, fleet.memory, at, b"PUT", b"/config", body, fields, within=10.0)
                 answers.append(answer.status)
             except CallFailed as error:
-                if error.sent and (held := trio.current_time() - asked) > CROSSING:
-                    unanswered.append(held)
+                if error.sent and (waited := trio.current_time() - asked) > CROSSING_SECONDS:
+                    unanswered.append(waited)
             await trio.sleep(0.05)
 
     def test_polls_that_were_read_are_answered(self) -> None:
@@ -279,7 +107,7 @@
             await trio.sleep(0.5)
             fleet.terminate(unit)
             await self.until_ended(fleet, unit)
-            self.ended_well(fleet, unit, since + 0.5)
+            self.assert_ended_well(fleet, unit, since + 0.5)
             await trio.sleep(0.1)
             self.assertEqual(unanswered, [])
 
@@ -295,8 +123,8 @@
             try:
                 answer = await caller.ask(poll, 3.0)
             except ConnectionFailed:
-                if (held := trio.current_time() - asked) > CROSSING:
-                    unanswered.append(held)
+                if (waited := trio.current_time() - asked) > CROSSING_SECONDS:
+                    unanswered.append(waited)
                 return
             if isinstance(answer, Update):
                 known = dict(
@@ -319,7 +147,7 @@
             unit.machine.signal(signal.SIGHUP)
             unit.machine.signal(signal.SIGTERM)
             await fleet.until(lambda: not unit.machine.running)
-            self.assertLess(fleet.now() - since, GRACE)
+            self.assertLess(fleet.now() - since, GRACE_SECONDS)
             self.assertEqual(fleet.ended, [])
             await fleet.put(config_of(fleet.sent + 1))
             self.assertGreater(fleet.revision, 1)
@@ -328,9 +156,9 @@
 
 
 class Process(unittest.TestCase):
-    """A real process of the control plane, told to stop."""
+    """A real process of the control plane that receives signals."""
 
-    def shutdown_requested(
+    def run_until_signalled(
         self, event: str, signals: list[signal.Signals], data_is_a_file: bool = False
     ) -> tuple[int, str]:
         """The exit code, and what was logged after the line of this event, at which the signals were sent."""
@@ -360,24 +188,24 @@
                 self.assertNotEqual(line, "", "it ended before")
             for number in signals:
                 process.send_signal(number)
-            _, said = process.communicate(timeout=30)
+            _, log = process.communicate(timeout=30)
         finally:
             process.kill()
             process.stderr.close()
-        return process.returncode, said
+        return process.returncode, log
 
     def test_it_ends_well_however_many_signals_come(self) -> None:
         for signals in ([signal.SIGTERM], [signal.SIGTERM, signal.SIGHUP, signal.SIGTERM, signal.SIGTERM]):
             with self.subTest(signals=signals):
-                code, said = self.shutdown_requested("event=started", signals)
-                self.assertEqual(code, 0, said)
-                self.assertIn("event=left released=True", said)
-                self.assertNotIn("Traceback", said)
+                code, log = self.run_until_signalled("event=started", signals)
+                self.assertEqual(code, 0, log)
+                self.assertIn("event=left released=True", log)
+                self.assertNotIn("Traceback", log)
 
     def test_it_ends_well_while_its_disk_can_not_be_opened(self) -> None:
-        code, said = self.shutdown_requested("event=disk_not_open", [signal.SIGTERM], data_is_a_file=True)
-        self.assertEqual(code, 0, said)
-        self.assertNotIn("Traceback", said)
+        code, log = self.run_until_signalled("event=disk_not_open", [signal.SIGTERM], data_is_a_file=True)
+        self.assertEqual(code, 0, log)
+        self.assertNotIn("Traceback", log)
 
 
 if __name__ == "__main__":
--- a/tests/controlplane/test_store.py
+++ b/tests/controlplane/test_store.py
@@ -1,10 +1,8 @@
-"""The machine's record on disk: whole through every loss of power, damage and newer formats told."""
+"""The record on disk: intact after every loss of power; damage and newer formats are found."""
 
 import random
 import shutil
-import tempfile
 import unittest
-from collections.abc import Callable
 from contextlib import suppress
 from pathlib import Path
 from typing import Any
@@ -25,93 +23,14 @@
     encode_slot,
 )
 from rowanshift.controlplane.store_check import check_store
+from tests.support.store_case import FaultyEnvironment, StoreCase
 
 PAGE = 4096
 METAS = 2  # lmdb's first pages; one of them is written last, and says which pages count
 
 
-class FaultyTransaction:
-    """A write transaction that stops at each numbered point."""
-
-    def __init__(self, transaction: Any, point: Callable[[str], None]) -> None:
-        self.transaction = transaction
-        self.point = point
-
-    def put(self, key: bytes, value: bytes) -> None:
-        self.point("before put")
-        self.transaction.put(key, value)
-        self.point("after put")
-
-    def commit(self) -> None:
-        self.point("before commit")
-        self.transaction.commit()
-        self.point("after commit")
-
-    def abort(self) -> None:
-        self.transaction.abort()
-
-
-class FaultyEnvironment:
-    """An lmdb environment whose write transactions stop at each numbered point."""
-
-    def __init__(self, environment: Any, point: Callable[[str], None]) -> None:
-        self.environment = environment
-        self.point = point
-
-    def begin(self, write: bool = False) -> Any:
-        if not write:
-            return self.environment.begin()
-        self.point("before begin")
-        return FaultyTransaction(self.environment.begin(write=True), self.point)
-
-    def __getattr__(self, name: str) -> Any:
-        return getattr(self.environment, name)
-
-
-class InDirectory(unittest.TestCase):
-    def setUp(self) -> None:
-        self.base = Path(tempfile.mkdtemp(prefix="rowanshift-store-"))
-        self.addCleanup(shutil.rmtree, self.base)
-        self.path = self.base / "data" / "ledger"
-
-    def opened(self, path: Path | None = None, **options: Any) -> Store:
-        store = Store(path or self.path, **options)
-        store.open()
-        self.addCleanup(store.close)
-        return store
-
-    def written(self, *records: bytes) -> None:
-        store = self.opened()
-        for record in records:
-            store.write(record)
-        store.close()
-
-    def read(self, path: Path | None = None) -> bytes | None:
-        store = self.opened(path)
-        try:
-            return store.read()
-        finally:
-            store.close()
-
-    def put_raw(self, *puts: tuple[bytes, bytes]) -> None:
-        """Put stored bytes past the store."""
-        self.path.mkdir(parents=True, exist_ok=True)
-        environment = lmdb.open(str(self.path), map_size=64 << 20)
-        with environment.begin(write=True) as transaction:
-            for key, value in puts:
-                transaction.put(key, value)
-        environment.close()
-
-    def stored(self) -> dict[bytes, bytes]:
-        environment = lmdb.open(str(self.path), readonly=True, lock=False)
-        with environment.begin() as transaction:
-            found = {bytes(key): bytes(value) for key, value in transaction.cursor()}
-        environment.close()
-        return found
-
-
-class Plain(InDirectory):
-    def test_nothing_stored_yet(self) -> None:
+class ReadAndWrite(StoreCase):
+    def test_an_empty_store_has_no_record(self) -> None:
         self.assertIsNone(self.read())
         self.assertIsNone(self.read())
 
@@ -119,19 +38,21 @@
         draw = random.Random(7)
         for size in [0, 1, PAGE, 100_000, 0, 3, 700_000, *(draw.randrange(200_000) for _ in range(120))]:
             record = draw.randbytes(size)
-            store = self.opened()
+            store = self.open_store()
             store.write(record)
             self.assertEqual(store.read(), record)
             store.close()
             self.assertEqual(self.read(), record)
         self.assertLess((self.path / DATA_FILE).stat().st_size, 64 << 20)
 
-    def test_copies_alternate_and_generations_rise(self) -> None:
-        self.written(b"one", b"two")
-        self.written(b"three")
-        self.assertEqual(self.stored(), {SLOT_KEYS[0]: encode_slot(3, b"three"), SLOT_KEYS[1]: encode_slot(2, b"two")})
+    def test_slots_alternate_and_generations_rise(self) -> None:
+        self.write_records(b"one", b"two")
+        self.write_records(b"three")
+        self.assertEqual(
+            self.stored_slots(), {SLOT_KEYS[0]: encode_slot(3, b"three"), SLOT_KEYS[1]: encode_slot(2, b"two")}
+        )
 
-    def test_closed(self) -> None:
+    def test_a_closed_store_refuses_calls(self) -> None:
         store = Store(self.path)
         for call in (store.read, lambda: store.write(b"x")):
             with self.assertRaises(StoreClosed):
@@ -143,21 +64,21 @@
             store.read()
         self.assertEqual([p.name for p in self.base.iterdir()], ["data"])
 
-    def test_opened_synced(self) -> None:
+    def test_lmdb_is_opened_with_synced_writes(self) -> None:
         options: dict[str, Any] = {}
 
         def remember(path: str, **given: Any) -> Any:
             options.update(given)
             return lmdb.open(path, **given)
 
-        self.opened(open_lmdb=remember)
+        self.open_store(open_lmdb=remember)
         self.assertTrue(options["sync"] and options["metasync"])
         self.assertFalse(options["writemap"] or options["map_async"])
         self.assertEqual(options["map_size"], 64 << 20)
 
 
-class PowerLost(InDirectory):
-    def test_at_each_numbered_point(self) -> None:
+class PowerLoss(StoreCase):
+    def test_the_old_or_the_new_record_is_found_after_a_loss_at_each_point(self) -> None:
         """What a machine finds that lost power at each point of each of the first writes."""
         images: list[tuple[str, Path, set[bytes | None]]] = []
         allowed: set[bytes | None] = {None}
@@ -167,7 +88,7 @@
             shutil.copytree(self.path, image)
             images.append((name, image, {self.record} if name == "after commit" else set(allowed)))
 
-        store = self.opened(open_lmdb=lambda path, **given: FaultyEnvironment(lmdb.open(path, **given), point))
+        store = self.open_store(open_lmdb=lambda path, **given: FaultyEnvironment(lmdb.open(path, **given), point))
         draw = random.Random(11)
         for number in range(8):
             self.record = b"%d " % number + draw.randbytes(draw.choice((10, 3000, 30_000)))
@@ -182,15 +103,15 @@
         for number, (name, image, records) in enumerate(images):
             with self.subTest(point=number, name=name):
                 self.assertIn(self.read(image), records)
-                again = self.opened(image)  # and goes on from there
+                again = self.open_store(image)  # and goes on from there
                 again.write(b"later")
                 again.close()
                 self.assertEqual(self.read(image), b"later")
 
-    def test_some_pages_written(self) -> None:
+    def test_a_write_of_which_some_pages_are_on_disk_counts_as_none(self) -> None:
         """Before the page that counts is written, any part of any others may be on disk or not."""
         draw = random.Random(13)
-        store = self.opened()
+        store = self.open_store()
         old, tried = None, 0
         for _ in range(12):
             record = draw.randbytes(draw.choice((5, 2500, 20_000)))
@@ -221,8 +142,8 @@
     """The process ends at a numbered point."""
 
 
-class Names(InDirectory):
-    """A file lasts through a loss of power once its name was synced after it was made, in whichever life that was."""
+class DirectorySync(StoreCase):
+    """A file outlasts a loss of power once its name was synced after it was made, by whichever process."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -236,8 +157,8 @@
         self.stop_at -= 1
         self.safe |= {directory / child.name for child in directory.iterdir()}
 
-    def life(self, stop_at: int, store_type: type[Store] = Store) -> None:
-        """One life of a process, which ends at a sync of its opening or after a write."""
+    def run_process(self, stop_at: int, store_type: type[Store] = Store) -> None:
+        """A process, which ends at a sync of its opening or after a write."""
         self.stop_at = stop_at
         store = store_type(self.path)
         with mock.patch.object(store_module, "sync_directory", self.sync), suppress(Killed):
@@ -245,8 +166,8 @@
             store.write(b"acknowledged")
         store.close()
 
-    def lost(self) -> set[Path]:
-        """Names that a loss of power may take and without which the record is gone."""
+    def unsynced_names(self) -> set[Path]:
+        """Names that a loss of power may take and without which the record is lost."""
         return {self.path, self.path / DATA_FILE} - self.safe
 
     def test_killed_at_each_sync_of_the_first_opening(self) -> None:
@@ -254,23 +175,23 @@
             with self.subTest(stop_at=stop_at):
                 shutil.rmtree(self.path, ignore_errors=True)
                 self.safe.clear()
-                self.life(stop_at)
-                self.life(-1)
+                self.run_process(stop_at)
+                self.run_process(-1)
                 self.assertEqual(self.read(), b"acknowledged")
-                self.assertEqual(self.lost(), set())
+                self.assertEqual(self.unsynced_names(), set())
 
     def test_a_store_that_syncs_new_files_only_is_found(self) -> None:
         def new_only(path: Path) -> list[Path]:
             return [] if (path / DATA_FILE).exists() else [path, path.parent]
 
         with mock.patch.object(store_module, "directories_to_sync", new_only):
-            self.life(0)
-            self.life(-1)
-        self.assertEqual(self.lost(), {self.path, self.path / DATA_FILE})
+            self.run_process(0)
+            self.run_process(-1)
+        self.assertEqual(self.unsynced_names(), {self.path, self.path / DATA_FILE})
 
 
-class WritesRefused(InDirectory):
-    def failing(self, message: str) -> tuple[Store, list[str]]:
+class RefusedWrites(StoreCase):
+    def failing_store(self, message: str) -> tuple[Store, list[str]]:
         """A store whose disk fails at the point in the list, once."""
         plan: list[str] = []
 
@@ -279,12 +200,12 @@
                 plan.pop()
                 raise lmdb.DiskError(message)
 
-        return self.opened(open_lmdb=lambda path, **given: FaultyEnvironment(lmdb.open(path, **given), point)), plan
+        return self.open_store(open_lmdb=lambda path, **given: FaultyEnvironment(lmdb.open(path, **given), point)), plan
 
-    def test_at_each_numbered_point(self) -> None:
+    def test_a_write_that_fails_at_any_point_leaves_the_old_or_the_new_record(self) -> None:
         for name in ("before begin", "before put", "after put", "before commit", "after commit"):
             with self.subTest(name):
-                store, plan = self.failing("no space")
+                store, plan = self.failing_store("no space")
                 store.write(b"old")
                 generation = store.generation
                 plan.append(name)
@@ -298,8 +219,8 @@
                 store.close()
                 self.assertEqual(self.read(), b"third")
 
-    def test_larger_than_the_map(self) -> None:
-        store = self.opened(map_size_mib=1)
+    def test_a_record_larger_than_the_map_is_refused(self) -> None:
+        store = self.open_store(map_size_mib=1)
         store.write(b"old")
         with self.assertRaises(StoreWriteFailed):
             store.write(bytes(2 << 20))
@@ -307,7 +228,7 @@
         store.write(b"new")
         self.assertEqual(store.read(), b"new")
 
-    def test_the_directory_cannot_be_made(self) -> None:
+    def test_a_directory_that_cannot_be_made_is_a_failed_write(self) -> None:
         (self.base / "file").write_text("")
         store = Store(self.base / "file" / "ledger")
         with self.assertRaises(StoreWriteFailed):
@@ -316,8 +237,8 @@
             store.read()
 
 
-class Damaged(InDirectory):
-    def flipped(self, path: Path, record: bytes) -> None:
+class DamagedSlots(StoreCase):
+    def flip_bit(self, path: Path, record: bytes) -> None:
         """Flip a bit of a record wherever it lies in the file; pages no longer used hold it as well."""
         data = bytearray((path / DATA_FILE).read_bytes())
         at = data.find(record[:64])
@@ -327,26 +248,26 @@
             at = data.find(record[:64], at + 1)
         (path / DATA_FILE).write_bytes(data)
 
-    def test_either_copy(self) -> None:
+    def test_either_slot_is_read_while_the_other_is_damaged(self) -> None:
         draw = random.Random(17)
         for size in (300, 9000):  # within a page, and on pages of its own
             old, new = draw.randbytes(size), draw.randbytes(size)
             shutil.rmtree(self.path, ignore_errors=True)
-            self.written(b"first", old, new)
+            self.write_records(b"first", old, new)
             for hit, left in ((old, new), (new, old)):
                 image = self.base / "image"
                 shutil.copytree(self.path, image)
-                self.flipped(image, hit)
-                store = self.opened(image)
+                self.flip_bit(image, hit)
+                store = self.open_store(image)
                 self.assertEqual(store.read(), left)
                 self.assertIn("the checksum differs", store.damage)
                 store.write(b"next")  # takes the damaged one's place
                 self.assertEqual((store.read(), store.damage), (b"next", ""))
                 store.close()
                 shutil.rmtree(image)
-            self.flipped(self.path, old)
-            self.flipped(self.path, new)
-            store = self.opened()
+            self.flip_bit(self.path, old)
+            self.flip_bit(self.path, new)
+            store = self.open_store()
             with self.assertRaises(DamagedRecord):
                 store.read()
             store.write(b"anew")
@@ -356,7 +277,7 @@
             store.close()
             self.assertEqual(self.read(), b"and on")
 
-    def test_any_bit_of_a_copy(self) -> None:
+    def test_any_flipped_bit_of_a_slot_is_found(self) -> None:
         stored = encode_slot(5, b"record")
         for bit in range(len(stored) * 8):
             broken = bytearray(stored)
@@ -366,21 +287,21 @@
             self.assertTrue(store_module.decode_slot(SLOT_KEYS[0], stored[:length]).damage, length)
         self.assertTrue(store_module.decode_slot(SLOT_KEYS[0], stored + b"\0").damage)
 
-    def test_one_copy_alone_and_damaged(self) -> None:
+    def test_one_slot_alone_and_damaged(self) -> None:
         self.put_raw((SLOT_KEYS[0], b"rubbish"))
         with self.assertRaises(DamagedRecord):
             self.read()
 
-    def test_no_lmdb_file(self) -> None:
+    def test_a_file_that_is_not_lmdbs_is_left_as_it_is(self) -> None:
         self.path.mkdir(parents=True)
         (self.path / DATA_FILE).write_bytes(b"rubbish" * 5000)
         with self.assertRaises(DamagedRecord):
-            self.opened()
+            self.open_store()
         self.assertEqual((self.path / DATA_FILE).read_bytes(), b"rubbish" * 5000)
 
-    def test_cut_short_at_every_page(self) -> None:
+    def test_a_file_cut_short_at_any_page_is_damaged(self) -> None:
         draw = random.Random(19)
-        self.written(*(draw.randbytes(20_000) for _ in range(4)))
+        self.write_records(*(draw.randbytes(20_000) for _ in range(4)))
         data = (self.path / DATA_FILE).read_bytes()
         for length in [*range(PAGE, len(data), PAGE), PAGE // 2, len(data) - 1]:
             (self.path / DATA_FILE).write_bytes(data[:length])
@@ -388,17 +309,17 @@
                 self.read()
 
 
-class Newer(InDirectory):
-    def newer(self, payload: bytes) -> bytes:
+class NewerFormats(StoreCase):
+    def newer_slot(self, payload: bytes) -> bytes:
         """A whole copy of the next format: its header is as ever, what follows may be anything."""
         version = store_module.FORMAT + 1
         covered = store_module.CHECKSUMMED_FIELDS.pack(version, len(payload)) + payload
         return HEADER.pack(store_module.MAGIC, version, store_module.crc32(covered), len(payload)) + payload
 
-    def test_left_untouched(self) -> None:
+    def test_what_a_newer_program_wrote_is_left_as_it_is(self) -> None:
         cases = {
-            "both": ((SLOT_KEYS[0], self.newer(b"x")), (SLOT_KEYS[1], self.newer(b"another shape"))),
-            "beside an older one": ((SLOT_KEYS[0], self.newer(b"")), (SLOT_KEYS[1], encode_slot(900, b"old"))),
+            "both": ((SLOT_KEYS[0], self.newer_slot(b"x")), (SLOT_KEYS[1], self.newer_slot(b"another shape"))),
+            "beside an older one": ((SLOT_KEYS[0], self.newer_slot(b"")), (SLOT_KEYS[1], encode_slot(900, b"old"))),
         }
         for name, puts in cases.items():
             with self.subTest(name):
@@ -415,45 +336,5 @@
                 self.assertIn("newer", check_store(self.path).text)
 
 
-class Checked(InDirectory):
-    def unchanged(self, describe: Callable[[bytes], str] | None = None) -> str:
-        """The report, once it is sure that no file was changed or made."""
-
-        def state() -> dict[str, tuple[bytes, int]]:
-            files = [path for path in sorted(self.base.rglob("*")) if path.is_file()]
-            return {str(path): (path.read_bytes(), path.stat().st_mtime_ns) for path in files}
-
-        before = state()
-        report = check_store(self.path, describe).text
-        self.assertEqual(state(), before)
-        return report
-
-    def test_reports(self) -> None:
-        self.assertIn("no store here", self.unchanged())
-        self.assertFalse(self.path.exists())
-        self.opened().close()
-        self.assertIn("nothing stored yet", self.unchanged())
-        self.written(b"one", b"three")
-        (self.path / "lock.mdb").unlink()
-        report = self.unchanged(lambda record: f"record {record!r}")
-        self.assertIn("copy-0: whole, generation 1, 3 bytes", report)
-        self.assertIn("in force: copy-1, generation 2", report)
-        self.assertIn("record b'three'", report)
-        self.put_raw((SLOT_KEYS[1], b"rubbish"))
-        report = self.unchanged()
-        self.assertIn("copy-1: damaged: 7 bytes, shorter than its header", report)
-        self.assertIn("in force: copy-0, generation 1", report)
-        self.put_raw((SLOT_KEYS[0], b"rubbish"))
-        self.assertIn("can't be used", self.unchanged())
-        (self.path / DATA_FILE).write_bytes(b"rubbish" * 5000)
-        self.assertIn("can't be opened", self.unchanged())
-
-    def test_cut_short(self) -> None:
-        self.written(bytes(50_000))
-        data = (self.path / DATA_FILE).read_bytes()
-        (self.path / DATA_FILE).write_bytes(data[: 3 * PAGE])
-        self.assertIn("cut short", self.unchanged())
-
-
 if __name__ == "__main__":
     unittest.main()
