--- a/tests/controlplane/test_configuration.py
+++ b/tests/controlplane/test_configuration.py
@@ -76,8 +76,8 @@
     return orjson.dumps(config)
 
 
-class Refused(unittest.TestCase):
-    def refused(self, body: bytes, place: str, reason: str = "") -> None:
+class InvalidConfigurations(unittest.TestCase):
+    def assert_refused(self, body: bytes, place: str, reason: str = "") -> None:
         with self.assertRaises(InvalidConfiguration) as caught:
             parse_configuration(body)
         self.assertEqual(caught.exception.path, place, str(caught.exception))
@@ -85,62 +85,62 @@
         self.assertTrue(caught.exception.reason)
         self.assertEqual(caught.exception.status, 400)
 
-    def test_cut_short_at_every_byte(self) -> None:
+    def test_a_body_cut_short_at_any_byte_is_refused(self) -> None:
         body = orjson.dumps(small())
         for length in range(len(body)):
-            self.refused(body[:length], "", "can't be read whole")
+            self.assert_refused(body[:length], "", "can't be read whole")
 
-    def test_no_json_object(self) -> None:
+    def test_a_body_that_is_no_json_object_is_refused(self) -> None:
         for body in (b"", b"null", b"[]", b"7", b'"x"', b"\xff\xfe", b'{"revision": NaN}', b"{} {}"):
-            self.refused(body, "", "can't be read whole")
+            self.assert_refused(body, "", "can't be read whole")
 
-    def test_unknown_service(self) -> None:
-        self.refused(changed("routes", 0, "backend", to="s9"), "routes[0].backend", "unknown service 's9'")
-        self.refused(changed("routes", 0, "backend", to="S1"), "routes[0].backend", "unknown service")
-        self.refused(changed("routes", 0, "backend", to=""), "routes[0].backend", "unknown service")
-        self.refused(
+    def test_an_unknown_service_is_refused(self) -> None:
+        self.assert_refused(changed("routes", 0, "backend", to="s9"), "routes[0].backend", "unknown service 's9'")
+        self.assert_refused(changed("routes", 0, "backend", to="S1"), "routes[0].backend", "unknown service")
+        self.assert_refused(changed("routes", 0, "backend", to=""), "routes[0].backend", "unknown service")
+        self.assert_refused(
             changed("routes", 1, "trafficSplit", 1, "backend", to="s9"),
             "routes[1].trafficSplit[1].backend",
             "unknown service 's9'",
         )
-        self.refused(
+        self.assert_refused(
             changed("routes", 1, "trafficSplit", 1, to={"backend": "s9", "weight": 0}),
             "routes[1].trafficSplit[1].backend",
             "unknown service 's9'",
         )
-        self.refused(changed("routes", 1, "backend", to="s9"), "routes[1].backend", "unknown service 's9'")
-        self.refused(changed("backends", to=[]), "routes[0].backend", "unknown service 's1'")
-        self.refused(changed("backends"), "routes[0].backend", "unknown service 's1'")
+        self.assert_refused(changed("routes", 1, "backend", to="s9"), "routes[1].backend", "unknown service 's9'")
+        self.assert_refused(changed("backends", to=[]), "routes[0].backend", "unknown service 's1'")
+        self.assert_refused(changed("backends"), "routes[0].backend", "unknown service 's1'")
 
-    def test_no_service(self) -> None:
-        self.refused(changed("routes", 0, "backend"), "routes[0]", "names no service")
-        self.refused(changed("routes", 0, "backend", to=None), "routes[0]", "names no service")
-        self.refused(changed("routes", 1, "trafficSplit", to=[]), "routes[1]", "names no service")
+    def test_a_route_without_a_service_is_refused(self) -> None:
+        self.assert_refused(changed("routes", 0, "backend"), "routes[0]", "names no service")
+        self.assert_refused(changed("routes", 0, "backend", to=None), "routes[0]", "names no service")
+        self.assert_refused(changed("routes", 1, "trafficSplit", to=[]), "routes[1]", "names no service")
 
-    def test_same_place(self) -> None:
-        self.refused(changed("routes", 1, "pathPrefix", to="/x/"), "routes[1]", "and prefix of routes[0]")
+    def test_two_routes_of_one_host_and_prefix_are_refused(self) -> None:
+        self.assert_refused(changed("routes", 1, "pathPrefix", to="/x/"), "routes[1]", "and prefix of routes[0]")
         upper = small()
         upper["routes"][1] |= {"pathPrefix": "/x/", "hostname": "A.Test"}
-        self.refused(orjson.dumps(upper), "routes[1]", "host and prefix of routes[0]")
+        self.assert_refused(orjson.dumps(upper), "routes[1]", "host and prefix of routes[0]")
 
-    def test_weights(self) -> None:
+    def test_weights_below_zero_or_adding_up_to_zero_are_refused(self) -> None:
         place = "routes[1].trafficSplit"
         for zero in (0, 0.0, -0.0):
             splits = [{"backend": "s1", "weight": zero}, {"backend": "s2", "weight": 0}]
-            self.refused(changed("routes", 1, "trafficSplit", to=splits), place, "add up to 0")
+            self.assert_refused(changed("routes", 1, "trafficSplit", to=splits), place, "add up to 0")
         splits = [{"backend": "s1", "weight": 5}, {"backend": "s2", "weight": -1}]
-        self.refused(changed("routes", 1, "trafficSplit", to=splits), place + "[1].weight", "0 or more")
-        self.refused(changed("routes", 1, "trafficSplit", 0, "weight"), place + "[0]", "weight")
+        self.assert_refused(changed("routes", 1, "trafficSplit", to=splits), place + "[1].weight", "0 or more")
+        self.assert_refused(changed("routes", 1, "trafficSplit", 0, "weight"), place + "[0]", "weight")
         body = changed("routes", 1, "trafficSplit", 0, "weight", to="3")
-        self.refused(body, place + "[0].weight", "a number")
+        self.assert_refused(body, place + "[0].weight", "a number")
 
-    def test_timeout(self) -> None:
+    def test_a_timeout_that_is_not_above_zero_is_refused(self) -> None:
         for none in (0, 0.0, -1, -0.5):
-            self.refused(changed("routes", 1, "timeoutMs", to=none), "routes[1].timeoutMs", "above 0")
+            self.assert_refused(changed("routes", 1, "timeoutMs", to=none), "routes[1].timeoutMs", "above 0")
 
-    def test_revision(self) -> None:
+    def test_a_revision_out_of_bounds_is_refused(self) -> None:
         for value in (0, -4, 2**63, 2**70):
-            self.refused(
+            self.assert_refused(
                 changed("revision", to=value)
                 if value < 2**64
                 else changed("revision").replace(b"{", b'{"revision":%d,' % value, 1),
@@ -148,18 +148,18 @@
                 "a number from 1",
             )
         for value in (1.5, "3", True, [], {}):
-            self.refused(changed("revision", to=value), "revision", "a whole number expected")
-        self.refused(changed("revision"), "", "revision")
-        self.refused(changed("revision", to=None), "revision", "a whole number expected")
+            self.assert_refused(changed("revision", to=value), "revision", "a whole number expected")
+        self.assert_refused(changed("revision"), "", "revision")
+        self.assert_refused(changed("revision", to=None), "revision", "a whole number expected")
 
-    def test_shared_key(self) -> None:
+    def test_a_key_of_two_tenants_is_refused(self) -> None:
         body = changed("tenants", 1, "apiKeys", to=["k3", "k2"])
-        self.refused(body, "tenants[1].apiKeys", "shares a key with tenants[0]")
+        self.assert_refused(body, "tenants[1].apiKeys", "shares a key with tenants[0]")
         with self.assertRaises(InvalidConfiguration) as caught:
             parse_configuration(body)
         self.assertNotIn("k2", str(caught.exception))  # keys are secrets
 
-    def test_wrong_types(self) -> None:
+    def test_values_of_another_type_are_refused_with_their_path(self) -> None:
         cases: list[tuple[tuple[Any, ...], Any, str]] = [
             (("routes",), {}, "routes"),
             (("routes",), "", "routes"),
@@ -192,14 +192,14 @@
         ]
         for path, value, place in cases:
             with self.subTest(path=path, value=value):
-                self.refused(changed(*path, to=value), place, "expected")
+                self.assert_refused(changed(*path, to=value), place, "expected")
         for path in (
             ("routes", 1, "hostname"),
             ("routes", 1, "pathPrefix"),
             ("backends", 2, "name"),
             ("tenants", 1, "name"),
         ):
-            self.refused(changed(*path), f"{path[0]}[{path[1]}]", path[2])
+            self.assert_refused(changed(*path), f"{path[0]}[{path[1]}]", path[2])
 
     def test_any_value_anywhere_is_read_or_refused(self) -> None:
         """Whatever stands in a field, nothing but the typed error is raised."""
@@ -221,8 +221,8 @@
         self.assertGreater(refused, 300)
 
 
-class Accepted(unittest.TestCase):
-    def test_everything_is_read(self) -> None:
+class ValidConfigurations(unittest.TestCase):
+    def test_every_field_is_read(self) -> None:
         config = parse_configuration(orjson.dumps(small()))
         plain, shared = config.routes
         self.assertEqual(config.revision, 3)
@@ -246,7 +246,7 @@
         self.assertEqual((config.tenants[0].api_keys, config.tenants[0].isolated), (["k1", "k2"], True))
         self.assertEqual((config.tenants[1].priority, config.tenants[1].isolated), (None, False))
 
-    def test_odd_but_proper(self) -> None:
+    def test_unusual_configurations_that_are_valid(self) -> None:
         split = [{"backend": "s1", "weight": 0.25}, {"backend": "s1", "weight": 0}]
         cases: dict[str, bytes] = {
             "fraction in a time": changed("routes", 0, "timeoutMs", to=0.5),
@@ -286,12 +286,12 @@
             with self.subTest(name):
                 parse_configuration(body)
 
-    def test_tenants_absent_or_empty(self) -> None:
+    def test_absent_tenants_differ_from_an_empty_list(self) -> None:
         self.assertIsNone(parse_configuration(changed("tenants")).tenants)
         self.assertIsNone(parse_configuration(changed("tenants", to=None)).tenants)
         self.assertEqual(parse_configuration(changed("tenants", to=[])).tenants, [])
 
-    def test_defaults(self) -> None:
+    def test_absent_fields_have_their_defaults(self) -> None:
         body = orjson.dumps(
             {
                 "revision": 1,
@@ -311,14 +311,14 @@
         self.assertFalse(parse_configuration(changed("routes", 1, "resumable", to=False)).routes[1].repeatable)
 
 
-class Changes(unittest.TestCase):
-    def test_in_order(self) -> None:
+class RevisionMatch(unittest.TestCase):
+    def test_a_match_of_the_current_revision_is_accepted(self) -> None:
         config = parse_configuration(orjson.dumps(small()))
         for named in ("2", '"2"', ' "2" ', 'W/"2"', "02"):
             check_change(2, named, config.revision)
         check_change(0, "0", config.revision)
 
-    def test_stale(self) -> None:
+    def test_a_match_of_another_revision_is_stale(self) -> None:
         config = parse_configuration(orjson.dumps(small()))
         for named in ("1", "3", "0", "", None, "*", "two", "-2", "+2", "2.0", "٢", "2, 3", '"', "9" * 5000):
             with self.subTest(named=named), self.assertRaises(StaleMatch) as caught:
@@ -326,7 +326,7 @@
             self.assertEqual((caught.exception.status, caught.exception.current), (412, 2))
             self.assertIn("revision 2 is current", str(caught.exception))
 
-    def test_revision_not_above(self) -> None:
+    def test_a_revision_that_is_not_above_the_current_one_is_refused(self) -> None:
         config = parse_configuration(orjson.dumps(small()))
         for current in (3, 4):
             with self.assertRaises(InvalidConfiguration) as caught:
@@ -334,20 +334,20 @@
             self.assertEqual(caught.exception.path, "revision")
             self.assertIn("not above", caught.exception.reason)
 
-    def test_stale_goes_before_the_revision(self) -> None:
+    def test_a_stale_match_is_reported_before_the_revision(self) -> None:
         with self.assertRaises(StaleMatch):
             check_change(5, "4", parse_configuration(orjson.dumps(small())).revision)
 
 
 class Digests(unittest.TestCase):
-    def test_the_same(self) -> None:
+    def test_the_order_of_fields_and_spaces_do_not_count(self) -> None:
         config = small()
         backwards = dict(reversed(config.items()))
         spaced = orjson.dumps(backwards, option=orjson.OPT_INDENT_2)
         self.assertEqual(body_digest(orjson.dumps(config)), body_digest(spaced))
         self.assertEqual(len(body_digest(spaced)), 32)
 
-    def test_any_difference_tells(self) -> None:
+    def test_any_difference_changes_the_digest(self) -> None:
         seen = {body_digest(orjson.dumps(small()))}
         others = [
             changed("revision", to=4),
@@ -362,7 +362,7 @@
         seen |= {body_digest(body) for body in others}
         self.assertEqual(len(seen), len(others) + 1)
 
-    def test_unreadable(self) -> None:
+    def test_a_body_that_is_no_json_object_has_no_digest(self) -> None:
         with self.assertRaises(InvalidConfiguration):
             body_digest(b"{")
 
--- a/tests/controlplane/test_configuration_patch.py
+++ b/tests/controlplane/test_configuration_patch.py
@@ -44,7 +44,7 @@
     return None if made is None else made[0]
 
 
-class Made(unittest.TestCase):
+class AppliedPatches(unittest.TestCase):
     """What a patch makes of a configuration."""
 
     def made(self, sent: dict[str, Any], base: dict[str, Any] | None = None) -> dict[str, Any]:
@@ -53,26 +53,26 @@
         self.assertEqual(state.revision, 2)
         return orjson.loads(state.config)
 
-    def test_an_item_takes_the_place_of_its_name(self) -> None:
+    def test_an_item_replaces_the_one_of_its_name(self) -> None:
         new = route("b", timeoutMs=99)
         self.assertEqual(self.made({"upsert": {"routes": [new]}}), whole(2, routes=[route("a"), new, route("c")]))
 
-    def test_a_new_item_stands_last(self) -> None:
+    def test_a_new_item_is_added_at_the_end(self) -> None:
         self.assertEqual(
             self.made({"upsert": {"routes": [route("d")], "backends": [{"name": "u"}]}}),
             whole(2, routes=[*whole()["routes"], route("d")], backends=[*whole()["backends"], {"name": "u"}]),
         )
 
-    def test_names_are_removed(self) -> None:
+    def test_named_items_are_removed(self) -> None:
         self.assertEqual(
             self.made({"remove": {"routes": ["a", "c"], "backends": ["t"], "tenants": ["y"]}}),
             whole(2, routes=[route("b")], backends=[{"name": "s"}], tenants=whole()["tenants"][:1]),
         )
 
-    def test_a_name_that_is_not_there_is_no_error(self) -> None:
+    def test_removing_an_absent_name_changes_nothing(self) -> None:
         self.assertEqual(self.made({"remove": {"routes": ["never"]}}), whole(2))
 
-    def test_nothing_but_a_revision(self) -> None:
+    def test_an_empty_patch_changes_the_revision_alone(self) -> None:
         for sent in ({}, {"upsert": {}, "remove": {}}, {"upsert": None}, {"upsert": {"routes": []}}, {"more": 3}):
             with self.subTest(sent=sent):
                 self.assertEqual(self.made(sent), whole(2))
@@ -81,7 +81,7 @@
         """Then no key is known, whereas without the list none would be asked for."""
         self.assertEqual(self.made({"remove": {"tenants": ["x", "y"]}}), whole(2, tenants=[]))
 
-    def test_lists_that_were_not_there(self) -> None:
+    def test_absent_lists_are_made(self) -> None:
         base = {"revision": 1}
         made = self.made({"upsert": {"backends": [{"name": "s"}], "routes": [route("a")]}}, base)
         self.assertEqual(made, {"revision": 2, "backends": [{"name": "s"}], "routes": [route("a")]})
@@ -92,18 +92,18 @@
         made = self.made({"upsert": {"routes": moved, "backends": [{"name": "u"}]}, "remove": {"backends": ["s", "t"]}})
         self.assertEqual(made, whole(2, routes=moved, backends=[{"name": "u"}]))
 
-    def test_several_of_one_name(self) -> None:
+    def test_items_of_one_name_become_one_or_none(self) -> None:
         base = whole(routes=[route("a"), route("a", pathPrefix="/2/"), route("b")])
         new = route("a", pathPrefix="/3/")
         self.assertEqual(self.made({"upsert": {"routes": [new]}}, base), whole(2, routes=[new, route("b")]))
         self.assertEqual(self.made({"remove": {"routes": ["a"]}}, base), whole(2, routes=[route("b")]))
 
-    def test_on_no_configuration(self) -> None:
+    def test_a_patch_may_be_the_first_configuration(self) -> None:
         state = patch(ControlState(), {"revision": 3, "upsert": {"backends": [{"name": "s"}]}})
         assert state is not None
         self.assertEqual(orjson.loads(state.config), {"revision": 3, "backends": [{"name": "s"}]})
 
-    def test_the_base_is_left_as_it_is(self) -> None:
+    def test_the_base_is_not_changed(self) -> None:
         base = whole()
         before = copy.deepcopy(base)
         apply_patch(base, {"revision": 2, "upsert": {"routes": [route("b"), route("d")]}, "remove": {"routes": ["a"]}})
@@ -164,32 +164,32 @@
 }
 
 
-class Refused(unittest.TestCase):
-    def test_place_and_reason(self) -> None:
+class InvalidPatches(unittest.TestCase):
+    def test_a_refusal_has_a_path_and_a_reason(self) -> None:
         state = state_of()
         for name, (sent, told) in INVALID.items():
             with self.subTest(name), self.assertRaises(InvalidConfiguration) as caught:
                 patch(state, ({} if name == "no revision" else {"revision": 2}) | sent)
             self.assertIn(told, str(caught.exception))
 
-    def test_a_long_name_is_cut_in_the_reason(self) -> None:
+    def test_a_long_name_is_cut_short_in_the_reason(self) -> None:
         name = "n" * (MAX_QUOTED_NAME_CHARACTERS + 1)
         with self.assertRaises(InvalidConfiguration) as caught:
             patch(state_of(), {"revision": 2, "upsert": {name: []}})
         self.assertIn("." + name[:MAX_QUOTED_NAME_CHARACTERS] + ":", str(caught.exception))
         self.assertNotIn(name, str(caught.exception))
 
-    def test_what_is_no_json_object(self) -> None:
+    def test_a_body_that_is_no_json_object_is_refused(self) -> None:
         for body in (b"", b"[]", b'{"revision":2', b"\xff"):
             with self.subTest(body=body), self.assertRaises(InvalidConfiguration):
                 patch_config(state_of(), "1", body)
 
-    def test_on_top_of_another_revision(self) -> None:
+    def test_a_patch_of_another_revision_is_stale(self) -> None:
         for if_match in ("0", "2", "x", None):
             with self.subTest(if_match=if_match), self.assertRaises(StaleMatch):
                 patch_config(state_of(), if_match, orjson.dumps({"revision": 2}))
 
-    def test_stale_and_against_another_base_is_stale(self) -> None:
+    def test_a_stale_match_is_reported_before_an_invalid_patch(self) -> None:
         """What it names may have been removed since: its base is looked at before its outcome."""
         state = patch(state_of(), {"revision": 2, "upsert": {"backends": [{"name": "u"}]}})
         assert state is not None
@@ -200,10 +200,10 @@
         self.assertEqual(NAMED_LISTS, ("routes", "backends", "tenants"))
 
 
-class Again(unittest.TestCase):
+class RepeatedOrders(unittest.TestCase):
     """A patch is taken once, and acknowledged as often as it comes."""
 
-    def test_after_other_changes(self) -> None:
+    def test_an_applied_patch_is_known_after_other_changes(self) -> None:
         sent = {"revision": 2, "upsert": {"routes": [route("d")]}}
         state = patch(state_of(), sent)
         assert state is not None
@@ -227,7 +227,7 @@
         with self.assertRaises(StaleMatch):
             put_config(state, "1", body)
 
-    def test_what_is_too_old_to_be_known(self) -> None:
+    def test_a_patch_older_than_the_history_is_not_refused(self) -> None:
         state = state_of()
         sent = {"revision": 2, "remove": {"routes": ["a"]}}
         with mock.patch("rowanshift.controlplane.order_history.MAX_REMEMBERED_ORDERS", 2):
@@ -236,14 +236,14 @@
             with self.assertRaises(OrderTooOld):
                 patch(state, sent, "1")
 
-    def test_it_lasts(self) -> None:
+    def test_an_applied_patch_is_known_after_a_restart(self) -> None:
         sent = {"revision": 2, "remove": {"routes": ["a"]}}
         state = unpack(patch(state_of(), sent).pack())
         self.assertIsNone(patch(state, sent, "1"))
         self.assertEqual([row["name"] for row in orjson.loads(state.config)["routes"]], ["b", "c"])
 
 
-class OnAFleet(unittest.TestCase):
+class PatchesOfAFleet(unittest.TestCase):
     """Patches in the virtual network, where the checks know the rules of configurations."""
 
     async def patched_under(self, fleet: Fleet, seconds: float, trouble: str = "") -> None:
--- a/tests/controlplane/test_inherited_versions.py
+++ b/tests/controlplane/test_inherited_versions.py
@@ -36,8 +36,8 @@
     return RegisteredServer(id, service, "10.0.0.1:80", "z", 1, False, versions)
 
 
-class LateLook(unittest.TestCase):
-    """A primary that first looks at the servers long after its takeover."""
+class LateFirstLoad(unittest.TestCase):
+    """A primary that first chooses a load long after its takeover."""
 
     def test_an_inherited_version_is_due_since_the_takeover(self) -> None:
         registry = ServerRegistry(rollout_seconds=5.0)
@@ -47,53 +47,53 @@
         self.assertEqual(registry.next_load({"m": 2, "n": 2}, 20.0)[0].id, "z")
 
 
-class Told(unittest.TestCase):
-    """What a primary takes of the dates that routers tell."""
+class DatesOfRouters(unittest.TestCase):
+    """Which dates of routers a primary applies."""
 
     def registry(self) -> ServerRegistry:
         made = ServerRegistry(rollout_seconds=5.0)
         made.record_versions({"m": 5}, 100.0)
         return made
 
-    def told(self, registry: ServerRegistry, *names: ModelVersionAnnouncement) -> bool:
+    def apply(self, registry: ServerRegistry, *names: ModelVersionAnnouncement) -> bool:
         return registry.apply_announcements(names, {"m": 5}, 100.0)
 
-    def test_the_date_of_an_inherited_name(self) -> None:
+    def test_a_router_dates_an_inherited_version(self) -> None:
         registry = self.registry()
-        self.assertTrue(self.told(registry, ModelVersionAnnouncement("m", 5, 3000)))
+        self.assertTrue(self.apply(registry, ModelVersionAnnouncement("m", 5, 3000)))
         self.assertEqual(registry.announcements.find("m", 5), VersionAnnouncement("m", 5, 97.0))
         registry.record_versions({"m": 5}, 101.0)
         self.assertEqual(registry.announcements.find("m", 5), VersionAnnouncement("m", 5, 97.0))
 
-    def test_older_names_that_the_takeover_had_hidden(self) -> None:
+    def test_older_announcements_that_the_takeover_had_hidden_return(self) -> None:
         registry = self.registry()
-        self.told(registry, ModelVersionAnnouncement("m", 4, 6000), ModelVersionAnnouncement("m", 5, 3000))
+        self.apply(registry, ModelVersionAnnouncement("m", 4, 6000), ModelVersionAnnouncement("m", 5, 3000))
         self.assertEqual([name.version for name in registry.announcements.all()], [4, 5])
 
-    def test_what_is_not_in_force_or_not_dated_is_left(self) -> None:
+    def test_versions_not_in_force_and_undated_ones_are_ignored(self) -> None:
         registry = self.registry()
         self.assertFalse(
-            self.told(registry, ModelVersionAnnouncement("m", 6, 3000), ModelVersionAnnouncement("n", 1, 3000))
+            self.apply(registry, ModelVersionAnnouncement("m", 6, 3000), ModelVersionAnnouncement("n", 1, 3000))
         )
-        self.assertFalse(self.told(registry, ModelVersionAnnouncement("m", 5, 3000, is_dated=False)))
+        self.assertFalse(self.apply(registry, ModelVersionAnnouncement("m", 5, 3000, is_dated=False)))
 
-    def test_small_differences_are_no_news(self) -> None:
+    def test_small_differences_change_nothing(self) -> None:
         registry = self.registry()
-        self.told(registry, ModelVersionAnnouncement("m", 5, 3000))
+        self.apply(registry, ModelVersionAnnouncement("m", 5, 3000))
         serial = registry.announcements_serial
         self.assertFalse(
-            self.told(registry, ModelVersionAnnouncement("m", 5, 3000 + int(900 * DATE_TOLERANCE_SECONDS)))
+            self.apply(registry, ModelVersionAnnouncement("m", 5, 3000 + int(900 * DATE_TOLERANCE_SECONDS)))
         )
         self.assertEqual(registry.announcements_serial, serial)
         self.assertTrue(
-            self.told(registry, ModelVersionAnnouncement("m", 5, 3000 + int(1100 * DATE_TOLERANCE_SECONDS)))
+            self.apply(registry, ModelVersionAnnouncement("m", 5, 3000 + int(1100 * DATE_TOLERANCE_SECONDS)))
         )
         self.assertEqual(registry.announcements_serial, serial + 1)
 
-    def test_so_many_are_looked_at(self) -> None:
+    def test_announcements_beyond_the_limit_are_ignored(self) -> None:
         others = [ModelVersionAnnouncement(f"m{n}", 1, 0) for n in range(MAX_ANNOUNCEMENTS_PER_POLL)]
-        self.assertFalse(self.told(self.registry(), *others, ModelVersionAnnouncement("m", 5, 3000)))
-        self.assertTrue(self.told(self.registry(), *others[1:], ModelVersionAnnouncement("m", 5, 3000)))
+        self.assertFalse(self.apply(self.registry(), *others, ModelVersionAnnouncement("m", 5, 3000)))
+        self.assertTrue(self.apply(self.registry(), *others[1:], ModelVersionAnnouncement("m", 5, 3000)))
 
 
 def named_at(fleet: Fleet) -> float:
@@ -133,14 +133,14 @@
         with mock.patch.object(VersionRollout, "_may_order", lambda rollout: False):
             return play(main, seed, routers=routers)[0]
 
-    def test_a_primary_that_is_killed(self) -> None:
+    def test_a_date_outlives_a_killed_primary(self) -> None:
         async def trouble(fleet: Fleet, primary: Unit) -> None:
             fleet.kill(primary)
 
         for seed in range(4):
             self.assertLess(self.off_after(trouble, str(seed)), CLOSE)
 
-    def test_the_whole_core_that_is_killed(self) -> None:
+    def test_a_date_outlives_a_killed_core(self) -> None:
         async def trouble(fleet: Fleet, primary: Unit) -> None:
             fleet.kill(*fleet.cores)
             await trio.sleep(0.5)
@@ -160,7 +160,7 @@
 
         self.assertLess(self.off_after(trouble, "series"), CLOSE)
 
-    def test_a_router_that_starts_after_it(self) -> None:
+    def test_a_router_that_starts_after_a_takeover_knows_the_date(self) -> None:
         """It goes by the name's own date, not by a shorter time for names of which nobody knows it."""
 
         async def main(fleet: Fleet) -> float:
--- a/tests/controlplane/test_server_registry.py
+++ b/tests/controlplane/test_server_registry.py
@@ -3,34 +3,12 @@
 import random
 import unittest
 
-from rowanshift.controlplane.errors import BadEndpointList
-from rowanshift.controlplane.registered_server import FailedLoads, RegisteredServer, parse_registered_server
+from rowanshift.controlplane.registered_server import FailedLoads, RegisteredServer
 from rowanshift.controlplane.server_registry import (
     FAILED_LOAD_RETRY_SECONDS,
     MAX_LOADING_FRACTION,
     ServerRegistry,
 )
-from rowanshift.wire.control_updates import (
-    CONTROL_UPDATE_CODEC,
-    SERVER_DRAINING,
-    SERVER_LOADING,
-    SERVER_UP,
-    ServerRecord,
-    Update,
-)
-
-
-def entry(id="i-0-1", version=1, service="s", **more):
-    return {
-        "id": id,
-        "backend": service,
-        "address": "10.0.0.1:80",
-        "zone": "z",
-        "slots": 4,
-        "state": "up",
-        "models": [{"name": "m", "revision": version}],
-        **more,
-    }
 
 
 def known(id, version=1, service="s", draining=False, **more):
@@ -43,90 +21,8 @@
     return made
 
 
-class Entries(unittest.TestCase):
-    def test_one(self):
-        record = ServerRecord("i-0-1", "s", "10.0.0.1:80", "z", 4, SERVER_UP, {"m": 1})
-        self.assertEqual(parse_registered_server(entry()).record(), record)
-
-    def test_what_may_be_missing(self):
-        made = parse_registered_server({"id": "i", "backend": "s", "address": "a:1"})
-        self.assertEqual(made.record(), ServerRecord("i", "s", "a:1", "", 1, SERVER_UP, {}))
-        self.assertEqual(
-            parse_registered_server(entry(models=[{"name": "m"}, {"name": "n", "revision": None}])).versions,
-            {"m": 0, "n": 0},
-        )
-
-    def test_states(self):
-        made = parse_registered_server(entry(state="draining"))
-        self.assertEqual(made.record().state, SERVER_DRAINING)
-        made.loading = True
-        self.assertEqual(made.record().state, SERVER_DRAINING | SERVER_LOADING)
-        self.assertEqual(parse_registered_server(entry(state="unheard of")).record().state, SERVER_UP)
-
-    def test_junk(self):
-        for junk in (
-            None,
-            1,
-            "x",
-            [],
-            {},
-            {"id": "i"},
-            entry(models=1),
-            entry(models=["m"]),
-            entry(models=[{}]),
-            entry(models=[None]),
-            entry(slots="many"),
-            entry(slots=[1]),
-            entry(slots=float("nan")),
-            entry(models=[{"name": "m", "revision": "x"}]),
-        ):
-            with self.assertRaises(BadEndpointList, msg=repr(junk)):
-                parse_registered_server(junk)
-
-    def drawn(self, random_source, deep=2):
-        kind = random_source.randrange(8 if deep else 6)
-        if kind == 6:
-            return [self.drawn(random_source, deep - 1) for _ in range(random_source.randrange(3))]
-        if kind == 7:
-            names = random_source.sample(("id", "name", "revision", "x"), 3)
-            return {name: self.drawn(random_source, deep - 1) for name in names}
-        return random_source.choice((None, True, 0, -1, 3, 0.5, "", "draining", "12", "x"))
-
-    def test_drawn_junk(self):
-        random_source, refused = random.Random(1), 0
-        for _ in range(5000):
-            junk = entry()
-            for name in random_source.sample(sorted(junk), random_source.randrange(1, 4)):
-                if random_source.random() < 0.3:
-                    del junk[name]
-                else:
-                    junk[name] = self.drawn(random_source)
-            try:
-                self.assertIsInstance(parse_registered_server(junk), RegisteredServer)
-            except BadEndpointList:
-                refused += 1
-        self.assertGreater(refused, 500)
-
-    def test_what_is_taken_can_be_told_on(self):
-        """A row that has no record would keep the whole registry from every counter."""
-        for junk in (
-            entry(slots=-1),
-            entry(slots=2**64),
-            entry(version=-1),
-            entry(version=2**64),
-            entry(id="i" * 65_536),
-            entry(zone="z" * 65_536),
-        ):
-            with self.subTest(str(junk)[:200]):
-                try:
-                    row = parse_registered_server(junk).record()
-                except BadEndpointList:
-                    continue
-                CONTROL_UPDATE_CODEC.pack(Update((0, 0), 0, False, 0, b"", {}, (1, 1), True, (row,)))
-
-
-class Lists(unittest.TestCase):
-    def test_a_list_is_taken(self):
+class AppliedLists(unittest.TestCase):
+    def test_a_list_is_applied(self):
         made = registry(known("a"), known("b"))
         self.assertEqual([row.id for row in made.records()], ["a", "b"])
         self.assertEqual(made.serial, 1)
@@ -142,7 +38,7 @@
         self.assertFalse(made.apply_list([known("b"), known("a")]))
         self.assertEqual(made.serial, 1)
 
-    def test_what_changes_the_serial(self):
+    def test_each_change_of_a_list_raises_the_serial(self):
         for servers in (
             [known("a")],
             [known("a"), known("b"), known("c")],
@@ -186,7 +82,7 @@
         made.apply_list([one])
         self.assertEqual(made.servers["a"].versions, {"m": 3})
 
-    def test_what_a_load_left_outlives_a_list(self):
+    def test_the_course_of_a_load_outlives_a_list(self):
         made = registry(known("a"))
         made.load_started(made.servers["a"], 0.0)
         made.apply_list([known("a")])
@@ -198,14 +94,14 @@
             (server.loading, server.failed_loads), (False, {"m": FailedLoads(1, 10.0 + FAILED_LOAD_RETRY_SECONDS)})
         )
 
-    def test_ends_of_loads_of_servers_that_are_gone(self):
+    def test_a_load_that_ends_at_an_unlisted_server_changes_nothing(self):
         made = registry(known("a"))
         made.load_failed("gone", "m", 1.0)
         made.load_succeeded("gone", "m", 2, 0.0)
         self.assertEqual((made.serial, set(made.servers)), (1, {"a"}))
 
 
-class LoadIndex(unittest.TestCase):
+class NextLoads(unittest.TestCase):
     def begun(self, made, version=2, now=0.0):
         ids = []
         while (order := made.next_load({"m": version}, now)) is not None:
@@ -214,7 +110,7 @@
             ids.append(order[0].id)
         return ids
 
-    def test_at_most_a_part_at_once_and_one_at_least(self):
+    def test_a_fraction_of_servers_loads_at_once_and_one_at_least(self):
         for count in range(1, 30):
             made = registry(*(known(f"i{n:02}") for n in range(count)))
             self.assertEqual(len(self.begun(made)), max(1, int(MAX_LOADING_FRACTION * count)))
@@ -246,20 +142,20 @@
             self.assertLess(most, fewer_than)
             self.assertLessEqual(at, within + takes)
 
-    def test_without_a_bound_as_fast_as_may_be(self):
+    def test_without_a_bound_as_many_load_as_may(self):
         most, _ = self.rolled_out(20, 1.0, 0.0)
         self.assertEqual(most, int(MAX_LOADING_FRACTION * 20))
 
-    def test_loads_that_take_longer_than_there_is_time(self):
+    def test_as_many_load_as_may_where_loads_take_longer_than_the_bound(self):
         most, _ = self.rolled_out(20, 30.0, 9.0)
         self.assertEqual(most, int(MAX_LOADING_FRACTION * 20))
 
-    def test_a_roll_out_that_another_primary_began_goes_on_as_fast_as_may_be(self):
+    def test_as_many_load_as_may_where_another_primary_began_the_rollout(self):
         made = registry(known("a", 2), *(known(f"i{n:02}") for n in range(19)))
         made.rollout_seconds = 1000.0
         self.assertEqual(len(self.begun(made)), int(MAX_LOADING_FRACTION * 20))
 
-    def test_each_service_has_its_own_part(self):
+    def test_each_service_has_its_own_fraction(self):
         made = registry(*(known(f"{service}{n}", service=service) for service in "st" for n in range(5)))
         self.assertEqual(sorted(self.begun(made)), ["s0", "s1", "t0", "t1"])
 
@@ -273,23 +169,23 @@
         self.assertEqual({server.versions["m"] for server in made.servers.values()}, {2})
         self.assertEqual(rounds, 3)
 
-    def test_nothing_is_behind(self):
+    def test_no_load_where_all_servers_have_the_version(self):
         made = registry(known("a", 2), known("b", 3))
         self.assertIsNone(made.next_load({"m": 2}, 0.0))
         self.assertIsNone(made.next_load({}, 0.0))
         self.assertIsNone(made.next_load({"other": 9}, 0.0))
         self.assertIsNone(ServerRegistry().next_load({"m": 2}, 0.0))
 
-    def test_none_that_drains(self):
+    def test_a_draining_server_is_not_ordered(self):
         made = registry(known("a", draining=True), known("b"))
         self.assertEqual(self.begun(made), ["b"])
         self.assertEqual(self.begun(registry(known("a", draining=True))), [])
 
-    def test_those_that_drain_do_not_count_as_fellows(self):
+    def test_draining_servers_do_not_count_for_the_fraction(self):
         made = registry(*(known(f"d{n}", draining=True) for n in range(10)), known("a"), known("b"))
         self.assertEqual(self.begun(made), ["a"])
 
-    def test_failures_come_last(self):
+    def test_servers_with_failed_loads_come_last(self):
         made = registry(known("a"), known("b"), known("c"))
         for id in "aab":
             made.load_failed(id, "m", 0.0)
@@ -300,7 +196,7 @@
             made.load_succeeded(found[0].id, "m", 2, 0.0)
         self.assertEqual(order, ["c", "b", "a"])
 
-    def test_not_before_its_time(self):
+    def test_a_failed_load_is_retried_after_a_while(self):
         made = registry(known("a"))
         made.load_started(made.servers["a"], 0.0)
         made.load_failed("a", "m", 5.0)
@@ -314,7 +210,7 @@
         made.load_failed("a", "m", 0.0)
         self.assertEqual(self.begun(made), ["b"])
 
-    def test_a_failed_load_of_one_model_holds_up_no_other(self):
+    def test_a_failed_load_of_one_model_delays_no_other(self):
         one = known("a")
         one.versions["n"] = 1
         made = registry(one)
@@ -339,7 +235,7 @@
         made.load_succeeded("a", "m", 2, 0.1)
         self.assertIsNone(made.next_load({"n": 2}, 0.2))
 
-    def test_a_second_model(self):
+    def test_a_server_may_run_a_second_model(self):
         one = known("a", 2)
         one.versions["n"] = 1
         found = registry(one).next_load({"m": 2, "n": 4}, 0.0)
