--- a/Makefile
+++ b/Makefile
@@ -22,4 +22,5 @@
 test: .venv/requirements-dev.txt
 	.venv/bin/ruff format --check .
 	.venv/bin/ruff check .
+	.venv/bin/mypy
 	.venv/bin/python -m pytest -q -n $(WORKERS) --dist loadgroup
--- a/rowanshift/admin/commands.py
+++ b/rowanshift/admin/commands.py
@@ -559,7 +559,7 @@
                 "machineClass", f"one of {', '.join(ROLES)} expected, not {boot.file.machine_class!r}"
             )
         for name in wanted:
-            boot.want(name)
+            boot.required_address(name)
         numbers(boot)
     except NodeSettingsError as error:
         raise UnusableInput(str(error)) from error
@@ -567,7 +567,7 @@
     listens = ", ".join(f"{name} {ip}:{port}" for name, (ip, port) in boot.listen.items())
     lines = [
         f"{boot.name}: {role} at {boot.ip}, zone {boot.zone}; listens on {listens}; internal {{}}:{{}}".format(
-            *boot.inner
+            *boot.internal_address
         ),
         (
             f"seeds {', '.join('{}:{}'.format(*seed) for seed in boot.seeds) or 'none'}; up to "
@@ -576,9 +576,9 @@
     ]
     if role == "controlplane":
         lines.append(
-            f"data {boot.data or 'nowhere: what it holds ends with the process'}; "
+            f"data {boot.data_directory or 'nowhere: what it holds ends with the process'}; "
             f"{'a first start' if boot.file.bootstrap else 'no first start'}; list at "
-            + ("{}:{}".format(*boot.cloud) if boot.cloud else "no address")
+            + ("{}:{}".format(*boot.cloud_api_address) if boot.cloud_api_address else "no address")
         )
         lines += [f"can't be kept: {warning}" for warning in fault_tolerance_warnings(boot.file)]
     return Shown(lines)
--- a/rowanshift/capacity/hollow.py
+++ b/rowanshift/capacity/hollow.py
@@ -21,7 +21,7 @@
 from rowanshift.controlplane.service import ControlPlaneService
 from rowanshift.dataplane.control_cache import ControlCache
 from rowanshift.dataplane.control_client import LONG_POLL_SECONDS, ControlClient
-from rowanshift.process.node_settings import Bounds, node_settings_of
+from rowanshift.process.node_settings import RuleBounds, node_settings_of
 from rowanshift.transport.buffer import RingBuffer
 from rowanshift.transport.streams import Address, Stream, connect, receive, send_all
 from rowanshift.wire.codec import FrameDecoder
@@ -366,5 +366,5 @@
 def real_channel(host: Loopback, address: Address) -> ControlClient:
     """A router's whole knowledge: the real channel, which reads the configuration and lays the rings."""
     random_source = random.Random(1)
-    cache = ControlCache(Bounds(), random_source, lambda endpoint: None, lambda peers: None)
+    cache = ControlCache(RuleBounds(), random_source, lambda endpoint: None, lambda peers: None)
     return ControlClient(host, MACHINE, address[1], lambda: [address], cache, random_source)
--- a/rowanshift/cli.py
+++ b/rowanshift/cli.py
@@ -78,7 +78,7 @@
 
     from rowanshift.cacheproxy.service import Service
     from rowanshift.process.error_groups import first_of
-    from rowanshift.process.log_rate_limit import Lines
+    from rowanshift.process.log_rate_limit import LogRateLimit
 
     config = loaded(arguments)
     logger.remove()
@@ -89,7 +89,7 @@
             format="{time:HH:mm:ss.SSS} {level: <7} {message}",
             backtrace=False,
             diagnose=False,
-            filter=Lines(),
+            filter=LogRateLimit(),
         )
     except ValueError as error:  # no such level
         fail(error, UNUSABLE)
--- a/rowanshift/controlplane/service.py
+++ b/rowanshift/controlplane/service.py
@@ -108,7 +108,7 @@
         with runtime.signals() as signals:
             async with runtime.nursery() as nursery:
                 nursery.start_soon(self._on_signals, signals, nursery.cancel_scope)
-                opened = await open_disk(runtime, self.settings.data)
+                opened = await open_disk(runtime, self.settings.data_directory)
                 replica_runner = self._create_replica_runner(opened.disk, opened.durable_state, nursery)
                 call_server = self._start(replica_runner, nursery)
                 await self.shutdown_requested.wait()
@@ -124,7 +124,7 @@
             logger.warning("event=tolerance_not_met why={!r}", warning)
         self.publication = StatePublication(replica, self.updates, self._on_new_state)
         self.membership = RouterMembership(self.updates)
-        connections = ReplicaConnections(self.runtime, self.machine, self.settings.inner[1], nursery)
+        connections = ReplicaConnections(self.runtime, self.machine, self.settings.internal_address[1], nursery)
         self.replica_runner = ReplicaRunner(
             self.runtime,
             replica,
@@ -169,9 +169,9 @@
             runtime, replica_runner, publication, self.membership, self.tasks, self.updates
         )
         internal_port = InternalPort(runtime, replica_runner, self.poll_endpoint)
-        control_address, changes = settings.want("controlPlane"), ChangeLoader(runtime)
+        control_address, changes = settings.required_address("controlPlane"), ChangeLoader(runtime)
         call_server = self._create_call_server(replica_runner, control_address[1], changes, memory)
-        internal_listener = runtime.listen(settings.inner, LISTEN_BACKLOG)
+        internal_listener = runtime.listen(settings.internal_address, LISTEN_BACKLOG)
         nursery.start_soon(internal_port.accept, internal_listener, nursery)
         control_listener = runtime.listen(control_address, LISTEN_BACKLOG)
         nursery.start_soon(call_server.serve, control_listener, nursery, runtime.pause)
--- a/rowanshift/controlplane/settings_warnings.py
+++ b/rowanshift/controlplane/settings_warnings.py
@@ -5,10 +5,10 @@
 from collections.abc import Iterator
 
 from rowanshift.controlplane.replication.fault_domains import FaultTolerance, can_be_tolerated
-from rowanshift.process.node_settings import File
+from rowanshift.process.node_settings import NodeSettingsFile
 
 
-def fault_tolerance_warnings(file: File) -> Iterator[str]:
+def fault_tolerance_warnings(file: NodeSettingsFile) -> Iterator[str]:
     """Each reason why ``faultTolerance`` may not be kept, as a line for operators."""
     settings = file.fault_tolerance
     tolerance = FaultTolerance(settings.machines, settings.zones, settings.regions)
--- a/rowanshift/controlplane/singleton_tasks.py
+++ b/rowanshift/controlplane/singleton_tasks.py
@@ -42,7 +42,7 @@
         self.rollout_seconds = ROLLOUT_FRACTION * settings.bounds.version_ms / 1000
         self.registry = ServerRegistry(rollout_seconds=self.rollout_seconds)
         self.endpoint_list = EndpointListReader(
-            runtime, memory, replica_runner, settings.cloud, self._registry, on_change
+            runtime, memory, replica_runner, settings.cloud_api_address, self._registry, on_change
         )
         self.rollout = VersionRollout(
             runtime,
--- a/rowanshift/controlplane/status.py
+++ b/rowanshift/controlplane/status.py
@@ -114,7 +114,7 @@
         known=[ip_from_machine_id(machine) for machine in sorted(replica.known_machines)],
         members=list(member_ages),
         member_age_s=member_ages,
-        reads_list=settings.cloud is not None and lease_remaining > 0,
+        reads_list=settings.cloud_api_address is not None and lease_remaining > 0,
         list_read=tasks.registry.serial > 0,
         may_order=replica.singleton_tasks_from <= now and lease_remaining > 0,
         servers=server_statuses(tasks.registry),
--- a/rowanshift/dataplane/control_cache.py
+++ b/rowanshift/dataplane/control_cache.py
@@ -17,7 +17,7 @@
 from rowanshift.dataplane.routing_table import RoutingTable, parse_routing_table
 from rowanshift.dataplane.version_deadlines import VersionDeadlines
 from rowanshift.kv_index.block_hashes import unpack_block_hashes
-from rowanshift.process.node_settings import Bounds
+from rowanshift.process.node_settings import RuleBounds
 from rowanshift.wire.control_updates import SERVER_DRAINING, SERVER_LOADING, ServerRecord, Update
 
 FRESHNESS_WAIT_SECONDS = 0.6  # that a request waits while the copy may be old
@@ -32,7 +32,7 @@
 
     def __init__(
         self,
-        bounds: Bounds,
+        bounds: RuleBounds,
         random_source: random.Random,
         on_endpoint_unavailable: Callable[[Endpoint], None],
         on_peers_changed: Callable[[tuple[int, ...]], None],
@@ -43,7 +43,7 @@
         self._on_peers_changed = on_peers_changed
         self.routing_table, self.endpoints = RoutingTable(), Endpoints(random_source)
         self.version_deadlines = VersionDeadlines(bounds)
-        self.freshness = Freshness(0.0, REFUSAL_AGE_FRACTION * bounds.config_apply_ms / 1000, bounds.revoke_within)
+        self.freshness = Freshness(0.0, REFUSAL_AGE_FRACTION * bounds.config_apply_ms / 1000, bounds.revocation_seconds)
         self.stored_block_hashes: set[int] = set()  # of the prefix blocks that stores hold
         self.peer_machines: tuple[int, ...] = ()  # the routers that are members
         self.member_count = 0  # of the routers that share budgets; 0: not known yet
--- a/rowanshift/dataplane/service.py
+++ b/rowanshift/dataplane/service.py
@@ -133,12 +133,12 @@
                 memory = MemoryBudget(boot.limits.memory_mb * MEMORY_PART)
                 budget = DescriptorBudget(host.descriptors(boot.limits.max_fds), FILES)
                 self.back = Upstream(host, budget, memory)
-                self.loads = LoadIndex(host, boot.inner, machine_id_from_ip(boot.ip))
+                self.loads = LoadIndex(host, boot.internal_address, machine_id_from_ip(boot.ip))
                 self.control_cache = ControlCache(boot.bounds, self.random_source, self.back.leave, self.loads.meet)
                 self.control_client = ControlClient(
                     host,
                     machine_id_from_ip(boot.ip),
-                    boot.inner[1],
+                    boot.internal_address[1],
                     self.seeds,
                     self.control_cache,
                     self.random_source,
@@ -157,10 +157,12 @@
                 nursery.start_soon(self.loads.run)
                 readiness = CallServer({b"/readiness": Readiness(self)}, memory)
                 nursery.start_soon(self._on_signals, signals)
-                nursery.start_soon(readiness.serve, host.listen(boot.want("readiness"), 64), nursery, host.pause)
+                nursery.start_soon(
+                    readiness.serve, host.listen(boot.required_address("readiness"), 64), nursery, host.pause
+                )
                 nursery.start_soon(self.control_client.run)
                 nursery.start_soon(self._watch)
-                listener = host.listen(boot.want("frontend"), BACKLOG)
+                listener = host.listen(boot.required_address("frontend"), BACKLOG)
                 nursery.start_soon(self.front.accept, listener, nursery, host.pause)
                 host.settled()
                 logger.info("event=started role=dataplane name={}", boot.name)
--- a/rowanshift/dataplane/version_deadlines.py
+++ b/rowanshift/dataplane/version_deadlines.py
@@ -7,7 +7,7 @@
 
 from loguru import logger
 
-from rowanshift.process.node_settings import Bounds
+from rowanshift.process.node_settings import RuleBounds
 from rowanshift.wire.control_updates import ModelVersionAnnouncement
 from rowanshift.wire.version_announcements import VersionAnnouncement, VersionAnnouncements, age_ms
 
@@ -21,7 +21,7 @@
 class VersionDeadlines:
     """The announcements that a router has heard of, and what follows for requests."""
 
-    def __init__(self, bounds: Bounds) -> None:
+    def __init__(self, bounds: RuleBounds) -> None:
         self.bounds = bounds
         # each with its time or one before it: by these the router decides
         self.announcements = VersionAnnouncements()
--- a/rowanshift/process/error_groups.py
+++ b/rowanshift/process/error_groups.py
@@ -1,4 +1,4 @@
-"""What a group of exceptions was raised for."""
+"""The error behind an exception group, for the line that tells why a process ended."""
 
 
 def first_of(group: BaseException) -> BaseException:
--- a/rowanshift/process/log_rate_limit.py
+++ b/rowanshift/process/log_rate_limit.py
@@ -1,30 +1,55 @@
-"""Log lines, limited by rate: a flood must not become one of lines."""
+"""A rate limit on log lines, so that a flood of events does not become a flood of lines."""
+
+from __future__ import annotations
 
 import time
 from collections.abc import Callable
-from typing import Any
+from dataclasses import dataclass
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from loguru import Record
+
+BURST_LINES = 20  # of one place in the code
+LINES_PER_SECOND = 5.0  # of one place, beyond a burst
+INFO_LEVEL = 20  # loguru's number of that level
+
+
+@dataclass(slots=True)
+class Allowance:
+    """The lines that one place in the code may still log, and how many were suppressed since its last line."""
+
+    lines: float
+    updated_at: float
+    suppressed: int = 0
 
-AT_ONCE = 20  # of one place in the code
-A_SECOND = 5.0
-INFO = 20  # the number of that level
 
+class LogRateLimit:
+    """A filter for loguru with a token bucket for each place in the code.
 
-class Lines:
-    """A filter for loguru. Each place in the code has its own allowance; what it left out is told with the
-    next line that passes. Lines below INFO have no limit: whoever asks for them wants each."""
+    The next line that passes says how many were suppressed before it. Lines below INFO have no limit: whoever asks for
+    them wants each. ``clock`` gives seconds of a steady clock.
+    """
 
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
         self.clock = clock
-        self.places: dict[tuple[str, int], tuple[float, float, int]] = {}  # allowance, when, lines left out
+        self.allowances: dict[tuple[str | None, int], Allowance] = {}  # by module and line
 
-    def __call__(self, record: dict[str, Any]) -> bool:
-        if record["level"].no < INFO:
+    def __call__(self, record: Record) -> bool:
+        """Whether to log a line; its message may get the count of suppressed ones."""
+        if record["level"].no < INFO_LEVEL:
             return True
-        place, now = (record["name"], record["line"]), self.clock()
-        allowance, at, left_out = self.places.get(place, (AT_ONCE, now, 0))
-        allowance = min(AT_ONCE, allowance + A_SECOND * (now - at))
-        passes = allowance >= 1
-        self.places[place] = (allowance - passes, now, 0 if passes else left_out + 1)
-        if passes and left_out:
-            record["message"] += f" ({left_out} more like it were left out)"
-        return passes
+        now = self.clock()
+        place = record["name"], record["line"]
+        allowance = self.allowances.setdefault(place, Allowance(BURST_LINES, now))
+        refill = LINES_PER_SECOND * (now - allowance.updated_at)
+        allowance.lines = min(BURST_LINES, allowance.lines + refill)
+        allowance.updated_at = now
+        if allowance.lines < 1:
+            allowance.suppressed += 1
+            return False
+        allowance.lines -= 1
+        if allowance.suppressed:
+            record["message"] += f" ({allowance.suppressed} more like it were left out)"
+            allowance.suppressed = 0
+        return True
--- a/rowanshift/process/logs.py
+++ b/rowanshift/process/logs.py
@@ -1,13 +1,14 @@
-"""The log of a process of the whole system: a line of key=value pairs an event, on standard error."""
+"""The log of a process of the system: one line of key=value pairs for each event, on standard error."""
 
 import sys
 
 from loguru import logger
 
-from rowanshift.process.log_rate_limit import Lines
+from rowanshift.process.log_rate_limit import LogRateLimit
 
 
 def log_to_stderr(level: str) -> None:
+    """Log to standard error from this level on, limited by rate."""
     logger.remove()
     logger.add(
         sys.stderr,
@@ -15,5 +16,5 @@
         format="{time:HH:mm:ss.SSS} level={level} {message}",
         backtrace=False,
         diagnose=False,
-        filter=Lines(),
+        filter=LogRateLimit(),
     )
--- a/rowanshift/process/node_settings.py
+++ b/rowanshift/process/node_settings.py
@@ -1,4 +1,7 @@
-"""The settings file of a process of the whole system, read and checked; fields not known are ignored."""
+"""The settings file of a process of the system: its form, how it is read, and what is checked.
+
+Fields that are not known are ignored. Every error names the field and the reason.
+"""
 
 from collections.abc import Mapping
 from pathlib import Path
@@ -7,7 +10,7 @@
 import msgspec
 
 Address = tuple[str, int]
-LARGEST = 1 << 20  # bytes of the file
+MAX_FILE_BYTES = 1 << 20
 
 
 class NodeSettingsError(ValueError):
@@ -18,7 +21,9 @@
         self.place, self.reason = place, reason
 
 
-class Limits(msgspec.Struct, rename="camel", frozen=True):
+class ProcessLimits(msgspec.Struct, rename="camel", frozen=True):
+    """What the process may use: memory in MiB, open file descriptors."""
+
     memory_mb: float = 256
     max_fds: int = 1024
 
@@ -31,8 +36,8 @@
     regions: int = 0
 
 
-class Bounds(msgspec.Struct, rename="camel", frozen=True):
-    """Times as the field's name says, in seconds or milliseconds; the rest are plain numbers."""
+class RuleBounds(msgspec.Struct, rename="camel", frozen=True):
+    """The bounds of the operators' rules. A field's name tells its unit, s or ms; the rest have none."""
 
     contact_ms: float = 3000
     drain_ms: float = 3000
@@ -43,25 +48,27 @@
     retry_budget_slack: float = 10
     lease_ms: float = 3000
     version_ms: float = 8000
-    version_all_ms: float = 0  # 0: only single stretches count
+    version_all_ms: float = 0  # for all requests together; 0: no such bound
     revoke_strict: bool = False
     revoke_ms: float = 5000
     address_reuse_s: float = 2
 
     @property
-    def revoke_within(self) -> float | None:
-        """Seconds for which any machine may use a key that was taken away; ``None`` where that has no bound."""
+    def revocation_seconds(self) -> float | None:
+        """Seconds for which any machine may use a revoked key; ``None`` where that has no bound."""
         return self.revoke_ms / 1000 if self.revoke_strict else None
 
 
-class CloudApi(msgspec.Struct, rename="camel", frozen=True):
+class CloudApiSettings(msgspec.Struct, rename="camel", frozen=True):
+    """The platform's API: its address, calls a second of all core machines together, and how old its list may be."""
+
     address: str
     rate_per_s: float = 1.0
     max_lag_ms: float = 1000
 
 
-class File(msgspec.Struct, rename="camel", frozen=True):
-    """The file as it stands."""
+class NodeSettingsFile(msgspec.Struct, rename="camel", frozen=True):
+    """The file as it is written, field by field."""
 
     node_name: str
     machine_class: str
@@ -76,35 +83,38 @@
     zones: dict[str, str] = {}
     data_dir: str | None = None
     heartbeat_ms: float = 1000
-    limits: Limits = Limits()
+    limits: ProcessLimits = ProcessLimits()
     fault_tolerance: FaultTolerance = FaultTolerance()
-    bounds: Bounds = Bounds()
-    cloud_api: CloudApi | None = None
+    bounds: RuleBounds = RuleBounds()
+    cloud_api: CloudApiSettings | None = None
 
 
 class NodeSettings:
-    """What a process is told at its start. Addresses are pairs of an IP and a port."""
+    """The settings of one process, checked. Addresses are pairs of an IP and a port."""
 
-    def __init__(self, file: File, path: Path | None = None) -> None:
+    def __init__(self, file: NodeSettingsFile, path: Path | None = None) -> None:
         self.path, self.file = path, file
         self.name, self.ip, self.zone, self.region = file.node_name, file.ip, file.zone, file.region
         self.bounds, self.limits = file.bounds, file.limits
         self.listen: Mapping[str, Address] = {
             name: address_of(text, f"listenAddresses.{name}") for name, text in file.listen_addresses.items()
         }
-        self.inner: Address = (file.ip, file.internal_ports[0])
+        self.internal_address: Address = (file.ip, file.internal_ports[0])
         self.seeds = [address_of(text, f"seedNodes[{i}]") for i, text in enumerate(file.seed_nodes)]
-        self.cloud = None if file.cloud_api is None else address_of(file.cloud_api.address, "cloudApi.address")
-        self.data = Path(file.data_dir) if file.data_dir else None
+        self.cloud_api_address = (
+            None if file.cloud_api is None else address_of(file.cloud_api.address, "cloudApi.address")
+        )
+        self.data_directory = Path(file.data_dir) if file.data_dir else None
 
-    def want(self, name: str) -> Address:
-        """One of the listen addresses that this role can't do without."""
+    def required_address(self, name: str) -> Address:
+        """Return a listen address that this role needs; ``NodeSettingsError`` if the file has none."""
         if name not in self.listen:
             raise NodeSettingsError(f"listenAddresses.{name}", "missing, and this role needs it")
         return self.listen[name]
 
 
 def address_of(text: str, place: str) -> Address:
+    """Parse IP:PORT; ``NodeSettingsError`` at ``place`` if it is something else."""
     host, colon, port = text.rpartition(":")
     plain = port.isascii() and port.isdigit() and len(port) <= 5
     if not colon or not host or not plain or not 0 < int(port) < 65536:
@@ -113,22 +123,23 @@
 
 
 def load_node_settings(path: str | Path | None) -> NodeSettings:
-    """Reads the file; ``NodeSettingsError`` if it can't be used."""
+    """Read and check the file; ``NodeSettingsError`` if it can't be used."""
     if not path:
         raise NodeSettingsError("ROWANSHIFT_BOOT", "names no settings file")
     try:
         data = Path(path).read_bytes()
     except OSError as error:
         raise NodeSettingsError(str(path), error.strerror or "can't be read") from error
-    if len(data) > LARGEST:
-        raise NodeSettingsError(str(path), f"over {LARGEST} bytes")
+    if len(data) > MAX_FILE_BYTES:
+        raise NodeSettingsError(str(path), f"over {MAX_FILE_BYTES} bytes")
     return node_settings_of(data, path)
 
 
 def node_settings_of(data: bytes | dict[str, Any], path: str | Path = "settings") -> NodeSettings:
+    """Check settings that were read; ``path`` stands in errors and is where a reload looks."""
     try:
         decoded = msgspec.json.decode(data) if isinstance(data, bytes) else data
-        file = msgspec.convert(decoded, File)
+        file = msgspec.convert(decoded, NodeSettingsFile)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
         raise NodeSettingsError(str(path), str(error)) from error
     if not 0 < file.internal_ports[0] <= file.internal_ports[1] < 65536:
--- a/tests/cacheproxy/test_network.py
+++ b/tests/cacheproxy/test_network.py
@@ -27,7 +27,7 @@
 from rowanshift.cacheproxy.service import Phase, Service
 from rowanshift.emulation.discovery import Agent, row_of
 from rowanshift.invariants.events import Events
-from rowanshift.process.log_rate_limit import Lines
+from rowanshift.process.log_rate_limit import LogRateLimit
 from rowanshift.transport.buffer import RingBuffer
 from rowanshift.transport.http_connection import Connection, MalformedMessage, Message
 from rowanshift.transport.memory_budget import CLIENTS, OWN, DescriptorBudget, MemoryBudget
@@ -1049,7 +1049,7 @@
 
 
 def test_debug_lines_have_no_limit():
-    lines = Lines(lambda: 0.0)
+    lines = LogRateLimit(lambda: 0.0)
     record = {"name": "place", "line": 1, "message": "a line", "level": logger.level("DEBUG")}
     assert all(lines(dict(record)) for _ in range(100))
 
@@ -1057,7 +1057,7 @@
 @pytest.mark.parametrize(("after", "passes", "told"), [(0.0, 20, ""), (1.0, 25, "a line (10 more like it")])
 def test_a_flood_leaves_few_lines(after, passes, told):
     now, last = [0.0], {}
-    lines = Lines(lambda: now[0])
+    lines = LogRateLimit(lambda: now[0])
     got = 0
     for n in range(35):
         if n == 30:
--- a/tests/dataplane/test_control_cache.py
+++ b/tests/dataplane/test_control_cache.py
@@ -19,7 +19,7 @@
 )
 from rowanshift.dataplane.endpoints import Endpoint
 from rowanshift.kv_index.block_hashes import pack_block_hashes
-from rowanshift.process.node_settings import Bounds
+from rowanshift.process.node_settings import RuleBounds
 from rowanshift.wire.control_updates import SERVER_DRAINING, SERVER_UP, ServerRecord, Update
 
 ASKED_AT = 10.0  # seconds
@@ -53,7 +53,7 @@
     def setUp(self) -> None:
         self.unavailable: list[Endpoint] = []
         self.peers: list[tuple[int, ...]] = []
-        self.cache = ControlCache(Bounds(), random.Random(1), self.unavailable.append, self.peers.append)
+        self.cache = ControlCache(RuleBounds(), random.Random(1), self.unavailable.append, self.peers.append)
 
     def apply(self, **fields: Any) -> bool:
         return trio.run(self._apply, update_of(**fields))
@@ -108,7 +108,7 @@
 
 class Waiting(unittest.TestCase):
     def cache(self) -> ControlCache:
-        return ControlCache(Bounds(), random.Random(1), lambda endpoint: None, lambda peers: None)
+        return ControlCache(RuleBounds(), random.Random(1), lambda endpoint: None, lambda peers: None)
 
     def test_an_update_that_confirms_ends_the_wait(self) -> None:
         async def main() -> float:
--- a/tests/dataplane/test_revocation.py
+++ b/tests/dataplane/test_revocation.py
@@ -12,7 +12,7 @@
 from rowanshift.dataplane.routing_table import parse_routing_table
 from rowanshift.invariants.configuration_rules import revoked
 from rowanshift.invariants.facts import Answered, Asked, Began, ConfigAnswered, ConfigSent
-from rowanshift.process.node_settings import Bounds
+from rowanshift.process.node_settings import RuleBounds
 from rowanshift.simulation.fleet import ONCE, REPEATED, RESUMED, Fleet, config_of, play, routes_of
 from rowanshift.simulation.fleet_machines import Unit
 from rowanshift.simulation.fleet_settings import HOST, KEYS
@@ -46,8 +46,8 @@
         self.assertTrue(Freshness(0.0, 1.5).may_admit_key(1e9))
 
     def test_the_settings(self) -> None:
-        self.assertIsNone(Bounds(revoke_ms=4000).revoke_within)
-        self.assertEqual(Bounds(revoke_strict=True, revoke_ms=4000).revoke_within, 4.0)
+        self.assertIsNone(RuleBounds(revoke_ms=4000).revocation_seconds)
+        self.assertEqual(RuleBounds(revoke_strict=True, revoke_ms=4000).revocation_seconds, 4.0)
 
 
 class AllKeyed(unittest.TestCase):
--- a/tests/dataplane/test_version_deadlines.py
+++ b/tests/dataplane/test_version_deadlines.py
@@ -8,7 +8,7 @@
 from loguru import logger
 
 from rowanshift.dataplane.version_deadlines import VERSION_LEAD_SECONDS, VersionDeadlines
-from rowanshift.process.node_settings import Bounds
+from rowanshift.process.node_settings import RuleBounds
 from rowanshift.simulation.fleet import ONCE, Fleet, play
 from rowanshift.wire.control_updates import ModelVersionAnnouncement
 from rowanshift.wire.version_announcements import VersionAnnouncement
@@ -26,7 +26,7 @@
     """From when on only servers with the announced version are used, and what a restart makes of that."""
 
     def deadlines(self, **bounds: float) -> VersionDeadlines:
-        return VersionDeadlines(Bounds(version_ms=15_000, contact_ms=4000, **bounds))
+        return VersionDeadlines(RuleBounds(version_ms=15_000, contact_ms=4000, **bounds))
 
     def record(
         self,
@@ -60,7 +60,7 @@
         self.assertEqual([deadlines.required_version("m", time) for time in at], [0, 2, 2, 3])
 
     def test_a_shorter_bound_counts(self) -> None:
-        deadlines = VersionDeadlines(Bounds(version_ms=3000, contact_ms=4000))
+        deadlines = VersionDeadlines(RuleBounds(version_ms=3000, contact_ms=4000))
         self.record(deadlines, {"m": 2}, 100.0)
         self.assertEqual([deadlines.required_version("m", at) for at in (100.9, 101.1)], [0, 2])
 
--- a/tests/process/test_node_settings.py
+++ b/tests/process/test_node_settings.py
@@ -8,7 +8,7 @@
 from tempfile import TemporaryDirectory
 
 from rowanshift.process.node_settings import (
-    LARGEST,
+    MAX_FILE_BYTES,
     NodeSettings,
     NodeSettingsError,
     address_of,
@@ -55,10 +55,12 @@
             boot = load_node_settings(path)
             self.assertEqual(load_node_settings(str(path)).file, boot.file)
         self.assertEqual((boot.name, boot.ip, boot.zone, boot.region), ("c1", "10.0.0.1", "z1", "r"))
-        self.assertEqual(boot.want("clients"), ("10.0.0.1", 8080))
-        self.assertEqual(boot.inner, ("10.0.0.1", 7000))
+        self.assertEqual(boot.required_address("clients"), ("10.0.0.1", 8080))
+        self.assertEqual(boot.internal_address, ("10.0.0.1", 7000))
         self.assertEqual(boot.seeds, [("10.0.0.2", 7000), ("10.0.0.3", 7000)])
-        self.assertEqual((boot.cloud, boot.data, boot.path), (("10.0.0.9", 80), Path("/data"), path))
+        self.assertEqual(
+            (boot.cloud_api_address, boot.data_directory, boot.path), (("10.0.0.9", 80), Path("/data"), path)
+        )
         self.assertEqual((boot.limits.memory_mb, boot.limits.max_fds), (128, 512))
         self.assertEqual((boot.bounds.contact_ms, boot.bounds.retry_budget_ratio), (1000, 0.1))
         self.assertEqual(boot.bounds.lease_ms, 3000)
@@ -67,8 +69,8 @@
     def test_what_may_be_missing(self):
         boot = node_settings_of({name: GOOD[name] for name in NEEDED})
         self.assertIsInstance(boot, NodeSettings)
-        self.assertIsNone(boot.cloud)
-        self.assertIsNone(boot.data)
+        self.assertIsNone(boot.cloud_api_address)
+        self.assertIsNone(boot.data_directory)
         self.assertEqual((boot.file.heartbeat_ms, boot.bounds.retry_window_s), (1000, 10))
 
     def test_unknown_fields_are_ignored(self):
@@ -78,8 +80,8 @@
                 self.assertEqual(node_settings_of(changed(value, *place, "somethingNew")).file, expected)
 
     def test_the_first_and_the_last_port(self):
-        self.assertEqual(node_settings_of(changed([1, 65535], "internalPorts")).inner, ("10.0.0.1", 1))
-        self.assertEqual(node_settings_of(changed([7, 7], "internalPorts")).inner, ("10.0.0.1", 7))
+        self.assertEqual(node_settings_of(changed([1, 65535], "internalPorts")).internal_address, ("10.0.0.1", 1))
+        self.assertEqual(node_settings_of(changed([7, 7], "internalPorts")).internal_address, ("10.0.0.1", 7))
         self.assertEqual([address_of(f"h:{port}", "x")[1] for port in (1, 65535)], [1, 65535])
 
 
@@ -144,7 +146,7 @@
 
     def test_an_address_that_a_role_needs(self):
         with self.assertRaises(NodeSettingsError) as caught:
-            node_settings_of(GOOD).want("nowhere")
+            node_settings_of(GOOD).required_address("nowhere")
         self.assertEqual(caught.exception.place, "listenAddresses.nowhere")
 
 
@@ -173,7 +175,7 @@
             self.assertEqual(caught.exception.place, str(path))
 
     def test_too_large(self):
-        self.refused(json.dumps(GOOD).encode() + b" " * LARGEST)
+        self.refused(json.dumps(GOOD).encode() + b" " * MAX_FILE_BYTES)
 
     def test_no_object(self):
         for data in (b"", b"null", b"[]", b"1", b'"x"', b"{", b"{}", b"\xff\xfe", b'{"nodeName": "\xff"}'):
