--- a/rowanshift/controlplane/api.py
+++ b/rowanshift/controlplane/api.py
@@ -44,7 +44,7 @@
         try:
             return await self.serve(message)
         except NotPrimary as error:
-            return self._redirect(error.hint, message.target)
+            return self._redirect(error.primary_hint, message.target)
         except NotConfirmed:
             return Response(503, error_body("this machine could not confirm that it is the primary"), RETRY_SOON)
         except OrderTooOld as error:
--- a/rowanshift/controlplane/replication/__init__.py
+++ b/rowanshift/controlplane/replication/__init__.py
@@ -1,28 +1,29 @@
-"""The replication protocol of the control plane, without I/O: ``Replica`` decides, its host carries it out."""
+"""The replication protocol of the control plane, without I/O: ``Replica`` decides, its caller carries actions out.
+
+The state is replicated from a primary to backups; epochs, with their members, are agreed on by a majority of witnesses
+as in Paxos. docs/control-plane.md describes the protocol and why it is safe.
+"""
 
 from rowanshift.controlplane.replication.actions import (
     Action,
-    NotPrimary,
     ProposalCommitted,
     ProposalFailed,
-    ProposalInProgress,
     ReadConfirmed,
     ReadFailed,
-    ReplicationError,
     RoleChanged,
     Save,
     Send,
+)
+from rowanshift.controlplane.replication.errors import (
+    NotPrimary,
+    ProposalInProgress,
+    ReplicationError,
     StateTooLarge,
 )
-from rowanshift.controlplane.replication.core import Candidacy, Proposal
-from rowanshift.controlplane.replication.fault_domains import FailureDomain, FaultTolerance
+from rowanshift.controlplane.replication.failure_domains import FailureDomain, FaultTolerance
 from rowanshift.controlplane.replication.messages import (
-    NO_RECORD,
-    NO_VERSION,
     Accept,
     AcceptReply,
-    DurableState,
-    EpochRecord,
     FailureDomainReport,
     Heartbeat,
     HeartbeatReply,
@@ -36,13 +37,20 @@
     PreVoteReply,
     RecoveryReply,
     RecoveryRequest,
-    StateVersion,
     Store,
     StoreDelta,
     StoreReply,
     TransferLeadership,
 )
+from rowanshift.controlplane.replication.progress import Candidacy, CandidacyPhase, Proposal
 from rowanshift.controlplane.replication.quorum import has_majority, majority
+from rowanshift.controlplane.replication.records import (
+    NO_RECORD,
+    NO_VERSION,
+    DurableState,
+    EpochRecord,
+    StateVersion,
+)
 from rowanshift.controlplane.replication.redundancy import Redundancy, RedundancyChange, RedundancyMonitor
 from rowanshift.controlplane.replication.replica import Replica
 from rowanshift.controlplane.replication.timing import DEFAULT_TIMING, EPOCH_LIMIT, STATE_LIMIT_BYTES, Timing
@@ -57,6 +65,7 @@
     "AcceptReply",
     "Action",
     "Candidacy",
+    "CandidacyPhase",
     "DurableState",
     "EpochRecord",
     "FailureDomain",
--- a/rowanshift/controlplane/replication/candidate.py
+++ b/rowanshift/controlplane/replication/candidate.py
@@ -1,222 +1,253 @@
-"""A replica as a candidate: a new epoch, by a machine that takes over or by a primary that renews its own."""
+"""A replica as a candidate: it leads a new epoch into force, to take over or, as primary, to renew its own."""
 
 from __future__ import annotations
 
-from rowanshift.controlplane.replication.core import Candidacy, ReplicaCore
-from rowanshift.controlplane.replication.fault_domains import choose_backups
+from typing import NamedTuple
+
+from rowanshift.controlplane.replication.durability import DurableReplica
+from rowanshift.controlplane.replication.failure_domains import choose_backups
 from rowanshift.controlplane.replication.messages import (
     Accept,
     AcceptReply,
-    EpochRecord,
     Prepare,
     PrepareReply,
     PreVote,
     PreVoteReply,
-    StateVersion,
     Store,
     StoreReply,
     TransferLeadership,
 )
+from rowanshift.controlplane.replication.progress import Candidacy, CandidacyPhase
 from rowanshift.controlplane.replication.quorum import has_majority
-from rowanshift.controlplane.replication.timing import EPOCH_LIMIT
+from rowanshift.controlplane.replication.records import EpochRecord, StateVersion
+from rowanshift.controlplane.replication.timing import (
+    CANDIDACY_RETRY_SECONDS,
+    EPOCH_LIMIT,
+    NOMINATION_RETRY_SECONDS,
+)
+
+MACHINE_ID_BITS = 32  # of an epoch, the lower ones: the machine that chose it
+
+
+class BackupCandidates(NamedTuple):
+    """Machines that may become backups, preferred ones first."""
 
+    alive: list[int]
+    reliable: list[int]  # those of them against which nothing speaks
 
-class CandidateRole(ReplicaCore):
-    """Pre-vote, prepare, store, accept: each phase goes on once enough machines voted for it."""
 
-    def _stand(self, renewal: bool = False, witnesses: tuple[int, ...] = ()) -> None:
-        """Begin a candidacy under a number above all that were heard of."""
-        epoch = ((max(self._seen, self._durable.promised) >> 32) + 1) << 32 | self.me
+class BackupObjections(NamedTuple):
+    """What speaks against a machine as a backup, the most serious first."""
+
+    timed_out: bool  # it did not store the state in this candidacy
+    avoided: bool
+    leaving: bool
+    maybe_down: bool
+
+
+class CandidateRole(DurableReplica):
+    """Pre-vote, prepare, store, accept: each phase ends once enough machines have voted in it."""
+
+    def _start_candidacy(self, renewal: bool = False, witnesses: tuple[int, ...] = ()) -> None:
+        """Become a candidate for an epoch above all that were seen. ``witnesses``: the new set, if it is to change."""
+        highest_round = max(self._highest_epoch_seen, self._durable.promised) >> MACHINE_ID_BITS
+        epoch = (highest_round + 1) << MACHINE_ID_BITS | self.me
         if epoch >= EPOCH_LIMIT:
-            self._stand_at = float("inf")
+            self._candidacy_due_at = float("inf")
             return
-        now = self._now
-        self._candidacy = Candidacy(epoch, renewal, "", now, now, now, witnesses, base=self._durable.accepted)
+        now, phase = self._now, CandidacyPhase.PREPARE if renewal else CandidacyPhase.PRE_VOTE
+        candidacy = Candidacy(epoch, renewal, phase, now, now, now, witnesses, base=self._durable.accepted)
+        self._candidacy = candidacy
         if renewal:
-            self._renewed = now
-            self._enter("prepare")
-        else:
-            self._enter("pre-vote")
-
-    def _enter(self, phase: str) -> None:
-        candidacy = self._candidacy
-        candidacy.phase, candidacy.phase_started, candidacy.votes = phase, self._now, set()
-        if phase == "prepare":
-            candidacy.started = self._now
-        self._send_phase()
-
-    def _send_phase(self) -> None:
-        """Send this phase's message to whoever has not voted for it."""
-        candidacy = self._candidacy
-        candidacy.sent = self._now
-        members = {
-            member for record in (candidacy.base, candidacy.record) for group in record.sets() for member in group
-        }
-        copies = {self.me, *candidacy.backups}
-        if candidacy.phase == "pre-vote":
-            message, to = PreVote(candidacy.epoch), members
-        elif candidacy.phase == "prepare":  # one's own promise is on disk before others are asked
-            message, to = Prepare(candidacy.epoch), members if self.me in candidacy.votes else {self.me}
-        elif candidacy.phase == "store":
-            message, to = self._store_message(candidacy), copies
-        else:
-            message, to = Accept(candidacy.epoch, candidacy.record), members | copies
-        for member in sorted(to - candidacy.votes):
+            self._renewed_at = now
+        self._enter_phase(candidacy, phase)
+
+    def _enter_phase(self, candidacy: Candidacy, phase: CandidacyPhase) -> None:
+        candidacy.phase = phase
+        candidacy.phase_started_at = self._now
+        candidacy.votes = set()
+        if phase is CandidacyPhase.PREPARE:
+            candidacy.started_at = self._now
+        self._send_phase(candidacy)
+
+    def _send_phase(self, candidacy: Candidacy) -> None:
+        """Send this phase's message to every machine that has not voted in it."""
+        candidacy.sent_at = self._now
+        base_and_new = (*candidacy.base.witness_sets(), *candidacy.record.witness_sets())
+        witnesses = {member for witness_set in base_and_new for member in witness_set}
+        replicas = {self.me, *candidacy.backups}
+        message: PreVote | Prepare | Store | Accept
+        match candidacy.phase:
+            case CandidacyPhase.PRE_VOTE:
+                message, recipients = PreVote(candidacy.epoch), witnesses
+            case CandidacyPhase.PREPARE:
+                message, recipients = Prepare(candidacy.epoch), witnesses
+                if self.me not in candidacy.votes:
+                    recipients = {self.me}  # its own promise is on disk before others are asked
+            case CandidacyPhase.STORE:
+                message, recipients = self._store_message(candidacy), replicas
+            case CandidacyPhase.ACCEPT:
+                message, recipients = Accept(candidacy.epoch, candidacy.record), witnesses | replicas
+        for member in sorted(recipients - candidacy.votes):
             self._send(member, message)
 
     def _store_message(self, candidacy: Candidacy) -> Store:
         return Store(candidacy.epoch, StateVersion(candidacy.epoch, 0), self._durable.state)
 
-    def _tick_candidacy(self) -> None:
-        candidacy, now = self._candidacy, self._now
-        pre_vote = candidacy.phase == "pre-vote"
-        late = not pre_vote and now >= candidacy.started + self.timing.candidacy_limit_seconds
-        transfer = self._transfer_time(self._durable.state) if candidacy.phase == "store" else 0.0
-        if late or now >= candidacy.phase_started + self.timing.phase_timeout_seconds + transfer:
-            if candidacy.phase == "store":
-                for member in set(candidacy.backups) - candidacy.votes:
-                    self._slow[member] = now + self.timing.cooldown_seconds
-            if candidacy.phase != "pre-vote" and not self._has_state(candidacy.base):
-                self._ask_in_sync_to_stand(candidacy)
-            self._end_candidacy(0.1)
-        elif (
-            candidacy.phase == "store" and now >= candidacy.phase_started + self.timing.store_timeout_seconds + transfer
-        ):
-            candidacy.tried |= {*candidacy.backups} - candidacy.votes
-            self._choose_backups()
-        elif (
-            now
-            >= candidacy.sent
-            + (self.timing.pre_vote_retry_seconds if pre_vote else self.timing.retry_seconds)
-            + transfer
-        ):
-            self._send_phase()
-
-    def _end_candidacy(self, rest: float) -> None:
-        """Give this number up for good. A primary that was renewing its epoch has lost its primacy."""
+    # Time limits.
+
+    def _tick_candidacy(self, candidacy: Candidacy) -> None:
+        now, timing, phase = self._now, self.timing, candidacy.phase
+        transfer = self._transfer_seconds(self._durable.state) if phase is CandidacyPhase.STORE else 0.0
+        phase_timed_out = now >= candidacy.phase_started_at + timing.phase_timeout_seconds + transfer
+        store_timed_out = now >= candidacy.phase_started_at + timing.store_timeout_seconds + transfer
+        is_pre_vote = phase is CandidacyPhase.PRE_VOTE
+        retry_seconds = timing.pre_vote_retry_seconds if is_pre_vote else timing.retry_seconds
+        if phase_timed_out or self._is_over_limit(candidacy):
+            self._abandon_candidacy(candidacy)
+        elif phase is CandidacyPhase.STORE and store_timed_out:
+            candidacy.timed_out_backups |= {*candidacy.backups} - candidacy.votes
+            self._choose_backups(candidacy)
+        elif now >= candidacy.sent_at + retry_seconds + transfer:
+            self._send_phase(candidacy)
+
+    def _is_over_limit(self, candidacy: Candidacy) -> bool:
+        """Whether its votes may be void: the machines that gave them may have lost their disks and recovered since."""
+        limit_at = candidacy.started_at + self.timing.candidacy_limit_seconds
+        return candidacy.phase is not CandidacyPhase.PRE_VOTE and self._now >= limit_at
+
+    def _abandon_candidacy(self, candidacy: Candidacy) -> None:
+        if candidacy.phase is CandidacyPhase.STORE:
+            for member in set(candidacy.backups) - candidacy.votes:
+                self._avoided_until[member] = self._now + self.timing.cooldown_seconds
+        if candidacy.phase is not CandidacyPhase.PRE_VOTE and not self._has_state(candidacy.base):
+            self._nominate_in_sync_machines(candidacy)
+        self._end_candidacy(CANDIDACY_RETRY_SECONDS)
+
+    def _end_candidacy(self, wait_seconds: float) -> None:
+        """Give this epoch up for good. A primary that was renewing its epoch steps down."""
         candidacy, self._candidacy = self._candidacy, None
         if candidacy is not None:
-            self._stand_at = self._now + rest + self.timing.election_jitter_seconds * self._random_fraction()
+            jitter = self.timing.election_jitter_seconds * self._random_fraction()
+            self._candidacy_due_at = self._now + wait_seconds + jitter
             if candidacy.renewal:
                 self._step_down()
 
-    def _vote(self, sender: int, epoch: int, phase: str, ok: bool, promised: int) -> bool:
-        """Count a vote for the candidacy's present phase; True if it was one."""
+    def _nominate_in_sync_machines(self, candidacy: Candidacy) -> None:
+        """Ask the machines that have the state, which this one lacks, to become candidates."""
+        for member in candidacy.base.in_sync:
+            if member != self.me:
+                self._send(member, TransferLeadership(candidacy.epoch))
+
+    # Votes.
+
+    def _count_vote(self, sender: int, epoch: int, phase: CandidacyPhase, ok: bool, promised: int) -> Candidacy | None:
+        """Count a vote for the present phase. Returns the candidacy if the vote counts, else None."""
         candidacy = self._candidacy
-        self._seen = max(self._seen, promised)
-        if candidacy is None or candidacy.epoch != epoch or candidacy.phase != phase:
-            return False
-        if self._now >= candidacy.started + self.timing.candidacy_limit_seconds and phase != "pre-vote":
-            self._end_candidacy(0.1)
-            return False
-        if not ok:
-            if promised > epoch and candidacy.renewal:
-                self._stand(renewal=True, witnesses=candidacy.witnesses)
-            elif promised > epoch:
-                self._end_candidacy(0.1)
-            return False
-        candidacy.votes.add(sender)
-        return True
+        self._highest_epoch_seen = max(self._highest_epoch_seen, promised)
+        if candidacy is None or candidacy.epoch != epoch or candidacy.phase is not phase:
+            return None
+        if self._is_over_limit(candidacy):
+            self._end_candidacy(CANDIDACY_RETRY_SECONDS)
+            return None
+        if ok:
+            candidacy.votes.add(sender)
+            return candidacy
+        if promised > epoch and candidacy.renewal:
+            self._start_candidacy(renewal=True, witnesses=candidacy.wanted_witnesses)
+        elif promised > epoch:
+            self._end_candidacy(CANDIDACY_RETRY_SECONDS)
+        return None
 
     def _on_pre_vote_reply(self, sender: int, message: PreVoteReply) -> None:
-        if self._vote(sender, message.epoch, "pre-vote", message.ok, 0):
-            candidacy = self._candidacy
-            if all(has_majority(candidacy.votes, members) for members in candidacy.base.sets()):
-                self._enter("prepare")
+        candidacy = self._count_vote(sender, message.epoch, CandidacyPhase.PRE_VOTE, message.ok, 0)
+        if candidacy is not None and self._base_has_majorities(candidacy):
+            self._enter_phase(candidacy, CandidacyPhase.PREPARE)
 
     def _on_prepare_reply(self, sender: int, message: PrepareReply) -> None:
-        if not self._vote(sender, message.epoch, "prepare", message.ok, message.promised):
+        candidacy = self._count_vote(sender, message.epoch, CandidacyPhase.PREPARE, message.ok, message.promised)
+        if candidacy is None:
             return
-        candidacy = self._candidacy
-        candidacy.records[sender] = message.accepted
+        candidacy.promised_records[sender] = message.accepted
         newer = message.accepted.epoch > candidacy.base.epoch
         if newer:
             candidacy.base = message.accepted
             self.known_machines |= {*candidacy.base.in_sync, *candidacy.base.witnesses} - {self.me}
         if self.me not in candidacy.votes:
             return
-        if all(has_majority(candidacy.votes, members) for members in candidacy.base.sets()):
-            self._choose_backups()
+        if self._base_has_majorities(candidacy):
+            self._choose_backups(candidacy)
         elif sender == self.me or newer:
-            self._send_phase()
+            self._send_phase(candidacy)
 
-    def _choose_backups(self) -> None:
-        """The records of a majority of every set concerned are read; ``base`` is the newest."""
-        candidacy = self._candidacy
-        if not self._has_state(candidacy.base):
-            self._ask_in_sync_to_stand(candidacy)
-            self._end_candidacy(0.8)
-            return
-        order, sound = self._backups_by_preference(candidacy)
-        if len(order) < self.f:
-            return  # more may answer until the phase ends
-        backups = choose_backups(self.me, sound, self.failure_domains, self.tolerance)
-        further = [machine for machine in order if machine not in backups]
-        candidacy.backups = (*backups, *further[: max(0, self.f - len(backups))])
-        self._enter("store")
-
-    def _backups_by_preference(self, candidacy: Candidacy) -> tuple[list[int], list[int]]:
-        """Machines that live, by preference, and those of them of which nothing is doubtful: not those that were slow
-        lately or end soon, then those that surely live, then those in sync."""
-        now = self._now
-        alive = {
-            machine for machine, heard in self._heard.items() if now < heard + self.timing.alive_seconds
-        } | candidacy.votes
-        alive.discard(self.me)
-        recent = {
-            machine for machine in alive if now < self._heard.get(machine, 0.0) + self.timing.backup_timeout_seconds
-        }
-        # a primary that just fell was heard lately, too: its own candidate counts only votes
-        doubted = alive - recent if candidacy.renewal else alive - candidacy.votes
-
-        def doubts(machine: int) -> tuple[bool, bool, bool, bool]:
-            slow = self._slow.get(machine, 0.0) > now
-            return machine in candidacy.tried, slow, self._leaves(machine), machine in doubted
-
-        def preference(machine: int) -> tuple[bool | int, ...]:
-            return *doubts(machine), machine not in candidacy.base.in_sync, machine not in candidacy.votes, machine
-
-        order = sorted(alive, key=preference)
-        return order, [machine for machine in order if not any(doubts(machine))]
-
-    def _ask_in_sync_to_stand(self, candidacy: Candidacy) -> None:
-        for member in candidacy.base.in_sync:
-            if member != self.me:
-                self._send(member, TransferLeadership(candidacy.epoch))
+    def _base_has_majorities(self, candidacy: Candidacy) -> bool:
+        return all(has_majority(candidacy.votes, members) for members in candidacy.base.witness_sets())
 
     def _on_store_reply(self, sender: int, message: StoreReply) -> None:
-        if self._vote(sender, message.epoch, "store", message.ok, message.promised):
-            candidacy = self._candidacy
+        candidacy = self._count_vote(sender, message.epoch, CandidacyPhase.STORE, message.ok, message.promised)
+        if candidacy is not None:
             if candidacy.votes >= {self.me, *candidacy.backups}:
-                in_sync = tuple(sorted((self.me, *candidacy.backups)))
-                witnesses, former = self._next_witnesses(candidacy)
-                candidacy.record = EpochRecord(candidacy.epoch, self.me, in_sync, witnesses, former)
-                self._enter("accept")
+                candidacy.record = self._next_record(candidacy)
+                self._enter_phase(candidacy, CandidacyPhase.ACCEPT)
         elif self._own_record is not None and message.epoch == self._own_record.epoch:
-            self._proposal_stored(sender, message)
+            self._on_proposal_stored(sender, message)
+
+    def _on_accept_reply(self, sender: int, message: AcceptReply) -> None:
+        candidacy = self._count_vote(sender, message.epoch, CandidacyPhase.ACCEPT, message.ok, message.promised)
+        if candidacy is None:
+            return
+        decided = all(has_majority(candidacy.votes, members) for members in self._deciding_sets(candidacy))
+        if decided and self.me in candidacy.votes:
+            self._become_primary(candidacy)
+
+    def _deciding_sets(self, candidacy: Candidacy) -> tuple[tuple[int, ...], ...]:
+        """The witness sets of which a majority each puts the candidacy's record in force."""
+        return (*candidacy.base.witness_sets(), *candidacy.record.witness_sets())
+
+    # The next record.
 
-    def _proposal_stored(self, sender: int, message: StoreReply) -> None:
-        raise NotImplementedError
+    def _next_record(self, candidacy: Candidacy) -> EpochRecord:
+        in_sync = tuple(sorted((self.me, *candidacy.backups)))
+        witnesses, former = self._next_witnesses(candidacy)
+        return EpochRecord(candidacy.epoch, self.me, in_sync, witnesses, former)
 
     def _next_witnesses(self, candidacy: Candidacy) -> tuple[tuple[int, ...], tuple[int, ...]]:
-        """The next record's witnesses and former set."""
+        """The next record's witnesses and former witnesses."""
         base = candidacy.base
         if not candidacy.renewal or base != self._own_record:
             return base.witnesses, base.former
-        # the base is in force: its former set has done its part
-        return (candidacy.witnesses, base.witnesses) if candidacy.witnesses else (base.witnesses, ())
+        # the base is in force, so its former set is needed no longer
+        return (candidacy.wanted_witnesses, base.witnesses) if candidacy.wanted_witnesses else (base.witnesses, ())
 
-    def _on_accept_reply(self, sender: int, message: AcceptReply) -> None:
-        if not self._vote(sender, message.epoch, "accept", message.ok, message.promised):
+    def _choose_backups(self, candidacy: Candidacy) -> None:
+        """Choose backups and have them store the state. A majority's records are read, and ``base`` is the newest."""
+        if not self._has_state(candidacy.base):
+            self._nominate_in_sync_machines(candidacy)
+            self._end_candidacy(NOMINATION_RETRY_SECONDS)
             return
-        candidacy = self._candidacy
-        decided = all(has_majority(candidacy.votes, members) for members in self._deciding(candidacy))
-        if decided and self.me in candidacy.votes:
-            self._take_office()
-
-    def _deciding(self, candidacy: Candidacy) -> tuple[tuple[int, ...], ...]:
-        """The sets a majority of each of which puts the candidacy's record in force."""
-        return (*candidacy.base.sets(), *candidacy.record.sets())
-
-    def _take_office(self) -> None:
-        raise NotImplementedError
+        candidates = self._backup_candidates(candidacy)
+        if len(candidates.alive) < self.max_failures:
+            return  # more may answer until the phase ends
+        backups = choose_backups(self.me, candidates.reliable, self.failure_domains, self.tolerance)
+        others = [machine for machine in candidates.alive if machine not in backups]
+        missing = max(0, self.max_failures - len(backups))
+        candidacy.backups = (*backups, *others[:missing])
+        self._enter_phase(candidacy, CandidacyPhase.STORE)
+
+    def _backup_candidates(self, candidacy: Candidacy) -> BackupCandidates:
+        """Machines that are alive: preferably without objections, then in sync, then with a vote for this candidacy."""
+        alive = (self._heard_within(self.timing.alive_seconds) | candidacy.votes) - {self.me}
+        # a primary that has just failed was heard lately, too: who takes over relies on votes alone
+        sure = self._heard_within(self.timing.backup_timeout_seconds) if candidacy.renewal else candidacy.votes
+
+        def objections(machine: int) -> BackupObjections:
+            timed_out = machine in candidacy.timed_out_backups
+            return BackupObjections(
+                timed_out, self._is_avoided(machine), self._is_leaving(machine), maybe_down=machine not in sure
+            )
+
+        def preference(machine: int) -> tuple[BackupObjections, bool, bool, int]:
+            return objections(machine), machine not in candidacy.base.in_sync, machine not in candidacy.votes, machine
+
+        in_order = sorted(alive, key=preference)
+        return BackupCandidates(in_order, [machine for machine in in_order if not any(objections(machine))])
--- a/rowanshift/controlplane/replication/core.py
+++ b/rowanshift/controlplane/replication/core.py
@@ -1,93 +1,47 @@
-"""What all roles of a replica share: its state, what it sends and saves, and the order between the two."""
+"""The state that all roles of a replica share, and what its caller may read of it."""
 
 from __future__ import annotations
 
+from abc import ABC, abstractmethod
 from collections.abc import Callable, Collection
-from dataclasses import dataclass, field, replace
-from typing import Any
-
-from rowanshift.controlplane.replication.actions import Action, Save, Send
-from rowanshift.controlplane.replication.fault_domains import UNKNOWN_FAILURE_DOMAIN, FailureDomain, FaultTolerance
-from rowanshift.controlplane.replication.messages import (
+from dataclasses import replace
+
+from rowanshift.controlplane.replication.actions import Action, Send
+from rowanshift.controlplane.replication.errors import NotPrimary
+from rowanshift.controlplane.replication.failure_domains import UNKNOWN_FAILURE_DOMAIN, FailureDomain, FaultTolerance
+from rowanshift.controlplane.replication.messages import Message, RecoveryReply, StoreReply
+from rowanshift.controlplane.replication.progress import Candidacy, PendingRead, Proposal, SaveInProgress
+from rowanshift.controlplane.replication.records import (
     NO_RECORD,
     NO_VERSION,
     DurableState,
     EpochRecord,
-    FailureDomainReport,
-    Message,
-    RecoveryReply,
-    RecoveryRequest,
     StateVersion,
 )
 from rowanshift.controlplane.replication.timing import (
     DEFAULT_TIMING,
     DELTA_MIN_STATE_BYTES,
     MIN_BANDWIDTH_BYTES_PER_SECOND,
+    TICK_INTERVAL_SECONDS,
     Timing,
 )
 
 NEVER = float("-inf")
+RECOVERY_SERIAL_RANGE = 1 << 31
 
 
-@dataclass
-class Candidacy:
-    """One number's way from pre-vote to effect. ``renewal`` if a primary renews its own epoch."""
-
-    epoch: int
-    renewal: bool
-    phase: str  # "pre-vote", "prepare", "store", "accept"
-    started: float  # seconds
-    phase_started: float  # seconds
-    sent: float  # seconds
-    witnesses: tuple[int, ...] = ()  # the set wanted, if it is to change
-    votes: set[int] = field(default_factory=set)  # of this phase
-    records: dict[int, EpochRecord] = field(default_factory=dict)  # what each that promised had accepted
-    base: EpochRecord = NO_RECORD
-    backups: tuple[int, ...] = ()
-    tried: set[int] = field(default_factory=set)  # backups that did not store in time
-    record: EpochRecord = NO_RECORD
-
-
-@dataclass
-class Proposal:
-    """A state that is to be the next one."""
-
-    token: int
-    state: bytes
-    version: StateVersion | None = None  # None until it is sent
-    stored: set[int] = field(default_factory=set)
-    started: float = 0.0  # seconds
-    sent: float = 0.0  # seconds
-
-
-@dataclass
-class Read:
-    """A read that waits for a heartbeat round."""
+class ReplicaCore(ABC):
+    """One machine's state. All of it is plain data, so that a model checker can copy and compare it.
 
-    token: int
-    serial: int  # of the round
-    asked: float  # seconds
+    Times are steady seconds. Attributes whose names end in ``_at`` say when something happened last, or is due.
+    """
 
-
-@dataclass
-class Writing:
-    """A save under way, and what is to be sent once it is on disk."""
-
-    token: int
-    durable: DurableState
-    started: float  # seconds
-    then: list[Send]
-
-
-class ReplicaCore:
-    """One machine's state. All of it is plain data, so that a model checker can copy it."""
-
-    delta_min_state_bytes = DELTA_MIN_STATE_BYTES  # bytes
+    delta_min_state_bytes = DELTA_MIN_STATE_BYTES
 
     def __init__(
         self,
         me: int,
-        f: int,
+        max_failures: int,
         seeds: tuple[int, ...],
         bootstrap: bool,
         durable: DurableState | None,
@@ -99,39 +53,24 @@
         failure_domain: FailureDomain = UNKNOWN_FAILURE_DOMAIN,
         tolerance: FaultTolerance | None = None,
     ) -> None:
-        """``f`` machines may be lost, or all that ``tolerance`` says. ``now`` and ``singleton_task_delay`` are in
-        seconds; ``random_fraction`` draws from [0, 1)."""
-        self.me, self.f, self.singleton_task_delay, self.timing, self._random_fraction = (
-            me,
-            f,
-            singleton_task_delay,
-            timing,
-            random_fraction,
-        )
-        self._now = self._started = now
-        self.tolerance = tolerance or FaultTolerance(f)
-        self.failure_domains = {me: failure_domain}  # of the machines that have said where they are
-        self._located: dict[int, float] = {}  # machine -> when it was told last where this one is
-        self._no_quorum_members_heard: dict[int, float] = {}  # machine -> when it said last that no member counts
-        self._failure_domains_matter = False  # to another machine that has said where it is
-        seeds = tuple(sorted(seeds))
-        self.wanted_witnesses = max(2 * self.tolerance.total + 1, len(seeds))
-        self._on_disk = durable
-        if durable is None:
-            first = EpochRecord(0, 0, seeds, seeds) if bootstrap else NO_RECORD
-            durable = DurableState(0, first, NO_VERSION, b"", amnesic=not bootstrap)
-        self._durable = durable
-        self._writing: Writing | None = None
-        self._waiting: list[Send] = []  # until the save after the one outstanding
-        self._save_token = 0
-        self._save_failed = NEVER
-        self._actions: list[Action] = []
-        self._to_self: list[Message] = []
-        self.known_machines: set[int] = {*seeds, *durable.accepted.members()} - {me}
-        self._heard: dict[int, float] = {}  # machine -> when it last sent what only one that remembers sends
-        self._slow: dict[int, float] = {}  # machine -> until when it isn't chosen as a backup
-        self._spares: dict[int, float] = {}  # machine -> when its Join was last heard
-        self._leaving: dict[int, float] = {}  # machine -> until when it counts as one that leaves
+        """Start an incarnation of the replica of machine ``me``.
+
+        ``durable`` is what the disk holds, None for an empty one. ``bootstrap``: the system is new, so an empty disk
+        has lost nothing, and ``seeds`` are the first witnesses. ``max_failures`` machines may be lost at once, or all
+        that ``tolerance`` says. ``now`` and ``singleton_task_delay`` are in seconds. ``random_fraction`` returns
+        random numbers from [0, 1).
+        """
+        self.me = me
+        self.max_failures = max_failures
+        self.singleton_task_delay = singleton_task_delay
+        self.timing = timing
+        self._random_fraction = random_fraction
+        self._now = self._started_at = now
+        self.tolerance = tolerance or FaultTolerance(max_failures)
+        self.witness_count = max(2 * self.tolerance.total + 1, len(seeds))
+        self._init_durable_state(tuple(sorted(seeds)), bootstrap, durable)
+        self._init_failure_domains(failure_domain)
+        self._init_peers(seeds)
         self._init_witness()
         self._init_candidate()
         self._init_recovery()
@@ -140,68 +79,95 @@
         if self._on_disk is None:
             self._start_save()
 
+    def _init_durable_state(self, seeds: tuple[int, ...], bootstrap: bool, durable: DurableState | None) -> None:
+        self._on_disk = durable
+        if durable is None:
+            first = EpochRecord(0, 0, seeds, seeds) if bootstrap else NO_RECORD
+            durable = DurableState(0, first, NO_VERSION, b"", amnesic=not bootstrap)
+        self._durable = durable  # what is on disk or being saved
+        self._save_in_progress: SaveInProgress | None = None
+        self._sends_after_next_save: list[Send] = []  # once the save after the one in progress is on disk
+        self._save_token = 0
+        self._save_failed_at = NEVER
+        self._actions: list[Action] = []
+        self._loopback: list[Message] = []  # from this machine to itself
+
+    def _init_failure_domains(self, failure_domain: FailureDomain) -> None:
+        self.failure_domains = {self.me: failure_domain}  # of the machines that have reported theirs
+        self._failure_domain_sent_at: dict[int, float] = {}  # by recipient
+        self._no_quorum_members_heard: dict[int, float] = {}  # by machine: when it last reported that there are none
+        self._failure_domains_matter = False  # to another machine that has reported its own
+
+    def _init_peers(self, seeds: tuple[int, ...]) -> None:
+        self.known_machines: set[int] = {*seeds, *self._durable.accepted.members()} - {self.me}
+        self._last_heard_at: dict[int, float] = {}  # by machine: its last message that an amnesic one doesn't send
+        self._avoided_until: dict[int, float] = {}  # by machine: it is too slow for a backup
+        self._spare_joined_at: dict[int, float] = {}  # by machine: its last Join
+        self._leaving_until: dict[int, float] = {}  # by machine
+
     def _init_witness(self) -> None:
         record = self._durable.accepted
-        self._holder = record.primary  # whom this witness last answered, and when: it keeps from others
-        self._held = self._now if record.epoch else NEVER
-        self._holder_heard = NEVER  # when the holder itself was heard
+        self._lease_holder = record.primary  # whom this witness answered last: others are refused for a while
+        self._lease_granted_at = self._now if record.epoch else NEVER
+        self._lease_holder_heard_at = NEVER
 
     def _init_candidate(self) -> None:
-        timing = self.timing
-        draw, record = timing.election_jitter_seconds * self._random_fraction(), self._durable.accepted
-        self._seen = self._durable.promised  # the highest number heard of
-        if self._was_primary():
-            self._stand_at = self._now
+        jitter = self.timing.election_jitter_seconds * self._random_fraction()
+        self._highest_epoch_seen = self._durable.promised
+        if self._was_primary_before_restart():
+            self._candidacy_due_at = self._now
         else:
-            self._stand_at = self._now + draw + (timing.lease_guard_seconds if record.epoch else 0.0)
+            guard = self.timing.lease_guard_seconds if self._durable.accepted.epoch else 0.0
+            self._candidacy_due_at = self._now + jitter + guard
         self._candidacy: Candidacy | None = None
 
-    def _was_primary(self) -> bool:
-        """Whether the last record on disk is of an epoch of this machine's own, in its former life.
+    def _was_primary_before_restart(self) -> bool:
+        """Whether the last record on disk is of an epoch that this machine led in its former incarnation.
 
-        The lease of that epoch ended with that life. If a later epoch's holder has one, a majority has its record on
-        disk, and whoever of it was asked lately, or restarted, refuses this machine (``_blocked``).
+        The lease of that epoch ended with that incarnation. If the primary of a later epoch holds a lease, a majority
+        has its record on disk, and each of these that answered it lately, or restarted, refuses this machine
+        (``_lease_may_be_held_by_another``).
         """
         record = self._durable.accepted
         return bool(record.epoch) and record.primary == self.me and not self._durable.amnesic
 
     def _init_recovery(self) -> None:
-        self._recovery_serial = 1 + int(self._random_fraction() * (1 << 31))
+        self._recovery_serial = 1 + int(self._random_fraction() * RECOVERY_SERIAL_RANGE)
         self._recovery_replies: dict[int, RecoveryReply] = {}
-        self._asked_recovery = NEVER
-        self._joined = NEVER
+        self._recovery_requested_at = NEVER
+        self._join_sent_at = NEVER
 
     def _init_membership(self) -> None:
-        self.leaving = False  # this machine was told to end
-        self.leave_granted = False  # and may do so
-        self._epoch_given = 0  # number of the epoch that it gave leadership of
-        self._leave_sent = NEVER
+        self.leaving = False  # ``leave`` was called
+        self.leave_granted = False  # and this machine may stop
+        self._transferred_epoch = 0  # the epoch whose leadership it transferred in order to leave
+        self._leave_sent_at = NEVER
 
     def _init_primary(self) -> None:
-        self._own_record: EpochRecord | None = None  # that this machine is primary of
-        self._effective = NEVER
+        self._own_record: EpochRecord | None = None  # of the epoch that this machine is primary of
+        self._primary_since = NEVER
         self.singleton_tasks_from = float("inf")
         self.committed_state = b""
         self.committed_version = NO_VERSION
         self._sequence = 0
         self._proposal: Proposal | None = None
-        self._reads: list[Read] = []
-        self._serial = 0
-        self._asked: dict[int, float] = {}  # serial -> when it was asked
-        self._holds: dict[int, StateVersion] = {}  # machine -> the version that it stored last in this epoch
-        self._acked: dict[int, int] = {}  # machine -> the highest serial it answered
-        self._confirmed: dict[int, float] = {}  # machine -> when it last answered
-        self._lease_from = NEVER
-        self._beat = NEVER
-        self._renewed = NEVER
-        self._changed = NEVER
-        self._refused = False
-
-    # what the caller may look at
+        self._reads: list[PendingRead] = []
+        self._heartbeat_round = 0
+        self._round_sent_at: dict[int, float] = {}  # by round
+        self._stored_versions: dict[int, StateVersion] = {}  # by machine: what it stored last in this epoch
+        self._acknowledged_rounds: dict[int, int] = {}  # by machine: the last round it answered
+        self._last_reply_at: dict[int, float] = {}  # by machine
+        self._lease_started_at = NEVER
+        self._heartbeat_sent_at = NEVER
+        self._renewed_at = NEVER
+        self._witnesses_changed_at = NEVER
+        self._epoch_refused = False  # by a member that has promised a higher one
+
+    # What the caller may read.
 
     @property
     def quorum_member(self) -> bool:
-        """Whether this is one of the machines of which f may be lost; any number of others may go, with their disks."""
+        """Whether the fault tolerance speaks of this machine. Any number of others may be lost, with their disks."""
         return self.failure_domains[self.me].quorum_member
 
     @quorum_member.setter
@@ -220,147 +186,110 @@
 
     @property
     def record(self) -> EpochRecord:
-        """The epoch this machine is primary of, else the last record it has on disk."""
+        """The record of the epoch this machine is primary of, else the last record on its disk."""
         if self._own_record is not None:
             return self._own_record
         return self._on_disk.accepted if self._on_disk is not None else NO_RECORD
 
     @property
     def primary_hint(self) -> int:
-        """The machine that is primary as far as was heard here lately, or 0: an old hint sends callers nowhere."""
+        """The machine last heard of as primary, or 0 if that is so long ago that it would mislead callers."""
         if self._own_record is not None:
             return self.me
-        recent = self._now < self._holder_heard + self.timing.lease_guard_seconds
-        return self._holder if recent and self._holder != self.me else 0
+        recent = self._now < self._lease_holder_heard_at + self.timing.lease_guard_seconds
+        return self._lease_holder if recent and self._lease_holder != self.me else 0
 
     def lease_until(self, now: float) -> float:
-        """Steady time until which this machine may act as single holder; not after ``now`` if it may not."""
-        until = self._lease_from + self.timing.lease_seconds
+        """The steady time until which this machine holds the lease; not after ``now`` if it doesn't."""
+        until = self._lease_started_at + self.timing.lease_seconds
         return min(now, until) if self._own_record is None else until
 
     def next_wake(self, now: float) -> float:
         """The steady time by which ``tick`` should be called."""
-        if self._own_record or self._candidacy or self._durable.amnesic or self._on_disk is not self._durable:
-            return now + 0.05
-        return max(now, min(self._stand_at, now + self.timing.join_interval_seconds))
-
-    def drain(self) -> list[Action]:
-        """What is to be done, in this order."""
-        actions, self._actions = self._actions, []
-        return actions
-
-    # sending and saving
-
-    def _send(self, to: int, message: Message) -> None:
-        if self._observes() and not isinstance(message, RecoveryRequest | FailureDomainReport):
-            return  # whoever is heard may be chosen for a copy or a vote
-        if to == self.me:
-            self._to_self.append(message)
-        else:
-            self._actions.append(Send(to, message))
-
-    def _send_saved(self, to: int, message: Message) -> None:
-        """Send once everything decided so far is on disk."""
-        if self._on_disk is self._durable:
-            self._send(to, message)
-        elif self._writing is not None and self._writing.durable is self._durable:
-            self._writing.then.append(Send(to, message))
-        else:
-            self._waiting.append(Send(to, message))
-            self._start_save()
+        unsaved = self._on_disk is not self._durable
+        if self._own_record or self._candidacy or self._durable.amnesic or unsaved:
+            return now + TICK_INTERVAL_SECONDS
+        return max(now, min(self._candidacy_due_at, now + self.timing.join_interval_seconds))
 
-    def _start_save(self) -> None:
-        if self._writing is not None:
-            return
-        self._save_token += 1
-        self._writing = Writing(self._save_token, self._durable, self._now, self._waiting)
-        self._waiting = []
-        self._actions.append(Save(self._save_token, self._durable))
-
-    def _change(self, **fields: Any) -> None:
-        """Change what is to be durable. A higher promise than one's own number ends primacy or candidacy."""
-        changed = replace(self._durable, **fields)
-        if changed == self._durable:
-            return
-        self._durable = changed
-        self._seen = max(self._seen, changed.promised)
-        candidacy = self._candidacy
-        own = candidacy.epoch if candidacy is not None and candidacy.phase != "pre-vote" else 0
-        if own and changed.promised > own:
-            self._end_candidacy(0.1)
-        if self._own_record is not None and changed.promised > max(own, self._own_record.epoch):
-            self._step_down()
+    # What the roles know of this machine and of others.
+
+    @property
+    def _led_record(self) -> EpochRecord:
+        """The record of the epoch that this machine is primary of. Raises ``NotPrimary``."""
+        if self._own_record is None:
+            raise NotPrimary(self.primary_hint)
+        return self._own_record
 
     def _has_state(self, record: EpochRecord) -> bool:
-        """Whether this machine holds all that ``record`` builds on: in sync, and its disk not lost since."""
+        """Whether this machine has all that ``record`` builds on: it is in sync, and its disk was not lost since."""
         return self.me in record.in_sync and self._durable.version.epoch >= record.epoch
 
-    def _put_off(self, seconds: float) -> None:
+    def _is_observer(self) -> bool:
+        """Whether this machine must stay out of every record: it is no quorum member while others are."""
+        members = self._durable.accepted.members()
+        return not self.quorum_member and self.me not in members and not self._no_quorum_members(members)
+
+    def _no_quorum_members(self, members: Collection[int]) -> bool:
+        """Whether no member is a quorum member, by what this machine knows of all or one of them reported."""
+        lifetime = self.timing.no_quorum_members_lifetime_seconds
+        if any(self._now < self._no_quorum_members_heard.get(member, NEVER) + lifetime for member in members):
+            return True
+        return bool(members) and not any(self._domain_of(member).quorum_member for member in members)
+
+    def _domain_of(self, machine: int) -> FailureDomain:
+        return self.failure_domains.get(machine, UNKNOWN_FAILURE_DOMAIN)
+
+    def _heard_within(self, seconds: float) -> set[int]:
+        """The other machines that were heard within the last so many seconds."""
+        return {machine for machine, heard_at in self._last_heard_at.items() if self._now < heard_at + seconds}
+
+    def _is_leaving(self, machine: int) -> bool:
+        """Whether a machine has announced lately that it stops soon."""
+        return self._now < self._leaving_until.get(machine, NEVER)
+
+    def _is_avoided(self, machine: int) -> bool:
+        """Whether a machine was too slow lately, or gave up leadership."""
+        return self._now < self._avoided_until.get(machine, NEVER)
+
+    def _postpone_candidacy(self, seconds: float) -> None:
         """Become a candidate no sooner than in so many seconds, and later if this machine lacks the state."""
         behind = 0.0 if self._has_state(self._durable.accepted) else self.timing.phase_timeout_seconds
         wait = seconds + behind + self.timing.election_jitter_seconds * self._random_fraction()
-        self._stand_at = max(self._stand_at, self._now + wait)
+        self._candidacy_due_at = max(self._candidacy_due_at, self._now + wait)
 
     @staticmethod
-    def _transfer_time(state: bytes) -> float:
-        """Seconds that a state may be under way to another machine."""
+    def _transfer_seconds(state: bytes) -> float:
+        """How long a state may take to another machine."""
         return len(state) / MIN_BANDWIDTH_BYTES_PER_SECOND
 
-    def _observes(self) -> bool:
-        """Whether this machine has no part in the record and may have none, as it doesn't count and others do."""
-        members = self._durable.accepted.members()
-        return not self.quorum_member and self.me not in members and not self._no_quorum_members(members)
+    # What one role asks of another.
 
-    def _no_quorum_members(self, members: Collection[int]) -> bool:
-        """Whether it is known of all members that they don't count, by this machine or by one of them."""
-        if any(
-            self._now
-            < self._no_quorum_members_heard.get(member, NEVER) + self.timing.no_quorum_members_lifetime_seconds
-            for member in members
-        ):
-            return True
-        return bool(members) and not any(
-            self.failure_domains.get(member, UNKNOWN_FAILURE_DOMAIN).quorum_member for member in members
-        )
+    @abstractmethod
+    def _start_save(self) -> None: ...
 
-    # where machines are
+    @abstractmethod
+    def _start_candidacy(self, renewal: bool = False, witnesses: tuple[int, ...] = ()) -> None: ...
 
-    def _tick_located(self) -> None:
-        """Tell the others where this machine is, if that matters."""
-        if self.quorum_member and not self.tolerance.domains and not self._failure_domains_matter:
-            return
-        failure_domain, due = self.failure_domains[self.me], self._now - self.timing.failure_domain_interval_seconds
-        members = self._durable.accepted.members()
-        located = FailureDomainReport(
-            failure_domain.zone,
-            failure_domain.region,
-            failure_domain.quorum_member,
-            self.me in members and self._no_quorum_members(members),
-        )
-        for machine in sorted(self.known_machines):
-            if self._located.get(machine, NEVER) <= due:
-                self._located[machine] = self._now
-                self._send(machine, located)
-
-    def _on_failure_domain_report(self, sender: int, message: FailureDomainReport) -> None:
-        self._failure_domains_matter = True
-        self.failure_domains[sender] = FailureDomain(message.zone, message.region, message.quorum_member)
-        if message.no_quorum_members:
-            self._no_quorum_members_heard[sender] = self._now
-        else:
-            self._no_quorum_members_heard.pop(sender, None)
+    @abstractmethod
+    def _end_candidacy(self, wait_seconds: float) -> None: ...
+
+    @abstractmethod
+    def _become_primary(self, candidacy: Candidacy) -> None: ...
+
+    @abstractmethod
+    def _step_down(self) -> None: ...
 
-    def _leaves(self, machine: int) -> bool:
-        """Whether a machine has said lately that it ends soon."""
-        return self._now < self._leaving.get(machine, NEVER)
+    @abstractmethod
+    def _transfer_leadership(self) -> None: ...
 
-    # what other roles do on the way
+    @abstractmethod
+    def _on_proposal_stored(self, sender: int, message: StoreReply) -> None: ...
 
-    def _end_candidacy(self, rest: float) -> None:
-        raise NotImplementedError
+    @abstractmethod
+    def _eligible_backups(self) -> set[int]: ...
 
-    def _step_down(self) -> None:
-        raise NotImplementedError
+    @abstractmethod
+    def _send_recovery_requests(self) -> None: ...
 
-    def _ask_for_records(self) -> None:
-        raise NotImplementedError
+    @abstractmethod
+    def _process_loopback(self) -> None: ...
--- a/rowanshift/controlplane/replication/messages.py
+++ b/rowanshift/controlplane/replication/messages.py
@@ -1,67 +1,26 @@
-"""What replicas say to each other, what each keeps on disk, and the epoch record that witnesses agree on."""
+"""Messages between replicas. Wire layouts are bound to their fields in ``controlplane/record_kinds.py``.
+
+In each message ``epoch`` is the epoch that it is about. In replies ``promised`` is the highest epoch that the sender
+promised; ``ok`` is False if that forbids what was asked.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-
-@dataclass(frozen=True, slots=True, order=True)
-class StateVersion:
-    """Orders states of the control plane: by the epoch they were stored in, then by their place in it."""
-
-    epoch: int
-    sequence: int
-
-
-NO_VERSION = StateVersion(0, 0)
-
-
-@dataclass(frozen=True, slots=True)
-class EpochRecord:
-    """A view: who is primary, which machines hold the state, whose majorities decide on the next record.
-
-    ``former`` is not empty while a change of witnesses is under way: a majority of it is needed too.
-    """
-
-    epoch: int
-    primary: int
-    in_sync: tuple[int, ...]
-    witnesses: tuple[int, ...]
-    former: tuple[int, ...] = ()
-
-    def sets(self) -> tuple[tuple[int, ...], ...]:
-        """The witness sets a majority of each of which must promise, or accept, what follows this record."""
-        return (self.witnesses, self.former) if self.former else (self.witnesses,)
-
-    def members(self) -> set[int]:
-        """Every machine that has a part in this epoch."""
-        return {*self.in_sync, *self.witnesses, *self.former}
-
-
-NO_RECORD = EpochRecord(0, 0, (), ())
-
-
-@dataclass(frozen=True, slots=True)
-class DurableState:
-    """What a machine's disk holds, written whole. ``amnesic``: the disk was lost and promises are not recovered."""
-
-    promised: int
-    accepted: EpochRecord
-    version: StateVersion
-    state: bytes
-    amnesic: bool
+from rowanshift.controlplane.replication.records import EpochRecord, StateVersion
 
 
 @dataclass(frozen=True, slots=True)
 class PreVote:
-    """Would you promise this number? Nothing is changed by it."""
+    """Asks whether the receiver would promise this epoch. It changes nothing there."""
 
     epoch: int
 
 
 @dataclass(frozen=True, slots=True)
 class PreVoteReply:
-    """The answer to PreVote; nothing was promised."""
+    """Answers PreVote; nothing was promised."""
 
     epoch: int
     ok: bool
@@ -69,14 +28,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Prepare:
-    """Promise to take part in no epoch below this number (Paxos, phase 1)."""
+    """Asks for the promise to take part in no lower epoch (Paxos, phase 1)."""
 
     epoch: int
 
 
 @dataclass(frozen=True, slots=True)
 class PrepareReply:
-    """The answer to Prepare; ``accepted``: the last record this machine accepted."""
+    """Answers Prepare. ``accepted`` is the last record that the sender accepted."""
 
     epoch: int
     ok: bool
@@ -86,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Store:
-    """Keep this state under a version of epoch ``number``."""
+    """Asks to store this state under a version of the epoch."""
 
     epoch: int
     version: StateVersion
@@ -95,7 +54,10 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreDelta:
-    """Keep the state that ``delta`` makes of the one under ``base``; who lacks that one gets a Store later."""
+    """Asks to store the state that ``delta`` makes of the one under ``base``.
+
+    A machine that has another version doesn't answer, and gets a Store when the proposal is sent again.
+    """
 
     epoch: int
     version: StateVersion
@@ -105,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreReply:
-    """The answer to Store and StoreDelta; ``ok``: the state of this version is on disk."""
+    """Answers Store and StoreDelta. ``ok``: a state of this version or a later one is on disk."""
 
     epoch: int
     version: StateVersion
@@ -115,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Accept:
-    """Accept the epoch record of this number (Paxos, phase 2)."""
+    """Asks to accept the record of this epoch (Paxos, phase 2)."""
 
     epoch: int
     record: EpochRecord
@@ -123,7 +85,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AcceptReply:
-    """The answer to Accept; ``ok``: the record is on disk."""
+    """Answers Accept. ``ok``: the record is on disk."""
 
     epoch: int
     ok: bool
@@ -132,7 +94,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """The primary lives; also the round that a read waits for."""
+    """Sent by the primary in rounds: it renews the lease, and confirms reads that wait for the round ``serial``."""
 
     epoch: int
     serial: int
@@ -141,7 +103,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HeartbeatReply:
-    """The answer to a heartbeat; not ``ok`` below a promise, or where an in-sync machine lacks the state."""
+    """Answers Heartbeat. Not ``ok`` below a promise, or where an in-sync machine lacks the state."""
 
     epoch: int
     serial: int
@@ -152,21 +114,24 @@
 
 @dataclass(frozen=True, slots=True)
 class TransferLeadership:
-    """Become a candidate now. From the primary of epoch ``number`` it also gives up that epoch and its lease."""
+    """Asks the receiver to become a candidate now.
+
+    If its sender is the primary of ``epoch``, it also gives up that epoch and its lease.
+    """
 
     epoch: int
 
 
 @dataclass(frozen=True, slots=True)
 class RecoveryRequest:
-    """Asked by an amnesic machine; ``serial`` keeps answers to an earlier life apart."""
+    """Sent by an amnesic machine. ``serial`` tells replies to an earlier incarnation apart."""
 
     serial: int
 
 
 @dataclass(frozen=True, slots=True)
 class RecoveryReply:
-    """What a machine has promised and accepted, for one that lost its disk."""
+    """What a machine has promised and accepted, for one that lost its disk or asked to join."""
 
     serial: int
     promised: int
@@ -176,8 +141,11 @@
 
 @dataclass(frozen=True, slots=True)
 class FailureDomainReport:
-    """The sender is in this zone and region; ``counts``: among the machines of which the fault tolerance speaks;
-    ``no_quorum_members``: as far as the sender knows, no member of its epoch is."""
+    """Where the sender is: its zone and region.
+
+    ``quorum_member``: it is one of the machines that the fault tolerance speaks of. ``no_quorum_members``: as far as
+    it knows, no member of its epoch is.
+    """
 
     zone: str
     region: str
@@ -187,21 +155,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Join:
-    """A machine that is no witness asks to become one."""
+    """Sent by a spare: a machine that is no witness asks to become one."""
 
     machine: int
 
 
 @dataclass(frozen=True, slots=True)
 class Leave:
-    """The sender ends soon: its copy and its vote are to be given to others first."""
+    """Sent by a machine that stops soon: its replica and its vote are to be given to others first."""
 
     machine: int
 
 
 @dataclass(frozen=True, slots=True)
 class LeaveReply:
-    """From the primary of epoch ``number``; ``released``: nothing in force needs the leaving machine any more."""
+    """From the primary of ``epoch``. ``granted``: no record in force needs the leaving machine any more."""
 
     epoch: int
     granted: bool
--- a/rowanshift/controlplane/replication/quorum.py
+++ b/rowanshift/controlplane/replication/quorum.py
@@ -4,7 +4,7 @@
 
 
 def majority(members: Collection[int]) -> int:
-    """How many of the members make a majority."""
+    """The number of members that make a majority."""
     return len(members) // 2 + 1
 
 
--- a/rowanshift/controlplane/replication/timing.py
+++ b/rowanshift/controlplane/replication/timing.py
@@ -1,52 +1,76 @@
-"""Times of the replication protocol, in seconds, and the sizes it bounds. docs/control-plane.md says why each."""
+"""Times and sizes that the replication protocol goes by. docs/control-plane.md says why each is what it is."""
 
 from dataclasses import dataclass
 
-HEARTBEAT_INTERVAL_SECONDS = 0.15  # from one heartbeat round to the next
-LEASE_SECONDS = 0.6  # a primary may act as single holder so long after it asked a round that a majority answered
-LEASE_GUARD_SECONDS = (
-    LEASE_SECONDS * 1.25
-)  # a witness that answered promises no other so long: covers clocks whose rates are 25 % apart
-QUORUM_LOSS_SECONDS = LEASE_GUARD_SECONDS  # without a majority's answers; then a primary steps down
-ELECTION_JITTER_SECONDS = (
-    0.2  # drawn from 0 to this: what a machine waits beyond LEASE_GUARD_SECONDS before it becomes a candidate
-)
-RETRY_SECONDS = 0.2  # until an unanswered message is sent again
-PRE_VOTE_RETRY_SECONDS = (
-    0.1  # until an unanswered question for a pre-vote is sent again: those asked may just be starting
-)
-PHASE_TIMEOUT_SECONDS = 0.5  # for each step of a candidacy
-STORE_TIMEOUT_SECONDS = 0.25  # for chosen backups to store the state; then others are chosen, if there are any
-CANDIDACY_LIMIT_SECONDS = 1.2  # from a number's first Prepare to its effect: later it is given up for good
-RECOVERY_DELAY_SECONDS = (
-    CANDIDACY_LIMIT_SECONDS * 1.25
-)  # votes given before a disk was lost are counted or void by then
-BACKUP_TIMEOUT_SECONDS = 0.6  # without an answer; then a backup is replaced
-SLOW_SAVE_SECONDS = 0.8  # that a primary's own save may take; then it transfers leadership
-WITNESS_TIMEOUT_SECONDS = 2.0  # without an answer; then a witness is replaced, if there is a spare
-WITNESS_CHANGE_INTERVAL_SECONDS = 1.0  # from one change of witnesses to the next
-RENEWAL_INTERVAL_SECONDS = 0.3  # from one renewal of an epoch by its primary to the next
-ALIVE_SECONDS = 1.0  # within which a machine heard counts as alive
-READ_TIMEOUT_SECONDS = 1.0  # until an unconfirmed read fails
-JOIN_INTERVAL_SECONDS = 0.3  # between a spare's Joins
-SPARE_LIFETIME_SECONDS = 2.0  # after its last Join until a spare is no longer taken for one
-FAILURE_DOMAIN_INTERVAL_SECONDS = 2.0  # from one telling of where a machine is to the next
-NO_QUORUM_MEMBERS_LIFETIME_SECONDS = (
-    3 * FAILURE_DOMAIN_INTERVAL_SECONDS
-)  # that a machine is believed which says that nobody counts
-LEAVE_LIFETIME_SECONDS = 3.0  # that a machine which said that it leaves is nobody's choice for a backup
-COOLDOWN_SECONDS = 3.0  # that a primary which transferred leadership, or a backup that was too slow, is left aside
-EPOCH_LIMIT = 1 << 53  # epoch numbers stay exact as doubles
-STATE_LIMIT_BYTES = 16 * 1024 * 1024 - 4096  # bytes: a Store fits into one frame
-DELTA_MIN_STATE_BYTES = 32 * 1024  # bytes of a state, from which a change is sent as a difference first
-MIN_BANDWIDTH_BYTES_PER_SECOND = (
-    10_000_000  # bytes a second between core machines, reckoned with before one counts as slow
-)
+CLOCK_RATE_MARGIN = 1.25  # steady clocks of two machines may run at rates that differ by 25 %
+
+# from one heartbeat round to the next
+HEARTBEAT_INTERVAL_SECONDS = 0.15
+# a primary holds the lease for so long after it sent a round that a majority answered
+LEASE_SECONDS = 0.6
+# a witness that answered promises no other machine for so long
+LEASE_GUARD_SECONDS = LEASE_SECONDS * CLOCK_RATE_MARGIN
+# without a majority's answers; then a primary steps down
+QUORUM_LOSS_SECONDS = LEASE_GUARD_SECONDS
+# at most, drawn at random: what a machine waits beyond LEASE_GUARD_SECONDS before it becomes a candidate
+ELECTION_JITTER_SECONDS = 0.2
+# until an unanswered message is sent again
+RETRY_SECONDS = 0.2
+# until an unanswered pre-vote is sent again: the machines asked may just be starting
+PRE_VOTE_RETRY_SECONDS = 0.1
+# for each phase of a candidacy
+PHASE_TIMEOUT_SECONDS = 0.5
+# for chosen backups to store the state; then others are chosen, if there are any
+STORE_TIMEOUT_SECONDS = 0.25
+# from an epoch's first Prepare until it is in force; later it is abandoned
+CANDIDACY_LIMIT_SECONDS = 1.2
+# from the start of an amnesic machine: votes it gave before its disk was lost are counted or void by then
+RECOVERY_DELAY_SECONDS = CANDIDACY_LIMIT_SECONDS * CLOCK_RATE_MARGIN
+# without an answer; then a backup is replaced
+BACKUP_TIMEOUT_SECONDS = 0.6
+# of a primary's own save; then it transfers leadership
+SLOW_SAVE_SECONDS = 0.8
+# without an answer; then a witness is replaced, if there is a spare
+WITNESS_TIMEOUT_SECONDS = 2.0
+# from one change of witnesses to the next
+WITNESS_CHANGE_INTERVAL_SECONDS = 1.0
+# from one renewal of an epoch by its primary to the next
+RENEWAL_INTERVAL_SECONDS = 0.3
+# since a machine was heard: it counts as alive for a candidate
+ALIVE_SECONDS = 1.0
+# until an unconfirmed read fails
+READ_TIMEOUT_SECONDS = 1.0
+# between Joins of a spare
+JOIN_INTERVAL_SECONDS = 0.3
+# since its last Join: a machine counts as a spare
+SPARE_LIFETIME_SECONDS = 2.0
+# between reports of a machine's failure domain
+FAILURE_DOMAIN_INTERVAL_SECONDS = 2.0
+# since a machine reported that no member is a quorum member: that is believed
+NO_QUORUM_MEMBERS_LIFETIME_SECONDS = 3 * FAILURE_DOMAIN_INTERVAL_SECONDS
+# since a machine's last Leave: it is chosen as a backup only if no other is there
+LEAVE_LIFETIME_SECONDS = 3.0
+# since a primary transferred leadership, or a backup was too slow: it is avoided
+COOLDOWN_SECONDS = 3.0
+
+EPOCH_LIMIT = 1 << 53  # epochs below it are exact as doubles
+STATE_LIMIT_BYTES = 16 * 1024 * 1024 - 4096  # a Store fits into one frame
+DELTA_MIN_STATE_BYTES = 32 * 1024  # a smaller state is always sent in full
+MIN_BANDWIDTH_BYTES_PER_SECOND = 10_000_000  # between core machines: below it a backup counts as slow
+
+# the part of QUORUM_LOSS_SECONDS after which a primary without answers changes no members any more
+RENEWAL_LEASE_FRACTION = 0.8
+# an abandoned candidacy is followed by the next after so long and a random delay
+CANDIDACY_RETRY_SECONDS = 0.1
+# the same where this machine lacks the state: the in-sync machines, which it has nominated, go first
+NOMINATION_RETRY_SECONDS = 0.8
+# the time by which a replica with work under way wants to be called again
+TICK_INTERVAL_SECONDS = 0.05
 
 
 @dataclass(frozen=True, slots=True)
 class Timing:
-    """What a replica waits for. All in seconds, as the constants of the same names."""
+    """The times a replica goes by, in seconds: each field is the constant of the same name unless given."""
 
     heartbeat_interval_seconds: float = HEARTBEAT_INTERVAL_SECONDS
     lease_seconds: float = LEASE_SECONDS
--- a/rowanshift/controlplane/settings_warnings.py
+++ b/rowanshift/controlplane/settings_warnings.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterator
 
-from rowanshift.controlplane.replication.fault_domains import FaultTolerance, can_be_tolerated
+from rowanshift.controlplane.replication.failure_domains import FaultTolerance, can_be_tolerated
 from rowanshift.process.node_settings import NodeSettingsFile
 
 
--- a/rowanshift/modelcheck/fault_injection.py
+++ b/rowanshift/modelcheck/fault_injection.py
@@ -124,8 +124,9 @@
         if replica is None or cluster.now < machine.paused_until:
             return
         if not (replica.is_primary or replica.is_amnesic or replica._candidacy):
-            replica._stand()
-            replica._enter("prepare")
+            replica._start_candidacy()
+            if replica._candidacy is not None:
+                replica._enter_phase(replica._candidacy, replication.CandidacyPhase.PREPARE)
             cluster.tick(machine_id)
 
     def _cut_power_while_saving(self, fault: Fault) -> None:
--- a/rowanshift/modelcheck/search_starts.py
+++ b/rowanshift/modelcheck/search_starts.py
@@ -141,7 +141,7 @@
 
     def is_changing() -> bool:
         candidacy = machines[primary].running_replica._candidacy
-        return candidacy is not None and bool(candidacy.witnesses) and run.is_sent(replication.Prepare)
+        return candidacy is not None and bool(candidacy.wanted_witnesses) and run.is_sent(replication.Prepare)
 
     run.run_until(is_changing)
     return SearchState(run.cluster, EventBudget(disk_losses=0))
--- a/tests/capacity/test_capacity.py
+++ b/tests/capacity/test_capacity.py
@@ -121,9 +121,9 @@
         world.until(6.0)
         ledger = world.ledgers[world.holder()]
         world.sent.clear()
-        bytes_before, round_before = world.bytes, ledger._serial
+        bytes_before, round_before = world.bytes, ledger._heartbeat_round
         world.until(9.0)
-        rounds = ledger._serial - round_before
+        rounds = ledger._heartbeat_round - round_before
         self.assertGreater(rounds, 5)
         self.assertEqual(dict(world.sent), {"Heartbeat": 2 * rounds, "HeartbeatReply": 2 * rounds})
         self.assertEqual(world.bytes - bytes_before, 2 * rounds * (sizes.confirm(2, 3) + sizes.confirmed()))
--- a/tests/controlplane/replication/test_fault_domains.py
+++ b/tests/controlplane/replication/test_fault_domains.py
@@ -7,7 +7,7 @@
 from loguru import logger
 
 from rowanshift.controlplane import replication
-from rowanshift.controlplane.replication.fault_domains import (
+from rowanshift.controlplane.replication.failure_domains import (
     MAX_WITNESSES,
     FailureDomain,
     FaultTolerance,
@@ -149,21 +149,21 @@
         made = self.replica()
         for machine in (1, 2):
             made.receive(machine, replication.FailureDomainReport("z", "r", False, False), 1.0)
-        self.assertTrue(made._observes())
+        self.assertTrue(made._is_observer())
         made.receive(3, replication.FailureDomainReport("z", "r", False, False), 1.0)
-        self.assertFalse(made._observes())
+        self.assertFalse(made._is_observer())
 
     def test_a_member_is_believed_for_a_while(self) -> None:
         made = self.replica()
         made.receive(1, replication.FailureDomainReport("z", "r", False, True), 1.0)
-        self.assertFalse(made._observes())
+        self.assertFalse(made._is_observer())
         made.tick(1.0 + NO_QUORUM_MEMBERS_LIFETIME_SECONDS + 0.1)
-        self.assertTrue(made._observes())
+        self.assertTrue(made._is_observer())
 
     def test_one_that_is_no_member_is_not(self) -> None:
         made = self.replica()
         made.receive(9, replication.FailureDomainReport("z", "r", False, True), 1.0)
-        self.assertTrue(made._observes())
+        self.assertTrue(made._is_observer())
 
     def test_it_is_told_again_after_a_while_and_not_sooner(self) -> None:
         made = self.replica()
--- a/tests/controlplane/replication/test_replication.py
+++ b/tests/controlplane/replication/test_replication.py
@@ -366,7 +366,7 @@
         record = rig.ledger(primary).record
         backup = next(m for m in record.in_sync if m != primary)
         rig.cluster.crash(primary, save_persisted=False)
-        rig.ledger(backup)._stand_at = float("inf")
+        rig.ledger(backup)._candidacy_due_at = float("inf")
         rig.run(4, lambda: bool(rig.primary()))
         self.assertEqual(backup, rig.primary())
 
@@ -435,11 +435,17 @@
 
     def test_a_change_of_witnesses_wants_a_majority_of_both_sets(self):
         candidacy = replication.Candidacy(
-            number(5, ME), True, "accept", 0.0, 0.0, 0.0, base=RECORD,
+            number(5, ME),
+            renewal=True,
+            phase=replication.CandidacyPhase.ACCEPT,
+            started_at=0.0,
+            phase_started_at=0.0,
+            sent_at=0.0,
+            base=RECORD,
             record=replication.EpochRecord(number(5, ME), ME, (ME, OTHER), (ME, OTHER, FOURTH), (ME, OTHER, THIRD)),
-        )  # fmt: skip
-        sets = single()._deciding(candidacy)
-        self.assertEqual({(ME, OTHER, THIRD), (ME, OTHER, FOURTH)}, set(sets))
+        )
+        witness_sets = single()._deciding_sets(candidacy)
+        self.assertEqual({(ME, OTHER, THIRD), (ME, OTHER, FOURTH)}, set(witness_sets))
 
     def test_what_is_asked_of_the_wrong_machine_or_too_early_or_too_large(self):
         rig = Rig()
@@ -447,7 +453,7 @@
         other = next(m for m in (1, 2, 3) if m != primary)
         with self.assertRaises(replication.NotPrimary) as caught:
             rig.ledger(other).propose(1, b"", rig.cluster.now)
-        self.assertEqual(primary, caught.exception.hint)
+        self.assertEqual(primary, caught.exception.primary_hint)
         with self.assertRaises(replication.NotPrimary):
             rig.ledger(other).confirm_read(1, rig.cluster.now)
         with self.assertRaises(replication.StateTooLarge):
@@ -475,7 +481,7 @@
         former = next(me for me in (1, 2, 3) if rig.cluster.machines[me].disk.accepted.primary == me)
         rig.start(former)
         rig.run(0.25)
-        self.assertEqual(rig.ledger(former)._candidacy.phase, "pre-vote")
+        self.assertEqual(rig.ledger(former)._candidacy.phase, replication.CandidacyPhase.PRE_VOTE)
         for me in {1, 2, 3} - {former}:
             rig.start(me)
         self.assertLessEqual(rig.run(1.0, lambda: rig.primary() == former), 2 * PRE_VOTE_RETRY_SECONDS)
--- a/tests/controlplane/replication/test_state_delta.py
+++ b/tests/controlplane/replication/test_state_delta.py
@@ -23,11 +23,11 @@
 class AlwaysByDelta(replication.Replica):
     """States of the model checker only grow: a difference is the state before and what was appended."""
 
-    def _delta_of(self, proposal: replication.Proposal) -> replication.StoreDelta | None:
+    def _delta_of(self, state: bytes, version: replication.StateVersion) -> replication.StoreDelta | None:
         base = self.committed_state
-        appended = proposal.state[len(base) :]
+        appended = state[len(base) :]
         delta = OPERATION.pack(COPY, 0, len(base)) + OPERATION.pack(LITERAL, 0, len(appended)) + appended
-        return replication.StoreDelta(self._own_record.epoch, proposal.version, self.committed_version, delta)
+        return replication.StoreDelta(self._own_record.epoch, version, self.committed_version, delta)
 
 
 class Backups(unittest.TestCase):
--- a/tests/simulation/test_system_simulation.py
+++ b/tests/simulation/test_system_simulation.py
@@ -606,7 +606,7 @@
             true(ledger, sender, message)
             proposal = ledger._proposal
             if proposal is not None and ledger._candidacy is None and ledger.me in proposal.stored:
-                ledger._commit()
+                ledger._commit_proposal()
 
         async def scenario(fleet):
             primary, backup = fleet.primary(), fleet.backups()[0]
--- a/tests/support/planted_client_faults.py
+++ b/tests/support/planted_client_faults.py
@@ -132,16 +132,16 @@
     """The lease counts from when a majority's answers came, not from when they were asked for."""
 
     def _on_heartbeat_reply(self, sender, message):
-        before = self._lease_from
+        before = self._lease_started_at
         super()._on_heartbeat_reply(sender, message)
-        if self._lease_from != before and self._own_record is not None:
-            self._lease_from = self._now
+        if self._lease_started_at != before and self._own_record is not None:
+            self._lease_started_at = self._now
 
 
 class RemovedWitnessKept(replication.Replica):
     """A witness that was removed is never replaced by a spare."""
 
-    def _witnesses_wanted(self):
+    def _next_witness_set(self):
         return ()
 
 
--- a/tests/support/planted_replication_faults.py
+++ b/tests/support/planted_replication_faults.py
@@ -14,7 +14,7 @@
         super()._on_store_reply(sender, message)
         proposal = self._proposal
         if proposal is not None and sender == self.me and message.ok and proposal.version == message.version:
-            self._commit()
+            self._commit_proposal()
 
 
 class EmptyDiskVotes(replication.Replica):
@@ -38,22 +38,22 @@
 class AcceptsBeforeSave(replication.Replica):
     """A witness says that it has accepted a record before the record is on its disk."""
 
-    def _send_saved(self, to, message):
-        (self._send if isinstance(message, replication.AcceptReply) else super()._send_saved)(to, message)
+    def _send_after_save(self, to, message):
+        (self._send if isinstance(message, replication.AcceptReply) else super()._send_after_save)(to, message)
 
 
 class PromiseNotDurable(replication.Replica):
     """A witness gives a promise before it is on its disk."""
 
-    def _send_saved(self, to, message):
-        (self._send if isinstance(message, replication.PrepareReply) else super()._send_saved)(to, message)
+    def _send_after_save(self, to, message):
+        (self._send if isinstance(message, replication.PrepareReply) else super()._send_after_save)(to, message)
 
 
 class CommitsBeforeOwnSave(replication.Replica):
     """What is stored is acknowledged before it is on the disk of the one that stored it."""
 
-    def _send_saved(self, to, message):
-        (self._send if isinstance(message, replication.StoreReply) else super()._send_saved)(to, message)
+    def _send_after_save(self, to, message):
+        (self._send if isinstance(message, replication.StoreReply) else super()._send_after_save)(to, message)
 
 
 class OutOfSyncCandidate(replication.Replica):
@@ -82,18 +82,18 @@
 class ReadsProposed(replication.Replica):
     """A read gives the state that is proposed and not committed."""
 
-    def _send_proposal(self):
-        self.committed_state = self._proposal.state
-        super()._send_proposal()
+    def _send_proposal(self, proposal):
+        self.committed_state = proposal.state
+        super()._send_proposal(proposal)
 
 
 class AcceptsLowerNumber(replication.Replica):
     """A witness accepts a record whose number is below its promise."""
 
     def _on_accept(self, sender, message):
-        self._adopt(message.record)
-        self._hold(sender)
-        self._send_saved(sender, replication.AcceptReply(message.epoch, True, message.epoch))
+        self._adopt_record(message.record)
+        self._grant_lease(sender)
+        self._send_after_save(sender, replication.AcceptReply(message.epoch, True, message.epoch))
 
 
 class IgnoresRecordsRead(replication.Replica):
@@ -107,7 +107,7 @@
 class NewSetAlone(replication.Replica):
     """A change of witnesses is decided by the new set, and the record names no former one."""
 
-    def _deciding(self, c):
+    def _deciding_sets(self, c):
         return (c.record.witnesses,)
 
     def _next_witnesses(self, c):
@@ -117,8 +117,8 @@
 class OldSetAlone(replication.Replica):
     """A change of witnesses is decided by the old set, and the record names no former one."""
 
-    def _deciding(self, c):
-        return c.base.sets()
+    def _deciding_sets(self, c):
+        return c.base.witness_sets()
 
     def _next_witnesses(self, c):
         return super()._next_witnesses(c)[0], ()
@@ -127,7 +127,7 @@
 class LeaseNotAwaited(replication.Replica):
     """A witness promises to a candidate at any time."""
 
-    def _blocked(self, candidate):
+    def _lease_may_be_held_by_another(self, candidate):
         return False
 
 
@@ -136,20 +136,22 @@
 
     def __init__(self, *args, **options):
         super().__init__(*args, **options)
-        self._held = float("-inf")
-        self._stand_at = self._now
+        self._lease_granted_at = float("-inf")
+        self._candidacy_due_at = self._now
 
 
 class BackupsStandAtOnce(replication.Replica):
     """Any in-sync machine stands as soon as it has started, as only the former primary may; restarted witnesses let
     it."""
 
-    def _was_primary(self):
+    def _was_primary_before_restart(self):
         return self.me in self._durable.accepted.in_sync and not self._durable.amnesic
 
-    def _blocked(self, candidate):
-        unheard = self._holder_heard == float("-inf")
-        return super()._blocked(candidate) and not (unheard and candidate in self._durable.accepted.in_sync)
+    def _lease_may_be_held_by_another(self, candidate):
+        unheard = self._lease_holder_heard_at == float("-inf")
+        return super()._lease_may_be_held_by_another(candidate) and not (
+            unheard and candidate in self._durable.accepted.in_sync
+        )
 
 
 class StoresBelowPromise(replication.Replica):
@@ -158,8 +160,8 @@
     def _on_store(self, sender, message):
         if message.version > self._durable.version:
             promised = max(self._durable.promised, message.epoch)
-            self._change(promised=promised, version=message.version, state=message.state)
-        self._send_saved(sender, replication.StoreReply(message.epoch, message.version, True, message.epoch))
+            self._update_durable(promised=promised, version=message.version, state=message.state)
+        self._send_after_save(sender, replication.StoreReply(message.epoch, message.version, True, message.epoch))
 
 
 class RecoversFromOne(replication.Replica):
@@ -167,7 +169,7 @@
 
     def _on_recovery_reply(self, sender, message):
         if self._durable.amnesic and not message.amnesic and message.serial == self._recovery_serial:
-            self._change(promised=message.promised, accepted=message.accepted, amnesic=False)
+            self._update_durable(promised=message.promised, accepted=message.accepted, amnesic=False)
             self._start_save()
 
 
@@ -186,7 +188,9 @@
     def _on_heartbeat_reply(self, sender, message):
         super()._on_heartbeat_reply(
             sender,
-            replication.HeartbeatReply(message.epoch, self._serial, message.ok, message.promised, message.version),
+            replication.HeartbeatReply(
+                message.epoch, self._heartbeat_round, message.ok, message.promised, message.version
+            ),
         )
 
 
@@ -201,17 +205,17 @@
 class ReleasesFormerWitness(replication.Replica):
     """A leaving witness may end as soon as a spare has its place, while its former vote is still asked for."""
 
-    def _vote_is_being_given(self, machine):
+    def _vote_still_needed(self, machine):
         return machine in self._own_record.witnesses and bool(self._live_spares())
 
 
 class CountsEveryMachine(replication.Replica):
     """A machine that doesn't count takes copies and votes like any other."""
 
-    def _observes(self):
+    def _is_observer(self):
         return False
 
-    def _knows_spare(self):
+    def _has_quorum_member_spare(self):
         return False
 
 
