--- a/rowanshift/wire/control_updates.py
+++ b/rowanshift/wire/control_updates.py
@@ -8,9 +8,10 @@
 (0, 0) stands for having nothing yet.
 """
 
-from dataclasses import dataclass, fields
 from typing import Any
 
+import msgspec
+
 from rowanshift.wire.codec import Codec
 from rowanshift.wire.field_types import (
     BOOL,
@@ -29,8 +30,7 @@
 SERVER_LOADING = 4  # a flag beside them: the server is loading new weights
 
 
-@dataclass(slots=True, frozen=True)
-class ServerRecord:
+class ServerRecord(msgspec.Struct, frozen=True):
     """One server as the primary's registry lists it."""
 
     id: str
@@ -42,8 +42,7 @@
     versions: dict[str, int]  # of the weights of each model
 
 
-@dataclass(slots=True, frozen=True)
-class ModelVersionAnnouncementOfFormat1:
+class ModelVersionAnnouncementOfFormat1(msgspec.Struct, frozen=True):
     """A version of a model's weights that was announced, and how long before the update was made."""
 
     model: str
@@ -51,8 +50,7 @@
     age_ms: int  # at least so long ago
 
 
-@dataclass(slots=True, frozen=True)
-class ModelVersionAnnouncement:
+class ModelVersionAnnouncement(msgspec.Struct, frozen=True):
     """A version of a model's weights that was announced, and how long before the record was made."""
 
     model: str
@@ -61,8 +59,7 @@
     is_dated: bool = True  # else it was announced so long ago or longer, and no machine that was asked knows when
 
 
-@dataclass(slots=True, frozen=True)
-class PollOfFormat1:
+class PollOfFormat1(msgspec.Struct, frozen=True):
     """A poll of routers up to 0.2, which leave the time that it is held to the primary."""
 
     machine: int  # the router's id
@@ -87,8 +84,7 @@
         )
 
 
-@dataclass(slots=True, frozen=True)
-class PollOfFormat3:
+class PollOfFormat3(msgspec.Struct, frozen=True):
     """A poll of routers up to 0.2, which report no times of announcements."""
 
     machine: int  # the router's id
@@ -101,14 +97,11 @@
     long_poll_ms: int  # how long the poll may be held while there is nothing newer; 0: answer at once
 
 
-class PollOfFormat2(PollOfFormat3):
+class PollOfFormat2(PollOfFormat3, frozen=True):
     """A poll of routers up to 0.2, which don't know the age of announcements; the same fields."""
 
-    __slots__ = ()
-
 
-@dataclass(slots=True, frozen=True)
-class Poll(PollOfFormat3):
+class Poll(PollOfFormat3, frozen=True):
     """A router asks for what is newer than what it has, and renews its membership.
 
     A primary that may be new is sent the announcements whose times the router knows.
@@ -118,8 +111,7 @@
     announcements: tuple[ModelVersionAnnouncement, ...] = ()
 
 
-@dataclass(slots=True, frozen=True)
-class UpdateOfFormat1:
+class UpdateOfFormat1(msgspec.Struct, frozen=True):
     """The answer to ``PollOfFormat1`` and ``PollOfFormat2``: what is newer than what the router has."""
 
     state_version: tuple[int, int]
@@ -144,15 +136,13 @@
     core_machines: tuple[int, ...] = ()  # replicas of the control plane that may be asked next time
 
 
-@dataclass(slots=True, frozen=True)
-class UpdateOfFormat2(UpdateOfFormat1):
+class UpdateOfFormat2(UpdateOfFormat1, frozen=True):
     """The answer to ``PollOfFormat3``: with a state come all announcements whose deadlines may still be to come."""
 
     announcements: tuple[ModelVersionAnnouncementOfFormat1, ...] = ()
 
 
-@dataclass(slots=True, frozen=True)
-class Update(UpdateOfFormat1):
+class Update(UpdateOfFormat1, frozen=True):
     """The answer to ``Poll``: all announcements whose deadlines may still be to come, where the router lacks one of
     them or its time."""
 
@@ -181,11 +171,10 @@
         return UpdateOfFormat2(*values)
 
     def _fields_of_format_1(self) -> list[Any]:
-        return [getattr(self, field.name) for field in fields(UpdateOfFormat1)]
+        return [getattr(self, name) for name in UpdateOfFormat1.__struct_fields__]
 
 
-@dataclass(slots=True, frozen=True)
-class Redirect:
+class Redirect(msgspec.Struct, frozen=True):
     """The answer of a machine that is not the primary."""
 
     primary: int  # the primary's id as far as this machine knows, 0: not known
--- a/rowanshift/wire/field_types.py
+++ b/rowanshift/wire/field_types.py
@@ -9,6 +9,8 @@
 from struct import Struct, pack
 from typing import Any, Protocol
 
+import msgspec
+
 from rowanshift.wire.errors import MalformedRecord
 
 UINT16, UINT32 = Struct(">H"), Struct(">I")  # counts and lengths in front of what has no fixed length
@@ -152,12 +154,19 @@
         return versions
 
 
+def field_names(record_type: type[Any]) -> list[str]:
+    """The names of a record's fields in their order; a record is a ``msgspec.Struct`` or a dataclass."""
+    if issubclass(record_type, msgspec.Struct):
+        return [*record_type.__struct_fields__]
+    return [field.name for field in fields(record_type)]
+
+
 class RecordLayout:
-    """A dataclass as bytes: its fields one after the other. Also the type of a field that holds such a record."""
+    """A record as bytes: its fields one after the other. Also the type of a field that holds such a record."""
 
     def __init__(self, record_type: type[Any], **field_types: FieldType) -> None:
-        """``field_types``: the type of each field, in the dataclass's order. Raises ``TypeError`` if they differ."""
-        names = [field.name for field in fields(record_type)]
+        """``field_types``: the type of each field, in the record's order. Raises ``TypeError`` if they differ."""
+        names = field_names(record_type)
         if names != [*field_types]:
             raise TypeError(f"{record_type.__name__}: layout of {[*field_types]} for the fields {names}")
         self.record_type = record_type
--- a/tests/controlplane/test_graceful_shutdown.py
+++ b/tests/controlplane/test_graceful_shutdown.py
@@ -5,13 +5,13 @@
 import subprocess
 import sys
 import unittest
-from dataclasses import replace
 from pathlib import Path
 from tempfile import TemporaryDirectory
 
 import orjson
 import trio
 from loguru import logger
+from msgspec.structs import replace
 
 from rowanshift.controlplane.record_kinds import CODEC
 from rowanshift.simulation.fleet import Fleet, config_of, play
--- a/tests/dataplane/test_control_cache.py
+++ b/tests/dataplane/test_control_cache.py
@@ -3,12 +3,12 @@
 import random
 import unittest
 import zlib
-from dataclasses import replace
 from typing import Any
 
 import orjson
 import trio
 from loguru import logger
+from msgspec.structs import replace
 from trio.testing import MockClock
 
 from rowanshift.dataplane.control_cache import (
--- a/tests/wire/test_wire_records.py
+++ b/tests/wire/test_wire_records.py
@@ -3,7 +3,7 @@
 import random
 import unittest
 from contextlib import suppress
-from dataclasses import dataclass, fields
+from dataclasses import dataclass
 from pathlib import Path
 
 import orjson
@@ -25,6 +25,7 @@
     ByteReader,
     RecordLayout,
     RecordListType,
+    field_names,
 )
 
 UINT64_MAX = 2**64 - 1
@@ -94,7 +95,7 @@
 
     def test_a_layout_names_each_field_in_its_order(self):
         for layout in layouts_of(record_kinds.CODEC):
-            self.assertEqual([field.name for field in fields(layout.record_type)], [*layout.field_types])
+            self.assertEqual(field_names(layout.record_type), [*layout.field_types])
         with self.assertRaisesRegex(TypeError, "Redirect"):
             RecordLayout(control_updates.Redirect, core_machines=UINT64_LIST, primary=UINT64)
         with self.assertRaisesRegex(TypeError, "Redirect"):
