--- a/rowanshift/dataplane/forwarder.py
+++ b/rowanshift/dataplane/forwarder.py
@@ -37,26 +37,26 @@
 EVENT_END = re.compile(rb"\r?\n\r?\n")
 EVENT_ID = re.compile(rb"(?m)^id:[ ]?([^\r\n]*)")
 ENDINGS = {
-    Outcome.UNSENT: ExchangeOutcome.NOT_WRITTEN,
-    Outcome.BROKEN: ExchangeOutcome.NO_ANSWER,
-    Outcome.GARBLED: ExchangeOutcome.GARBLED,
-    Outcome.MISMATCHED: ExchangeOutcome.MISMATCHED,
+    Outcome.UNSENT: ExchangeOutcome.REQUEST_NOT_SENT,
+    Outcome.BROKEN: ExchangeOutcome.NO_RESPONSE,
+    Outcome.GARBLED: ExchangeOutcome.MALFORMED_RESPONSE,
+    Outcome.MISMATCHED: ExchangeOutcome.MISMATCHED_REQUEST_ID,
     Outcome.LATE: ExchangeOutcome.TIMED_OUT,
-    Outcome.SILENT: ExchangeOutcome.SILENT,
+    Outcome.SILENT: ExchangeOutcome.SERVER_SILENT,
 }
 
 
 VERDICT_OF = {  # what the ending of an attempt says of its server; all others say nothing
     ExchangeOutcome.SUCCESS: DatagramKind.DONE,
-    ExchangeOutcome.NOT_WRITTEN: DatagramKind.FAILED,
-    ExchangeOutcome.NO_ANSWER: DatagramKind.FAILED,
-    ExchangeOutcome.GARBLED: DatagramKind.FAILED,
+    ExchangeOutcome.REQUEST_NOT_SENT: DatagramKind.FAILED,
+    ExchangeOutcome.NO_RESPONSE: DatagramKind.FAILED,
+    ExchangeOutcome.MALFORMED_RESPONSE: DatagramKind.FAILED,
     ExchangeOutcome.SERVER_ERROR: DatagramKind.FAILED,
     ExchangeOutcome.TIMED_OUT: DatagramKind.FAILED,
-    ExchangeOutcome.MISMATCHED: DatagramKind.FAILED,
-    ExchangeOutcome.UNPROVEN_PROMISE: DatagramKind.FAILED,
+    ExchangeOutcome.MISMATCHED_REQUEST_ID: DatagramKind.FAILED,
+    ExchangeOutcome.UNCONFIRMED_REJECTION: DatagramKind.FAILED,
     ExchangeOutcome.LAST_SERVER_ERROR: DatagramKind.FAILED,
-    ExchangeOutcome.SILENT: DatagramKind.FAILED,
+    ExchangeOutcome.SERVER_SILENT: DatagramKind.FAILED,
 }
 
 
@@ -143,7 +143,7 @@
         route, tenant = self.allowed(request)
         forwarding = Forwarding(request, out, self.draw(), route, tenant)
         self._in_time(forwarding, trio.current_time())
-        self.retries(forwarding.service).request(trio.current_time())
+        self.retries(forwarding.service).record_request(trio.current_time())
         try:
             await self._attempts(forwarding)
             self._finished(forwarding, trio.current_time())
@@ -173,13 +173,13 @@
             except Moved:
                 continue
             decision = decide(forwarding.kind, ending)
-            if decision.told is ClientResponse.ANSWER and not decision.again:
+            if decision.client_response is ClientResponse.SERVER_RESPONSE and not decision.retry:
                 return
-            if ending is ExchangeOutcome.NOT_WRITTEN:
+            if ending is ExchangeOutcome.REQUEST_NOT_SENT:
                 self._unreached(forwarding, endpoint)
                 continue
             forwarding.note(ending, decision)
-            if not decision.again:
+            if not decision.retry:
                 raise forwarding.last
 
     # the choice of a server -------------------------------
@@ -236,7 +236,7 @@
         if len(forwarding.request.tried) >= forwarding.route.max_attempts:
             return False
         if not forwarding.granted:
-            forwarding.granted = self.retries(forwarding.service).take(now)
+            forwarding.granted = self.retries(forwarding.service).try_withdraw(now)
         return forwarding.granted
 
     async def _hold(self, forwarding: Forwarding, pool: Pool, now: float) -> None:
@@ -340,7 +340,7 @@
         if failure.outcome is Outcome.CLIENT_GONE:
             raise ClientGone from failure
         if failure.outcome is Outcome.UNSENT:
-            return ExchangeOutcome.NOT_WRITTEN
+            return ExchangeOutcome.REQUEST_NOT_SENT
         logger.info(
             "event=send_failed server={} request={} outcome={} why={!r}",
             endpoint.id,
@@ -351,7 +351,7 @@
         self.counts.resumed += forwarding.out.begun
         in_body = link is not None and link.message is not None
         if in_body and failure.outcome in (Outcome.BROKEN, Outcome.GARBLED):
-            return forwarding.progress.ending_of_break()
+            return forwarding.progress.outcome_of_broken_success()
         return ENDINGS[failure.outcome]
 
     # the answer -------------------------------------------
@@ -424,14 +424,14 @@
             self._warn_if_overdue(forwarding, endpoint, version)
             await self.loads.ended(load, DatagramKind.DONE)
             await self._stream(forwarding, link, look)
-            ending = ExchangeOutcome.SUCCESS if link.connection.clean() else ExchangeOutcome.SURPLUS
+            ending = ExchangeOutcome.SUCCESS if link.connection.clean() else ExchangeOutcome.SUCCESS_WITH_SURPLUS_BYTES
             self._release(link, decide(forwarding.kind, ending))
             return ending
-        ending = forwarding.progress.ending_of_status(message.status, b"not-executed" in dict(message.fields))
+        ending = forwarding.progress.outcome_of_status(message.status, b"not-executed" in dict(message.fields))
         decision = decide(forwarding.kind, ending)
         self._release(link, decision)
         self._mark(endpoint, message, ending)
-        if decision.told is ClientResponse.ANSWER and not decision.again:
+        if decision.client_response is ClientResponse.SERVER_RESPONSE and not decision.retry:
             await forwarding.out.whole(message, message.body)
         return ending
 
@@ -453,7 +453,7 @@
 
     def _release(self, link: Link, decision: Decision) -> None:
         """An answer was read whole: its connection is kept if it may be, and nothing is left on it."""
-        if decision.kept:
+        if decision.keep_connection:
             self.upstream.done(link, trio.current_time())
         else:
             self.upstream.close(link)
--- a/rowanshift/dataplane/forwarding.py
+++ b/rowanshift/dataplane/forwarding.py
@@ -10,9 +10,9 @@
     ClientResponse,
     Decision,
     ExchangeOutcome,
-    Progress,
     RequestIdempotency,
-    kind_of,
+    RequestProgress,
+    idempotency_of,
 )
 from rowanshift.dataplane.routing_table import Route, Tenant
 from rowanshift.dataplane.upstream import Link
@@ -24,7 +24,7 @@
     ExchangeOutcome.MISDIRECTED: "the server was another",
     ExchangeOutcome.NOT_EXECUTED: "servers are full",
     ExchangeOutcome.SERVER_ERROR: "it failed at a server",
-    ExchangeOutcome.NOT_TAKEN_UP: "it was not taken up",
+    ExchangeOutcome.RESUME_REJECTED: "it was not taken up",
 }
 
 
@@ -62,7 +62,7 @@
     @property
     def kind(self) -> RequestIdempotency:
         """What may be done with its request."""
-        return kind_of(self.route.is_streaming, self.route.is_repeatable)
+        return idempotency_of(self.route.is_streaming, self.route.is_repeatable)
 
     @property
     def until(self) -> float:
@@ -90,23 +90,23 @@
         return {*self.request.tried, *self.unsent}
 
     @property
-    def progress(self) -> Progress:
+    def progress(self) -> RequestProgress:
         """What decisions are taken by."""
         left = self.route.max_attempts - len(self.request.tried)
-        return Progress(self.may_have_run, self.out.begun, bool(self.out.last), left)
+        return RequestProgress(self.may_have_run, self.out.begun, bool(self.out.last), left)
 
     def note(self, ending: ExchangeOutcome, decision: Decision) -> None:
         """Takes in how an attempt that reached a server ended, without an answer for the client."""
         self.arrived = True
         if decision.may_have_run:
-            self.left_silent = ending is ExchangeOutcome.SILENT
+            self.left_silent = ending is ExchangeOutcome.SERVER_SILENT
         self.may_have_run = self.may_have_run or decision.may_have_run
-        told = self.progress.told(decision)
+        told = self.progress.client_response(decision)
         why = REASON_OF.get(ending, "it may have run")
         if told is ClientResponse.UNAVAILABLE:
             self.last = Refusal(told.status, why, COME_AGAIN)
         else:  # with ``CUT`` the status is not sent
-            self.last = Refusal(502 if told is ClientResponse.CUT else told.status, why)
+            self.last = Refusal(502 if told is ClientResponse.CONNECTION_CLOSED else told.status, why)
 
     def ending_once_begun(self, now: float) -> RequestOutcome:
         """How its request ends if its answer had begun and no further attempt is made."""
--- a/rowanshift/dataplane/frontend.py
+++ b/rowanshift/dataplane/frontend.py
@@ -15,7 +15,7 @@
 from rowanshift.dataplane.request_outcomes import EndedRequest, RequestOutcome, RequestOutcomes
 from rowanshift.dataplane.requests import Request, request_of
 from rowanshift.dataplane.retry_budget import RetryBudget
-from rowanshift.dataplane.retry_decision import PROMISES
+from rowanshift.dataplane.retry_decision import NOT_EXECUTED_STATUSES
 from rowanshift.dataplane.upstream import Upstream
 from rowanshift.transport.http_connection import Connection, MalformedMessage, Message
 from rowanshift.transport.memory_budget import DescriptorBudget, MemoryBudget
@@ -273,8 +273,8 @@
             self.counts.whole += 1
         except Refusal as refused:
             refusal = self._unless_old(refused)
-            self.counts.refused += refusal.status in PROMISES
-            self.counts.failed += refusal.status not in PROMISES
+            self.counts.refused += refusal.status in NOT_EXECUTED_STATUSES
+            self.counts.failed += refusal.status not in NOT_EXECUTED_STATUSES
             if out.begun:  # what went out must not look whole
                 return False
             out.keep = out.keep and not self.drain.leaving
--- a/rowanshift/dataplane/retry_budget.py
+++ b/rowanshift/dataplane/retry_budget.py
@@ -1,47 +1,82 @@
-"""Shared budgets cut into parts that add up over any number of counters. No I/O, no clock.
+"""Retry budget: how many retries one router may send, so that all routers together keep a limit. No I/O, no clock.
 
-Over all counters, repeats of a service's requests in any window may be ``ratio`` x its requests and slack.
-The requests are those of that window, of the one before it or of the one half a window before it, whichever
-are most. A counter's part follows its own requests of the window that ends now, which two such windows cover:
-``SURE`` is half, so that the sum holds whenever the requests came. The slack is cut by the number of members,
-which one that has just started doesn't know: it has none.
+The limit holds for each service and each window of time, summed over all routers: retries may be at most ``ratio`` x
+requests + ``slack``. Requests are those of the window itself, of the window before it or of the one half a window
+before it, whichever are most.
+
+Each router counts alone. Its share of the ratio follows its own requests in the window that ends now; two windows may
+cover the same requests, so a router spends only ``SPENDABLE_FRACTION`` of its share, which keeps the sum whenever the
+requests came. The slack is divided by the number of routers; a router that doesn't know the number yet gets none.
 """
 
 from collections import deque
+from dataclasses import dataclass
 
-SURE = 0.5  # part of the allowance that is ever used
-BUCKET = 0.5  # seconds
+SPENDABLE_FRACTION = 0.5  # of its share of the limit that a router spends
+BUCKET_SECONDS = 0.5
 
 
-class RetryBudget:
-    def __init__(self, ratio: float, slack: float, window: float) -> None:
-        self.ratio, self.slack, self.window = ratio, slack, window
-        self.members = 0  # that share the slack; 0: not known
-        self.asked: deque[list[float]] = deque()  # [bucket, requests], the oldest first
-        self.spent: deque[list[float]] = deque()
-
-    def request(self, now: float) -> None:
-        self._add(self.asked, now)
-
-    def take(self, now: float) -> bool:
-        """Whether one more repeat may be sent now; it is counted if so."""
-        asked = self._sum(self.asked, now, self.window)
-        spent = self._sum(self.spent, now, self.window + BUCKET)
-        own = self.slack / self.members if self.members else 0.0
-        if spent + 1 > SURE * (self.ratio * asked + own):
-            return False
-        self._add(self.spent, now)
-        return True
+@dataclass(slots=True)
+class _Bucket:
+    """Events counted in one interval of ``BUCKET_SECONDS``."""
+
+    index: float
+    events: float
+
+
+class BucketCounter:
+    """Counts events in a sliding window of time, by buckets of ``BUCKET_SECONDS``."""
+
+    def __init__(self) -> None:
+        self._buckets: deque[_Bucket] = deque()  # the oldest first
+
+    def __len__(self) -> int:
+        """Buckets in memory."""
+        return len(self._buckets)
 
-    def _add(self, buckets: deque[list[float]], now: float) -> None:
-        at = now // BUCKET
-        if buckets and buckets[-1][0] == at:
-            buckets[-1][1] += 1
+    def add(self, now: float) -> None:
+        """Count one event at ``now``, in seconds."""
+        index = now // BUCKET_SECONDS
+        if self._buckets and self._buckets[-1].index == index:
+            self._buckets[-1].events += 1
         else:
-            buckets.append([at, 1.0])
+            self._buckets.append(_Bucket(index, 1.0))
 
-    def _sum(self, buckets: deque[list[float]], now: float, window: float) -> float:
-        first = (now - window) / BUCKET
-        while buckets and buckets[0][0] < first:  # it lies in part before the window
-            buckets.popleft()
-        return sum(n for _, n in buckets)
+    def total(self, now: float, window_seconds: float) -> float:
+        """Events of the window that ends at ``now``; buckets that begin before the window are dropped for good."""
+        first = (now - window_seconds) / BUCKET_SECONDS
+        while self._buckets and self._buckets[0].index < first:
+            self._buckets.popleft()
+        return sum(bucket.events for bucket in self._buckets)
+
+
+class RetryBudget:
+    """The retry budget of one service at one router.
+
+    ``ratio``: retries per request, over all routers; 0 allows none beyond the slack.
+    ``slack``: retries in a window beyond the ratio, over all routers, so that a quiet service may retry at all.
+    ``window_seconds``: the length of the window.
+    """
+
+    def __init__(self, ratio: float, slack: float, window_seconds: float) -> None:
+        self.ratio = ratio
+        self.slack = slack
+        self.window_seconds = window_seconds
+        self.router_count = 0  # routers that share the slack; 0: not known, which gives no slack
+        self.requests = BucketCounter()
+        self.retries = BucketCounter()
+
+    def record_request(self, now: float) -> None:
+        """Count one request of the service, not a retry, at ``now`` in seconds."""
+        self.requests.add(now)
+
+    def try_withdraw(self, now: float) -> bool:
+        """Whether one more retry may be sent at ``now``, in seconds; it is counted if so."""
+        requests = self.requests.total(now, self.window_seconds)
+        # a bucket may begin before the window: retries are counted a bucket longer, never shorter
+        retries = self.retries.total(now, self.window_seconds + BUCKET_SECONDS)
+        slack_share = self.slack / self.router_count if self.router_count else 0.0
+        if retries + 1 > SPENDABLE_FRACTION * (self.ratio * requests + slack_share):
+            return False
+        self.retries.add(now)
+        return True
--- a/rowanshift/dataplane/retry_decision.py
+++ b/rowanshift/dataplane/retry_decision.py
@@ -1,19 +1,19 @@
-"""What follows from the way in which one exchange with a server ended: another attempt or not, what the client is
-told otherwise, and whether the connection to the server is kept. No I/O, no clock.
+"""Retry decisions: whether a request is retried after one exchange with a server, and what the client gets otherwise.
 
-The table is ``DECISIONS``; docs/exchanges.md shows it. Whether another server is there, whether the retry budget
-grants an attempt and whether there is time left is asked elsewhere, and only where a decision says ``again``.
+A pure module: no I/O, no clock. The whole policy is the table ``DECISIONS``, shown in docs/exchanges.md. A decision
+says only whether a retry is allowed; the forwarder then checks that the route allows a further server, that one is
+available, that the retry budget grants the attempt and that there is time left.
 """
 
 from dataclasses import dataclass
 from enum import Enum
 from http import HTTPStatus
 
-PROMISES = frozenset([408, 421, 429, 503])  # statuses that say that a request has not run and never will
+NOT_EXECUTED_STATUSES = frozenset([408, 421, 429, 503])  # they promise that a request has not run and never will
 
 
 class RequestIdempotency(Enum):
-    """Kinds of request, by what a second attempt may do."""
+    """What a second execution of a request may do."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non-idempotent"
@@ -22,152 +22,185 @@
 
     @property
     def repeatable(self) -> bool:
-        """Whether a request of this kind may run more than once."""
+        """Whether such a request may be executed more than once."""
         return self in (RequestIdempotency.IDEMPOTENT, RequestIdempotency.RESUMABLE_STREAM)
 
 
 class ExchangeOutcome(Enum):
-    """The ways in which one exchange with a server ends."""
-
-    NOT_WRITTEN = "the last byte of the request was not handed to the system"
-    NO_ANSWER = "written whole, and the connection ended without an answer"
-    GARBLED = "what came is no answer"
-    MISMATCHED = "the answer bears another Request-Id, or none"
-    SILENT = "given up after a silence, for another server that is there"
-    TIMED_OUT = "the request's time was up"
+    """How one exchange with a server ended."""
+
+    REQUEST_NOT_SENT = "the last byte of the request was not handed to the operating system"
+    NO_RESPONSE = "the request was sent, and the connection ended before a response"
+    MALFORMED_RESPONSE = "the bytes received are no HTTP response"
+    MISMATCHED_REQUEST_ID = "the response has another Request-Id, or none"
+    SERVER_SILENT = "abandoned after a silence, because another server is available"
+    TIMED_OUT = "the request's deadline or the route's timeout passed"
     MISDIRECTED = "421"
-    NOT_EXECUTED = "any status that is no success, with Not-Executed"
-    UNPROVEN_PROMISE = "408, 429 or 503 without Not-Executed"
+    NOT_EXECUTED = "an unsuccessful status with Not-Executed"
+    UNCONFIRMED_REJECTION = "408, 429 or 503 without Not-Executed"
     SERVER_ERROR = "another 5xx, and the route allows a further server"
     LAST_SERVER_ERROR = "another 5xx from the last server that the route allows"
-    REFUSED = "another status that is no success"
-    SUCCESS = "a whole success"
-    SURPLUS = "a whole answer, with more bytes after it"
-    BROKEN_UNSEEN = "a success broken off before any of it was passed on"
-    BROKEN_MIDWAY = "a success broken off after bytes of it, but no event with an id, were passed on"
-    BROKEN_AFTER_EVENT = "a stream broken off after an event with an id was passed on"
-    NOT_TAKEN_UP = "a status that is no success, after a part of another server's stream was passed on"
+    OTHER_STATUS = "another unsuccessful status"
+    SUCCESS = "a complete successful response"
+    SUCCESS_WITH_SURPLUS_BYTES = "a complete successful response, with more bytes after it"
+    BROKEN_BEFORE_RELAY = "a success that broke off before any of it was relayed"
+    BROKEN_AFTER_BYTES = "a success that broke off after bytes of it, but no event with an id, were relayed"
+    BROKEN_AFTER_EVENT = "a stream that broke off after an event with an id was relayed"
+    RESUME_REJECTED = "an unsuccessful status after a part of another server's stream was relayed"
 
 
 class ClientResponse(Enum):
-    """What a client gets if no further attempt is made."""
+    """What the client gets if there is no further attempt."""
 
-    ANSWER = "the server's answer"
+    SERVER_RESPONSE = "the server's response"
     UNAVAILABLE = "503"
     BAD_GATEWAY = "502"
     GATEWAY_TIMEOUT = "504"
-    CUT = "its connection closed"
+    CONNECTION_CLOSED = "connection closed"
 
     @property
     def status(self) -> int:
-        """The status of this router's own answer; ``ValueError`` if there is none."""
+        """The HTTP status of the router's own response; ``ValueError`` where there is none."""
         return int(self.value)
 
 
 @dataclass(slots=True, frozen=True)
 class Decision:
-    """What follows from an ending."""
+    """What follows from the outcome of one exchange."""
 
-    again: bool  # another server may be tried
-    told: ClientResponse  # else
-    may_have_run: bool
-    kept: bool  # the connection to the server
+    retry: bool  # another server may be tried
+    client_response: ClientResponse  # if it is not
+    may_have_run: bool  # the server may have executed the request
+    keep_connection: bool  # the connection to the server goes back to the pool
+
+
+@dataclass(slots=True, frozen=True)
+class _RetryRule:
+    """Whether requests of some idempotency are retried after an outcome, and the client's response otherwise."""
+
+    retry: bool
+    otherwise: ClientResponse
+
+
+_RETRY_OR_503 = _RetryRule(True, ClientResponse.UNAVAILABLE)
+_RETRY_OR_502 = _RetryRule(True, ClientResponse.BAD_GATEWAY)
+_RETRY_OR_504 = _RetryRule(True, ClientResponse.GATEWAY_TIMEOUT)
+_RETRY_OR_CLOSE = _RetryRule(True, ClientResponse.CONNECTION_CLOSED)
+_502 = _RetryRule(False, ClientResponse.BAD_GATEWAY)
+_504 = _RetryRule(False, ClientResponse.GATEWAY_TIMEOUT)
+_RELAY = _RetryRule(False, ClientResponse.SERVER_RESPONSE)
+_CLOSE = _RetryRule(False, ClientResponse.CONNECTION_CLOSED)
 
 
 def _decisions(
-    kept: bool,
+    repeatable: _RetryRule,
+    not_repeatable: _RetryRule,
+    *,
     may_have_run: bool,
-    repeatable: tuple[bool, ClientResponse],
-    once: tuple[bool, ClientResponse],
-    resumable: bool = False,
+    keep_connection: bool,
+    only_resumable_retries: bool = False,
 ) -> dict[RequestIdempotency, Decision]:
-    """One row: what holds for repeatable kinds, and for the others. With ``resumable``, only a resumable stream
-    may go again of the repeatable kinds."""
+    """One row of the table: a rule for repeatable requests and one for the others. With ``only_resumable_retries``,
+    of the repeatable requests only a resumable stream is retried."""
     row = {}
-    for kind in RequestIdempotency:
-        again, told = repeatable if kind.repeatable else once
-        if resumable and kind is not RequestIdempotency.RESUMABLE_STREAM:
-            again = False
-        row[kind] = Decision(again, told, may_have_run, kept)
+    for idempotency in RequestIdempotency:
+        rule = repeatable if idempotency.repeatable else not_repeatable
+        excluded = only_resumable_retries and idempotency is not RequestIdempotency.RESUMABLE_STREAM
+        row[idempotency] = Decision(rule.retry and not excluded, rule.otherwise, may_have_run, keep_connection)
     return row
 
 
-_AGAIN_OR_503, _AGAIN_OR_502, _AGAIN_OR_504 = (
-    (True, told) for told in (ClientResponse.UNAVAILABLE, ClientResponse.BAD_GATEWAY, ClientResponse.GATEWAY_TIMEOUT)
-)
-_502, _504, _ANSWER = (
-    (False, told) for told in (ClientResponse.BAD_GATEWAY, ClientResponse.GATEWAY_TIMEOUT, ClientResponse.ANSWER)
-)
-_AGAIN_OR_CUT, _CUT = (True, ClientResponse.CUT), (False, ClientResponse.CUT)
+def _not_run(keep_connection: bool) -> dict[RequestIdempotency, Decision]:
+    """A row for outcomes that prove that the server did not execute the request."""
+    return _decisions(_RETRY_OR_503, _RETRY_OR_503, may_have_run=False, keep_connection=keep_connection)
+
+
+def _complete(repeatable: _RetryRule, not_repeatable: _RetryRule) -> dict[RequestIdempotency, Decision]:
+    """A row for responses that were read to their end, with nothing after them."""
+    return _decisions(repeatable, not_repeatable, may_have_run=True, keep_connection=True)
+
+
+def _failed(repeatable: _RetryRule, not_repeatable: _RetryRule) -> dict[RequestIdempotency, Decision]:
+    """A row for exchanges after which the connection to the server is unusable."""
+    return _decisions(repeatable, not_repeatable, may_have_run=True, keep_connection=False)
+
+
+def _resumable(keep_connection: bool) -> dict[RequestIdempotency, Decision]:
+    """A row for streams of which an event was relayed: resumed at another server, or cut off."""
+    return _decisions(
+        _RETRY_OR_CLOSE, _CLOSE, may_have_run=True, keep_connection=keep_connection, only_resumable_retries=True
+    )
+
 
 DECISIONS: dict[ExchangeOutcome, dict[RequestIdempotency, Decision]] = {
-    ExchangeOutcome.NOT_WRITTEN: _decisions(False, False, _AGAIN_OR_503, _AGAIN_OR_503),
-    ExchangeOutcome.NO_ANSWER: _decisions(False, True, _AGAIN_OR_502, _502),
-    ExchangeOutcome.GARBLED: _decisions(False, True, _AGAIN_OR_502, _502),
-    ExchangeOutcome.MISMATCHED: _decisions(False, True, _AGAIN_OR_502, _502),
-    ExchangeOutcome.SILENT: _decisions(False, True, _AGAIN_OR_504, _504),
-    ExchangeOutcome.TIMED_OUT: _decisions(False, True, _504, _504),
-    ExchangeOutcome.MISDIRECTED: _decisions(True, False, _AGAIN_OR_503, _AGAIN_OR_503),
-    ExchangeOutcome.NOT_EXECUTED: _decisions(True, False, _AGAIN_OR_503, _AGAIN_OR_503),
-    ExchangeOutcome.UNPROVEN_PROMISE: _decisions(True, True, _AGAIN_OR_502, _502),
-    ExchangeOutcome.SERVER_ERROR: _decisions(True, True, _AGAIN_OR_502, _ANSWER),
-    ExchangeOutcome.LAST_SERVER_ERROR: _decisions(True, True, _ANSWER, _ANSWER),
-    ExchangeOutcome.REFUSED: _decisions(True, True, _ANSWER, _ANSWER),
-    ExchangeOutcome.SUCCESS: _decisions(True, True, _ANSWER, _ANSWER),
-    ExchangeOutcome.SURPLUS: _decisions(False, True, _ANSWER, _ANSWER),
-    ExchangeOutcome.BROKEN_UNSEEN: _decisions(False, True, _AGAIN_OR_502, _502),
-    ExchangeOutcome.BROKEN_MIDWAY: _decisions(False, True, _CUT, _CUT),
-    ExchangeOutcome.BROKEN_AFTER_EVENT: _decisions(False, True, _AGAIN_OR_CUT, _CUT, resumable=True),
-    ExchangeOutcome.NOT_TAKEN_UP: _decisions(True, True, _AGAIN_OR_CUT, _CUT, resumable=True),
+    ExchangeOutcome.REQUEST_NOT_SENT: _not_run(keep_connection=False),
+    ExchangeOutcome.NO_RESPONSE: _failed(_RETRY_OR_502, _502),
+    ExchangeOutcome.MALFORMED_RESPONSE: _failed(_RETRY_OR_502, _502),
+    ExchangeOutcome.MISMATCHED_REQUEST_ID: _failed(_RETRY_OR_502, _502),
+    ExchangeOutcome.SERVER_SILENT: _failed(_RETRY_OR_504, _504),
+    ExchangeOutcome.TIMED_OUT: _failed(_504, _504),
+    ExchangeOutcome.MISDIRECTED: _not_run(keep_connection=True),
+    ExchangeOutcome.NOT_EXECUTED: _not_run(keep_connection=True),
+    ExchangeOutcome.UNCONFIRMED_REJECTION: _complete(_RETRY_OR_502, _502),
+    ExchangeOutcome.SERVER_ERROR: _complete(_RETRY_OR_502, _RELAY),
+    ExchangeOutcome.LAST_SERVER_ERROR: _complete(_RELAY, _RELAY),
+    ExchangeOutcome.OTHER_STATUS: _complete(_RELAY, _RELAY),
+    ExchangeOutcome.SUCCESS: _complete(_RELAY, _RELAY),
+    ExchangeOutcome.SUCCESS_WITH_SURPLUS_BYTES: _failed(_RELAY, _RELAY),
+    ExchangeOutcome.BROKEN_BEFORE_RELAY: _failed(_RETRY_OR_502, _502),
+    ExchangeOutcome.BROKEN_AFTER_BYTES: _failed(_CLOSE, _CLOSE),
+    ExchangeOutcome.BROKEN_AFTER_EVENT: _resumable(keep_connection=False),
+    ExchangeOutcome.RESUME_REJECTED: _resumable(keep_connection=True),
 }
 
 
-def kind_of(streaming: bool, repeatable: bool) -> RequestIdempotency:
-    """The kind of a route's requests."""
+def idempotency_of(streaming: bool, repeatable: bool) -> RequestIdempotency:
+    """The idempotency of a route's requests, from the route's two settings."""
     if streaming:
         return RequestIdempotency.RESUMABLE_STREAM if repeatable else RequestIdempotency.STREAM
     return RequestIdempotency.IDEMPOTENT if repeatable else RequestIdempotency.NON_IDEMPOTENT
 
 
-def decide(kind: RequestIdempotency, ending: ExchangeOutcome) -> Decision:
-    """The decision for one ending of one exchange."""
-    return DECISIONS[ending][kind]
+def decide(idempotency: RequestIdempotency, outcome: ExchangeOutcome) -> Decision:
+    """The decision for one outcome of one exchange."""
+    return DECISIONS[outcome][idempotency]
 
 
 @dataclass(slots=True)
-class Progress:
+class RequestProgress:
     """How far the attempts of one request have come together."""
 
     may_have_run: bool = False  # at any server
-    begun: bool = False  # a part of an answer was passed on to the client
-    event_passed: bool = False  # among it an event with an id
-    servers_left: int = 0  # that the route still allows
+    response_started: bool = False  # a part of a response was relayed to the client
+    event_relayed: bool = False  # and that part holds an event with an id
+    servers_left: int = 0  # further servers that the route allows
 
-    def ending_of_status(self, status: int, not_executed: bool) -> ExchangeOutcome:
-        """The ending of an exchange whose answer was whole and no success."""
+    def outcome_of_status(self, status: int, not_executed: bool) -> ExchangeOutcome:
+        """The outcome of an exchange whose response was complete and unsuccessful; ``not_executed`` is whether it
+        has a Not-Executed header."""
         if status == HTTPStatus.MISDIRECTED_REQUEST:
             return ExchangeOutcome.MISDIRECTED
         if not_executed:
             return ExchangeOutcome.NOT_EXECUTED
-        if self.begun:
-            return ExchangeOutcome.NOT_TAKEN_UP
-        if status in PROMISES:
-            return ExchangeOutcome.UNPROVEN_PROMISE
-        if status >= 500:
+        if self.response_started:
+            return ExchangeOutcome.RESUME_REJECTED
+        if status in NOT_EXECUTED_STATUSES:
+            return ExchangeOutcome.UNCONFIRMED_REJECTION
+        if status >= HTTPStatus.INTERNAL_SERVER_ERROR:
             return ExchangeOutcome.SERVER_ERROR if self.servers_left > 0 else ExchangeOutcome.LAST_SERVER_ERROR
-        return ExchangeOutcome.REFUSED
-
-    def ending_of_break(self) -> ExchangeOutcome:
-        """The ending of an exchange whose success broke off."""
-        if not self.begun:
-            return ExchangeOutcome.BROKEN_UNSEEN
-        return ExchangeOutcome.BROKEN_AFTER_EVENT if self.event_passed else ExchangeOutcome.BROKEN_MIDWAY
-
-    def told(self, decision: Decision) -> ClientResponse:
-        """What the client is told at the end: no promise where a server may have run the request, and no status
-        where an answer has begun."""
-        if self.begun:
-            return ClientResponse.CUT
-        if decision.told is ClientResponse.UNAVAILABLE and self.may_have_run:
+        return ExchangeOutcome.OTHER_STATUS
+
+    def outcome_of_broken_success(self) -> ExchangeOutcome:
+        """The outcome of an exchange whose successful response broke off."""
+        if not self.response_started:
+            return ExchangeOutcome.BROKEN_BEFORE_RELAY
+        return ExchangeOutcome.BROKEN_AFTER_EVENT if self.event_relayed else ExchangeOutcome.BROKEN_AFTER_BYTES
+
+    def client_response(self, decision: Decision) -> ClientResponse:
+        """What the client gets if there is no further attempt: no 503 where a server may have executed the request,
+        and no status where a response has started."""
+        if self.response_started:
+            return ClientResponse.CONNECTION_CLOSED
+        if decision.client_response is ClientResponse.UNAVAILABLE and self.may_have_run:
             return ClientResponse.BAD_GATEWAY
-        return decision.told
+        return decision.client_response
--- a/rowanshift/dataplane/service.py
+++ b/rowanshift/dataplane/service.py
@@ -88,7 +88,7 @@
         if self.joined_at is None and self.control_cache.member_count:
             self.joined_at = now
         long = self.joined_at is not None and now - self.joined_at > bounds.retry_window_s
-        budget.members = self.control_cache.member_count if long else 0
+        budget.router_count = self.control_cache.member_count if long else 0
         return budget
 
     async def run(self) -> None:
--- a/tests/dataplane/test_exchange_attempts.py
+++ b/tests/dataplane/test_exchange_attempts.py
@@ -167,7 +167,7 @@
         """The outcome, when it was there, and how many servers ran it."""
 
         async def main(rig: Rig) -> Exchange:
-            rig.purse.tokens = tokens
+            rig.retry_budget.tokens = tokens
             return await exchange(rig, kind, *behaviours)
 
         made = play(main, servers)
@@ -254,7 +254,7 @@
     def test_the_budget_is_drawn_on_once_for_one_attempt(self) -> None:
         async def main(rig: Rig) -> int:
             await exchange(rig, "idempotent", Behaviour(then=Then.SILENCE, cut=0))
-            return rig.purse.taken
+            return rig.retry_budget.withdrawn
 
         self.assertEqual(play(main), 1)
 
@@ -264,7 +264,7 @@
 
     def ends(self, kind: str, *behaviours: Behaviour, tokens: int | None = None, servers: int = 3) -> tuple[str, int]:
         async def main(rig: Rig) -> Exchange:
-            rig.purse.tokens = tokens
+            rig.retry_budget.tokens = tokens
             return await exchange(rig, kind, *behaviours)
 
         made = play(main, servers)
--- a/tests/dataplane/test_exchange_faults.py
+++ b/tests/dataplane/test_exchange_faults.py
@@ -15,7 +15,7 @@
 from rowanshift.dataplane import forwarder
 from rowanshift.dataplane.client_answer import Out
 from rowanshift.dataplane.forwarder import Forwarder
-from rowanshift.dataplane.retry_decision import ClientResponse, Decision, ExchangeOutcome, Progress
+from rowanshift.dataplane.retry_decision import ClientResponse, Decision, ExchangeOutcome, RequestProgress
 from rowanshift.dataplane.upstream import Link, Outcome, SendFailed, Upstream
 from rowanshift.transport.http_connection import Connection
 
@@ -92,20 +92,20 @@
         self.found(test_exchanges.RequestsReadInPart, "test_a_narrow_window_keeps_a_part_of_it_back", patch)
 
     def test_a_promise_is_passed_on_without_not_executed(self) -> None:
-        true = Progress.ending_of_status
+        true = RequestProgress.outcome_of_status
 
-        def ending(progress: Progress, status: int, not_executed: bool) -> ExchangeOutcome:
+        def ending(progress: RequestProgress, status: int, not_executed: bool) -> ExchangeOutcome:
             made = true(progress, status, not_executed)
-            return ExchangeOutcome.REFUSED if made is ExchangeOutcome.UNPROVEN_PROMISE else made
+            return ExchangeOutcome.OTHER_STATUS if made is ExchangeOutcome.UNCONFIRMED_REJECTION else made
 
-        patch = mock.patch.object(Progress, "ending_of_status", ending)
+        patch = mock.patch.object(RequestProgress, "outcome_of_status", ending)
         self.found(test_exchanges.Statuses, "test_a_promise_without_proof", patch)
 
     def test_a_promise_is_made_after_a_run_elsewhere(self) -> None:
-        def told(progress: Progress, decision: Decision) -> ClientResponse:
-            return ClientResponse.CUT if progress.begun else decision.told
+        def client_response(progress: RequestProgress, decision: Decision) -> ClientResponse:
+            return ClientResponse.CONNECTION_CLOSED if progress.response_started else decision.client_response
 
-        patch = mock.patch.object(Progress, "told", told)
+        patch = mock.patch.object(RequestProgress, "client_response", client_response)
         self.found(test_exchange_attempts.SeveralAttempts, "test_one_may_have_run_it_and_the_rest_reject_it", patch)
 
     def test_a_stream_that_broke_off_ends_as_whole(self) -> None:
@@ -129,7 +129,7 @@
             self: Forwarder, forwarding: Any, endpoint: Any, link: Link, failure: SendFailed
         ) -> ExchangeOutcome:
             if link is not None and link.since and failure.outcome is Outcome.BROKEN:
-                return ExchangeOutcome.NOT_WRITTEN
+                return ExchangeOutcome.REQUEST_NOT_SENT
             return true(self, forwarding, endpoint, link, failure)
 
         patch = mock.patch.object(Forwarder, "_ending_of", ending_of)
@@ -156,12 +156,14 @@
         patch = mock.patch.object(forwarder, "end_of_events", len)
         self.found(test_exchanges.AnswersBrokenOff, "test_reset_in_the_answer_to_resumable", patch)
 
-    def test_what_may_have_run_goes_again(self) -> None:
-        def again(kind: Any, ending: ExchangeOutcome, true: Callable = forwarder.decide) -> Decision:
+    def test_what_may_have_run_is_retried(self) -> None:
+        def always_retry(kind: Any, ending: ExchangeOutcome, true: Callable = forwarder.decide) -> Decision:
             decision = true(kind, ending)
-            return Decision(True, decision.told, True, False) if ending is ExchangeOutcome.NO_ANSWER else decision
+            if ending is not ExchangeOutcome.NO_RESPONSE:
+                return decision
+            return Decision(True, decision.client_response, True, False)
 
-        patch = mock.patch.object(forwarder, "decide", again)
+        patch = mock.patch.object(forwarder, "decide", always_retry)
         self.found(test_exchanges.AnswersBrokenOff, "test_close_in_the_answer_to_non_idempotent", patch)
 
     def test_an_old_client_gets_a_regular_end_of_a_stream_that_broke_off(self) -> None:
--- a/tests/dataplane/test_exchanges.py
+++ b/tests/dataplane/test_exchanges.py
@@ -12,8 +12,8 @@
     ClientResponse,
     Decision,
     ExchangeOutcome,
-    Progress,
     RequestIdempotency,
+    RequestProgress,
     decide,
 )
 from tests.support.exchange_case import ENDS, KIND_OF, Case, Exchange, breaches, ending_at, exchange, expected, outcome
@@ -95,9 +95,9 @@
         for k, made, wrote in play(main, window=window):
             handed = wrote >= size
             seen.add(handed)
-            ending = ExchangeOutcome.NO_ANSWER if handed else ExchangeOutcome.NOT_WRITTEN
+            ending = ExchangeOutcome.NO_RESPONSE if handed else ExchangeOutcome.REQUEST_NOT_SENT
             if then is Then.SILENCE and handed:
-                ending = ExchangeOutcome.SILENT if kind in REPEATABLE else ExchangeOutcome.TIMED_OUT
+                ending = ExchangeOutcome.SERVER_SILENT if kind in REPEATABLE else ExchangeOutcome.TIMED_OUT
             decision = decide(KIND_OF[kind], ending)
             wanted = expected(decision, False, decision.may_have_run)
             if then is Then.SILENCE and not handed:  # no time is left for another server
@@ -153,7 +153,7 @@
                     await trio.sleep(1.0)  # servers that were full are used again
                 return made
 
-            ending = Progress(servers_left=2).ending_of_status(status, bool(more))
+            ending = RequestProgress(servers_left=2).outcome_of_status(status, bool(more))
             for k, made in play(main):
                 self.agrees(made, kind, ending, f"{status} {more} cut at {k}", status)
 
@@ -191,9 +191,9 @@
                     for k in range(size)
                 ]
 
-            ending = ExchangeOutcome.NO_ANSWER
+            ending = ExchangeOutcome.NO_RESPONSE
             if then is Then.SILENCE:
-                ending = ExchangeOutcome.SILENT if kind in REPEATABLE else ExchangeOutcome.TIMED_OUT
+                ending = ExchangeOutcome.SERVER_SILENT if kind in REPEATABLE else ExchangeOutcome.TIMED_OUT
             for k, made in play(main):
                 self.agrees(made, kind, ending, f"{status} {more}, {then} after {k}")
 
@@ -223,7 +223,7 @@
                     return [await exchange(rig, kind, behaviour) for behaviour in behaviours]
 
                 for k, made in enumerate(play(main)):
-                    self.agrees(made, kind, ExchangeOutcome.MISMATCHED, f"id {id!r} cut at {k}")
+                    self.agrees(made, kind, ExchangeOutcome.MISMATCHED_REQUEST_ID, f"id {id!r} cut at {k}")
 
     def test_garbage(self) -> None:
         for kind in KINDS:
@@ -240,7 +240,7 @@
                     return [await exchange(rig, kind, behaviour) for behaviour in behaviours]
 
                 for k, made in enumerate(play(main)):
-                    self.agrees(made, kind, ExchangeOutcome.GARBLED, f"{junk!r} cut at {k}")
+                    self.agrees(made, kind, ExchangeOutcome.MALFORMED_RESPONSE, f"{junk!r} cut at {k}")
 
     def test_garbage_within_the_head(self) -> None:
         """After each byte of the head: no success comes of it, and no promise."""
@@ -291,7 +291,7 @@
                     return made
 
                 for k, made in enumerate(play(main)):
-                    self.agrees(made, kind, ExchangeOutcome.SURPLUS, f"{k + 1} bytes of {which}")
+                    self.agrees(made, kind, ExchangeOutcome.SUCCESS_WITH_SURPLUS_BYTES, f"{k + 1} bytes of {which}")
 
     def test_later(self) -> None:
         """From right behind the answer to the place where the next is due, on the only server's connection."""
@@ -356,7 +356,9 @@
             closed, *reset = play(main)
             self.assertEqual((outcome(kind, closed.id, closed.got), closed.breaches), ("success", []))
             for k, made in enumerate(reset):
-                self.agrees(made, kind, ExchangeOutcome.BROKEN_MIDWAY, f"reset after {k + 1} of its body", begun=True)
+                self.agrees(
+                    made, kind, ExchangeOutcome.BROKEN_AFTER_BYTES, f"reset after {k + 1} of its body", begun=True
+                )
 
 
 class GarbageWithinAStream(Case):
@@ -377,7 +379,7 @@
                     async def main(rig: Rig, kind: str = kind, spoilt: object = spoilt) -> Exchange:
                         return await exchange(rig, kind, Behaviour(spoilt))
 
-                    ending = ExchangeOutcome.BROKEN_AFTER_EVENT if events else ExchangeOutcome.BROKEN_UNSEEN
+                    ending = ExchangeOutcome.BROKEN_AFTER_EVENT if events else ExchangeOutcome.BROKEN_BEFORE_RELAY
                     made = play(main)
                     self.agrees(made, kind, ending, f"{junk!r} after {events} events", begun=events > 0)
 
@@ -398,7 +400,7 @@
                     return [await exchange(rig, kind, Behaviour(doubled(id), cut=k)) for k in range(0, size, 3)]
 
                 for n, made in enumerate(play(main)):
-                    self.agrees(made, kind, ExchangeOutcome.MISMATCHED, f"id {id!r} cut at {3 * n}")
+                    self.agrees(made, kind, ExchangeOutcome.MISMATCHED_REQUEST_ID, f"id {id!r} cut at {3 * n}")
 
 
 class PartsBefore(Case):
@@ -455,20 +457,19 @@
     rows = tuple(
         tuple(cell.strip() for cell in line.strip("|").split("|"))
         for line in text.split("## The table")[1].split("\n## ")[0].splitlines()
-        if line.startswith("| ") and not line.startswith(("| way ", "| --- "))
+        if line.startswith("| ") and not line.startswith(("| how it ended ", "| --- "))
     )
 
     def cell(self, decision: Decision) -> str:
-        own = {ClientResponse.ANSWER: "the server's answer", ClientResponse.CUT: "its end cut"}
-        told = own.get(decision.told, decision.told.value)
-        return f"again, else {told}" if decision.again else told
+        otherwise = decision.client_response.value
+        return f"retry, else {otherwise}" if decision.retry else otherwise
 
     def test_each_row_is_what_the_code_decides(self) -> None:
         for way, name, *cells, ran, kept, _ in self.rows:
             decisions = [decide(kind, ExchangeOutcome[name.strip("`")]) for kind in RequestIdempotency]
             self.assertEqual(cells, [self.cell(decision) for decision in decisions], way)
             self.assertEqual({"may": True, "no": False}[ran], decisions[0].may_have_run, way)
-            self.assertEqual({"kept": True, "closed": False}[kept], decisions[0].kept, way)
+            self.assertEqual({"kept": True, "closed": False}[kept], decisions[0].keep_connection, way)
 
     def test_each_ending_has_a_row_and_each_row_its_own_way(self) -> None:
         self.assertEqual({row[1].strip("`") for row in self.rows}, {ending.name for ending in ExchangeOutcome})
@@ -483,32 +484,32 @@
 class Table(unittest.TestCase):
     """What must hold of the table whatever else it says."""
 
-    def test_what_may_have_run_goes_again_only_if_it_is_repeatable(self) -> None:
+    def test_what_may_have_run_is_retried_only_if_it_is_repeatable(self) -> None:
         for ending in ExchangeOutcome:
             for kind in RequestIdempotency:
                 decision = decide(kind, ending)
                 if decision.may_have_run and not kind.repeatable:
-                    self.assertFalse(decision.again, (ending, kind))
+                    self.assertFalse(decision.retry, (ending, kind))
 
-    def test_a_promise_is_made_only_of_what_has_not_run(self) -> None:
+    def test_a_503_is_given_only_for_what_has_not_run(self) -> None:
         for ending in ExchangeOutcome:
             for kind in RequestIdempotency:
                 for ran in (False, True):
                     decision = decide(kind, ending)
-                    told = Progress(may_have_run=ran or decision.may_have_run).told(decision)
-                    if told is ClientResponse.UNAVAILABLE:
+                    progress = RequestProgress(may_have_run=ran or decision.may_have_run)
+                    if progress.client_response(decision) is ClientResponse.UNAVAILABLE:
                         self.assertFalse(ran or decision.may_have_run, (ending, kind))
 
     def test_an_answer_that_has_begun_ends_in_no_status(self) -> None:
         for ending in ExchangeOutcome:
             for kind in RequestIdempotency:
-                self.assertIs(Progress(begun=True).told(decide(kind, ending)), ClientResponse.CUT)
+                response = RequestProgress(response_started=True).client_response(decide(kind, ending))
+                self.assertIs(response, ClientResponse.CONNECTION_CLOSED)
 
     def test_run_and_connection_do_not_depend_on_the_kind(self) -> None:
         for ending in ExchangeOutcome:
-            self.assertEqual(
-                len({(decide(kind, ending).may_have_run, decide(kind, ending).kept) for kind in RequestIdempotency}), 1
-            )
+            decisions = [decide(kind, ending) for kind in RequestIdempotency]
+            self.assertEqual(len({(decision.may_have_run, decision.keep_connection) for decision in decisions}), 1)
 
 
 if __name__ == "__main__":
--- a/tests/simulation/test_fleet_faults.py
+++ b/tests/simulation/test_fleet_faults.py
@@ -61,7 +61,9 @@
                 server.answer_lost(0.9)
             await trio.sleep(6)
 
-        self.found("BUDGET", "repeats", scenario, mock.patch.object(RetryBudget, "take", lambda budget, now: True))
+        self.found(
+            "BUDGET", "repeats", scenario, mock.patch.object(RetryBudget, "try_withdraw", lambda budget, now: True)
+        )
 
     def test_a_router_cuts_its_open_requests_at_sigterm(self):
         async def scenario(fleet):
--- a/tests/support/exchange_case.py
+++ b/tests/support/exchange_case.py
@@ -7,8 +7,8 @@
     ClientResponse,
     Decision,
     ExchangeOutcome,
-    Progress,
     RequestIdempotency,
+    RequestProgress,
     decide,
 )
 from tests.support.exchange_rig import (
@@ -67,12 +67,12 @@
 
 
 def expected(decision: Decision, begun: bool, ran: bool, server_status: int = 0) -> str:
-    if decision.again:
+    if decision.retry:
         return "success"
-    told = Progress(may_have_run=ran, begun=begun).told(decision)
-    if told is ClientResponse.ANSWER:
+    response = RequestProgress(may_have_run=ran, response_started=begun).client_response(decision)
+    if response is ClientResponse.SERVER_RESPONSE:
         return "success" if server_status == 200 else f"server {server_status}"
-    return "cut" if told is ClientResponse.CUT else f"own {told.status}"
+    return "cut" if response is ClientResponse.CONNECTION_CLOSED else f"own {response.status}"
 
 
 @dataclass(slots=True)
@@ -132,8 +132,8 @@
         got = (outcome(kind, made.id, made.got), made.attempts, made.kept, made.breaches)
         wanted = (
             expected(decision, begun, decision.may_have_run, server_status),
-            1 + decision.again,
-            decision.kept,
+            1 + decision.retry,
+            decision.keep_connection,
             [],
         )
         if got != wanted:
@@ -151,9 +151,9 @@
     begun = bool(rest) if kind in ("idempotent", "non_idempotent") else event(id, 1) in rest
     if then is Then.SILENCE:
         resumes = kind == "resumable" or (kind == "idempotent" and not begun)
-        return (ExchangeOutcome.SILENT if resumes else ExchangeOutcome.TIMED_OUT), begun
+        return (ExchangeOutcome.SERVER_SILENT if resumes else ExchangeOutcome.TIMED_OUT), begun
     if not found:
-        return ExchangeOutcome.NO_ANSWER, False
+        return ExchangeOutcome.NO_RESPONSE, False
     if not begun:
-        return ExchangeOutcome.BROKEN_UNSEEN, False
-    return (ExchangeOutcome.BROKEN_AFTER_EVENT if kind in STREAMS else ExchangeOutcome.BROKEN_MIDWAY), True
+        return ExchangeOutcome.BROKEN_BEFORE_RELAY, False
+    return (ExchangeOutcome.BROKEN_AFTER_EVENT if kind in STREAMS else ExchangeOutcome.BROKEN_AFTER_BYTES), True
--- a/tests/support/exchange_rig.py
+++ b/tests/support/exchange_rig.py
@@ -362,19 +362,19 @@
 # the rig --------------------------------------------------
 
 
-class Purse:
-    """A retry budget of so many tokens; None: without end."""
+class FakeRetryBudget:
+    """A retry budget of so many retries; None: unlimited."""
 
     def __init__(self, tokens: int | None = None) -> None:
-        self.tokens, self.taken = tokens, 0
+        self.tokens, self.withdrawn = tokens, 0
 
-    def request(self, now: float) -> None:
+    def record_request(self, now: float) -> None:
         pass
 
-    def take(self, now: float) -> bool:
-        if self.tokens is not None and self.taken >= self.tokens:
+    def try_withdraw(self, now: float) -> bool:
+        if self.tokens is not None and self.withdrawn >= self.tokens:
             return False
-        self.taken += 1
+        self.withdrawn += 1
         return True
 
 
@@ -452,7 +452,7 @@
         self.handed: list[End] = []  # the router's ends of connections on which not all was read
         self.over = trio.Event()
         self.servers = [Server(self, self._machine(f"server-{n}"), f"s{n}") for n in range(servers)]
-        self.purse = Purse()
+        self.retry_budget = FakeRetryBudget()
         self.front, self.upstream = self._frontend()
         self.asked = 0
 
@@ -472,7 +472,7 @@
         upstream = Upstream(self.router, budget, memory)
         self.state = FixedState(endpoints, routing_table())
         front = Frontend(
-            self.state, upstream, budget, memory, lambda service: self.purse, lambda: 0.5, NoLoads(), Drain(8.0)
+            self.state, upstream, budget, memory, lambda service: self.retry_budget, lambda: 0.5, NoLoads(), Drain(8.0)
         )
         return front, upstream
 
