--- a/rowanshift/controlplane/endpoint_list.py
+++ b/rowanshift/controlplane/endpoint_list.py
@@ -3,6 +3,8 @@
 from __future__ import annotations
 
 from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any
 
 import orjson
 import trio
@@ -24,6 +26,28 @@
 MAX_LIST_PAGES = 400
 
 
+@dataclass(frozen=True, slots=True)
+class ListPage:
+    """One page of the list; ``next_token`` asks for the next, None or empty on the last one."""
+
+    entries: list[Any]
+    next_token: str | None
+
+    @classmethod
+    def parse(cls, body: bytes) -> ListPage:
+        """The page in an answer's body. Raises ``BadEndpointList``."""
+        try:
+            page = orjson.loads(body)
+            entries, next_token = page["instances"], page.get("nextToken")
+        except (ValueError, KeyError, TypeError, AttributeError) as error:
+            raise BadEndpointList(repr(error)) from error
+        if not isinstance(entries, list):
+            raise BadEndpointList(f"instances: a list expected, not {type(entries).__name__}")
+        if not isinstance(next_token, str | None):
+            raise BadEndpointList(f"nextToken: text expected, not {type(next_token).__name__}")
+        return cls(entries, next_token)
+
+
 class EndpointListReader:
     """Reads the list again and again and applies it to the registry.
 
@@ -72,19 +96,16 @@
     async def _read_pages(self, address: Address) -> list[RegisteredServer]:
         """All entries of the list. Raises ``CallFailed`` and ``BadEndpointList``."""
         servers: list[RegisteredServer] = []
-        page_token = None
+        page_token: str | None = None
         for _ in range(MAX_LIST_PAGES):
             target = b"/instances" if page_token is None else b"/instances?pageToken=" + page_token.encode()
             self.calls += 1
             answer = await call(self.runtime, self.memory, address, b"GET", target, within=LIST_PAGE_TIMEOUT_SECONDS)
             if answer.status != 200:
                 raise BadEndpointList(f"status {answer.status}")
-            try:
-                page = orjson.loads(answer.body)
-                entries, page_token = page["instances"], page.get("nextToken")
-            except (ValueError, KeyError, TypeError, AttributeError) as error:
-                raise BadEndpointList(repr(error)) from error
-            servers += [parse_registered_server(entry) for entry in entries]
-            if not page_token:
+            page = ListPage.parse(answer.body)
+            servers += [parse_registered_server(entry) for entry in page.entries]
+            if not page.next_token:
                 return servers
+            page_token = page.next_token
         raise BadEndpointList(f"over {MAX_LIST_PAGES} pages")
