--- a/rowanshift/kv_index/block_holder.py
+++ b/rowanshift/kv_index/block_holder.py
@@ -6,7 +6,7 @@
 from collections import OrderedDict
 from collections.abc import Mapping
 from dataclasses import dataclass, field
-from typing import Any, NamedTuple
+from typing import Any
 
 from rowanshift.kv_index.block_hashes import block_hash, presence_hash
 from rowanshift.kv_index.errors import MalformedHoldings
@@ -15,14 +15,6 @@
 UNKNOWN_BOOT_EPOCH = -1  # of a holder whose list was not read yet, or whose events were lost
 
 
-class BlockEvent(NamedTuple):
-    """A block that was stored, or is held on with another number of tokens, or was removed."""
-
-    block_hash: int
-    is_held: bool
-    tokens: int
-
-
 @dataclass(slots=True)
 class BlockHolder:
     """One server or store, and the blocks that it holds as far as it has reported them."""
@@ -52,7 +44,7 @@
         try:
             boot_epoch, next_event = int(answer["bootEpoch"]), int(answer["nextToken"])
             held = [
-                (self._block_hash(model, salt, block_id), int(tokens))
+                (block_hash(self.address, str(model), str(salt), str(block_id)), int(tokens))
                 for salt, block_id, tokens, model in answer["held"]
             ]
         except (KeyError, TypeError, ValueError) as error:
@@ -66,7 +58,7 @@
         try:
             boot_epoch, next_event, lost = int(answer["bootEpoch"]), int(answer["nextToken"]), bool(answer["lost"])
             events = [
-                self._event(sign, salt, block_id, tokens, model)
+                (sign, block_hash(self.address, str(model), str(salt), str(block_id)), int(tokens))
                 for _, sign, salt, block_id, tokens, model in answer["events"]
             ]
         except (KeyError, TypeError, ValueError) as error:
@@ -75,22 +67,12 @@
             self.reset()
             return False
         self.next_event = next_event
-        for event in events:
-            self._apply_event(event)
+        for sign, hash_, tokens in events:
+            if sign == "+" or tokens > 0:
+                self.blocks[hash_] = tokens
+                self.blocks.move_to_end(hash_)
+            else:
+                self.blocks.pop(hash_, None)
         while len(self.blocks) > MAX_HELD_BLOCKS:
             self.blocks.popitem(last=False)
         return True
-
-    def _event(self, sign: object, salt: object, block_id: object, tokens: Any, model: object) -> BlockEvent:
-        count = int(tokens)
-        return BlockEvent(self._block_hash(model, salt, block_id), sign == "+" or count > 0, count)
-
-    def _apply_event(self, event: BlockEvent) -> None:
-        if event.is_held:
-            self.blocks[event.block_hash] = event.tokens
-            self.blocks.move_to_end(event.block_hash)
-        else:
-            self.blocks.pop(event.block_hash, None)
-
-    def _block_hash(self, model: object, salt: object, block_id: object) -> int:
-        return block_hash(self.address, str(model), str(salt), str(block_id))
--- a/rowanshift/kv_index/prefix_holdings.py
+++ b/rowanshift/kv_index/prefix_holdings.py
@@ -2,6 +2,7 @@
 
 from collections import deque
 from dataclasses import dataclass, field
+from itertools import chain, islice, repeat
 from typing import NamedTuple
 
 MAX_CHANGES = 4096  # in the history; a router that lacks more gets the complete holdings
@@ -38,8 +39,12 @@
             return False
         self.serial += 1
         stored, removed = block_hashes - self.block_hashes, self.block_hashes - block_hashes
-        self.changes.extend(HoldingsChange(self.serial, block_hash, True) for block_hash in stored)
-        self.changes.extend(HoldingsChange(self.serial, block_hash, False) for block_hash in removed)
+        changed = chain(zip(stored, repeat(True)), zip(removed, repeat(False)))
+        surplus = max(0, len(stored) + len(removed) - MAX_CHANGES)  # which the history would drop at once
+        self.changes.extend(
+            HoldingsChange(self.serial, block_hash, is_stored)
+            for block_hash, is_stored in islice(changed, surplus, None)
+        )
         self.block_hashes = block_hashes
         return True
 
--- a/rowanshift/wire/delta.py
+++ b/rowanshift/wire/delta.py
@@ -9,7 +9,6 @@
 from collections.abc import Iterator
 from struct import Struct
 from struct import error as StructError
-from typing import NamedTuple
 
 from rowanshift.wire.errors import MalformedDelta
 
@@ -19,23 +18,16 @@
 BLOCK_END = re.compile(rb"\},")
 
 
-class Block(NamedTuple):
-    """A part of a byte string."""
-
-    start: int
-    end: int
-
-
-def split_into_blocks(data: bytes) -> Iterator[Block]:
-    """The blocks of a byte string in their order; together they are all of it."""
+def split_into_blocks(data: bytes) -> Iterator[slice]:
+    """The blocks of a byte string in their order, as slices of it; together they are all of it."""
     start = 0
     ends = [match.end() for match in BLOCK_END.finditer(data)]
     for end in (*ends, len(data)):
         while end - start > MAX_BLOCK_BYTES:
-            yield Block(start, start + MAX_BLOCK_BYTES)
+            yield slice(start, start + MAX_BLOCK_BYTES)
             start += MAX_BLOCK_BYTES
         if end > start:
-            yield Block(start, end)
+            yield slice(start, end)
         start = end
 
 
@@ -44,16 +36,15 @@
 
     def __init__(self) -> None:
         self._operations: list[bytes] = []
-        self._copy = Block(0, 0)  # of the old bytes; empty while none is open
+        self._copy_start = self._copy_end = 0  # in the old bytes; equal while no copy is open
         self._literal = bytearray()
 
     def copy(self, offset: int, length: int) -> None:
         """Adds a part of the old bytes."""
-        if self._copy.end > self._copy.start and self._copy.end == offset:
-            self._copy = Block(self._copy.start, offset + length)
-            return
-        self._flush()
-        self._copy = Block(offset, offset + length)
+        if self._copy_end != offset or self._copy_start == offset:
+            self._flush()
+            self._copy_start = offset
+        self._copy_end = offset + length
 
     def literal(self, data: bytes) -> None:
         """Adds bytes that the old ones don't have."""
@@ -68,10 +59,9 @@
 
     def _flush(self) -> None:
         """Closes the operation that is open, if any; copy and literal are never open together."""
-        start, end = self._copy
-        if end > start:
-            self._operations.append(OPERATION.pack(COPY, start, end - start))
-            self._copy = Block(0, 0)
+        if self._copy_end > self._copy_start:
+            self._operations.append(OPERATION.pack(COPY, self._copy_start, self._copy_end - self._copy_start))
+            self._copy_start = self._copy_end = 0
         if self._literal:
             self._operations += OPERATION.pack(LITERAL, 0, len(self._literal)), bytes(self._literal)
             self._literal.clear()
@@ -80,16 +70,16 @@
 def make_delta(old: bytes, new: bytes) -> bytes:
     """The delta by which ``apply_delta`` makes ``new`` of ``old``."""
     offsets: dict[bytes, int] = {}
-    for start, end in split_into_blocks(old):
-        offsets.setdefault(old[start:end], start)
+    for block in split_into_blocks(old):
+        offsets.setdefault(old[block], block.start)
     writer = _DeltaWriter()
-    for start, end in split_into_blocks(new):
-        block = new[start:end]
-        offset = offsets.get(block)
+    for block in split_into_blocks(new):
+        data = new[block]
+        offset = offsets.get(data)
         if offset is None:
-            writer.literal(block)
+            writer.literal(data)
         else:
-            writer.copy(offset, len(block))
+            writer.copy(offset, len(data))
     return writer.finish()
 
 
--- a/tests/wire/test_delta.py
+++ b/tests/wire/test_delta.py
@@ -62,8 +62,8 @@
 
     def test_blocks_cover_all_bytes_in_their_order(self) -> None:
         data = b"x" * (3 * MAX_BLOCK_BYTES + 5) + b"},},{}" + b"y" * MAX_BLOCK_BYTES
-        self.assertEqual(b"".join(data[start:end] for start, end in split_into_blocks(data)), data)
-        self.assertLessEqual(max(end - start for start, end in split_into_blocks(data)), MAX_BLOCK_BYTES)
+        self.assertEqual(b"".join(data[block] for block in split_into_blocks(data)), data)
+        self.assertLessEqual(max(block.stop - block.start for block in split_into_blocks(data)), MAX_BLOCK_BYTES)
 
 
 class Sizes(unittest.TestCase):
