--- a/tests/controlplane/replication/test_fault_domains.py
+++ b/tests/controlplane/replication/test_failure_domains.py
@@ -1,4 +1,4 @@
-"""Copies and witnesses over zones and regions, so that what may be lost at once leaves a copy and a majority."""
+"""Replicas and witnesses over zones and regions: a replica and a majority survive the worst tolerated loss."""
 
 import random
 import unittest
@@ -26,10 +26,11 @@
 from rowanshift.simulation.fleet_settings import CONTROL
 from rowanshift.simulation.fleet_troubles import Unit
 from rowanshift.wire.machine_ids import machine_id_from_ip
+from tests.support.replication_rig import sent_messages
 
-SETTLES = 12.0  # seconds in which copies and witnesses are spread
-READ_WITHIN = 30.0  # seconds
-REPLACED_WITHIN = 10.0  # seconds for a machine to be taken in
+SPREAD_SECONDS = 12.0  # in which replicas and witnesses are spread
+READ_TIMEOUT_SECONDS = 30.0
+REPLACEMENT_SECONDS = 10.0  # for a machine to join and take part
 
 
 def setUpModule() -> None:
@@ -40,33 +41,33 @@
     logger.enable("rowanshift")
 
 
-def copies(fleet: Fleet) -> list[Unit]:
-    """The machines that hold the newest state, the primary first."""
+def replicas(fleet: Fleet) -> list[Unit]:
+    """The in-sync machines, the primary first."""
     primary = fleet.primary()
     in_sync = primary.program.replica_runner.replica.record.in_sync
-    holding = [unit for unit in fleet.cores if machine_id_from_ip(unit.machine.address) in in_sync]
-    return sorted(holding, key=lambda unit: unit is not primary)
+    in_sync_units = [unit for unit in fleet.cores if machine_id_from_ip(unit.machine.address) in in_sync]
+    return sorted(in_sync_units, key=lambda unit: unit is not primary)
 
 
 class Losses(unittest.TestCase):
     """The worst loss that the settings allow comes right after an acknowledgement, and all others lose power."""
 
     def read_after(self, seed: str, machines: int, **given: int) -> int:
-        """The revision read once a zone of a copy and so many further copies are gone for good; 9 was acknowledged."""
+        """The revision read after the loss of a replica's zone and of further replicas; 9 was acknowledged."""
 
         async def main(fleet: Fleet) -> int:
             await fleet.start()
-            await trio.sleep(SETTLES)
+            await trio.sleep(SPREAD_SECONDS)
             self.assertEqual(await fleet.put(config_of(9)), 200)
-            zone = copies(fleet)[0].zone
+            zone = replicas(fleet)[0].zone
             lost = [unit for unit in fleet.cores if unit.zone == zone]
-            lost += [unit for unit in copies(fleet) if unit not in lost][:machines]
+            lost += [unit for unit in replicas(fleet) if unit not in lost][:machines]
             others = [unit for unit in fleet.cores if unit not in lost]
             fleet.empty_disk(*lost)
             fleet.cut_power(*others)
             await trio.sleep(1.0)
             fleet.back(*others)
-            return (await fleet.operator.read_config(READ_WITHIN) or {}).get("revision", 0)
+            return (await fleet.operator.read_config(READ_TIMEOUT_SECONDS) or {}).get("revision", 0)
 
         return play(main, seed, routers=1, strict=False, zones=3, **given)[0]
 
@@ -79,8 +80,8 @@
             self.assertEqual(self.read_after(f"both {seed}", 1, cores=9, f=1, lost_zones=1), 9)
 
 
-class NobodyCounts(unittest.TestCase):
-    """All core machines have ``quorumMember`` false: they must do, and those that come must be able to take part."""
+class NoQuorumMembers(unittest.TestCase):
+    """All core machines have ``quorumMember`` false: they are members all the same, and so can their successors be."""
 
     def test_each_of_the_first_members_is_replaced_in_turn(self) -> None:
         async def main(fleet: Fleet) -> int:
@@ -89,35 +90,35 @@
             for unit in first:
                 spare = fleet.spare(counts=False)
                 fleet.operator.controls.append((spare.machine.address, CONTROL))
-                self.assertTrue(await fleet.until(lambda spare=spare: takes_part(fleet, spare), REPLACED_WITHIN))
+                self.assertTrue(await fleet.until(lambda spare=spare: takes_part(fleet, spare), REPLACEMENT_SECONDS))
                 fleet.empty_disk(unit)
-                await trio.sleep(REPLACED_WITHIN)
+                await trio.sleep(REPLACEMENT_SECONDS)
             self.assertEqual(await fleet.put(config_of(9)), 200)
-            return (await fleet.operator.read_config(READ_WITHIN) or {}).get("revision", 0)
+            return (await fleet.operator.read_config(READ_TIMEOUT_SECONDS) or {}).get("revision", 0)
 
         self.assertEqual(play(main, "nobody", routers=1, strict=False, counts=False)[0], 9)
 
-    def test_one_is_gone_before_its_successor_starts(self) -> None:
+    def test_a_member_is_lost_before_its_successor_starts(self) -> None:
         async def main(fleet: Fleet) -> int:
             await fleet.start()
-            await trio.sleep(REPLACED_WITHIN)
+            await trio.sleep(REPLACEMENT_SECONDS)
             for unit in list(fleet.cores):
                 fleet.empty_disk(unit)
                 await trio.sleep(1.0)
                 spare = fleet.spare(counts=False)
                 fleet.operator.controls.append((spare.machine.address, CONTROL))
-                await trio.sleep(REPLACED_WITHIN)
+                await trio.sleep(REPLACEMENT_SECONDS)
             self.assertEqual(await fleet.put(config_of(9)), 200)
-            return (await fleet.operator.read_config(READ_WITHIN) or {}).get("revision", 0)
+            return (await fleet.operator.read_config(READ_TIMEOUT_SECONDS) or {}).get("revision", 0)
 
         self.assertEqual(play(main, "gone before", routers=1, strict=False, counts=False)[0], 9)
 
-    def test_one_that_does_not_count_stays_out_where_others_do(self) -> None:
+    def test_a_machine_that_is_no_quorum_member_stays_out_where_others_are(self) -> None:
         async def main(fleet: Fleet) -> set[int]:
             await fleet.start()
             fleet.cut_power(fleet.backups()[-1])
             spare = fleet.spare(counts=False)
-            await trio.sleep(2 * REPLACED_WITHIN)
+            await trio.sleep(2 * REPLACEMENT_SECONDS)
             self.assertTrue(takes_part(fleet, spare))
             return fleet.primary().program.replica_runner.replica.record.members() & {
                 machine_id_from_ip(spare.machine.address)
@@ -125,84 +126,76 @@
 
         self.assertEqual(play(main, "stays out", routers=1, strict=False)[0], set())
 
-    def test_it_is_told(self) -> None:
+    def test_an_unmet_tolerance_is_reported(self) -> None:
         async def main(fleet: Fleet) -> str:
             await fleet.start()
-            await trio.sleep(REPLACED_WITHIN)
+            await trio.sleep(REPLACEMENT_SECONDS)
             return fleet.primary().program.replica_runner.replica.unmet_tolerance()
 
         self.assertIn("no core machine counts", play(main, "told", routers=1, counts=False)[0])
         self.assertEqual(play(main, "told", routers=1)[0], "")
 
 
-class Belief(unittest.TestCase):
-    """Who is taken to count, by what machines say."""
+class QuorumMembership(unittest.TestCase):
+    """Which machines are taken for quorum members, by their reports."""
 
-    def replica(self) -> replication.Replica:
+    def replica_of_no_quorum_member(self) -> replication.Replica:
         failure_domain = replication.FailureDomain("z", "r", quorum_member=False)
-        made = replication.Replica(4, 1, (1, 2, 3), False, None, 0.0, lambda: 0.5, failure_domain=failure_domain)
+        replica = replication.Replica(4, 1, (1, 2, 3), False, None, 0.0, lambda: 0.5, failure_domain=failure_domain)
         record = replication.EpochRecord(1 << 32 | 1, 1, (1, 2), (1, 2, 3))
-        made._durable = replication.DurableState(record.epoch, record, replication.NO_VERSION, b"", amnesic=False)
-        return made
+        replica._durable = replication.DurableState(record.epoch, record, replication.NO_VERSION, b"", amnesic=False)
+        return replica
 
-    def test_one_that_says_nothing_counts(self) -> None:
-        made = self.replica()
+    def test_a_machine_without_a_report_is_taken_for_a_quorum_member(self) -> None:
+        replica = self.replica_of_no_quorum_member()
         for machine in (1, 2):
-            made.receive(machine, replication.FailureDomainReport("z", "r", False, False), 1.0)
-        self.assertTrue(made._is_observer())
-        made.receive(3, replication.FailureDomainReport("z", "r", False, False), 1.0)
-        self.assertFalse(made._is_observer())
-
-    def test_a_member_is_believed_for_a_while(self) -> None:
-        made = self.replica()
-        made.receive(1, replication.FailureDomainReport("z", "r", False, True), 1.0)
-        self.assertFalse(made._is_observer())
-        made.tick(1.0 + NO_QUORUM_MEMBERS_LIFETIME_SECONDS + 0.1)
-        self.assertTrue(made._is_observer())
-
-    def test_one_that_is_no_member_is_not(self) -> None:
-        made = self.replica()
-        made.receive(9, replication.FailureDomainReport("z", "r", False, True), 1.0)
-        self.assertTrue(made._is_observer())
-
-    def test_it_is_told_again_after_a_while_and_not_sooner(self) -> None:
-        made = self.replica()
-        made.drain()
-        for at, told in (
+            replica.receive(machine, replication.FailureDomainReport("z", "r", False, False), 1.0)
+        self.assertTrue(replica._is_observer())
+        replica.receive(3, replication.FailureDomainReport("z", "r", False, False), 1.0)
+        self.assertFalse(replica._is_observer())
+
+    def test_a_report_of_a_member_is_valid_for_a_while(self) -> None:
+        replica = self.replica_of_no_quorum_member()
+        replica.receive(1, replication.FailureDomainReport("z", "r", False, True), 1.0)
+        self.assertFalse(replica._is_observer())
+        replica.tick(1.0 + NO_QUORUM_MEMBERS_LIFETIME_SECONDS + 0.1)
+        self.assertTrue(replica._is_observer())
+
+    def test_a_report_of_another_machine_is_ignored(self) -> None:
+        replica = self.replica_of_no_quorum_member()
+        replica.receive(9, replication.FailureDomainReport("z", "r", False, True), 1.0)
+        self.assertTrue(replica._is_observer())
+
+    def test_reports_are_repeated_at_their_interval(self) -> None:
+        replica = self.replica_of_no_quorum_member()
+        replica.drain()
+        for at, expected in (
             (1.0, 3),
             (1.0 + FAILURE_DOMAIN_INTERVAL_SECONDS - 0.1, 0),
             (1.0 + FAILURE_DOMAIN_INTERVAL_SECONDS, 3),
         ):
-            made.tick(at)
-            sent = [
-                action
-                for action in made.drain()
-                if isinstance(getattr(action, "message", None), replication.FailureDomainReport)
-            ]
-            self.assertEqual(len(sent), told, at)
-
-    def test_a_machine_that_counts_tells_nothing_until_it_matters(self) -> None:
-        made = replication.Replica(1, 1, (1, 2, 3), True, None, 0.0, lambda: 0.5)
+            replica.tick(at)
+            sent = sent_reports(replica)
+            self.assertEqual(len(sent), expected, at)
+
+    def test_a_quorum_member_reports_nothing_until_it_matters(self) -> None:
+        replica = replication.Replica(1, 1, (1, 2, 3), True, None, 0.0, lambda: 0.5)
         for at, matters in ((1.0, False), (2.0, True)):
             if matters:
-                made.receive(2, replication.FailureDomainReport("z", "r", False, False), at)
-            made.tick(at)
-            sent = [
-                action
-                for action in made.drain()
-                if isinstance(getattr(action, "message", None), replication.FailureDomainReport)
-            ]
+                replica.receive(2, replication.FailureDomainReport("z", "r", False, False), at)
+            replica.tick(at)
+            sent = sent_reports(replica)
             self.assertEqual(bool(sent), matters)
 
 
-class Choice(unittest.TestCase):
-    """The pure choice."""
+class Placement(unittest.TestCase):
+    """The choice of backups and witnesses."""
 
     def failure_domains(self, *zones: str) -> dict[int, FailureDomain]:
         """Machine by machine, a region and a zone as two letters."""
         return {number: FailureDomain(zone[1], zone[0]) for number, zone in enumerate(zones, 1)}
 
-    def test_what_the_worst_loss_takes(self) -> None:
+    def test_losses_in_the_worst_case(self) -> None:
         failure_domains = self.failure_domains("aa", "aa", "ab", "ba", "bb", "ca")
         for tolerance, taken in (
             (FaultTolerance(), 0),
@@ -217,7 +210,7 @@
         ):
             self.assertEqual(worst_case_losses(failure_domains, failure_domains, tolerance), taken, tolerance)
 
-    def test_without_domains_the_preferred_are_chosen(self) -> None:
+    def test_without_zones_and_regions_the_preferred_are_chosen(self) -> None:
         random_source = random.Random(1)
         for _ in range(200):
             machines = random_source.sample(range(2, 12), random_source.randrange(1, 8))
@@ -226,8 +219,8 @@
                 chosen = choose_backups(1, machines, failure_domains, FaultTolerance(f))
                 self.assertEqual(chosen, machines[:f])
 
-    def test_a_choice_survives_wherever_any_does(self) -> None:
-        """Against all choices of machines, for drawn places."""
+    def test_a_replica_survives_wherever_any_choice_allows_it(self) -> None:
+        """Against all choices of machines, for random zones and regions."""
         random_source = random.Random(2)
         for _ in range(300):
             failure_domains = {
@@ -245,7 +238,7 @@
                 (failure_domains, tolerance),
             )
 
-    def test_votes_move_to_where_a_loss_leaves_a_majority(self) -> None:
+    def test_witnesses_move_to_where_a_majority_survives(self) -> None:
         failure_domains = self.failure_domains("aa", "aa", "aa", "ab", "ac")
         tolerance = FaultTolerance(0, 1)
         witnesses = improved_witnesses([1, 2, 3], [4, 5], failure_domains, tolerance)
@@ -256,7 +249,7 @@
         )
         self.assertEqual(improved_witnesses([1, 4, 5], [2], failure_domains, tolerance), ())
 
-    def test_no_more_votes_than_the_limit(self) -> None:
+    def test_no_more_witnesses_than_the_limit(self) -> None:
         failure_domains = {machine: FailureDomain("a", "r") for machine in range(MAX_WITNESSES + 1)}
         everyone = list(range(MAX_WITNESSES))
         self.assertEqual(improved_witnesses(everyone, [MAX_WITNESSES], failure_domains, FaultTolerance(0, 1)), ())
@@ -265,7 +258,7 @@
             MAX_WITNESSES,
         )
 
-    def test_what_zones_can_bear(self) -> None:
+    def test_what_losses_zones_can_tolerate(self) -> None:
         three, two = {"a": "r", "b": "r", "c": "r"}, {"a": "r", "b": "r"}
         self.assertTrue(can_be_tolerated(FaultTolerance(1, 1), three))
         self.assertTrue(can_be_tolerated(FaultTolerance(3), two))
@@ -273,6 +266,10 @@
         self.assertFalse(can_be_tolerated(FaultTolerance(0, 0, 1), three))
 
 
+def sent_reports(replica: replication.Replica) -> list[replication.Message]:
+    return [message for message in sent_messages(replica) if isinstance(message, replication.FailureDomainReport)]
+
+
 def takes_part(fleet: Fleet, unit: Unit) -> bool:
     """Whether a machine that was started has recovered, and its vote is wanted or it has one."""
     host = getattr(unit.program, "replica_runner", None)
--- a/tests/controlplane/replication/test_state_delta.py
+++ b/tests/controlplane/replication/test_state_delta.py
@@ -1,4 +1,4 @@
-"""Changes that go to the backups as differences: what they hold, and what is lost on the way."""
+"""Changes that are sent to backups as deltas."""
 
 import unittest
 
@@ -7,7 +7,7 @@
 from rowanshift.modelcheck.implementations import Implementations
 from rowanshift.modelcheck.random_walk import RandomWalk
 from rowanshift.wire.delta import COPY, LITERAL, OPERATION
-from tests.controlplane.replication.test_replication import Rig
+from tests.support.replication_rig import ReplicationRig
 
 ROW = b'{"name":"r-%05d"},'
 ROWS = 3000
@@ -21,7 +21,7 @@
 
 
 class AlwaysByDelta(replication.Replica):
-    """States of the model checker only grow: a difference is the state before and what was appended."""
+    """States of the model checker only grow: a delta is the state before and what was appended."""
 
     def _delta_of(self, state: bytes, version: replication.StateVersion) -> replication.StoreDelta | None:
         base = self.committed_state
@@ -30,8 +30,8 @@
         return replication.StoreDelta(self._own_record.epoch, version, self.committed_version, delta)
 
 
-class Backups(unittest.TestCase):
-    def sent(self, rig: Rig) -> list[type]:
+class DeltaCase(unittest.TestCase):
+    def sent(self, rig: ReplicationRig) -> list[type]:
         """Types of the Stores that go out from now on, as they do."""
         kinds: list[type] = []
 
@@ -43,28 +43,28 @@
         rig.drop = note
         return kinds
 
-    def propose(self, rig: Rig, made: bytes) -> None:
+    def propose(self, rig: ReplicationRig, made: bytes) -> None:
         primary = rig.primary()
         rig.cluster.last_token += 1
-        rig.ledger(primary).propose(rig.cluster.last_token, made, rig.cluster.now)
+        rig.replica(primary).propose(rig.cluster.last_token, made, rig.cluster.now)
         rig.cluster.invariants.proposed_states[rig.cluster.last_token] = made
-        for action in rig.ledger(primary).drain():
+        for action in rig.replica(primary).drain():
             self.carry(rig, primary, action)
         rig.run(0.05)
 
-    def carry(self, rig: Rig, me: int, action: replication.Action) -> None:
+    def carry(self, rig: ReplicationRig, me: int, action: replication.Action) -> None:
         if isinstance(action, replication.Send):
             rig.cluster.in_flight.append(Envelope(me, action.to, action.message))
         elif isinstance(action, replication.Save):
             rig.cluster.machines[me].pending_save = action
 
-    def backup(self, rig: Rig) -> int:
-        return next(m for m in rig.ledger(rig.primary()).record.in_sync if m != rig.primary())
+    def backup(self, rig: ReplicationRig) -> int:
+        return next(m for m in rig.replica(rig.primary()).record.in_sync if m != rig.primary())
 
 
-class Differences(Backups):
-    def test_the_first_state_goes_whole_and_changes_by_their_difference(self) -> None:
-        rig = Rig()
+class Deltas(DeltaCase):
+    def test_the_first_state_is_sent_in_full_and_changes_as_deltas(self) -> None:
+        rig = ReplicationRig()
         rig.cluster.invariants.check_commit = lambda *_: None  # these states don't grow, as the model's do
         rig.elect()
         kinds = self.sent(rig)
@@ -73,11 +73,11 @@
         kinds.clear()
         self.propose(rig, state(90002))
         self.assertEqual(kinds, [replication.StoreDelta])
-        for member in rig.ledger(rig.primary()).record.in_sync:
+        for member in rig.replica(rig.primary()).record.in_sync:
             self.assertEqual(rig.cluster.machines[member].disk.state, state(90002))
 
-    def test_one_that_is_lost_is_followed_by_the_whole_state(self) -> None:
-        rig = Rig()
+    def test_a_lost_delta_is_followed_by_the_full_state(self) -> None:
+        rig = ReplicationRig()
         rig.cluster.invariants.check_commit = lambda *_: None
         rig.elect()
         self.propose(rig, state(90001))
@@ -86,10 +86,10 @@
         self.assertEqual(rig.cluster.machines[self.backup(rig)].disk.state, state(90001))
         rig.run(0.3)
         self.assertEqual(rig.cluster.machines[self.backup(rig)].disk.state, state(90002))
-        self.assertEqual(rig.ledger(rig.primary()).committed_state, state(90002))
+        self.assertEqual(rig.replica(rig.primary()).committed_state, state(90002))
 
-    def test_a_small_state_or_one_that_is_all_new_goes_whole(self) -> None:
-        rig = Rig()
+    def test_a_small_or_entirely_new_state_is_sent_in_full(self) -> None:
+        rig = ReplicationRig()
         rig.cluster.invariants.check_commit = lambda *_: None
         rig.elect()
         kinds = self.sent(rig)
@@ -97,28 +97,30 @@
             self.propose(rig, made)
         self.assertEqual(set(kinds), {replication.Store})
 
-    def test_one_to_another_state_than_is_held_is_left_and_not_answered(self) -> None:
-        """The walks don't come to it: a backup that lost its disk is replaced before it may answer again."""
-        rig = Rig()
+    def test_a_delta_to_another_base_is_ignored(self) -> None:
+        """The walks don't reach this: a backup that lost its disk is replaced before it may answer again."""
+        rig = ReplicationRig()
         rig.cluster.invariants.check_commit = lambda *_: None
         rig.elect()
         self.propose(rig, state(90001))
-        replica, primary = rig.ledger(self.backup(rig)), rig.primary()
-        held = replica._durable
-        base = replication.StateVersion(held.version.epoch, held.version.sequence + 1)
-        version = replication.StateVersion(held.version.epoch, held.version.sequence + 2)
+        replica, primary = rig.replica(self.backup(rig)), rig.primary()
+        durable = replica._durable
+        base = replication.StateVersion(durable.version.epoch, durable.version.sequence + 1)
+        version = replication.StateVersion(durable.version.epoch, durable.version.sequence + 2)
         delta = OPERATION.pack(COPY, 0, 10)
-        replica.receive(primary, replication.StoreDelta(held.version.epoch, version, base, delta), rig.cluster.now)
-        self.assertEqual((replica.drain(), replica._durable), ([], held))
-        replica.receive(primary, replication.StoreDelta(held.version.epoch, base, held.version, delta), rig.cluster.now)
+        replica.receive(primary, replication.StoreDelta(durable.version.epoch, version, base, delta), rig.cluster.now)
+        self.assertEqual((replica.drain(), replica._durable), ([], durable))
+        replica.receive(
+            primary, replication.StoreDelta(durable.version.epoch, base, durable.version, delta), rig.cluster.now
+        )
         self.assertEqual(replica._durable.state, state(90001)[:10])
 
-    def test_below_its_promise_none_is_taken(self) -> None:
-        rig = Rig()
+    def test_a_delta_below_the_promise_is_refused(self) -> None:
+        rig = ReplicationRig()
         rig.cluster.invariants.check_commit = lambda *_: None
         rig.elect()
         self.propose(rig, state(90001))
-        replica = rig.ledger(self.backup(rig))
+        replica = rig.replica(self.backup(rig))
         version = replication.StateVersion(0, 5)
         replica.receive(
             rig.primary(), replication.StoreDelta(0, version, replica._durable.version, b""), rig.cluster.now
@@ -128,16 +130,16 @@
 
 
 class AppliesToAnyBase(replication.Replica):
-    """Planted: a backup takes a difference to a state that it doesn't hold."""
+    """Planted: a backup applies a delta to a state that it doesn't have."""
 
     def _on_store_delta(self, sender: int, message: replication.StoreDelta) -> None:
-        held = self._durable.version
-        super()._on_store_delta(sender, replication.StoreDelta(message.epoch, message.version, held, message.delta))
+        durable = self._durable.version
+        super()._on_store_delta(sender, replication.StoreDelta(message.epoch, message.version, durable, message.delta))
 
 
 class AnotherBase(unittest.TestCase):
     def state_after(self, replica_class: type[replication.Replica]) -> bytes:
-        """What a backup holds after a difference to a version that it never stored."""
+        """The state of a backup after a delta to a version that it never stored."""
         epoch = 1 << 32 | 2
         replica = replica_class(1, 1, (1, 2, 3), True, None, 0.0, fixed_random)
         replica.receive(2, replication.Store(epoch, replication.StateVersion(epoch, 1), state(1)), 1.0)
@@ -151,15 +153,15 @@
         )
         return replica._durable.state
 
-    def test_it_keeps_what_it_holds(self) -> None:
+    def test_a_delta_to_an_unknown_base_changes_nothing(self) -> None:
         self.assertEqual(self.state_after(replication.Replica), state(1))
 
-    def test_one_that_applies_it_all_the_same_is_found(self) -> None:
+    def test_a_replica_that_applies_it_to_any_base_is_found(self) -> None:
         self.assertNotEqual(self.state_after(AppliesToAnyBase), state(1))
 
 
 class Walks(unittest.TestCase):
-    def test_walks_in_which_all_changes_go_by_their_difference(self) -> None:
+    def test_walks_in_which_all_changes_are_deltas(self) -> None:
         committed = 0
         for seed in range(3000, 3012):
             outcome = RandomWalk(seed, 3, 1, 1, implementations=Implementations(replica=AlwaysByDelta)).run(5000)
--- a/tests/modelcheck/test_closing_fault.py
+++ b/tests/modelcheck/test_closing_fault.py
@@ -11,7 +11,7 @@
 from rowanshift.simulation.fleet import Fleet, config_of, play
 from rowanshift.simulation.fleet_machines import Unit
 from rowanshift.simulation.fleet_settings import MODEL
-from tests.controlplane.replication.test_replication import FOURTH, Rig
+from tests.support.replication_rig import FOURTH, ReplicationRig
 
 CLOSING_FAULT_DELAYS_SECONDS = (0.0, 0.05, 0.2, 1.0)  # from the event before to the closing fault, at most
 COUNTS_AS_FAILED_SECONDS = 4.0  # for which a machine counts as failed after its start
@@ -28,14 +28,14 @@
     logger.enable("rowanshift")
 
 
-class ClosingRig(Rig):
+class ClosingRig(ReplicationRig):
     """A rig whose machines may all lose power at one moment, some of them with their disks."""
 
     uncounted: frozenset[int] | set[int] = frozenset()
 
     def start(self, me: int, bootstrap: bool = False) -> None:
         super().start(me, bootstrap)
-        self.ledger(me).quorum_member = me not in self.uncounted
+        self.replica(me).quorum_member = me not in self.uncounted
 
     def inject_closing_fault(self, lost_disk: int, removed: int = 0) -> None:
         """Disks keep what was synced, but for the one that is lost; a removed machine doesn't start again."""
@@ -51,7 +51,7 @@
     def read_back(self) -> bytes | None:
         """The state of the next primary; ``None`` if there is none in time."""
         self.run(READ_BACK_LIMIT_SECONDS, lambda: self.primary() != 0)
-        return self.ledger(self.primary()).committed_state if self.primary() else None
+        return self.replica(self.primary()).committed_state if self.primary() else None
 
 
 class AfterARelease(unittest.TestCase):
@@ -65,13 +65,13 @@
                     rig.elect()
                     rig.run(6.0)
                     rig.commit()
-                    acknowledged = rig.ledger(rig.primary()).committed_state
+                    acknowledged = rig.replica(rig.primary()).committed_state
                     self.leave(rig, leaving)
                     rig.inject_closing_fault(lost_disk, removed=leaving)
                     self.assertEqual(rig.read_back(), acknowledged)
 
-    def leave(self, rig: Rig, leaving: int) -> None:
-        replica = rig.ledger(leaving)
+    def leave(self, rig: ReplicationRig, leaving: int) -> None:
+        replica = rig.replica(leaving)
         replica.leave(rig.cluster.now)
         rig.cluster.carry_out_actions(leaving)
         rig.run(3.0, lambda: replica.leave_granted)
@@ -81,9 +81,9 @@
         rig = ClosingRig(spares=1)
         rig.elect()
         rig.run(6.0)
-        leaving = next(m for m in (1, 2, 3) if m not in rig.ledger(rig.primary()).record.in_sync)
+        leaving = next(m for m in (1, 2, 3) if m not in rig.replica(rig.primary()).record.in_sync)
         self.leave(rig, leaving)
-        self.assertNotIn(leaving, rig.ledger(rig.primary()).record.members())
+        self.assertNotIn(leaving, rig.replica(rig.primary()).record.members())
 
 
 class Uncounted(unittest.TestCase):
@@ -92,14 +92,14 @@
     def rig(self, uncounted: int = FOURTH, spares: int = 1) -> ClosingRig:
         rig = ClosingRig(spares=spares)
         rig.uncounted = {uncounted}
-        rig.ledger(uncounted).quorum_member = False
+        rig.replica(uncounted).quorum_member = False
         rig.elect()
         rig.run(6.0)
         rig.commit()
         return rig
 
-    def record(self, rig: Rig) -> replication.EpochRecord:
-        return rig.ledger(rig.primary()).record
+    def record(self, rig: ReplicationRig) -> replication.EpochRecord:
+        return rig.replica(rig.primary()).record
 
     def test_it_takes_neither_copy_nor_vote_whoever_is_away(self) -> None:
         for away in (1, 2, 3):
@@ -120,7 +120,7 @@
                     rig.start(away)
                     rig.run(6.0)
                     rig.commit()
-                    acknowledged = rig.ledger(rig.primary()).committed_state
+                    acknowledged = rig.replica(rig.primary()).committed_state
                     rig.inject_closing_fault(lost_disk, removed=FOURTH)
                     self.assertEqual(rig.read_back(), acknowledged)
 
@@ -128,14 +128,14 @@
         rig = self.rig()
         rig.cluster.crash(rig.primary(), save_persisted=False)
         rig.run(6.0)
-        replica = rig.ledger(FOURTH)
+        replica = rig.replica(FOURTH)
         self.assertFalse(replica.is_amnesic)
         self.assertEqual((replica.primary_hint, replica.record), (rig.primary(), self.record(rig)))
 
     def test_it_may_end_at_once(self) -> None:
         rig = self.rig()
-        rig.ledger(FOURTH).leave(rig.cluster.now)
-        self.assertTrue(rig.ledger(FOURTH).leave_granted)
+        rig.replica(FOURTH).leave(rig.cluster.now)
+        self.assertTrue(rig.replica(FOURTH).leave_granted)
 
     def test_one_of_the_first_members_makes_room_for_a_spare_that_counts(self) -> None:
         for uncounted in (1, 2, 3):
@@ -147,7 +147,7 @@
     def test_where_none_counts_the_first_members_go_on(self) -> None:
         rig = ClosingRig()
         for machine in (1, 2, 3):
-            rig.ledger(machine).quorum_member = False
+            rig.replica(machine).quorum_member = False
         rig.elect()
         rig.cluster.crash(self.record(rig).in_sync[0], save_persisted=False)
         rig.run(6.0)
