--- /dev/null
+++ b/rowanshift/cli/parser.py
@@ -0,0 +1,206 @@
+"""The parser of the command line: every command with its options. A command's docstring is its help text."""
+
+import argparse
+import os
+from collections.abc import Callable
+from pathlib import Path
+from typing import TYPE_CHECKING
+
+from rowanshift.cli import admin_commands, services, tools
+
+if TYPE_CHECKING:
+    Subparsers = argparse._SubParsersAction[argparse.ArgumentParser]
+
+Command = Callable[[argparse.Namespace], int | None]
+
+ROLES: dict[str, Command] = {"dataplane": services.dataplane, "controlplane": services.controlplane}
+FORMER_ROLES: dict[str, Command] = {  # aliases for one release: the names of the roles until 0.2
+    "counter": services.dataplane,
+    "ledger": services.controlplane,
+}
+MAX_SIMULATION_WORKERS = 256
+
+
+def integer_within(minimum: int, maximum: int | None = None) -> Callable[[str], int]:
+    """A type for argparse: an integer within bounds, or of ``minimum`` or more."""
+
+    def parse(text: str) -> int:
+        value = int(text)
+        if maximum is None and value < minimum:
+            raise argparse.ArgumentTypeError(f"{value} is not {minimum} or more")
+        if maximum is not None and not minimum <= value <= maximum:
+            raise argparse.ArgumentTypeError(f"{value} is not within {minimum} and {maximum}")
+        return value
+
+    parse.__name__ = "whole number"  # argparse names the type in its errors
+    return parse
+
+
+def build_parser() -> argparse.ArgumentParser:
+    """The parser of all commands: ``run`` of what it returns is the command, ``parser`` the command's own parser."""
+    parser = argparse.ArgumentParser(
+        prog="rowanshift", description="Spreads keys over cache servers before a slow origin.", allow_abbrev=False
+    )
+    commands = parser.add_subparsers(title="commands", metavar="COMMAND")
+    add_roles(commands)
+    add_system_queries(commands)
+    add_configuration_commands(commands)
+    add_cache_proxy_commands(commands)
+    add_command(commands, "version", tools.version)
+    add_migrate(commands)
+    add_demo(commands)
+    add_measurements(commands)
+    add_simulate(commands)
+    return parser
+
+
+def add_command(commands: "Subparsers", name: str, command: Command) -> argparse.ArgumentParser:
+    """Add a command; returns its parser."""
+    parser = commands.add_parser(name, help=command.__doc__, description=command.__doc__, allow_abbrev=False)
+    parser.set_defaults(run=command, parser=parser)
+    return parser
+
+
+def add_roles(commands: "Subparsers") -> None:
+    """Add the roles, and below the control plane's the check of its data folder."""
+    for name, command in (ROLES | FORMER_ROLES).items():
+        parser = add_command(commands, name, command)
+        parser.set_defaults(role=name)
+        add_file_option(parser, "--boot", variable="ROWANSHIFT_BOOT", description="the process's settings, as JSON")
+        add_level_option(parser)
+        if command is services.controlplane:
+            subcommands = parser.add_subparsers(title="commands", metavar="[COMMAND]")
+            check = add_command(subcommands, "check", admin_commands.data_folder_check)
+            check.add_argument("folder", type=Path, metavar="DIR", help="its data directory")
+
+
+def add_system_queries(commands: "Subparsers") -> None:
+    """Add the commands that show the state of a running system."""
+    status = add_command(commands, "status", admin_commands.status)
+    add_control_addresses_option(status)
+    status.add_argument("--json", action="store_true", help="all that they say, as JSON")
+    add_control_addresses_option(add_command(commands, "members", admin_commands.members))
+    add_control_addresses_option(add_command(commands, "duties", admin_commands.duties))
+
+
+def add_configuration_commands(commands: "Subparsers") -> None:
+    """Add ``config`` and the commands below it."""
+    subcommands = add_command(commands, "config", admin_commands.config).add_subparsers(
+        title="commands", metavar="COMMAND"
+    )
+    get = add_command(subcommands, "get", admin_commands.config_get)
+    add_control_addresses_option(get)
+    get.add_argument("--output", "-o", type=Path, metavar="FILE", help="where it goes instead")
+    for name, change in (("put", admin_commands.config_put), ("patch", admin_commands.config_patch)):
+        parser = add_command(subcommands, name, change)
+        add_control_addresses_option(parser)
+        add_configuration_argument(parser)
+        parser.add_argument(
+            "--if-match",
+            type=integer_within(0),
+            metavar="N",
+            help="the revision that it builds on; the current one if not given",
+        )
+    diff = add_command(subcommands, "diff", admin_commands.config_diff)
+    add_control_addresses_option(diff)
+    add_configuration_argument(diff)
+    diff.add_argument("--patch", action="store_true", help="FILE is a patch: say what it would change")
+    add_configuration_argument(add_command(subcommands, "check", admin_commands.config_check))
+
+
+def add_cache_proxy_commands(commands: "Subparsers") -> None:
+    """Add the router for caches and the check of its configuration."""
+    serve = add_command(commands, "serve", services.serve)
+    check = add_command(commands, "check", tools.check)
+    for parser in (serve, check):
+        add_file_option(parser, "--config", "-c", variable="BALANCER_CONFIG", description="the configuration, as JSON")
+    add_level_option(serve)
+    check.add_argument(
+        "--boot", type=Path, metavar="FILE", help="the settings of a process of the whole system instead, as JSON"
+    )
+
+
+def add_migrate(commands: "Subparsers") -> None:
+    """Add the migration of a configuration of the old shape."""
+    parser = add_command(commands, "migrate", tools.migrate)
+    parser.add_argument("old", type=Path, help="the configuration of the old shape, as JSON")
+    parser.add_argument("--output", "-o", type=Path, metavar="FILE", required=True, help="where its counterpart goes")
+    parser.add_argument("--dry-run", action="store_true", help="change nothing; say what would be")
+    parser.add_argument("--listen", metavar="ADDRESS", help="where the client's own router listens")
+    parser.add_argument("--routers", type=integer_within(1), metavar="N", help="how many routers there will be")
+    parser.add_argument("--ordinal", type=integer_within(0), metavar="N", help="this router's number among them")
+    parser.add_argument("--zone", action="append", default=[], help="a location of the new shape; repeat it")
+
+
+def add_demo(commands: "Subparsers") -> None:
+    """Add the demos."""
+    parser = add_command(commands, "demo", tools.demo)
+    parser.add_argument(
+        "--config",
+        "-c",
+        type=Path,
+        metavar="FILE",
+        help="the configuration for --router; examples/config.json if not given",
+    )
+    parser.add_argument("--stay", action=argparse.BooleanOptionalAction, default=True, help="go on until Ctrl-C")
+    parser.add_argument(
+        "--router",
+        action=argparse.BooleanOptionalAction,
+        help="a router for caches between its stand-ins; with --no-router the stand-ins alone",
+    )
+
+
+def add_measurements(commands: "Subparsers") -> None:
+    """Add the commands that run real processes: what each role costs, and whether the system survives faults."""
+    from rowanshift.capacity import options as capacity_options
+    from rowanshift.soak import options as soak_options
+
+    capacity_options.add_options(add_command(commands, "capacity", tools.capacity))
+    soak_options.add_options(add_command(commands, "soak", tools.soak))
+
+
+def add_simulate(commands: "Subparsers") -> None:
+    """Add the simulation of fleets on a virtual clock."""
+    parser = add_command(commands, "simulate", tools.simulate)
+    parser.add_argument("file", type=Path, nargs="?", help="a scenario as TOML")
+    parser.add_argument("--seeds", default="", help="N, or FIRST:LAST without the last")
+    parser.add_argument("--seed", type=integer_within(0), metavar="N", help="one seed, with its troubles and figures")
+    parser.add_argument("--core", action="store_true", help="seeds are of the control side's worst days")
+    parser.add_argument("--size", default="small", help="small or grown; %(default)s if not given")
+    parser.add_argument(
+        "--workers", type=integer_within(1, MAX_SIMULATION_WORKERS), metavar="N", default=1, help="processes"
+    )
+    parser.add_argument("--events", type=Path, metavar="FILE", help="write all facts there, as JSON lines")
+    parser.add_argument("--shrink", type=Path, metavar="FILE", help="cut what fails down, and write it there")
+    parser.add_argument("--json", action="store_true", help="results as JSON")
+
+
+def add_file_option(parser: argparse.ArgumentParser, *flags: str, variable: str, description: str) -> None:
+    """Add a file that an option names, or else a variable of the environment."""
+    parser.add_argument(
+        *flags,
+        type=Path,
+        metavar="FILE",
+        default=os.environ.get(variable) or None,
+        help=f"{description} [environment: {variable}]",
+    )
+
+
+def add_level_option(parser: argparse.ArgumentParser) -> None:
+    """Add the lowest level of log lines."""
+    parser.add_argument("--level", type=str.upper, default="INFO", help="what to log; %(default)s if not given")
+
+
+def add_control_addresses_option(parser: argparse.ArgumentParser) -> None:
+    """Add the control addresses of a running system."""
+    parser.add_argument(
+        "--at",
+        metavar="IP:PORT",
+        default=os.environ.get("ROWANSHIFT_CONTROL") or None,
+        help="the control address of a core machine, or several with commas between [environment: ROWANSHIFT_CONTROL]",
+    )
+
+
+def add_configuration_argument(parser: argparse.ArgumentParser) -> None:
+    """Add the file with a configuration or a patch."""
+    parser.add_argument("file", type=Path, metavar="FILE", help="a configuration, as JSON")
--- /dev/null
+++ b/rowanshift/cli/tools.py
@@ -0,0 +1,88 @@
+"""The commands that neither run a role nor ask a running system: checks, demos, simulations and measurements."""
+
+import argparse
+from pathlib import Path
+
+from rowanshift import __version__
+from rowanshift.cli.admin_commands import settings_check
+from rowanshift.cli.exits import EXIT_UNUSABLE_INPUT, fail, usage_error
+from rowanshift.cli.services import load_cache_proxy_config
+
+EXAMPLE_CONFIGURATION = Path("examples/config.json")
+
+
+def check(arguments: argparse.Namespace) -> int:
+    """Read a configuration, or the settings of a process of the whole system, and say what is in it."""
+    if arguments.boot is not None:
+        return settings_check(arguments)
+    config = load_cache_proxy_config(arguments)
+    calls_on = f"; calls on {config.control[0]}:{config.control[1]}" if config.control else ""
+    print(
+        f"{config.name}: listens on {config.listen[0]}:{config.listen[1]}; {len(config.names.categories)} categories, "
+        f"{len(config.names.tenants)} tenants, {len(config.known.get('instances', ()))} servers known, "
+        f"{config.settings.routers} routers{calls_on}"
+    )
+    return 0
+
+
+def version(arguments: argparse.Namespace) -> int:
+    """Print the version."""
+    print(__version__)
+    return 0
+
+
+def migrate(arguments: argparse.Namespace) -> int:
+    """Write the counterpart of a pool's configuration where each client has a router of its own."""
+    from rowanshift.cacheproxy.migrate import Wanted, migrate
+
+    wanted = Wanted(arguments.listen, arguments.routers, arguments.ordinal, tuple(arguments.zone))
+    return migrate(arguments.old, arguments.output, wanted, arguments.dry_run)
+
+
+def demo(arguments: argparse.Namespace) -> int:
+    """Run a small whole system, or a router for caches, between stand-ins on loopback and show requests."""
+    if arguments.router is None and arguments.config is None:
+        from rowanshift.emulation import cluster
+
+        return cluster.demo(arguments.stay)
+    from rowanshift.emulation.demo import demo
+
+    return demo(arguments.config or EXAMPLE_CONFIGURATION, arguments.stay, arguments.router is not False)
+
+
+def capacity(arguments: argparse.Namespace) -> int:
+    """Measure what each role costs in growing steps on loopback, and what that reaches at the stated size."""
+    from rowanshift.capacity.command import capacity
+
+    return capacity(arguments)
+
+
+def soak(arguments: argparse.Namespace) -> int:
+    """Play real processes of the whole system on loopback under drawn troubles, and check what was recorded."""
+    from rowanshift.soak import command
+    from rowanshift.soak.plan import BadPlan
+
+    try:
+        return command.soak(command.plans(arguments), arguments.net or command.own_net(), arguments.found)
+    except BadPlan as error:
+        fail(error, EXIT_UNUSABLE_INPUT)
+
+
+def simulate(arguments: argparse.Namespace) -> int:
+    """Play fleets with their troubles on a virtual clock and check the rules after every step."""
+    from rowanshift.simulation.command import UsageError, simulate
+
+    try:
+        return simulate(
+            arguments.file,
+            arguments.seeds,
+            arguments.seed,
+            arguments.size,
+            arguments.workers,
+            arguments.events,
+            arguments.shrink,
+            arguments.json,
+            arguments.core,
+        )
+    except UsageError as error:
+        usage_error(arguments, str(error))
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -206,6 +206,15 @@
                 self.called(role, None, "--boot", "a", ROWANSHIFT_BOOT="b")[1], [mock.call("boot of a", "INFO", former)]
             )
 
+    def test_the_role_controlplane_starts_without_a_subcommand(self) -> None:
+        service = mock.Mock(run=mock.Mock(return_value=0))
+        with (
+            mock.patch.object(node_settings, "load_node_settings", return_value="boot"),
+            mock.patch.dict(sys.modules, {"rowanshift.controlplane.service": service}),
+        ):
+            self.assertEqual(invoke("controlplane", "--boot", "a"), (0, ""))
+        self.assertEqual(service.run.mock_calls, [mock.call("boot", "INFO", "")])
+
     def test_a_setting_that_the_service_can_not_use(self) -> None:
         self.assertEqual(
             self.called("controlplane", node_settings.NodeSettingsError("dataDir", "missing"))[0],
@@ -219,11 +228,12 @@
     CODE = """
 import os, signal, sys
 from rowanshift import cli
+from rowanshift.cli import services
 from rowanshift.process import node_settings
 def import_module(name):
     os.kill(os.getpid(), signal.Signals[sys.argv[1]])
     raise SystemExit(7)
-cli.import_module, node_settings.load_node_settings = import_module, lambda path: None
+services.import_module, node_settings.load_node_settings = import_module, lambda path: None
 cli.main([sys.argv[2]])
 """
 
@@ -235,7 +245,9 @@
                     self.assertEqual((done.returncode, done.stderr), (status, ""))
 
     def test_sigterm_before_the_router_for_caches_has_its_configuration(self) -> None:
-        code = self.CODE.replace("cli.main([sys.argv[2]])", "cli.loaded = import_module\ncli.main(['serve'])")
+        code = self.CODE.replace(
+            "cli.main([sys.argv[2]])", "services.load_cache_proxy_config = import_module\ncli.main(['serve'])"
+        )
         for number, status in (("SIGTERM", 0), ("SIGHUP", 7)):
             with self.subTest(number):
                 done = run("-c", code, number)
