--- a/rowanshift/controlplane/record_kinds.py
+++ b/rowanshift/controlplane/record_kinds.py
@@ -4,7 +4,7 @@
 has to change becomes a new kind.
 """
 
-from dataclasses import dataclass
+import msgspec
 
 from rowanshift.controlplane import replication
 from rowanshift.wire.codec import Codec
@@ -12,8 +12,7 @@
 from rowanshift.wire.field_types import BOOL, BYTES, TEXT, UINT64, UINT64_LIST, RecordLayout
 
 
-@dataclass(slots=True, frozen=True)
-class Hello:
+class Hello(msgspec.Struct, frozen=True):
     """The first record on a connection between replicas of the control plane: which machine sends what follows."""
 
     machine: int  # its id
--- a/rowanshift/controlplane/replication/actions.py
+++ b/rowanshift/controlplane/replication/actions.py
@@ -2,58 +2,51 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
+import msgspec
 
 from rowanshift.controlplane.replication.messages import Message
 from rowanshift.controlplane.replication.records import DurableState
 
 
-@dataclass(frozen=True, slots=True)
-class Send:
+class Send(msgspec.Struct, frozen=True):
     """Send a message to another machine. It may be lost, duplicated or delayed."""
 
     to: int
     message: Message
 
 
-@dataclass(frozen=True, slots=True)
-class Save:
+class Save(msgspec.Struct, frozen=True):
     """Write this to disk in one step and sync it, then call ``saved`` or ``save_failed`` with the token."""
 
     token: int
     durable: DurableState
 
 
-@dataclass(frozen=True, slots=True)
-class ProposalCommitted:
+class ProposalCommitted(msgspec.Struct, frozen=True):
     """The proposed state is on the disks of all in-sync machines."""
 
     token: int
 
 
-@dataclass(frozen=True, slots=True)
-class ProposalFailed:
+class ProposalFailed(msgspec.Struct, frozen=True):
     """Leadership was lost before the proposal ended. Its outcome is unknown: it may be committed later or never."""
 
     token: int
 
 
-@dataclass(frozen=True, slots=True)
-class ReadConfirmed:
+class ReadConfirmed(msgspec.Struct, frozen=True):
     """``committed_state`` holds, as of now, every change that was committed anywhere when the read was requested."""
 
     token: int
 
 
-@dataclass(frozen=True, slots=True)
-class ReadFailed:
+class ReadFailed(msgspec.Struct, frozen=True):
     """The in-sync machines did not confirm in time that this machine is the primary."""
 
     token: int
 
 
-@dataclass(frozen=True, slots=True)
-class RoleChanged:
+class RoleChanged(msgspec.Struct, frozen=True):
     """This machine has become primary, or is no longer primary."""
 
     primary: bool
--- a/rowanshift/controlplane/replication/durability.py
+++ b/rowanshift/controlplane/replication/durability.py
@@ -2,9 +2,10 @@
 
 from __future__ import annotations
 
-from dataclasses import replace
 from typing import Any
 
+from msgspec.structs import replace
+
 from rowanshift.controlplane.replication.actions import Action, Save, Send
 from rowanshift.controlplane.replication.core import ReplicaCore
 from rowanshift.controlplane.replication.messages import FailureDomainReport, Message, RecoveryRequest
--- a/rowanshift/controlplane/replication/messages.py
+++ b/rowanshift/controlplane/replication/messages.py
@@ -6,35 +6,31 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
+import msgspec
 
 from rowanshift.controlplane.replication.records import EpochRecord, StateVersion
 
 
-@dataclass(frozen=True, slots=True)
-class PreVote:
+class PreVote(msgspec.Struct, frozen=True):
     """Asks whether the receiver would promise this epoch. It changes nothing there."""
 
     epoch: int
 
 
-@dataclass(frozen=True, slots=True)
-class PreVoteReply:
+class PreVoteReply(msgspec.Struct, frozen=True):
     """Answers PreVote; nothing was promised."""
 
     epoch: int
     ok: bool
 
 
-@dataclass(frozen=True, slots=True)
-class Prepare:
+class Prepare(msgspec.Struct, frozen=True):
     """Asks for the promise to take part in no lower epoch (Paxos, phase 1)."""
 
     epoch: int
 
 
-@dataclass(frozen=True, slots=True)
-class PrepareReply:
+class PrepareReply(msgspec.Struct, frozen=True):
     """Answers Prepare. ``accepted`` is the last record that the sender accepted."""
 
     epoch: int
@@ -43,8 +39,7 @@
     accepted: EpochRecord
 
 
-@dataclass(frozen=True, slots=True)
-class Store:
+class Store(msgspec.Struct, frozen=True):
     """Asks to store this state under a version of the epoch."""
 
     epoch: int
@@ -52,8 +47,7 @@
     state: bytes
 
 
-@dataclass(frozen=True, slots=True)
-class StoreDelta:
+class StoreDelta(msgspec.Struct, frozen=True):
     """Asks to store the state that ``delta`` makes of the one under ``base``.
 
     A machine that has another version doesn't answer, and gets a Store when the proposal is sent again.
@@ -65,8 +59,7 @@
     delta: bytes
 
 
-@dataclass(frozen=True, slots=True)
-class StoreReply:
+class StoreReply(msgspec.Struct, frozen=True):
     """Answers Store and StoreDelta. ``ok``: a state of this version or a later one is on disk."""
 
     epoch: int
@@ -75,16 +68,14 @@
     promised: int
 
 
-@dataclass(frozen=True, slots=True)
-class Accept:
+class Accept(msgspec.Struct, frozen=True):
     """Asks to accept the record of this epoch (Paxos, phase 2)."""
 
     epoch: int
     record: EpochRecord
 
 
-@dataclass(frozen=True, slots=True)
-class AcceptReply:
+class AcceptReply(msgspec.Struct, frozen=True):
     """Answers Accept. ``ok``: the record is on disk."""
 
     epoch: int
@@ -92,8 +83,7 @@
     promised: int
 
 
-@dataclass(frozen=True, slots=True)
-class Heartbeat:
+class Heartbeat(msgspec.Struct, frozen=True):
     """Sent by the primary in rounds: it renews the lease, and confirms reads that wait for the round ``serial``."""
 
     epoch: int
@@ -101,8 +91,7 @@
     record: EpochRecord
 
 
-@dataclass(frozen=True, slots=True)
-class HeartbeatReply:
+class HeartbeatReply(msgspec.Struct, frozen=True):
     """Answers Heartbeat. Not ``ok`` below a promise, or where an in-sync machine lacks the state."""
 
     epoch: int
@@ -112,8 +101,7 @@
     version: StateVersion
 
 
-@dataclass(frozen=True, slots=True)
-class TransferLeadership:
+class TransferLeadership(msgspec.Struct, frozen=True):
     """Asks the receiver to become a candidate now.
 
     If its sender is the primary of ``epoch``, it also gives up that epoch and its lease.
@@ -122,15 +110,13 @@
     epoch: int
 
 
-@dataclass(frozen=True, slots=True)
-class RecoveryRequest:
+class RecoveryRequest(msgspec.Struct, frozen=True):
     """Sent by an amnesic machine. ``serial`` tells replies to an earlier incarnation apart."""
 
     serial: int
 
 
-@dataclass(frozen=True, slots=True)
-class RecoveryReply:
+class RecoveryReply(msgspec.Struct, frozen=True):
     """What a machine has promised and accepted, for one that lost its disk or asked to join."""
 
     serial: int
@@ -139,8 +125,7 @@
     amnesic: bool
 
 
-@dataclass(frozen=True, slots=True)
-class FailureDomainReport:
+class FailureDomainReport(msgspec.Struct, frozen=True):
     """Where the sender is: its zone and region.
 
     ``quorum_member``: it is one of the machines that the fault tolerance speaks of. ``no_quorum_members``: as far as
@@ -153,22 +138,19 @@
     no_quorum_members: bool
 
 
-@dataclass(frozen=True, slots=True)
-class Join:
+class Join(msgspec.Struct, frozen=True):
     """Sent by a spare: a machine that is no witness asks to become one."""
 
     machine: int
 
 
-@dataclass(frozen=True, slots=True)
-class Leave:
+class Leave(msgspec.Struct, frozen=True):
     """Sent by a machine that stops soon: its replica and its vote are to be given to others first."""
 
     machine: int
 
 
-@dataclass(frozen=True, slots=True)
-class LeaveReply:
+class LeaveReply(msgspec.Struct, frozen=True):
     """From the primary of ``epoch``. ``granted``: no record in force needs the leaving machine any more."""
 
     epoch: int
--- a/rowanshift/controlplane/replication/records.py
+++ b/rowanshift/controlplane/replication/records.py
@@ -2,11 +2,10 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
+import msgspec
 
 
-@dataclass(frozen=True, slots=True, order=True)
-class StateVersion:
+class StateVersion(msgspec.Struct, frozen=True, order=True):
     """Orders the states of the control plane: by the epoch they were stored in, then by their sequence within it."""
 
     epoch: int
@@ -16,8 +15,7 @@
 NO_VERSION = StateVersion(0, 0)
 
 
-@dataclass(frozen=True, slots=True)
-class EpochRecord:
+class EpochRecord(msgspec.Struct, frozen=True):
     """An epoch's configuration, what viewstamped replication calls a view.
 
     It names the primary, the in-sync machines that store every change, and the witnesses whose majority decides on the
@@ -43,8 +41,7 @@
 NO_RECORD = EpochRecord(0, 0, (), ())
 
 
-@dataclass(frozen=True, slots=True)
-class DurableState:
+class DurableState(msgspec.Struct, frozen=True):
     """What a machine's disk holds, written in one save.
 
     ``promised`` is the highest epoch it promised, ``accepted`` the last record it accepted. ``amnesic``: the disk was
--- a/rowanshift/controlplane/replication/witness.py
+++ b/rowanshift/controlplane/replication/witness.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from dataclasses import replace
+from msgspec.structs import replace
 
 from rowanshift.controlplane.replication.core import NEVER
 from rowanshift.controlplane.replication.durability import DurableReplica
--- a/rowanshift/wire/field_types.py
+++ b/rowanshift/wire/field_types.py
@@ -5,7 +5,7 @@
 """
 
 from collections.abc import Collection, Mapping
-from dataclasses import dataclass, fields
+from dataclasses import dataclass
 from struct import Struct, pack
 from typing import Any, Protocol
 
@@ -154,19 +154,12 @@
         return versions
 
 
-def field_names(record_type: type[Any]) -> list[str]:
-    """The names of a record's fields in their order; a record is a ``msgspec.Struct`` or a dataclass."""
-    if issubclass(record_type, msgspec.Struct):
-        return [*record_type.__struct_fields__]
-    return [field.name for field in fields(record_type)]
-
-
 class RecordLayout:
-    """A record as bytes: its fields one after the other. Also the type of a field that holds such a record."""
+    """A ``msgspec.Struct`` as bytes: its fields one after the other. Also the type of a field that holds one."""
 
-    def __init__(self, record_type: type[Any], **field_types: FieldType) -> None:
+    def __init__(self, record_type: type[msgspec.Struct], **field_types: FieldType) -> None:
         """``field_types``: the type of each field, in the record's order. Raises ``TypeError`` if they differ."""
-        names = field_names(record_type)
+        names = [*record_type.__struct_fields__]
         if names != [*field_types]:
             raise TypeError(f"{record_type.__name__}: layout of {[*field_types]} for the fields {names}")
         self.record_type = record_type
--- a/tests/simulation/test_fleet_faults.py
+++ b/tests/simulation/test_fleet_faults.py
@@ -5,6 +5,7 @@
 from dataclasses import replace
 from unittest import mock
 
+import msgspec
 import trio
 from loguru import logger
 
@@ -103,7 +104,9 @@
             if update.has_state and update.revision == 1:
                 first[cache] = update
             elif not update.has_state and cache.routing_table.revision == 2:
-                older = replace(first[cache], fingerprint=update.fingerprint, has_server_records=False, has_peers=False)
+                older = msgspec.structs.replace(
+                    first[cache], fingerprint=update.fingerprint, has_server_records=False, has_peers=False
+                )
                 true(cache, older, asked_at)
             return taken
 
--- a/tests/simulation/test_system_simulation.py
+++ b/tests/simulation/test_system_simulation.py
@@ -6,12 +6,12 @@
 import subprocess
 import sys
 import unittest
-from dataclasses import replace
 from functools import partial
 from tempfile import NamedTemporaryFile
 from types import SimpleNamespace
 from unittest import mock
 
+import msgspec
 import orjson
 import trio
 from loguru import logger
@@ -670,7 +670,7 @@
         true = control_cache.ControlCache.apply
 
         def take(self, update, asked_at):
-            update = update if not self.routing_table.revision else replace(update, has_state=False)
+            update = update if not self.routing_table.revision else msgspec.structs.replace(update, has_state=False)
             return true(self, update, asked_at)
 
         async def scenario(fleet):
@@ -694,7 +694,7 @@
             mock.patch.object(
                 control_cache,
                 "endpoint_from_record",
-                lambda row: true(replace(row, state=row.state & ~control_cache.SERVER_DRAINING)),
+                lambda row: true(msgspec.structs.replace(row, state=row.state & ~control_cache.SERVER_DRAINING)),
             ),
         )
 
--- a/tests/support/planted_client_faults.py
+++ b/tests/support/planted_client_faults.py
@@ -4,6 +4,8 @@
 
 from dataclasses import replace
 
+import msgspec
+
 from rowanshift.controlplane import replication
 from rowanshift.controlplane.configuration_change import put_config
 from rowanshift.controlplane.control_state import unpack
@@ -104,7 +106,7 @@
         proposal = self.replica._proposal
         if proposal is None:
             return version, state
-        return replace(version, sequence=version.sequence + 1), proposal.state
+        return msgspec.structs.replace(version, sequence=version.sequence + 1), proposal.state
 
 
 class RouterAppliesOlderEpoch(RouterModel):
--- a/tests/wire/test_wire_records.py
+++ b/tests/wire/test_wire_records.py
@@ -3,9 +3,9 @@
 import random
 import unittest
 from contextlib import suppress
-from dataclasses import dataclass
 from pathlib import Path
 
+import msgspec
 import orjson
 
 from rowanshift.controlplane import record_kinds, replication
@@ -25,7 +25,6 @@
     ByteReader,
     RecordLayout,
     RecordListType,
-    field_names,
 )
 
 UINT64_MAX = 2**64 - 1
@@ -33,8 +32,7 @@
 TEXTS = ("", "a", "naïve ☃ 𝄞", "\x00", "x" * 65_535)
 
 
-@dataclass(slots=True, frozen=True)
-class Measured:
+class Measured(msgspec.Struct, frozen=True):
     """No kind of the registry has a floating-point number yet."""
 
     value: float
@@ -95,7 +93,7 @@
 
     def test_a_layout_names_each_field_in_its_order(self):
         for layout in layouts_of(record_kinds.CODEC):
-            self.assertEqual(field_names(layout.record_type), [*layout.field_types])
+            self.assertEqual([*layout.record_type.__struct_fields__], [*layout.field_types])
         with self.assertRaisesRegex(TypeError, "Redirect"):
             RecordLayout(control_updates.Redirect, core_machines=UINT64_LIST, primary=UINT64)
         with self.assertRaisesRegex(TypeError, "Redirect"):
