--- a/rowanshift/controlplane/api.py
+++ b/rowanshift/controlplane/api.py
@@ -45,12 +45,10 @@
             return await self.serve(message)
         except NotPrimary as error:
             return self._redirect(error.primary_hint, message.target)
-        except NotConfirmed:
-            return Response(503, error_body("this machine could not confirm that it is the primary"), RETRY_SOON)
+        except (NotConfirmed, OutcomeUnknown) as error:
+            return Response(503, error_body(str(error)), RETRY_SOON)
         except OrderTooOld as error:
             return Response(503, error_body(str(error)), RETRY_LATER)
-        except OutcomeUnknown:
-            return Response(503, error_body("not on enough disks in time: it may or may not be in force"), RETRY_SOON)
         except StateTooLarge:
             return Response(413, error_body(f"with it the control state would be over {STATE_LIMIT_BYTES} bytes"))
 
--- a/rowanshift/controlplane/errors.py
+++ b/rowanshift/controlplane/errors.py
@@ -65,10 +65,16 @@
 class OutcomeUnknown(ControlPlaneError):
     """A change ended without an answer: it may or may not be in force. Sending it again is safe."""
 
+    def __init__(self) -> None:
+        super().__init__("not on enough disks in time: it may or may not be in force")
+
 
 class NotConfirmed(ControlPlaneError):
     """A majority did not confirm in time that this machine is the primary; nothing was changed. Try again."""
 
+    def __init__(self) -> None:
+        super().__init__("this machine could not confirm that it is the primary")
+
 
 class BadEndpointList(ControlPlaneError, ValueError):
     """An answer of the platform that is no list of servers; the list that is known stays in use."""
--- a/rowanshift/controlplane/replica_runner.py
+++ b/rowanshift/controlplane/replica_runner.py
@@ -84,7 +84,7 @@
             self.carry_out_actions()
             await pending.ended.wait()
             if not pending.succeeded:
-                raise NotConfirmed
+                raise NotConfirmed()
         return self.replica.committed_state
 
     async def change(self, make_next: Callable[[bytes], bytes | None], timeout: float) -> bytes:
@@ -101,7 +101,7 @@
                     return self.replica.committed_state
                 if await self._propose(state):
                     return state
-        raise OutcomeUnknown
+        raise OutcomeUnknown()
 
     async def _propose(self, state: bytes) -> bool:
         """Whether the state was committed; where it wasn't, it may be in force later."""
@@ -109,7 +109,7 @@
             try:
                 self.replica.propose(token, state, trio.current_time())
             except ProposalInProgress as error:
-                raise NotConfirmed from error
+                raise NotConfirmed() from error
             self.carry_out_actions()
             await pending.ended.wait()
             return pending.succeeded
