--- a/rowanshift/controlplane/replication/candidate.py
+++ b/rowanshift/controlplane/replication/candidate.py
@@ -2,10 +2,7 @@
 
 from __future__ import annotations
 
-from typing import NamedTuple
-
-from rowanshift.controlplane.replication.durability import DurableReplica
-from rowanshift.controlplane.replication.failure_domains import choose_backups
+from rowanshift.controlplane.replication.backup_selection import BackupSelection
 from rowanshift.controlplane.replication.messages import (
     Accept,
     AcceptReply,
@@ -29,23 +26,7 @@
 MACHINE_ID_BITS = 32  # of an epoch, the lower ones: the machine that chose it
 
 
-class BackupCandidates(NamedTuple):
-    """Machines that may become backups, preferred ones first."""
-
-    alive: list[int]
-    reliable: list[int]  # those of them against which nothing speaks
-
-
-class BackupObjections(NamedTuple):
-    """What speaks against a machine as a backup, the most serious first."""
-
-    timed_out: bool  # it did not store the state in this candidacy
-    avoided: bool
-    leaving: bool
-    maybe_down: bool
-
-
-class CandidateRole(DurableReplica):
+class CandidateRole(BackupSelection):
     """Pre-vote, prepare, store, accept: each phase ends once enough machines have voted in it."""
 
     def _start_candidacy(self, renewal: bool = False, witnesses: tuple[int, ...] = ()) -> None:
@@ -225,29 +206,8 @@
             self._nominate_in_sync_machines(candidacy)
             self._end_candidacy(NOMINATION_RETRY_SECONDS)
             return
-        candidates = self._backup_candidates(candidacy)
-        if len(candidates.alive) < self.max_failures:
-            return  # more may answer until the phase ends
-        backups = choose_backups(self.me, candidates.reliable, self.failure_domains, self.tolerance)
-        others = [machine for machine in candidates.alive if machine not in backups]
-        missing = max(0, self.max_failures - len(backups))
-        candidacy.backups = (*backups, *others[:missing])
+        backups = self._select_backups(candidacy)
+        if backups is None:
+            return  # more machines may answer until the phase ends
+        candidacy.backups = backups
         self._enter_phase(candidacy, CandidacyPhase.STORE)
-
-    def _backup_candidates(self, candidacy: Candidacy) -> BackupCandidates:
-        """Machines that are alive: preferably without objections, then in sync, then with a vote for this candidacy."""
-        alive = (self._heard_within(self.timing.alive_seconds) | candidacy.votes) - {self.me}
-        # a primary that has just failed was heard lately, too: who takes over relies on votes alone
-        sure = self._heard_within(self.timing.backup_timeout_seconds) if candidacy.renewal else candidacy.votes
-
-        def objections(machine: int) -> BackupObjections:
-            timed_out = machine in candidacy.timed_out_backups
-            return BackupObjections(
-                timed_out, self._is_avoided(machine), self._is_leaving(machine), maybe_down=machine not in sure
-            )
-
-        def preference(machine: int) -> tuple[BackupObjections, bool, bool, int]:
-            return objections(machine), machine not in candidacy.base.in_sync, machine not in candidacy.votes, machine
-
-        in_order = sorted(alive, key=preference)
-        return BackupCandidates(in_order, [machine for machine in in_order if not any(objections(machine))])
--- a/rowanshift/controlplane/replication/errors.py
+++ b/rowanshift/controlplane/replication/errors.py
@@ -16,7 +16,8 @@
     """
 
     def __init__(self, primary_hint: int) -> None:
-        super().__init__(f"not the primary; the primary may be machine {primary_hint or 'unknown'}")
+        known = f"machine {primary_hint} may be" if primary_hint else "no primary is known"
+        super().__init__(f"this machine is not the primary; {known}")
         self.primary_hint = primary_hint
 
 
