--- /dev/null
+++ b/rowanshift/dataplane/forwarded_request.py
@@ -0,0 +1,117 @@
+"""One request while it is forwarded: its admission, and how far its attempts have come. No I/O, no clock."""
+
+from dataclasses import dataclass, field
+
+from rowanshift.dataplane.drain import RequestKind, request_kind
+from rowanshift.dataplane.request_outcomes import RequestOutcome
+from rowanshift.dataplane.requests import Request
+from rowanshift.dataplane.response_writer import Refusal, ResponseWriter
+from rowanshift.dataplane.retry_decision import (
+    ClientResponse,
+    Decision,
+    ExchangeOutcome,
+    RequestIdempotency,
+    RequestProgress,
+    idempotency_of,
+)
+from rowanshift.dataplane.routing_table import Route, Tenant
+from rowanshift.dataplane.upstream import ServerConnection
+from rowanshift.placement.shadows import mark_of
+
+MIN_ATTEMPT_SECONDS = 0.02  # with less time left no attempt is made
+RETRY_AFTER_SECONDS = 0.1  # that a refused client is asked to wait
+REFUSAL_REASONS = {  # after every other outcome the client is told that its request may have run
+    ExchangeOutcome.MISDIRECTED: "the server was another",
+    ExchangeOutcome.NOT_EXECUTED: "servers are full",
+    ExchangeOutcome.SERVER_ERROR: "it failed at a server",
+    ExchangeOutcome.RESUME_REJECTED: "it was not taken up",
+}
+
+
+@dataclass(slots=True)
+class RequestCounts:
+    """Requests of this process since its start."""
+
+    requests: int = 0
+    completed: int = 0  # a server's response was relayed to its end
+    refused: int = 0  # with a status which promises that the request has not run
+    failed: int = 0  # with another status of the router's own
+    disconnected: int = 0  # by the client
+    retries: int = 0
+    resumed: int = 0  # streams that broke off after they had started
+
+
+@dataclass(slots=True, eq=False)
+class ForwardedRequest:
+    """One request and how far its attempts have come. Times are trio's, in seconds."""
+
+    request: Request
+    writer: ResponseWriter
+    service_draw: float  # 0 to 1, by which the route's service is chosen
+    route: Route
+    tenant: Tenant | None
+    unreachable: set[str] = field(default_factory=set)  # ids of servers that could not be reached
+    reached_server: bool = False
+    may_have_run: bool = False
+    abandoned_silent_server: bool = False  # the last server that worked on it did not end the exchange itself
+    retry_granted: bool = False  # the retry budget was drawn on for the next attempt already
+    reserved_connection: ServerConnection | None = None  # up already, for the next attempt
+    wait_ends_at: float = 0.0  # of the wait for an available server; 0: it has not begun
+    last_refusal: Refusal = field(default_factory=lambda: Refusal(503, "no server", RETRY_AFTER_SECONDS))
+
+    @property
+    def idempotency(self) -> RequestIdempotency:
+        """Whether its request may run more than once."""
+        return idempotency_of(self.route.is_streaming, self.route.is_repeatable)
+
+    @property
+    def deadline(self) -> float:
+        """The client's deadline or the end of the route's timeout, whichever is earlier."""
+        return min(self.request.until, self.request.came_at + self.route.timeout)
+
+    @property
+    def service(self) -> str:
+        """The name of the service that its route and draw choose."""
+        return self.route.choose_service(self.service_draw)
+
+    @property
+    def request_kind(self) -> RequestKind:
+        """The requests that last about as long as this one."""
+        return request_kind(self.service, self.request.tokens[1])
+
+    @property
+    def ring_position(self) -> int:
+        """The position of its prompt's prefix on the hash ring."""
+        return mark_of(self.request.model, self.request.prefix)
+
+    @property
+    def excluded(self) -> set[str]:
+        """Ids of the servers that get no further attempt."""
+        return {*self.request.tried, *self.unreachable}
+
+    @property
+    def progress(self) -> RequestProgress:
+        """What retry decisions depend on."""
+        servers_left = self.route.max_attempts - len(self.request.tried)
+        return RequestProgress(self.may_have_run, self.writer.started, bool(self.writer.last_event_id), servers_left)
+
+    def record_failed_attempt(self, outcome: ExchangeOutcome, decision: Decision) -> None:
+        """Note an attempt that reached a server and gave no response for the client."""
+        self.reached_server = True
+        if decision.may_have_run:
+            self.abandoned_silent_server = outcome is ExchangeOutcome.SERVER_SILENT
+        self.may_have_run = self.may_have_run or decision.may_have_run
+        response = self.progress.client_response(decision)
+        reason = REFUSAL_REASONS.get(outcome, "it may have run")
+        if response is ClientResponse.UNAVAILABLE:
+            self.last_refusal = Refusal(response.status, reason, RETRY_AFTER_SECONDS)
+        elif response is ClientResponse.CONNECTION_CLOSED:  # the status is not sent
+            self.last_refusal = Refusal(502, reason)
+        else:
+            self.last_refusal = Refusal(response.status, reason)
+
+    def outcome_after_start(self, now: float) -> RequestOutcome:
+        """The outcome of a request whose response had started and that gets no further attempt."""
+        if self.deadline - now < MIN_ATTEMPT_SECONDS:
+            return RequestOutcome.TIME_UP
+        return RequestOutcome.CUT_BY_ROUTER if self.abandoned_silent_server else RequestOutcome.SERVER_BROKE_OFF
--- a/rowanshift/dataplane/frontend.py
+++ b/rowanshift/dataplane/frontend.py
@@ -7,16 +7,18 @@
 import trio
 from loguru import logger
 
-from rowanshift.dataplane.client_answer import ClientGone, Out, Refusal
+from rowanshift.dataplane.control_state import ControlState
 from rowanshift.dataplane.drain import Drain
-from rowanshift.dataplane.forwarder import LEAVING, Forwarder, State
-from rowanshift.dataplane.forwarding import COME_AGAIN
+from rowanshift.dataplane.forwarded_request import RETRY_AFTER_SECONDS
+from rowanshift.dataplane.forwarder import Forwarder
 from rowanshift.dataplane.load_index import LoadIndex
+from rowanshift.dataplane.request_admission import DRAINING_REASON
 from rowanshift.dataplane.request_outcomes import EndedRequest, RequestOutcome, RequestOutcomes
 from rowanshift.dataplane.requests import Request, request_of
+from rowanshift.dataplane.response_writer import ClientDisconnected, Refusal, ResponseWriter
 from rowanshift.dataplane.retry_budget import RetryBudget
 from rowanshift.dataplane.retry_decision import NOT_EXECUTED_STATUSES
-from rowanshift.dataplane.upstream import Upstream
+from rowanshift.dataplane.upstream import UpstreamPool
 from rowanshift.transport.http_connection import Connection, MalformedMessage, Message
 from rowanshift.transport.memory_budget import DescriptorBudget, MemoryBudget
 from rowanshift.transport.runtime import Nursery
@@ -46,8 +48,8 @@
 
     def __init__(
         self,
-        state: State,
-        back: Upstream,
+        state: ControlState,
+        back: UpstreamPool,
         budget: DescriptorBudget,
         memory: MemoryBudget,
         retries: Callable[[str], RetryBudget],
@@ -62,7 +64,7 @@
         self.idle: dict[Client, None] = {}
         self.open = 0  # requests
         self.reading: set[Client] = set()  # connections of which a part of a request was read
-        self.answering: dict[trio.CancelScope, Out] = {}  # what gives up each request that is open
+        self.answering: dict[trio.CancelScope, ResponseWriter] = {}  # what gives up each request that is open
         self.accepting = trio.CancelScope()
         self.listener_closed = trio.Event()
         self.endings = endings or RequestOutcomes()
@@ -133,8 +135,8 @@
 
     def begin_leave(self) -> None:
         """Tell each client whose answer has not begun that its connection ends with it."""
-        for out in self.answering.values():
-            out.keep = out.keep and out.begun
+        for writer in self.answering.values():
+            writer.keep_alive = writer.keep_alive and writer.started
 
     def give_up(self) -> None:
         """End each open request now: with a final answer, or by a cut if its answer has begun."""
@@ -183,8 +185,8 @@
                     return
                 connection.release()
         except MalformedMessage as error:
-            await self._bad(Out(connection, keep=False, old=False), error)
-        except (ClientGone, OSError, trio.ClosedResourceError):
+            await self._bad(ResponseWriter(connection, keep_alive=False, is_http_1_0=False), error)
+        except (ClientDisconnected, OSError, trio.ClosedResourceError):
             pass
         except Exception:
             logger.exception("event=connection_failed")
@@ -227,11 +229,11 @@
             if not connection.receive():
                 return None
 
-    async def _bad(self, out: Out, error: MalformedMessage) -> None:
+    async def _bad(self, writer: ResponseWriter, error: MalformedMessage) -> None:
         """One 4xx, and the close; reads on for a moment so that it arrives."""
-        connection, out.keep = out.connection, False
+        connection, writer.keep_alive = writer.connection, False
         try:
-            await out.refuse(Refusal(error.status, str(error)))
+            await writer.refuse(Refusal(error.status, str(error)))
             connection.stream.end()
             space = memoryview(bytearray(1 << 16))
             with trio.move_on_after(LINGER_FOR):
@@ -239,8 +241,8 @@
                     await connection.stream.wait_readable()
                     if not connection.stream.recv_into(space):
                         return
-        except ClientGone:
-            out.ending = RequestOutcome.CLIENT_LEFT
+        except ClientDisconnected:
+            writer.outcome = RequestOutcome.CLIENT_LEFT
         except (OSError, trio.ClosedResourceError):
             pass
 
@@ -251,74 +253,74 @@
         id = dict(message.fields).get(b"request-id", b"").decode("latin-1")
         logger.debug("event=request_read request={}", id)
         opened = self.endings.opened(id, client.connected_at, client.requests, trio.current_time())
-        out = Out(client.connection, message.keep and not self.drain.leaving, message.old)
+        writer = ResponseWriter(client.connection, message.keep and not self.drain.leaving, message.old)
         try:
-            return await self._final_answer(message, out)
+            return await self._final_answer(message, writer)
         except MalformedMessage as error:
-            await self._bad(out, error)
+            await self._bad(writer, error)
             return False
-        except ClientGone:
-            out.ending = RequestOutcome.CLIENT_LEFT
+        except ClientDisconnected:
+            writer.outcome = RequestOutcome.CLIENT_LEFT
             raise
         finally:  # also when it is cancelled
             now = trio.current_time()
-            log_ending(self.endings.closed(opened, out.ending, now, out.status, out.passed_on))
+            log_ending(self.endings.closed(opened, writer.outcome, now, writer.status, writer.bytes_written))
 
-    async def _final_answer(self, message: Message, out: Out) -> bool:
+    async def _final_answer(self, message: Message, writer: ResponseWriter) -> bool:
         """Answers one request by a server's answer or a refusal; whether the connection is kept."""
         request = request_of(message, trio.current_time())
         self.open += 1
         try:
-            await self._forward_unless_given_up(request, out)
-            self.counts.whole += 1
+            await self._forward_unless_given_up(request, writer)
+            self.counts.completed += 1
         except Refusal as refused:
             refusal = self._unless_old(refused)
             self.counts.refused += refusal.status in NOT_EXECUTED_STATUSES
             self.counts.failed += refusal.status not in NOT_EXECUTED_STATUSES
-            if out.begun:  # what went out must not look whole
+            if writer.started:  # what went writer must not look whole
                 return False
-            out.keep = out.keep and not self.drain.leaving
-            await out.refuse(refusal)
-        except ClientGone:
-            self.counts.gone += 1
+            writer.keep_alive = writer.keep_alive and not self.drain.leaving
+            await writer.refuse(refusal)
+        except ClientDisconnected:
+            self.counts.disconnected += 1
             raise
         except Exception:
             self.counts.failed += 1
-            if not out.begun:
-                out.keep = False
-                await out.refuse(Refusal(502, "a fault of this router"))
+            if not writer.started:
+                writer.keep_alive = False
+                await writer.refuse(Refusal(502, "a fault of this router"))
             raise
         finally:
             self.open -= 1
-        return out.keep
+        return writer.keep_alive
 
-    async def _forward_unless_given_up(self, request: Request, out: Out) -> None:
+    async def _forward_unless_given_up(self, request: Request, writer: ResponseWriter) -> None:
         """Forwards a request; ``Refusal`` once it is given up because this router ends."""
         scope = trio.CancelScope()
-        self.answering[scope] = out
+        self.answering[scope] = writer
         try:
             with scope:
-                await self._forward(request, out)
+                await self._forward(request, writer)
                 return
         finally:
             del self.answering[scope]
         if request.tried:
-            raise Refusal(502, f"{LEAVING}; it may have run")
-        raise Refusal(503, LEAVING, COME_AGAIN)
+            raise Refusal(502, f"{DRAINING_REASON}; it may have run")
+        raise Refusal(503, DRAINING_REASON, RETRY_AFTER_SECONDS)
 
-    async def _forward(self, request: Request, out: Out) -> None:
+    async def _forward(self, request: Request, writer: ResponseWriter) -> None:
         if self.drain.leaving:
-            self.forwarder.refuse_if_leaving(request, out)
+            self.forwarder.refuse_if_draining(request, writer)
         await self.state.wait_until_fresh(request.until - request.came_at)
         await self._confirm_refusal(request)
-        await self.forwarder.forward(request, out)
+        await self.forwarder.forward(request, writer)
 
     async def _confirm_refusal(self, request: Request) -> None:
         """A request that would be refused for good waits, briefly, until what is known is surely recent."""
         if self.state.may_refuse():
             return
         try:
-            self.forwarder.allowed(request)
+            self.forwarder.admission.admit(request)
         except Refusal as refusal:
             if refusal.status in DENIALS:
                 await self.state.wait_until_may_refuse(min(CONFIRM_WITHIN, request.until - request.came_at))
--- /dev/null
+++ b/rowanshift/dataplane/server_attempt.py
@@ -0,0 +1,231 @@
+"""One attempt at a request: sent to one server, and the server's response relayed if it is the client's."""
+
+from functools import partial
+
+import trio
+from loguru import logger
+
+from rowanshift.dataplane.control_state import ControlState
+from rowanshift.dataplane.endpoints import Endpoint
+from rowanshift.dataplane.errors import DataPlaneError
+from rowanshift.dataplane.forwarded_request import ForwardedRequest, RequestCounts
+from rowanshift.dataplane.kv_moves import KvMoves, source_of
+from rowanshift.dataplane.load_index import DatagramKind, LoadIndex
+from rowanshift.dataplane.request_admission import Admission, RequestAdmission
+from rowanshift.dataplane.requests import priority_of, written
+from rowanshift.dataplane.response_stream import relay_response
+from rowanshift.dataplane.response_writer import ClientDisconnected
+from rowanshift.dataplane.retry_decision import ClientResponse, Decision, ExchangeOutcome, decide
+from rowanshift.dataplane.server_selection import ServerSelection, answers_for_another_server, back_off_after
+from rowanshift.dataplane.silence_monitor import SilenceMonitor
+from rowanshift.dataplane.upstream import (
+    AbandonCheck,
+    ExchangeFailed,
+    ExchangeFailure,
+    ServerConnection,
+    UpstreamPool,
+)
+from rowanshift.transport.flow import Flow
+from rowanshift.transport.http_connection import Message
+
+OVERDUE_WARNING_SECONDS = 0.2  # between warnings of requests that began on overdue weights
+FAILURE_OUTCOMES = {
+    ExchangeFailure.NOT_SENT: ExchangeOutcome.REQUEST_NOT_SENT,
+    ExchangeFailure.BROKEN: ExchangeOutcome.NO_RESPONSE,
+    ExchangeFailure.MALFORMED: ExchangeOutcome.MALFORMED_RESPONSE,
+    ExchangeFailure.MISMATCHED: ExchangeOutcome.MISMATCHED_REQUEST_ID,
+    ExchangeFailure.TIMED_OUT: ExchangeOutcome.TIMED_OUT,
+    ExchangeFailure.SERVER_SILENT: ExchangeOutcome.SERVER_SILENT,
+}
+LOAD_REPORTS = {  # what an outcome tells the load index of the server; any other tells nothing
+    ExchangeOutcome.SUCCESS: DatagramKind.DONE,
+    ExchangeOutcome.REQUEST_NOT_SENT: DatagramKind.FAILED,
+    ExchangeOutcome.NO_RESPONSE: DatagramKind.FAILED,
+    ExchangeOutcome.MALFORMED_RESPONSE: DatagramKind.FAILED,
+    ExchangeOutcome.SERVER_ERROR: DatagramKind.FAILED,
+    ExchangeOutcome.TIMED_OUT: DatagramKind.FAILED,
+    ExchangeOutcome.MISMATCHED_REQUEST_ID: DatagramKind.FAILED,
+    ExchangeOutcome.UNCONFIRMED_REJECTION: DatagramKind.FAILED,
+    ExchangeOutcome.LAST_SERVER_ERROR: DatagramKind.FAILED,
+    ExchangeOutcome.SERVER_SILENT: DatagramKind.FAILED,
+}
+
+
+class ChoiceOutdated(DataPlaneError):
+    """The chosen server may no longer get the request; nothing was sent, and a server has to be chosen again."""
+
+
+class ServerAttempts:
+    """Makes the attempts of all requests, each at a server that was chosen for it."""
+
+    def __init__(
+        self,
+        state: ControlState,
+        upstream: UpstreamPool,
+        admission: RequestAdmission,
+        selection: ServerSelection,
+        loads: LoadIndex,
+        counts: RequestCounts,
+    ) -> None:
+        self.state = state
+        self.upstream = upstream
+        self.admission = admission
+        self.selection = selection
+        self.loads = loads
+        self.counts = counts
+        self.silence = SilenceMonitor(state, upstream, admission, selection)
+        self.moves = KvMoves(state)
+        self.last_overdue_warning_at = float("-inf")
+
+    async def run(self, forwarded: ForwardedRequest, endpoint: Endpoint) -> ExchangeOutcome:
+        """Send a request to a server and wait for the outcome; the response, if it is the client's, was relayed.
+
+        ``ChoiceOutdated`` if nothing was sent; ``ClientDisconnected`` if the client is gone.
+        """
+        request = forwarded.request
+        version = endpoint.versions.get(request.model, 0)
+        data = self._serialize(forwarded, endpoint, version)
+        self.counts.retries += forwarded.reached_server
+        endpoint.on_request_sent(trio.current_time())
+        load = await self.loads.add(endpoint.id, max(1, request.tokens[0]))
+        report = DatagramKind.DROPPED
+        connection, forwarded.reserved_connection = forwarded.reserved_connection, None
+        try:
+            connection = connection or await self.upstream.acquire(endpoint, forwarded.deadline)
+            self._check_choice(forwarded, connection, version)
+            await self.upstream.send_request(connection, data, forwarded.deadline)
+            request.tried.append(endpoint.id)
+            outcome = await self._receive(forwarded, connection, load, version)
+            report = LOAD_REPORTS.get(outcome, DatagramKind.DROPPED)
+            return outcome
+        except ExchangeFailed as error:
+            outcome = self._outcome_of_failure(forwarded, endpoint, connection, error)
+            report = LOAD_REPORTS.get(outcome, DatagramKind.DROPPED)
+            return outcome
+        finally:
+            if connection is not None and not connection.released:
+                self.upstream.close(connection)
+            endpoint.on_request_ended()
+            await self.loads.ended(load, report)
+
+    def _serialize(self, forwarded: ForwardedRequest, endpoint: Endpoint, version: int) -> bytes:
+        """The request as it goes to a server."""
+        request, tenant, now = forwarded.request, forwarded.tenant, trio.current_time()
+        pool = self.selection.pool(forwarded)
+        near = source_of(pool, request, forwarded.ring_position, version, endpoint, now)
+        fetch, save = self.moves.choose(request, tenant, version, near, now)
+        return written(
+            request,
+            tenant,
+            endpoint.id.encode(),
+            forwarded.deadline - now,
+            version,
+            forwarded.writer.last_event_id or request.after,
+            fetch,
+            save,
+            priority_of(forwarded.route, tenant),
+        )
+
+    def _check_choice(self, forwarded: ForwardedRequest, connection: ServerConnection, version: int) -> None:
+        """``ChoiceOutdated``, with the connection back in the pool, if the server may no longer get the request;
+        ``Refusal`` if the request is no longer admitted."""
+        now = trio.current_time()
+        valid = self.selection.is_still_valid(forwarded, connection.endpoint, version, now)
+        if valid and not (forwarded.may_have_run or forwarded.writer.started):
+            valid = self.admission.admit(forwarded.request) == Admission(forwarded.route, forwarded.tenant)
+        if not valid:
+            self.upstream.put_idle(connection, now)
+            raise ChoiceOutdated
+
+    async def _receive(
+        self, forwarded: ForwardedRequest, connection: ServerConnection, load: tuple[str, int], version: int
+    ) -> ExchangeOutcome:
+        """Wait for the response, and relay it if it is the client's."""
+        endpoint, upstream = connection.endpoint, self.upstream
+        request_id, deadline = forwarded.request.id, forwarded.deadline
+        abandon = partial(self.silence.check, forwarded, connection, version)
+        read_head = partial(upstream.read_head, connection, request_id, deadline, abandon)
+        response = await self.silence.wait(forwarded, connection, read_head)
+        endpoint.on_bytes_received(trio.current_time())
+        if 200 <= response.status < 300 and response.flow is not None:
+            self._warn_if_overdue(forwarded, endpoint, version)
+            await self.loads.ended(load, DatagramKind.DONE)
+            return await self._relay_success(forwarded, connection, response, response.flow, abandon)
+        outcome = forwarded.progress.outcome_of_status(response.status, b"not-executed" in dict(response.fields))
+        decision = decide(forwarded.idempotency, outcome)
+        self._release(connection, response, decision)
+        self._back_off(endpoint, response, outcome)
+        if decision.client_response is ClientResponse.SERVER_RESPONSE and not decision.retry:
+            await forwarded.writer.send_response(response, response.body)
+        return outcome
+
+    async def _relay_success(
+        self,
+        forwarded: ForwardedRequest,
+        connection: ServerConnection,
+        response: Message,
+        flow: Flow,
+        abandon: AbandonCheck,
+    ) -> ExchangeOutcome:
+        """Relay a successful response to its end."""
+        read = partial(self.upstream.read_body, connection, flow, forwarded.deadline, abandon)
+        read_or_move = partial(self.silence.wait, forwarded, connection, read)
+        await relay_response(forwarded, connection.endpoint, response, read_or_move)
+        clean = connection.http.clean()
+        outcome = ExchangeOutcome.SUCCESS if clean else ExchangeOutcome.SUCCESS_WITH_SURPLUS_BYTES
+        self._release(connection, response, decide(forwarded.idempotency, outcome))
+        return outcome
+
+    def _release(self, connection: ServerConnection, response: Message, decision: Decision) -> None:
+        """Give a connection back after a complete response."""
+        if decision.keep_connection:
+            self.upstream.release(connection, response, trio.current_time())
+        else:
+            self.upstream.close(connection)
+
+    def _back_off(self, endpoint: Endpoint, response: Message, outcome: ExchangeOutcome) -> None:
+        """Send no more requests for a while to a server that rejected one."""
+        back_off_after(endpoint, response, outcome, trio.current_time())
+        if outcome is ExchangeOutcome.MISDIRECTED and answers_for_another_server(endpoint, response):
+            self.upstream.close_idle_to(endpoint)
+
+    def _outcome_of_failure(
+        self,
+        forwarded: ForwardedRequest,
+        endpoint: Endpoint,
+        connection: ServerConnection | None,
+        error: ExchangeFailed,
+    ) -> ExchangeOutcome:
+        """The outcome that a failure stands for; ``ClientDisconnected`` if nobody waits for the response."""
+        if error.failure is ExchangeFailure.CLIENT_DISCONNECTED:
+            raise ClientDisconnected from error
+        if error.failure is ExchangeFailure.NOT_SENT:
+            return ExchangeOutcome.REQUEST_NOT_SENT
+        logger.info(
+            "event=send_failed server={} request={} outcome={} why={!r}",
+            endpoint.id,
+            forwarded.request.id.decode("latin-1"),
+            error.failure.value,
+            str(error),
+        )
+        self.counts.resumed += forwarded.writer.started
+        in_body = connection is not None and connection.response is not None
+        if in_body and error.failure in (ExchangeFailure.BROKEN, ExchangeFailure.MALFORMED):
+            return forwarded.progress.outcome_of_broken_success()
+        return FAILURE_OUTCOMES[error.failure]
+
+    def _warn_if_overdue(self, forwarded: ForwardedRequest, endpoint: Endpoint, version: int) -> None:
+        """Log, a few times a second at most, that a request began on weights whose deadline is near or over."""
+        now, model = trio.current_time(), forwarded.request.model
+        overdue = self.state.seconds_overdue(model, version, now)
+        if overdue is None or now < self.last_overdue_warning_at + OVERDUE_WARNING_SECONDS:
+            return
+        self.last_overdue_warning_at = now
+        logger.warning(
+            "event=begun_on_older_weights request={} server={} model={} version={} lacks_for={:.3f}",
+            forwarded.request.id.decode("latin-1"),
+            endpoint.id,
+            model,
+            version,
+            overdue,
+        )
--- a/rowanshift/dataplane/service.py
+++ b/rowanshift/dataplane/service.py
@@ -14,7 +14,7 @@
 from rowanshift.dataplane.load_index import LoadIndex
 from rowanshift.dataplane.request_outcomes import RequestOutcomes
 from rowanshift.dataplane.retry_budget import RetryBudget
-from rowanshift.dataplane.upstream import Upstream
+from rowanshift.dataplane.upstream import UpstreamPool
 from rowanshift.process.error_groups import first_of
 from rowanshift.process.logs import log_to_stderr
 from rowanshift.process.node_settings import NodeSettings, NodeSettingsError, load_node_settings
@@ -132,9 +132,11 @@
             async with host.nursery() as nursery:
                 memory = MemoryBudget(boot.limits.memory_mb * MEMORY_PART)
                 budget = DescriptorBudget(host.descriptors(boot.limits.max_fds), FILES)
-                self.back = Upstream(host, budget, memory)
+                self.back = UpstreamPool(host, budget, memory)
                 self.loads = LoadIndex(host, boot.internal_address, machine_id_from_ip(boot.ip))
-                self.control_cache = ControlCache(boot.bounds, self.random_source, self.back.leave, self.loads.meet)
+                self.control_cache = ControlCache(
+                    boot.bounds, self.random_source, self.back.close_idle_to, self.loads.meet
+                )
                 self.control_client = ControlClient(
                     host,
                     machine_id_from_ip(boot.ip),
@@ -208,7 +210,7 @@
                 self.control_client.mark_stale()
             if now - swept > SWEEP:
                 swept = now
-                self.back.sweep(now)
+                self.back.close_stale(now)
 
 
 def run(boot: NodeSettings, level: str = "INFO", former_role: str = "") -> int:
--- a/rowanshift/dataplane/upstream.py
+++ b/rowanshift/dataplane/upstream.py
@@ -1,4 +1,8 @@
-"""The server side: connections to servers, and one send at a time on each."""
+"""The pool of connections to model servers, and the exchange of one request and response on a connection.
+
+A connection carries one exchange at a time. It goes back to the pool only after a complete response with nothing
+behind it. Times are trio's, in seconds.
+"""
 
 import errno
 from collections.abc import Callable
@@ -9,248 +13,269 @@
 import trio
 
 from rowanshift.dataplane.endpoints import Endpoint
+from rowanshift.dataplane.errors import DataPlaneError
+from rowanshift.transport.flow import Flow
 from rowanshift.transport.http_connection import Connection, MalformedMessage, Message
 from rowanshift.transport.memory_budget import DescriptorBudget, MemoryBudget
 from rowanshift.transport.runtime import Runtime
 
-DIAL_WITHIN = 0.6  # seconds
-IDLE_FOR = 4.0  # seconds that a connection is kept where the server names no time
-SPARE = 0.85  # part of the time that the server names
-LOOK = 0.5  # seconds between looks whether to wait on
-MOST_IDLE = 64  # connections kept for a server
-LARGEST_ERROR = 1 << 18  # bytes of an answer that is no success
+CONNECT_TIMEOUT_SECONDS = 0.6
+DEFAULT_IDLE_SECONDS = 4.0  # that an idle connection is kept where the server names no time
+KEEP_ALIVE_FRACTION = 0.85  # of the time that the server names; closed before the server does
+ABANDON_CHECK_SECONDS = 0.5  # between checks whether a response is still worth waiting for
+MAX_IDLE_CONNECTIONS = 64  # to one server
+MAX_BODY_BYTES = 1 << 18  # of a response that is not a stream
 
 
-class Outcome(Enum):
-    """How a send failed."""
+class ExchangeFailure(Enum):
+    """How an exchange failed."""
 
-    UNSENT = "unsent"  # not a whole request was written: it can't have run
-    BROKEN = "broken"  # written, and the connection ended: it may have run
-    GARBLED = "garbled"  # what came is no answer
-    MISMATCHED = "mismatched"  # what came answers another request
-    LATE = "late"  # its time was up
-    SILENT = "silent"  # it is given up for another server
-    CLIENT_GONE = "client gone"  # nobody waits for the answer
+    NOT_SENT = "unsent"  # the request was not written to its end: it can't have run
+    BROKEN = "broken"  # it was written, and the connection ended: it may have run
+    MALFORMED = "garbled"  # the bytes received are no HTTP response
+    MISMATCHED = "mismatched"  # the response is to another request
+    TIMED_OUT = "late"
+    SERVER_SILENT = "silent"  # abandoned for another server
+    CLIENT_DISCONNECTED = "client gone"  # nobody waits for the response
 
 
-Look = Callable[[], Outcome | None]  # why an answer is waited for no longer; None: it is
+AbandonCheck = Callable[[], ExchangeFailure | None]  # why a response is no longer waited for; None: it is
 
 
-class SendFailed(Exception):
-    """A send that got no answer for the client; ``outcome`` tells how it ended."""
+class ExchangeFailed(DataPlaneError):
+    """An exchange ended without a complete response; ``failure`` says how, the text why. Whether the request may be
+    retried is decided in ``retry_decision``."""
 
-    def __init__(self, outcome: Outcome, why: str) -> None:
-        super().__init__(why)
-        self.outcome = outcome
+    def __init__(self, failure: ExchangeFailure, reason: str) -> None:
+        super().__init__(reason)
+        self.failure = failure
 
 
 @dataclass(slots=True, eq=False)
-class Link:
-    """One connection to a server, and the answer that is read from it."""
-
-    engine: Endpoint
-    connection: Connection
-    since: float = 0.0  # idle
-    idle_for: float = IDLE_FOR
-    message: Message | None = None
+class ServerConnection:
+    """One connection to a server, and the response that is read from it."""
+
+    endpoint: Endpoint
+    http: Connection
+    idle_since: float = 0.0  # 0: it has not been idle yet
+    max_idle_seconds: float = DEFAULT_IDLE_SECONDS
+    response: Message | None = None
     closed: bool = False
-    pooled: bool = False  # it is idle, or was closed after a whole answer
-
-
-class Upstream:
-    """Connections to servers: dialled, kept while idle, one exchange at a time on each."""
-
-    def __init__(self, host: Runtime, budget: DescriptorBudget, memory: MemoryBudget) -> None:
-        self.host, self.budget, self.memory = host, budget, memory
-        self.idle: dict[Endpoint, list[Link]] = {}
-        self.dials = self.sends = 0
-        budget.idle_servers = self.drop_idle
-
-    def address(self, engine: Endpoint) -> tuple[str, int]:
-        """A server's IP and port."""
-        host, _, port = engine.address.rpartition(":")
-        return host, int(port)
-
-    # connections ------------------------------------------
-
-    def leave(self, engine: Endpoint) -> None:
-        """Closes what is idle to a server that is gone or draining."""
-        for link in self.idle.pop(engine, []):
-            self.close(link)
-
-    def drop_idle(self) -> bool:
-        """Close the connection that is idle longest; whether there was one."""
-        links = min((links for links in self.idle.values() if links), default=None, key=lambda links: links[0].since)
-        if links is None:
-            return False
-        self.close(links.pop(0))
-        return True
-
-    def sweep(self, now: float) -> None:
-        """Closes connections that stood idle as long as their server may keep them."""
-        for links in self.idle.values():
-            while links and self._stale(links[0], now):
-                self.close(links.pop(0))
-        for engine in [engine for engine, links in self.idle.items() if not links]:
-            del self.idle[engine]
-
-    def close(self, link: Link) -> None:
-        """End a connection and give its descriptor back."""
-        if not link.closed:
-            link.closed = True
-            link.connection.close()
-            self.budget.give_server()
-
-    @staticmethod
-    def _stale(link: Link, now: float) -> bool:
-        """Whether an idle connection has ended, or its server may end it at any moment."""
-        return now - link.since > link.idle_for or link.connection.stream.readable()
-
-    def kept(self, engine: Endpoint, now: float) -> Link | None:
-        """The idle connection that was used last, if one is whole."""
-        links = self.idle.get(engine)
-        while links:
-            link = links.pop()
-            if self._stale(link, now):
-                self.close(link)
+    released: bool = False  # given back to the pool, which kept or closed it
+
+
+class UpstreamPool:
+    """Connections to servers: opened on demand, kept while idle, lent for one exchange at a time."""
+
+    def __init__(self, runtime: Runtime, descriptors: DescriptorBudget, memory: MemoryBudget) -> None:
+        self.runtime = runtime
+        self.descriptors = descriptors
+        self.memory = memory
+        self.idle: dict[Endpoint, list[ServerConnection]] = {}  # of each server the longest idle first
+        self.connects = 0
+        self.requests_sent = 0
+        descriptors.idle_servers = self.close_longest_idle
+
+    # the pool ---------------------------------------------
+
+    async def acquire(self, endpoint: Endpoint, deadline: float) -> ServerConnection:
+        """An idle connection to a server, or a new one; ``ExchangeFailed`` with NOT_SENT if none comes up."""
+        return self.take_idle(endpoint, trio.current_time()) or await self.connect(endpoint, deadline)
+
+    def take_idle(self, endpoint: Endpoint, now: float) -> ServerConnection | None:
+        """The idle connection that was used last, if one is usable; it leaves the pool."""
+        connections = self.idle.get(endpoint)
+        while connections:
+            connection = connections.pop()
+            if self._is_stale(connection, now):
+                self.close(connection)
                 continue
-            link.pooled = False
-            return link
+            connection.released = False
+            return connection
         return None
 
-    async def dial(self, engine: Endpoint, until: float) -> Link:
-        """A new connection; ``SendFailed`` with UNSENT if it doesn't come up."""
-        if not self.budget.take_server():
-            raise SendFailed(Outcome.UNSENT, "no descriptor is left")
-        link = None
+    async def connect(self, endpoint: Endpoint, deadline: float) -> ServerConnection:
+        """A new connection; ``ExchangeFailed`` with NOT_SENT if it doesn't come up."""
+        if not self.descriptors.take_server():
+            raise ExchangeFailed(ExchangeFailure.NOT_SENT, "no descriptor is left")
+        connection = None
         try:
-            stream = self.host.stream()
-            link = Link(
-                engine,
-                Connection(stream, httptools.HttpResponseParser, self.memory, streams=True, largest=LARGEST_ERROR),
-            )
-            self.dials += 1
-            up = False
-            with trio.CancelScope(deadline=min(until, trio.current_time() + DIAL_WITHIN)):
-                failed = stream.connect_ex(self.address(engine))
-                if failed == errno.EINPROGRESS:
-                    await stream.wait_writable()
-                    failed = stream.dialled()
-                up = not failed
+            connection = self._new_connection(endpoint)
+            error_number, connected = await self._connect_socket(connection, deadline)
         except BaseException as error:
-            if link is None:
-                self.budget.give_server()
+            if connection is None:
+                self.descriptors.give_server()
             else:
-                self.close(link)
+                self.close(connection)
             if isinstance(error, OSError):
-                raise SendFailed(Outcome.UNSENT, repr(error)) from error
+                raise ExchangeFailed(ExchangeFailure.NOT_SENT, repr(error)) from error
             raise
-        if not up:
-            self.close(link)
-            raise SendFailed(Outcome.UNSENT, f"a dial failed: {failed}")
-        return link
-
-    # one send ---------------------------------------------
-
-    async def send(self, link: Link, data: bytes, until: float) -> None:
-        """Writes a whole request; ``SendFailed`` with UNSENT if not all of it went out."""
-        connection = link.connection
-        self.sends += 1
-        whole = False
+        if not connected:
+            self.close(connection)
+            raise ExchangeFailed(ExchangeFailure.NOT_SENT, f"connecting failed: {error_number}")
+        return connection
+
+    def _new_connection(self, endpoint: Endpoint) -> ServerConnection:
+        stream = self.runtime.stream()
+        parser = httptools.HttpResponseParser
+        return ServerConnection(endpoint, Connection(stream, parser, self.memory, streams=True, largest=MAX_BODY_BYTES))
+
+    async def _connect_socket(self, connection: ServerConnection, deadline: float) -> tuple[int, bool]:
+        """The error number of the attempt, and whether the connection is up; neither after the timeout."""
+        self.connects += 1
+        stream = connection.http.stream
+        host, _, port = connection.endpoint.address.rpartition(":")
+        error_number, connected = 0, False
+        with trio.CancelScope(deadline=min(deadline, trio.current_time() + CONNECT_TIMEOUT_SECONDS)):
+            error_number = stream.connect_ex((host, int(port)))
+            if error_number == errno.EINPROGRESS:
+                await stream.wait_writable()
+                error_number = stream.dialled()
+            connected = not error_number
+        return error_number, connected
+
+    def release(self, connection: ServerConnection, response: Message, now: float) -> None:
+        """Give a connection back after a complete response; it is kept if nothing is left on it."""
+        http, flow = connection.http, response.flow
+        connection.released = True
+        if not http.kept or not http.clean() or (flow is not None and not flow.drained()):
+            self.close(connection)
+            return
+        http.release()
+        named = dict(response.fields).get(b"keep-alive", b"")
+        for parameter in named.split(b","):
+            name, _, value = parameter.strip().partition(b"=")
+            if name == b"timeout" and value.isdigit():
+                connection.max_idle_seconds = KEEP_ALIVE_FRACTION * int(value)
+        self.put_idle(connection, now)
+
+    def put_idle(self, connection: ServerConnection, now: float) -> None:
+        """Put a connection that has no exchange open into the pool; it is closed if it can't be used again."""
+        connection.released, connection.response, connection.idle_since = True, None, now
+        endpoint, http = connection.endpoint, connection.http
+        if not endpoint.listed or endpoint.draining or http.sending() or http.stream.readable():
+            self.close(connection)
+            return
+        connections = self.idle.setdefault(endpoint, [])
+        connections.append(connection)
+        if len(connections) > MAX_IDLE_CONNECTIONS:
+            self.close(connections.pop(0))
+
+    def close(self, connection: ServerConnection) -> None:
+        """Close a connection, once, and give its file descriptor back to the budget."""
+        if not connection.closed:
+            connection.closed = True
+            connection.http.close()
+            self.descriptors.give_server()
+
+    def close_idle_to(self, endpoint: Endpoint) -> None:
+        """Close the idle connections to a server that was removed or is draining."""
+        for connection in self.idle.pop(endpoint, []):
+            self.close(connection)
+
+    def close_longest_idle(self) -> bool:
+        """Close the connection that has been idle longest; whether there was one."""
+        by_server = (connections for connections in self.idle.values() if connections)
+        connections = min(by_server, default=None, key=lambda connections: connections[0].idle_since)
+        if connections is None:
+            return False
+        self.close(connections.pop(0))
+        return True
+
+    def close_stale(self, now: float) -> None:
+        """Close idle connections that have ended, or that their server may close at any moment."""
+        for connections in self.idle.values():
+            while connections and self._is_stale(connections[0], now):
+                self.close(connections.pop(0))
+        for endpoint in [endpoint for endpoint, connections in self.idle.items() if not connections]:
+            del self.idle[endpoint]
+
+    @staticmethod
+    def _is_stale(connection: ServerConnection, now: float) -> bool:
+        idle_seconds = now - connection.idle_since
+        return idle_seconds > connection.max_idle_seconds or connection.http.stream.readable()
+
+    # one exchange -----------------------------------------
+
+    async def send_request(self, connection: ServerConnection, data: bytes, deadline: float) -> None:
+        """Write a complete request; ``ExchangeFailed`` with NOT_SENT if the last byte was not handed over."""
+        http = connection.http
+        self.requests_sent += 1
+        complete = False
         try:
-            with trio.CancelScope(deadline=until):
-                whole = connection.push(data)
-                while not whole:
-                    await connection.stream.wait_writable()
-                    whole = connection.pump()
+            with trio.CancelScope(deadline=deadline):
+                complete = http.push(data)
+                while not complete:
+                    await http.stream.wait_writable()
+                    complete = http.pump()
         except (OSError, trio.ClosedResourceError) as error:
-            raise SendFailed(Outcome.UNSENT, repr(error)) from error
-        if not whole:
-            raise SendFailed(Outcome.UNSENT, "its time was up")
-
-    async def head(self, link: Link, id: bytes, until: float, look: Look) -> Message:
-        """The head of the answer, with its body if that is no stream. ``look`` is asked twice a second."""
-        connection = link.connection
+            raise ExchangeFailed(ExchangeFailure.NOT_SENT, repr(error)) from error
+        if not complete:
+            raise ExchangeFailed(ExchangeFailure.NOT_SENT, "its time was up")
+
+    async def read_head(
+        self, connection: ServerConnection, request_id: bytes, deadline: float, abandon: AbandonCheck
+    ) -> Message:
+        """The response's head, with its body unless that is a stream; ``ExchangeFailed`` if it doesn't come.
+
+        ``abandon`` is called every ``ABANDON_CHECK_SECONDS``.
+        """
+        http = connection.http
         while True:
             try:
-                message, going = connection.read_on()
+                message, open_for_more = http.read_on()
             except MalformedMessage as error:
-                raise SendFailed(Outcome.GARBLED, str(error)) from error
+                raise ExchangeFailed(ExchangeFailure.MALFORMED, str(error)) from error
             except (OSError, trio.ClosedResourceError) as error:
-                raise SendFailed(Outcome.BROKEN, repr(error)) from error
+                raise ExchangeFailed(ExchangeFailure.BROKEN, repr(error)) from error
             if message is not None:
                 break
-            if not going:
-                raise SendFailed(Outcome.BROKEN, "it ended without an answer")
-            if connection.more:
+            if not open_for_more:
+                raise ExchangeFailed(ExchangeFailure.BROKEN, "it ended without an answer")
+            if http.more:
                 continue
             now = trio.current_time()
-            self._wait_on(now, until, look)
-            with trio.CancelScope(deadline=min(until, now + LOOK)):
-                await connection.stream.wait_readable()
-        if dict(message.fields).get(b"request-id") != id:
-            raise SendFailed(Outcome.MISMATCHED, "an answer to another request")
-        link.message = message
+            self._check_abandoned(now, deadline, abandon)
+            with trio.CancelScope(deadline=min(deadline, now + ABANDON_CHECK_SECONDS)):
+                await http.stream.wait_readable()
+        if dict(message.fields).get(b"request-id") != request_id:
+            raise ExchangeFailed(ExchangeFailure.MISMATCHED, "an answer to another request")
+        connection.response = message
         return message
 
-    @staticmethod
-    def _wait_on(now: float, until: float, look: Look) -> None:
-        """``SendFailed`` if an answer is waited for no longer."""
-        if (outcome := look()) is not None:
-            raise SendFailed(outcome, "it is waited for no longer")
-        if now >= until:
-            raise SendFailed(Outcome.LATE, "its time was up")
-
-    async def body(self, link: Link, until: float, look: Look) -> bytes:
-        """More of a stream's body, b"" at its whole end; ``SendFailed`` if it breaks off or is too late."""
-        connection, flow = link.connection, link.message.flow
+    async def read_body(
+        self, connection: ServerConnection, flow: Flow, deadline: float, abandon: AbandonCheck
+    ) -> bytes:
+        """The next bytes of a response's body, b"" at its regular end; ``ExchangeFailed`` if it breaks off.
+
+        ``flow`` holds what was read of the body. ``abandon`` is called every ``ABANDON_CHECK_SECONDS``.
+        """
+        http = connection.http
         while True:
             if flow.pieces:
-                made = flow.take()
-                return made + b"".join(flow.take() for _ in range(len(flow.pieces)))
+                data = flow.take()
+                return data + b"".join(flow.take() for _ in range(len(flow.pieces)))
             if flow.ended:
                 return b""
-            if connection.error is not None:
-                raise SendFailed(Outcome.GARBLED, str(connection.error))
-            going = True
+            if http.error is not None:
+                raise ExchangeFailed(ExchangeFailure.MALFORMED, str(http.error))
+            open_for_more = True
             try:
-                with trio.CancelScope(deadline=min(until, trio.current_time() + LOOK)) as scope:
-                    await connection.stream.wait_readable()
+                with trio.CancelScope(deadline=min(deadline, trio.current_time() + ABANDON_CHECK_SECONDS)) as scope:
+                    await http.stream.wait_readable()
                 if scope.cancelled_caught:
-                    self._wait_on(trio.current_time(), until, look)
+                    self._check_abandoned(trio.current_time(), deadline, abandon)
                     continue
-                going = connection.read_body()
+                open_for_more = http.read_body()
             except (OSError, trio.ClosedResourceError) as error:
-                raise SendFailed(Outcome.BROKEN, repr(error)) from error
-            if not going and not flow.ended and not flow.pieces:
-                raise SendFailed(Outcome.BROKEN, "it broke off")
-
-    def done(self, link: Link, now: float) -> None:
-        """The answer was read whole: the connection is kept if it is clean."""
-        message, connection = link.message, link.connection
-        flow = message.flow
-        link.pooled = True
-        if not connection.kept or not connection.clean() or (flow is not None and not flow.drained()):
-            return self.close(link)
-        connection.release()
-        named = dict(message.fields).get(b"keep-alive", b"")
-        for part in named.split(b","):
-            name, _, value = part.strip().partition(b"=")
-            if name == b"timeout" and value.isdigit():
-                link.idle_for = SPARE * int(value)
-        self.keep(link, now)
-
-    def keep(self, link: Link, now: float) -> None:
-        """Puts a clean connection aside for the next request."""
-        link.pooled, link.message, link.since = True, None, now
-        if (
-            not link.engine.listed
-            or link.engine.draining
-            or link.connection.sending()
-            or link.connection.stream.readable()
-        ):
-            return self.close(link)
-        links = self.idle.setdefault(link.engine, [])
-        links.append(link)
-        if len(links) > MOST_IDLE:
-            self.close(links.pop(0))
+                raise ExchangeFailed(ExchangeFailure.BROKEN, repr(error)) from error
+            if not open_for_more and not flow.ended and not flow.pieces:
+                raise ExchangeFailed(ExchangeFailure.BROKEN, "it broke off")
+
+    @staticmethod
+    def _check_abandoned(now: float, deadline: float, abandon: AbandonCheck) -> None:
+        """``ExchangeFailed`` if the response is no longer waited for."""
+        if (failure := abandon()) is not None:
+            raise ExchangeFailed(failure, "it is waited for no longer")
+        if now >= deadline:
+            raise ExchangeFailed(ExchangeFailure.TIMED_OUT, "its time was up")
--- a/tests/dataplane/test_drain_order_of_events.py
+++ b/tests/dataplane/test_drain_order_of_events.py
@@ -13,7 +13,7 @@
 from rowanshift.dataplane.load_index import DatagramKind
 from rowanshift.dataplane.request_outcomes import EXCUSED_PART, RequestOutcomes
 from rowanshift.dataplane.service import DataPlaneService
-from rowanshift.dataplane.upstream import Upstream
+from rowanshift.dataplane.upstream import UpstreamPool
 from tests.support.exchange_rig import (
     Asked,
     Behaviour,
@@ -107,10 +107,10 @@
     def test_all_are_answered_where_giving_up_takes_long(self) -> None:
         """A slow processor takes longer for the ends of all requests than the time set aside for last answers."""
         requests, seconds_each = 40, 0.01
-        true = Upstream.close
+        true = UpstreamPool.close
 
         async def clients(rig: Rig) -> None:
-            rig.front.forwarder.loads = SlowLoads()
+            rig.front.forwarder.loads = rig.front.forwarder.attempts.loads = SlowLoads()
 
             def close(*given: object) -> None:
                 rig.clock.time += seconds_each
@@ -122,9 +122,9 @@
 
         async def patch_close(close: Callable[..., None]) -> None:
             await trio.sleep(GIVEN_UP_AT - 0.1)
-            Upstream.close = close
+            UpstreamPool.close = close
 
-        with mock.patch.object(Upstream, "close", true):
+        with mock.patch.object(UpstreamPool, "close", true):
             endings = until_its_end(clients, *[Behaviour(cut=0, then=Then.SILENCE)] * requests)
         self.assertEqual(endings.violated() + endings.excused, 0, endings.counts())
 
--- a/tests/dataplane/test_exchange_attempts.py
+++ b/tests/dataplane/test_exchange_attempts.py
@@ -6,8 +6,8 @@
 from loguru import logger
 
 from rowanshift.dataplane.endpoints import Endpoint
-from rowanshift.dataplane.forwarder import SILENT_FOR
-from rowanshift.dataplane.upstream import LOOK, Link
+from rowanshift.dataplane.silence_monitor import SERVER_SILENCE_SECONDS
+from rowanshift.dataplane.upstream import ABANDON_CHECK_SECONDS, ServerConnection
 from tests.support.exchange_case import Case, Exchange, breaches, exchange, outcome
 from tests.support.exchange_rig import (
     KINDS,
@@ -48,9 +48,9 @@
                 for stream in rig.servers[0].connections:
                     stream.drop(False)  # without a word
                 rig.servers[0].connections.clear()
-                sends = rig.upstream.sends
+                sends = rig.upstream.requests_sent
                 got = await client.ask(kind, id)
-                met += rig.upstream.sends - sends > rig.runs[id]
+                met += rig.upstream.requests_sent - sends > rig.runs[id]
                 made.append((outcome(kind, id, got), rig.runs[id], breaches(rig, kind, id, got)))
                 client.close()
                 await trio.sleep(5.0)
@@ -108,12 +108,12 @@
         for kind in REPEATABLE:
             how, took = self.waited(kind, overdue=True)
             self.assertEqual(how, "success")
-            self.assertLess(took, self.OVERDUE_AFTER + LOOK + 0.1)
+            self.assertLess(took, self.OVERDUE_AFTER + ABANDON_CHECK_SECONDS + 0.1)
 
     def test_it_waits_on_while_the_weights_are_allowed(self) -> None:
         for kind in REPEATABLE:
             _, took = self.waited(kind, overdue=False)
-            self.assertGreater(took, SILENT_FOR + LOOK)
+            self.assertGreater(took, SERVER_SILENCE_SECONDS + ABANDON_CHECK_SECONDS)
 
     def test_another_request_is_never_sent_twice(self) -> None:
         how, _ = self.waited("non_idempotent", overdue=True)
@@ -140,14 +140,14 @@
     def test_what_was_chosen_is_asked_again_once_its_connection_is_up(self) -> None:
         async def main(rig: Rig) -> list[tuple[str, bool]]:
             rig.endpoints[1].versions = {"": 2}
-            dial = rig.upstream.dial
+            connect = rig.upstream.connect
 
-            async def named_meanwhile(endpoint: Endpoint, until: float) -> Link:
-                link = await dial(endpoint, until)
+            async def named_meanwhile(endpoint: Endpoint, until: float) -> ServerConnection:
+                connection = await connect(endpoint, until)
                 rig.state.least_version = 2
-                return link
+                return connection
 
-            rig.upstream.dial = named_meanwhile
+            rig.upstream.connect = named_meanwhile
             ended = []
             for _ in range(4):
                 made = await exchange(rig, "non_idempotent")
--- a/tests/dataplane/test_exchange_faults.py
+++ b/tests/dataplane/test_exchange_faults.py
@@ -12,11 +12,12 @@
 import trio
 from loguru import logger
 
-from rowanshift.dataplane import forwarder
-from rowanshift.dataplane.client_answer import Out
-from rowanshift.dataplane.forwarder import Forwarder
+from rowanshift.dataplane import forwarder, response_stream
+from rowanshift.dataplane.response_writer import ResponseWriter
 from rowanshift.dataplane.retry_decision import ClientResponse, Decision, ExchangeOutcome, RequestProgress
-from rowanshift.dataplane.upstream import Link, Outcome, SendFailed, Upstream
+from rowanshift.dataplane.server_attempt import ServerAttempts
+from rowanshift.dataplane.silence_monitor import SilenceMonitor
+from rowanshift.dataplane.upstream import ExchangeFailed, ExchangeFailure, ServerConnection, UpstreamPool
 from rowanshift.transport.http_connection import Connection
 
 
@@ -55,31 +56,31 @@
         self.found(test_exchanges.Surplus, "test_with_the_answer", patch)
 
     def test_the_id_of_an_answer_is_not_compared(self) -> None:
-        true = Upstream.head
+        true = UpstreamPool.read_head
 
-        async def head(upstream: Upstream, link: Link, id: bytes, *more: Any) -> Any:
-            return await true(upstream, link, AnyId(id), *more)
+        async def head(upstream: UpstreamPool, connection: ServerConnection, id: bytes, *more: Any) -> Any:
+            return await true(upstream, connection, AnyId(id), *more)
 
-        patch = mock.patch.object(Upstream, "head", head)
+        patch = mock.patch.object(UpstreamPool, "read_head", head)
         self.found(test_exchanges.NoAnswers, "test_another_id_or_none", patch)
         self.found(test_exchanges.SurplusBefore, "test_before_the_right_answer", patch)
         self.found(test_exchanges.Surplus, "test_later", patch)
 
     def test_a_reset_after_the_whole_write_counts_as_unsent(self) -> None:
-        true = Upstream.send
+        true = UpstreamPool.send_request
 
-        async def send(upstream: Upstream, link: Link, data: bytes, until: float) -> None:
-            await true(upstream, link, data, until)
+        async def send(upstream: UpstreamPool, connection: ServerConnection, data: bytes, until: float) -> None:
+            await true(upstream, connection, data, until)
             await trio.sleep(0.02)
-            if link.connection.stream.failed:
-                raise SendFailed(Outcome.UNSENT, "reset")
+            if connection.http.stream.failed:
+                raise ExchangeFailed(ExchangeFailure.NOT_SENT, "reset")
 
-        patch = mock.patch.object(Upstream, "send", send)
+        patch = mock.patch.object(UpstreamPool, "send_request", send)
         self.found(test_exchanges.AnswersBrokenOff, "test_reset_in_the_answer_to_non_idempotent", patch)
         self.found(test_exchanges.RequestsReadInPart, "test_all_of_it_was_handed_to_the_system", patch)
 
     def test_the_last_byte_is_taken_for_not_handed_over(self) -> None:
-        """A send that ends in an error is unsent, though its last write had gone out."""
+        """A send that ends in an error is unsent, though its last write had gone writer."""
         true = Connection.pump
 
         def pump(connection: Connection) -> bool:
@@ -109,30 +110,30 @@
         self.found(test_exchange_attempts.SeveralAttempts, "test_one_may_have_run_it_and_the_rest_reject_it", patch)
 
     def test_a_stream_that_broke_off_ends_as_whole(self) -> None:
-        true = Upstream.body
+        true = UpstreamPool.read_body
 
-        async def body(upstream: Upstream, *given: Any) -> bytes:
+        async def body(upstream: UpstreamPool, *given: Any) -> bytes:
             try:
                 return await true(upstream, *given)
-            except SendFailed as failure:
-                if failure.outcome is Outcome.BROKEN:
+            except ExchangeFailed as error:
+                if error.failure is ExchangeFailure.BROKEN:
                     return b""
                 raise
 
-        patch = mock.patch.object(Upstream, "body", body)
+        patch = mock.patch.object(UpstreamPool, "read_body", body)
         self.found(test_exchanges.AnswersBrokenOff, "test_close_in_the_answer_to_stream", patch)
 
     def test_a_reset_on_a_reused_connection_counts_as_unsent(self) -> None:
-        true = Forwarder._ending_of
+        true = ServerAttempts._outcome_of_failure
 
-        def ending_of(
-            self: Forwarder, forwarding: Any, endpoint: Any, link: Link, failure: SendFailed
+        def outcome_of_failure(
+            self: ServerAttempts, forwarded: Any, endpoint: Any, connection: ServerConnection, error: ExchangeFailed
         ) -> ExchangeOutcome:
-            if link is not None and link.since and failure.outcome is Outcome.BROKEN:
+            if connection is not None and connection.idle_since and error.failure is ExchangeFailure.BROKEN:
                 return ExchangeOutcome.REQUEST_NOT_SENT
-            return true(self, forwarding, endpoint, link, failure)
+            return true(self, forwarded, endpoint, connection, error)
 
-        patch = mock.patch.object(Forwarder, "_ending_of", ending_of)
+        patch = mock.patch.object(ServerAttempts, "_outcome_of_failure", outcome_of_failure)
         name = "test_another_is_not_sent_again_and_no_promise_is_made"
         self.found(test_exchange_attempts.Forgotten, name, patch)
         self.found(test_exchanges.AnswersBrokenOff, "test_reset_in_the_answer_to_stream", patch)
@@ -141,7 +142,7 @@
         async def left(*given: Any) -> bool:
             return True
 
-        patch = mock.patch.multiple(Forwarder, _sure_of_another=lambda *given: True, _other_is_up=left)
+        patch = mock.patch.multiple(SilenceMonitor, may_move=lambda *given: True, reserve_connection=left)
         for name in ("test_no_other_server_is_there", "test_the_budget_grants_no_attempt"):
             self.found(test_exchange_attempts.Silence, name, patch)
 
@@ -149,11 +150,11 @@
         async def left(*given: Any) -> bool:
             return True
 
-        patch = mock.patch.object(Forwarder, "_other_is_up", left)
+        patch = mock.patch.object(SilenceMonitor, "reserve_connection", left)
         self.found(test_exchange_attempts.Silence, "test_the_other_server_cannot_be_reached", patch)
 
     def test_a_part_of_an_event_is_passed_on(self) -> None:
-        patch = mock.patch.object(forwarder, "end_of_events", len)
+        patch = mock.patch.object(response_stream, "end_of_events", len)
         self.found(test_exchanges.AnswersBrokenOff, "test_reset_in_the_answer_to_resumable", patch)
 
     def test_what_may_have_run_is_retried(self) -> None:
@@ -167,14 +168,14 @@
         self.found(test_exchanges.AnswersBrokenOff, "test_close_in_the_answer_to_non_idempotent", patch)
 
     def test_an_old_client_gets_a_regular_end_of_a_stream_that_broke_off(self) -> None:
-        true = Out.head
+        true = ResponseWriter.head
 
-        def head(out: Out, *given: Any) -> bytes:
-            made = true(out, *given)
-            out.connection.resets = False
+        def head(writer: ResponseWriter, *given: Any) -> bytes:
+            made = true(writer, *given)
+            writer.connection.resets = False
             return made
 
-        patch = mock.patch.object(Out, "head", head)
+        patch = mock.patch.object(ResponseWriter, "head", head)
         self.found(test_exchange_clients.Framing, "test_a_stream_to_an_old_client_that_breaks_off", patch)
 
 
--- a/tests/dataplane/test_exchanges.py
+++ b/tests/dataplane/test_exchanges.py
@@ -125,16 +125,16 @@
 async def written_size(rig: Rig, kind: str) -> int:
     """The bytes of a request as a server gets it."""
     sizes = []
-    real = rig.upstream.send
+    real = rig.upstream.send_request
 
-    async def send(link, data: bytes, until: float) -> None:
+    async def send(connection, data: bytes, until: float) -> None:
         sizes.append(len(data))
-        await real(link, data, until)
+        await real(connection, data, until)
 
     rig.asked = 1000
-    rig.upstream.send = send
+    rig.upstream.send_request = send
     await exchange(rig, kind)
-    del rig.upstream.send
+    del rig.upstream.send_request
     return sizes[0]
 
 
--- a/tests/simulation/test_fleet_faults.py
+++ b/tests/simulation/test_fleet_faults.py
@@ -15,8 +15,8 @@
 from rowanshift.controlplane.replication.core import ReplicaCore
 from rowanshift.controlplane.replication.timing import Timing
 from rowanshift.dataplane import drain
-from rowanshift.dataplane.client_answer import ClientGone, Out
 from rowanshift.dataplane.control_cache import ControlCache
+from rowanshift.dataplane.response_writer import ClientDisconnected, ResponseWriter
 from rowanshift.dataplane.retry_budget import RetryBudget
 from rowanshift.simulation.fleet import ONCE, REPEATED, RESUMED, config_of, play, routes_of
 
@@ -79,14 +79,14 @@
         self.found("LOST", "SIGTERM", scenario, mock.patch.multiple(drain, NOTICE=0.05, END_RESERVE=8.0, END_PART=1.0))
 
     def test_a_router_closes_kept_connections_without_an_answer(self):
-        true, begun = Out.send, []
+        true, begun = ResponseWriter.send, []
 
-        async def cut(out, data):
-            if not out.passed_on:
-                begun.append(out)
+        async def cut(writer, data):
+            if not writer.bytes_written:
+                begun.append(writer)
                 if not len(begun) % 5:
-                    raise ClientGone
-            await true(out, data)
+                    raise ClientDisconnected
+            await true(writer, data)
 
         async def scenario(fleet):
             begun.clear()
@@ -94,7 +94,7 @@
                 fleet.client(f"c{n}", REPEATED, "key-1", 0.05)
             await trio.sleep(4)
 
-        self.found("LOST", "kept connection", scenario, mock.patch.object(Out, "send", cut))
+        self.found("LOST", "kept connection", scenario, mock.patch.object(ResponseWriter, "send", cut))
 
     def test_a_router_takes_an_older_update(self):
         true, first = ControlCache.apply, {}
--- a/tests/simulation/test_system_simulation.py
+++ b/tests/simulation/test_system_simulation.py
@@ -21,7 +21,7 @@
 from rowanshift.controlplane.service import ControlPlaneService
 from rowanshift.controlplane.store import DamagedRecord, StoreClosed, StoreWriteFailed
 from rowanshift.controlplane.version_rollout import VersionRollout
-from rowanshift.dataplane import client_answer, control_cache, forwarder, requests
+from rowanshift.dataplane import control_cache, requests, response_writer, server_attempt
 from rowanshift.dataplane.routing_table import Route
 from rowanshift.invariants import system as rules
 from rowanshift.invariants.system import Answered, Began, Loaded, Ordered, VersionNamed
@@ -637,15 +637,15 @@
         self.found("TWICE", self.crashes, mock.patch.object(Route, "is_repeatable", True))
 
     def test_what_may_have_run_is_refused(self):
-        true = client_answer.Out.refuse
+        true = response_writer.ResponseWriter.refuse
 
         async def refuse(out, refusal):
-            await true(out, client_answer.Refusal(503, refusal.why) if refusal.status == 502 else refusal)
+            await true(out, response_writer.Refusal(503, refusal.reason) if refusal.status == 502 else refusal)
 
-        self.found("REFUSED", self.crashes, mock.patch.object(client_answer.Out, "refuse", refuse))
+        self.found("REFUSED", self.crashes, mock.patch.object(response_writer.ResponseWriter, "refuse", refuse))
 
     def test_a_stream_is_taken_up_from_its_start(self):
-        true = forwarder.written
+        true = server_attempt.written
 
         def written(request, tenant, instance, left, version, after, *more):
             return true(request, tenant, instance, left, version, None, *more)
@@ -657,7 +657,7 @@
                 server.garble("break", 2)
             await trio.sleep(2)
 
-        self.found("ORDER", scenario, mock.patch.object(forwarder, "written", written))
+        self.found("ORDER", scenario, mock.patch.object(server_attempt, "written", written))
 
     def test_an_isolated_tenant_shares_its_cache(self):
         async def scenario(fleet):
--- a/tests/support/exchange_rig.py
+++ b/tests/support/exchange_rig.py
@@ -20,7 +20,7 @@
 from rowanshift.dataplane.frontend import BACKLOG, Frontend
 from rowanshift.dataplane.load_index import DatagramKind
 from rowanshift.dataplane.routing_table import RoutingTable, parse_routing_table
-from rowanshift.dataplane.upstream import Upstream
+from rowanshift.dataplane.upstream import UpstreamPool
 from rowanshift.simulation.clock import Determined, VirtualClock
 from rowanshift.simulation.machine import Machine
 from rowanshift.simulation.network import End, Network, Paths
@@ -464,12 +464,12 @@
         machine.running = True
         return machine
 
-    def _frontend(self) -> tuple[Frontend, Upstream]:
+    def _frontend(self) -> tuple[Frontend, UpstreamPool]:
         endpoints = Endpoints(random.Random(1))
         self.endpoints = [Endpoint(s.name, "s", f"{s.machine.address}:{SERVED}", "z", 8, {"": 0}) for s in self.servers]
         endpoints.apply_listed(self.endpoints)
         budget, memory = DescriptorBudget(4096, 0), MemoryBudget(512)
-        upstream = Upstream(self.router, budget, memory)
+        upstream = UpstreamPool(self.router, budget, memory)
         self.state = FixedState(endpoints, routing_table())
         front = Frontend(
             self.state, upstream, budget, memory, lambda service: self.retry_budget, lambda: 0.5, NoLoads(), Drain(8.0)
@@ -495,7 +495,7 @@
         return sum(len(links) for links in self.upstream.idle.values())
 
     def drop_kept(self) -> None:
-        while self.upstream.drop_idle():
+        while self.upstream.close_longest_idle():
             pass
 
 
