--- a/rowanshift/capacity/command.py
+++ b/rowanshift/capacity/command.py
@@ -11,11 +11,11 @@
 from rich.progress import Progress
 
 from rowanshift.capacity import delivery, plots, takeover
+from rowanshift.capacity.deployment import TARGET
 from rowanshift.capacity.errors import BadSteps, CapacityError
 from rowanshift.capacity.options import PARTS, UNUSABLE
 from rowanshift.capacity.results import Results, Step, Sweep, read, this_machine, written
 from rowanshift.capacity.roles import report
-from rowanshift.capacity.sizes import TARGET
 from rowanshift.capacity.sweep import Plan, Shape, check_steps
 from rowanshift.placement.shadows import POINTS
 
--- a/rowanshift/capacity/options.py
+++ b/rowanshift/capacity/options.py
@@ -3,7 +3,7 @@
 import argparse
 from pathlib import Path
 
-from rowanshift.capacity.sizes import TARGET
+from rowanshift.capacity.deployment import TARGET
 
 UNUSABLE = 2  # exit status
 ROUTERS, SERVERS = (10, 30, 100, 300, 1000), (100, 300, 1000, 3000, 10_000)
--- a/rowanshift/capacity/roles.py
+++ b/rowanshift/capacity/roles.py
@@ -4,9 +4,9 @@
 
 from rowanshift.capacity import sizes
 from rowanshift.capacity.delivery import DIFFERENCE_HEAD
+from rowanshift.capacity.deployment import BUDGET, DAY, TARGET, Size
 from rowanshift.capacity.hollow import listing
 from rowanshift.capacity.results import Results, Sweep
-from rowanshift.capacity.sizes import BUDGET, DAY, TARGET, Size
 from rowanshift.controlplane.endpoint_list import LIST_INTERVAL_SECONDS, MAX_LIST_PAGES
 from rowanshift.controlplane.internal_port import MAX_CONNECTIONS
 from rowanshift.controlplane.order_history import MAX_REMEMBERED_ORDERS
--- a/rowanshift/capacity/sizes.py
+++ b/rowanshift/capacity/sizes.py
@@ -1,50 +1,13 @@
-"""The stated size, the budgets, and the exact lengths of records on the wire. No I/O.
+"""The exact lengths of records on the wire. No I/O.
 
 A change to ``rowanshift.wire`` that changes a length fails ``tests/capacity/test_capacity.py`` until it is here.
 """
 
 from collections.abc import Iterable, Mapping
-from dataclasses import dataclass
 
 from rowanshift.wire.codec import FRAME_HEADER
 from rowanshift.wire.control_updates import CONTROL_UPDATE_CODEC, Poll, Update
 
-DAY = 86400  # seconds
-
-
-@dataclass(frozen=True, slots=True)
-class Size:
-    """A deployment; by default the one that decides the design."""
-
-    routers: int = 1000
-    servers: int = 10_000
-    tenants: int = 43_000
-    routes: int = 3000  # "some thousands": an assumption
-    models: int = 9
-    regions: int = 3
-    zones: int = 10
-    core: int = 5  # witnesses and copies, named in each answer
-    blocks: int = 200_000_000
-    events: int = 910_000  # a second, of all servers
-    requests: int = 33_000  # a second
-    changes: int = 9600  # of the configuration, a day
-    failures: int = 140  # machines, a day
-    restarts: int = 650  # machines, a day
-    control: int = 55  # machines
-
-
-@dataclass(frozen=True, slots=True)
-class Budget:
-    """What control may cost a router, and the bound on a change."""
-
-    core_share: float = 0.013  # of a core
-    memory: int = 128 << 20  # bytes
-    traffic: float = 3000.0  # bytes a second, in and out
-    in_force: float = 3.0  # seconds
-
-
-TARGET, BUDGET = Size(), Budget()
-
 
 def text(value: str) -> int:
     """Bytes of a text: its length and itself in UTF-8."""
