--- a/rowanshift/transport/buffer.py
+++ b/rowanshift/transport/buffer.py
@@ -1,16 +1,20 @@
 """A ring buffer of bytes: one a direction a connection."""
 
-CAPACITY = 32 * 1024
-SPARE = 16
+RING_CAPACITY_BYTES = 32 * 1024
+MAX_SPARE_BUFFERS = 16
 
 
 class RingBuffer:
-    """Holds its bytes in a buffer while there are any: most connections are idle most of the time."""
+    """A queue of bytes in a buffer of fixed size, ``capacity`` bytes.
+
+    It has a buffer only while it is not empty, since most connections are idle most of the time. Buffers of the usual
+    size are pooled over all rings.
+    """
 
     __slots__ = ("capacity", "size", "start", "view")
-    spare: list[memoryview] = []  # noqa: RUF012 - buffers of CAPACITY that no ring has in use
+    spare: list[memoryview] = []  # noqa: RUF012 - the pool, which all rings share
 
-    def __init__(self, capacity: int = CAPACITY) -> None:
+    def __init__(self, capacity: int = RING_CAPACITY_BYTES) -> None:
         self.view: memoryview | None = None
         self.capacity, self.start, self.size = capacity, 0, 0
 
@@ -18,55 +22,56 @@
         return self.size
 
     def full(self) -> bool:
+        """Whether nothing more can be written."""
         return self.size == self.capacity
 
-    def space(self) -> memoryview:
-        """The first free run; empty when the ring is full."""
+    def free_run(self) -> memoryview:
+        """The first contiguous run of free bytes, to be written to and then committed; empty when the ring is full."""
         if self.view is None:
-            pooled = self.capacity == CAPACITY and self.spare
+            pooled = self.capacity == RING_CAPACITY_BYTES and self.spare
             self.view = self.spare.pop() if pooled else memoryview(bytearray(self.capacity))
         end = self.start + self.size
         if end >= self.capacity:
             return self.view[end - self.capacity : self.start]
         return self.view[end:]
 
-    def filled(self, n: int) -> None:
-        """So many bytes have been put into ``space()``."""
-        self.size += n
-        self._rest()
+    def commit(self, count: int) -> None:
+        """Append the first ``count`` bytes of ``free_run()``, which have been written."""
+        self.size += count
+        self._release_if_empty()
 
-    def held(self) -> memoryview:
-        """The first run of held bytes."""
+    def filled_run(self) -> memoryview:
+        """The first contiguous run of the queue's bytes."""
         if self.view is None:
             return memoryview(b"")
         return self.view[self.start : min(self.start + self.size, self.capacity)]
 
-    def drop(self, n: int) -> None:
-        """So many bytes of ``held()`` are done with."""
-        self.size -= n
-        self.start = (self.start + n) % self.capacity if self.size else 0
-        self._rest()
+    def consume(self, count: int) -> None:
+        """Remove the first ``count`` bytes of ``filled_run()``."""
+        self.size -= count
+        self.start = (self.start + count) % self.capacity if self.size else 0
+        self._release_if_empty()
 
-    def _rest(self) -> None:
+    def _release_if_empty(self) -> None:
         if not self.size and self.view is not None:
-            if self.capacity == CAPACITY and len(self.spare) < SPARE:
+            if self.capacity == RING_CAPACITY_BYTES and len(self.spare) < MAX_SPARE_BUFFERS:
                 self.spare.append(self.view)
             self.view = None
 
     def write(self, data: bytes | memoryview) -> int:
-        """Takes what fits and returns how much."""
-        taken = 0
-        while taken < len(data) and (space := self.space()):
-            n = min(len(space), len(data) - taken)
-            space[:n] = data[taken : taken + n]
-            self.filled(n)
-            taken += n
-        return taken
+        """Append as much of ``data`` as fits; returns the number of bytes."""
+        written = 0
+        while written < len(data) and (free := self.free_run()):
+            count = min(len(free), len(data) - written)
+            free[:count] = data[written : written + count]
+            self.commit(count)
+            written += count
+        return written
 
     def read(self) -> bytes:
-        """Takes out all that is held."""
-        data = bytes(self.held())
-        self.drop(len(data))
+        """Remove and return all bytes."""
+        data = bytes(self.filled_run())
+        self.consume(len(data))
         if self.size:
             data += self.read()
         return data
--- a/rowanshift/transport/http_connection.py
+++ b/rowanshift/transport/http_connection.py
@@ -127,13 +127,13 @@
 
     def receive(self) -> bool:
         """Reads once what has come in; False if the other side has ended its sending."""
-        space, n = self.inbound.space(), 0
+        space, n = self.inbound.free_run(), 0
         try:
             n = self.stream.recv_into(space)
         except BlockingIOError:
             return True
         finally:
-            self.inbound.filled(n)
+            self.inbound.commit(n)
             self.more = n == len(space)
         return n > 0
 
@@ -329,7 +329,7 @@
                     self.unsent = self.unsent[self.stream.send(self.unsent) :]
                     continue
                 self.unsent = self.unsent[self.outbound.write(self.unsent) :]
-                self.outbound.drop(self.stream.send(self.outbound.held()))
+                self.outbound.consume(self.stream.send(self.outbound.filled_run()))
             except BlockingIOError:
                 return False
         return True
--- a/rowanshift/transport/streams.py
+++ b/rowanshift/transport/streams.py
@@ -100,8 +100,8 @@
     while True:
         await stream.wait_readable()
         try:
-            n = stream.recv_into(ring.space())
+            n = stream.recv_into(ring.free_run())
         except BlockingIOError:
             continue
-        ring.filled(n)
+        ring.commit(n)
         return n
--- a/tests/cacheproxy/test_network.py
+++ b/tests/cacheproxy/test_network.py
@@ -88,8 +88,8 @@
     for n, size in enumerate(sizes):
         data = bytes([n]) * size
         assert ring.write(data) == size
-        sent, got = sent + data, got + bytes(ring.held()[:1])
-        ring.drop(1)
+        sent, got = sent + data, got + bytes(ring.filled_run()[:1])
+        ring.consume(1)
         if len(ring) + 7 > 8:
             got += ring.read()
     assert got + ring.read() == sent
@@ -98,8 +98,8 @@
 def test_a_full_ring_takes_what_fits():
     ring = RingBuffer(8)
     ring.write(b"abcdef")
-    ring.drop(4)
-    assert ring.write(b"0123456789") == 6 and not ring.space() and ring.read() == b"ef012345"
+    ring.consume(4)
+    assert ring.write(b"0123456789") == 6 and not ring.free_run() and ring.read() == b"ef012345"
 
 
 # messages ---------------------------------------------------
