--- a/rowanshift/cacheproxy/clients.py
+++ b/rowanshift/cacheproxy/clients.py
@@ -17,9 +17,10 @@
 from rowanshift.cacheproxy.driver import WAY_BACK
 from rowanshift.cacheproxy.exchange import Exchange, Reply
 from rowanshift.cacheproxy.figures import Figures
+from rowanshift.transport.descriptor_budget import DescriptorBudget
 from rowanshift.transport.flow import LAST_CHUNK, Flow, framed
 from rowanshift.transport.http_connection import Connection, MalformedMessage, Message
-from rowanshift.transport.memory_budget import DescriptorBudget, MemoryBudget
+from rowanshift.transport.memory_budget import MemoryBudget
 from rowanshift.transport.runtime import Nursery
 from rowanshift.transport.streams import Listener, Stream
 
@@ -154,8 +155,8 @@
         self.open: set[bytes] = set()  # X-Txn of work items that are open
         self.silent: dict[Client, None] = {}  # never asked, or were refused; the oldest first
         self.idle: dict[Client, None] = {}  # have asked; the longest idle first
-        budget.silent_clients = partial(self.drop_one, self.silent)
-        budget.idle_clients = partial(self.drop_one, self.idle)
+        budget.close_silent_client = partial(self.drop_one, self.silent)
+        budget.close_idle_client = partial(self.drop_one, self.idle)
 
     # the listener -----------------------------------------
 
@@ -164,14 +165,14 @@
         while True:
             await listener.wait()
             for _ in range(AT_ONCE):
-                await self.budget.take_client()
+                await self.budget.acquire_client()
                 try:
                     stream = listener.accept()
                 except BlockingIOError:
-                    self.budget.give_client()
+                    self.budget.release_client()
                     break
                 except OSError as error:
-                    self.budget.give_client()
+                    self.budget.release_client()
                     logger.warning("accept: {}", error)
                     await trio.sleep(0.02)
                     break
@@ -216,7 +217,7 @@
             self._count(client, 0)
         if not client.connection.closed():
             client.connection.close()
-            self.budget.give_client()
+            self.budget.release_client()
 
     def _count(self, client: Client, status: int) -> None:
         """Counts a work item at its end, once."""
--- a/rowanshift/cacheproxy/servers.py
+++ b/rowanshift/cacheproxy/servers.py
@@ -12,9 +12,10 @@
 from rowanshift.cacheproxy.clock import Clock
 from rowanshift.cacheproxy.exchange import HandOff, Reply, nothing
 from rowanshift.cacheproxy.model import Verdict
+from rowanshift.transport.descriptor_budget import DescriptorBudget
 from rowanshift.transport.flow import LAST_CHUNK, Flow, framed
 from rowanshift.transport.http_connection import Connection, MalformedMessage, Message
-from rowanshift.transport.memory_budget import DescriptorBudget, MemoryBudget
+from rowanshift.transport.memory_budget import MemoryBudget
 from rowanshift.transport.runtime import SYSTEM_RUNTIME, Nursery, Runtime
 
 REMARKS = {b"hit": 1, b"miss": 2, b"pending": 3}
@@ -92,7 +93,7 @@
         self.spent: Callable[[HandOff], None] = lambda ho: None  # part of its body is gone
         self.written: Callable[[HandOff], None] = lambda ho: None  # a hand-off whose last byte has gone out
         self.silent: Callable[[HandOff], None] = lambda *_: None  # a hand-off that was overtaken often
-        budget.idle_servers = self.drop_idle
+        budget.close_idle_server = self.drop_idle
 
     # the list ---------------------------------------------
 
@@ -153,13 +154,13 @@
             link.job = ho
             self._send(link)
             return True
-        if not self.budget.take_server():
+        if not self.budget.try_acquire_server():
             return False
         try:
             stream = self.host.stream()
         except OSError as error:
             logger.warning("no socket: {}", error)
-            self.budget.give_server()
+            self.budget.release_server()
             return False
         link = Link(target, Connection(stream, httptools.HttpResponseParser, self.memory, flows=True), ho)
         self.out[ho.exchange.id, ho.number] = link
@@ -430,7 +431,7 @@
             if link in link.target.idle:
                 link.target.idle.remove(link)
             link.connection.close()
-            self.budget.give_server()
+            self.budget.release_server()
 
     def _request(self, ho: HandOff) -> bytes:
         exchange = ho.exchange
--- a/rowanshift/cacheproxy/service.py
+++ b/rowanshift/cacheproxy/service.py
@@ -21,7 +21,8 @@
 from rowanshift.cacheproxy.membership import MOST_OUT, Membership
 from rowanshift.cacheproxy.peers import Peers
 from rowanshift.cacheproxy.servers import Servers
-from rowanshift.transport.memory_budget import DescriptorBudget, MemoryBudget
+from rowanshift.transport.descriptor_budget import DescriptorBudget
+from rowanshift.transport.memory_budget import MemoryBudget
 from rowanshift.transport.runtime import SYSTEM_RUNTIME, Nursery, Runtime
 from rowanshift.transport.signals import ReceivedSignal
 from rowanshift.transport.streams import Listener, Port
@@ -255,8 +256,8 @@
 
     def _fellows_changed(self) -> None:
         """Processes that live share the limits; the newest that serves hears the peers."""
-        self.budget.share(self.handover.processes())
-        self.memory.share(self.handover.processes())
+        self.budget.divide(self.handover.processes())
+        self.memory.divide(self.handover.processes())
         if self.peers is not None:
             self.peers.hear(not self.handover.replaced())
 
--- a/rowanshift/dataplane/frontend.py
+++ b/rowanshift/dataplane/frontend.py
@@ -19,8 +19,9 @@
 from rowanshift.dataplane.retry_budget import RetryBudget
 from rowanshift.dataplane.retry_decision import NOT_EXECUTED_STATUSES
 from rowanshift.dataplane.upstream import UpstreamPool
+from rowanshift.transport.descriptor_budget import DescriptorBudget
 from rowanshift.transport.http_connection import Connection, MalformedMessage, Message
-from rowanshift.transport.memory_budget import DescriptorBudget, MemoryBudget
+from rowanshift.transport.memory_budget import MemoryBudget
 from rowanshift.transport.runtime import Nursery
 from rowanshift.transport.streams import Listener, Stream
 
@@ -68,7 +69,7 @@
         self.accepting = trio.CancelScope()
         self.listener_closed = trio.Event()
         self.endings = endings or RequestOutcomes()
-        budget.idle_clients = self.drop_idle
+        budget.close_idle_client = self.drop_idle
 
     # the listener -----------------------------------------
 
@@ -86,12 +87,12 @@
     def _take_waiting(self, listener: Listener, nursery: Nursery) -> None:
         """Take in the connections that wait to be accepted, as far as there is room."""
         for _ in range(BACKLOG):
-            if not self.budget.take_client_now():
+            if not self.budget.try_acquire_client():
                 return
             try:
                 stream = listener.accept()
             except OSError:  # none waits, or no descriptor is left
-                self.budget.give_client()
+                self.budget.release_client()
                 return
             self._note_connection()
             nursery.start_soon(self.serve, stream)
@@ -105,14 +106,14 @@
         while True:
             await listener.wait()
             for _ in range(AT_ONCE):
-                await self.budget.take_client()
+                await self.budget.acquire_client()
                 try:
                     stream = listener.accept()
                 except BlockingIOError:
-                    self.budget.give_client()
+                    self.budget.release_client()
                     break
                 except OSError as error:
-                    self.budget.give_client()
+                    self.budget.release_client()
                     logger.warning("event=accept_failed error={!r}", error)
                     await pause(0.02)
                     break
@@ -193,7 +194,7 @@
         finally:
             self.idle.pop(client, None)
             connection.close()
-            self.budget.give_client()
+            self.budget.release_client()
 
     async def _request(self, client: Client) -> Message | None:
         """The next request, whole; None when the client has ended or says nothing for too long."""
--- a/rowanshift/dataplane/service.py
+++ b/rowanshift/dataplane/service.py
@@ -19,9 +19,10 @@
 from rowanshift.process.logs import log_to_stderr
 from rowanshift.process.node_settings import NodeSettings, NodeSettingsError, load_node_settings
 from rowanshift.transport.call_server import CallServer
+from rowanshift.transport.descriptor_budget import DescriptorBudget
 from rowanshift.transport.http_connection import Message
 from rowanshift.transport.http_response import Response
-from rowanshift.transport.memory_budget import DescriptorBudget, MemoryBudget
+from rowanshift.transport.memory_budget import MemoryBudget
 from rowanshift.transport.runtime import SYSTEM_RUNTIME, Runtime
 from rowanshift.transport.signals import ReceivedSignal
 from rowanshift.wire.machine_ids import machine_id_from_ip
--- a/rowanshift/dataplane/upstream.py
+++ b/rowanshift/dataplane/upstream.py
@@ -14,9 +14,10 @@
 
 from rowanshift.dataplane.endpoints import Endpoint
 from rowanshift.dataplane.errors import DataPlaneError
+from rowanshift.transport.descriptor_budget import DescriptorBudget
 from rowanshift.transport.flow import Flow
 from rowanshift.transport.http_connection import Connection, MalformedMessage, Message
-from rowanshift.transport.memory_budget import DescriptorBudget, MemoryBudget
+from rowanshift.transport.memory_budget import MemoryBudget
 from rowanshift.transport.runtime import Runtime
 
 CONNECT_TIMEOUT_SECONDS = 0.6
@@ -74,7 +75,7 @@
         self.idle: dict[Endpoint, list[ServerConnection]] = {}  # of each server the longest idle first
         self.connects = 0
         self.requests_sent = 0
-        descriptors.idle_servers = self.close_longest_idle
+        descriptors.close_idle_server = self.close_longest_idle
 
     # the pool ---------------------------------------------
 
@@ -96,7 +97,7 @@
 
     async def connect(self, endpoint: Endpoint, deadline: float) -> ServerConnection:
         """A new connection; ``ExchangeFailed`` with NOT_SENT if it doesn't come up."""
-        if not self.descriptors.take_server():
+        if not self.descriptors.try_acquire_server():
             raise ExchangeFailed(ExchangeFailure.NOT_SENT, "no descriptor is left")
         connection = None
         try:
@@ -104,7 +105,7 @@
             error_number, connected = await self._connect_socket(connection, deadline)
         except BaseException as error:
             if connection is None:
-                self.descriptors.give_server()
+                self.descriptors.release_server()
             else:
                 self.close(connection)
             if isinstance(error, OSError):
@@ -166,7 +167,7 @@
         if not connection.closed:
             connection.closed = True
             connection.http.close()
-            self.descriptors.give_server()
+            self.descriptors.release_server()
 
     def close_idle_to(self, endpoint: Endpoint) -> None:
         """Close the idle connections to a server that was removed or is draining."""
--- a/rowanshift/simulation/world.py
+++ b/rowanshift/simulation/world.py
@@ -778,7 +778,7 @@
         "work items": len(router.items),
         "held": len(router.held),
         "clients' connections": service.budget.clients,
-        "bytes of bodies": service.memory.whole - service.memory.left,
+        "bytes of bodies": service.memory.capacity - service.memory.available,
         "timers": len(router.timers) if len(router.timers) > MOST_TIMERS else 0,
         "hand-offs counted as out": sum(c.inflight for c in router.caches.values()) + router.fleet.inflight,
         "servers that are gone": max(0, len(router.caches) - 2 * listed - 4),
--- a/rowanshift/transport/flow.py
+++ b/rowanshift/transport/flow.py
@@ -35,7 +35,7 @@
         self.pieces.append(piece)
         self.size += len(piece)
         self.held += len(piece)
-        self.memory.owe(len(piece))
+        self.memory.acquire(len(piece))
         self._wake()
 
     def end(self) -> None:
@@ -49,7 +49,7 @@
             self._wake()
 
     def full(self) -> bool:
-        short = self.memory.left < SCARCE * self.memory.whole
+        short = self.memory.available < SCARCE * self.memory.capacity
         return self.held >= (SHORT if short else HIGH) and not self.given_up
 
     async def room(self) -> None:
@@ -63,7 +63,7 @@
     def take(self) -> bytes:
         piece = self.pieces.popleft()
         self.held -= len(piece)
-        self.memory.give(len(piece))
+        self.memory.release(len(piece))
         self._wake()
         return piece
 
@@ -82,7 +82,7 @@
         """The sink is gone: what is held is dropped, and so is what comes."""
         self.given_up = True
         self.pieces.clear()
-        self.memory.give(self.held)
+        self.memory.release(self.held)
         self.held = 0
         self._wake()
 
--- a/rowanshift/transport/http_connection.py
+++ b/rowanshift/transport/http_connection.py
@@ -87,7 +87,7 @@
         self.stream, self.memory, self.requests = stream, memory, parser is httptools.HttpRequestParser
         self.flows, self.streams = flows, streams
         self.flow: Flow | None = None  # of the message that is being read
-        self.largest = largest or ((LARGEST_BODY if flows else WHOLE) if self.requests else memory.largest_answer)
+        self.largest = largest or ((LARGEST_BODY if flows else WHOLE) if self.requests else memory.largest_response)
         self.parser = parser(self)
         self.inbound, self.outbound = RingBuffer(), RingBuffer()
         self.unsent = memoryview(b"")  # what the outbound ring did not take
@@ -341,11 +341,11 @@
 
     def hold(self, size: int) -> bool:
         """Counts bytes that are kept for this connection; False if there is no room for them."""
-        if not self.memory.take(size):
+        if not self.memory.try_acquire(size):
             return False
         self.held += size
         return True
 
     def release(self) -> None:
-        self.memory.give(self.held)
+        self.memory.release(self.held)
         self.held = 0
--- a/tests/cacheproxy/test_bodies.py
+++ b/tests/cacheproxy/test_bodies.py
@@ -12,9 +12,10 @@
 from rowanshift.cacheproxy.exchange import Reply
 from rowanshift.cacheproxy.model import Verdict
 from rowanshift.cacheproxy.servers import Servers
+from rowanshift.transport.descriptor_budget import DescriptorBudget
 from rowanshift.transport.flow import HIGH, Flow
 from rowanshift.transport.http_connection import WHOLE, Connection, MalformedMessage
-from rowanshift.transport.memory_budget import DescriptorBudget, MemoryBudget
+from rowanshift.transport.memory_budget import MemoryBudget
 from tests.cacheproxy.test_network import FIELDS, Deciding, clients_of, pair
 
 LONG = bytes(range(256)) * 1200  # over 64 KiB
@@ -82,7 +83,7 @@
 def test_a_flow_holds_its_source_back_and_counts_what_it_holds():
     async def main():
         memory = MemoryBudget(96)
-        whole, flow, got = memory.left, Flow(memory), []
+        whole, flow, got = memory.available, Flow(memory), []
 
         async def source():
             for _ in range(100):
@@ -99,7 +100,7 @@
                 await flow.more()
                 if flow.pieces:
                     got.append(len(flow.take()))
-        return peak, whole - memory.least, sum(got), memory.left == whole
+        return peak, whole - memory.minimum_available, sum(got), memory.available == whole
 
     peak, held, got, back = trio.run(main)
     assert HIGH <= peak <= HIGH + 32 * 1024 and held == peak and got == 100 * 32 * 1024 and back
@@ -114,7 +115,7 @@
             for flow in flows:
                 if not flow.full():
                     flow.put(bytes(32 * 1024))
-        return -memory.least
+        return -memory.minimum_available
 
     assert trio.run(main) <= 0
 
@@ -123,7 +124,7 @@
 def test_each_side_of_a_flow_hears_how_it_ended(how):
     async def main():
         memory = MemoryBudget(96)
-        whole, flow = memory.left, Flow(memory)
+        whole, flow = memory.available, Flow(memory)
         flow.put(b"abc")
         async with trio.open_nursery() as nursery:
             nursery.start_soon(trio.sleep, 0)
@@ -133,7 +134,7 @@
                 await flow.room()
         if how == "give_up":
             flow.put(b"more")
-        return flow.ended, flow.cut, flow.given_up, [*flow.pieces], memory.left == whole
+        return flow.ended, flow.cut, flow.given_up, [*flow.pieces], memory.available == whole
 
     assert (
         trio.run(main)
@@ -259,7 +260,7 @@
             got = await until(client, size=len(LONG) + got.index(b"\r\n\r\n") + 4, got=got)
         else:
             got = await until(client, b"\r\n0\r\n\r\n" if version == b"1.1" else b"", got=got)
-        return early, body_of(got), p.memory.left == p.memory.whole
+        return early, body_of(got), p.memory.available == p.memory.capacity
 
     early, got, back = passing(script)
     assert early == [Verdict.FINISHED] and got == (LONG, True) and back
@@ -293,10 +294,10 @@
             while sent < size:
                 await server.send_all(bytes(2**16))
                 sent += 2**16
-        held = p.memory.whole - p.memory.left
+        held = p.memory.capacity - p.memory.available
         await client.aclose()
         await trio.sleep(0.1)
-        return sent < size, held, p.memory.left == p.memory.whole, p.servers.budget.clients
+        return sent < size, held, p.memory.available == p.memory.capacity, p.servers.budget.clients
 
     blocked, held, back, clients = passing(script)
     assert blocked and 0 < held <= HIGH + 2**16 and back and clients <= 0
@@ -335,7 +336,7 @@
         rest = got[0]
         whole = rest == body if form == "length" else body_of(b"chunked\r\n\r\n" + rest) == (body, True)
         kept = len(p.servers.targets["s"].idle)
-        return answer[:15], whole, p.told, kept, p.memory.left == p.memory.whole
+        return answer[:15], whole, p.told, kept, p.memory.available == p.memory.capacity
 
     assert passing(script) == (b"HTTP/1.1 200 OK", True, ["spent", Verdict.FINISHED], 1, True)
 
@@ -361,7 +362,7 @@
         await client.aclose()
         await until(server)  # ends, without the last byte
         await trio.sleep(0.05)
-        return p.told, len(p.gone_ids), p.memory.left == p.memory.whole
+        return p.told, len(p.gone_ids), p.memory.available == p.memory.capacity
 
     assert passing(script) == (["spent", Verdict.MOOT], 1, True)
 
--- a/tests/cacheproxy/test_handover.py
+++ b/tests/cacheproxy/test_handover.py
@@ -12,7 +12,8 @@
 from rowanshift.cacheproxy.handover import MEET_WITHIN, Handover
 from rowanshift.cacheproxy.service import Phase
 from rowanshift.placement.hot_keys import Hot
-from rowanshift.transport.memory_budget import LEAST, OWN, DescriptorBudget, MemoryBudget
+from rowanshift.transport.descriptor_budget import RESERVED_DESCRIPTORS, DescriptorBudget
+from rowanshift.transport.memory_budget import MIN_CAPACITY_BYTES, MemoryBudget
 from rowanshift.transport.runtime import SYSTEM_RUNTIME
 from tests.support.cache_proxy_rig import Rig, free, played
 
@@ -87,7 +88,7 @@
 def test_both_processes_keep_to_one_routers_limits():
     async def script(rig):
         def limits(service):
-            return service.budget.limit, service.memory.whole
+            return service.budget.limit, service.memory.capacity
 
         alone = limits(rig.service)
         new = await second(rig)
@@ -98,12 +99,12 @@
         return alone, both, limits(new)
 
     alone, (old, new), after = played(script, limits={"sockets": 256, "memory_mb": 256})
-    assert alone == after == (256 - OWN - CALLERS, (256 - 48) * 2**20 // 2)
-    assert old == new == (128 - OWN - CALLERS, (256 - 96) * 2**20 // 4)
+    assert alone == after == (256 - RESERVED_DESCRIPTORS - CALLERS, (256 - 48) * 2**20 // 2)
+    assert old == new == (128 - RESERVED_DESCRIPTORS - CALLERS, (256 - 96) * 2**20 // 4)
 
 
 def test_a_smaller_part_closes_what_can_be_spared_and_no_more():
-    budget, closed = DescriptorBudget(OWN + 20), []
+    budget, closed = DescriptorBudget(RESERVED_DESCRIPTORS + 20), []
     budget.clients, budget.servers = 10, 8
 
     def idle():
@@ -113,13 +114,13 @@
         budget.clients -= 1
         return True
 
-    budget.idle_clients = idle
-    budget.share(2)
+    budget.close_idle_client = idle
+    budget.divide(2)
     assert budget.limit == 8 and len(closed) == 6 and budget.clients == 4
     memory = MemoryBudget(0)
-    memory.take(LEAST - 1)
-    memory.share(2)
-    assert memory.whole == LEAST and not memory.take(2)
+    memory.try_acquire(MIN_CAPACITY_BYTES - 1)
+    memory.divide(2)
+    assert memory.capacity == MIN_CAPACITY_BYTES and not memory.try_acquire(2)
 
 
 @pytest.mark.parametrize("which", [0, 1])
--- a/tests/cacheproxy/test_network.py
+++ b/tests/cacheproxy/test_network.py
@@ -29,8 +29,9 @@
 from rowanshift.invariants.events import Events
 from rowanshift.process.log_rate_limit import LogRateLimit
 from rowanshift.transport.buffer import RingBuffer
+from rowanshift.transport.descriptor_budget import MAX_CLIENT_FRACTION, RESERVED_DESCRIPTORS, DescriptorBudget
 from rowanshift.transport.http_connection import Connection, MalformedMessage, Message
-from rowanshift.transport.memory_budget import CLIENTS, OWN, DescriptorBudget, MemoryBudget
+from rowanshift.transport.memory_budget import MemoryBudget
 from rowanshift.transport.runtime import SYSTEM_RUNTIME
 from rowanshift.transport.sockets import Socket
 from tests.support.cache_proxy_rig import free
@@ -121,7 +122,7 @@
     ours, theirs = pair()
     with ours, theirs:
         memory = memory or MemoryBudget(64)
-        memory.largest_answer = 100_000
+        memory.largest_response = 100_000
         connection, got, status = Connection(ours, parser, memory), [], 0
         theirs.sendall(sent)
         theirs.shutdown(socket.SHUT_WR)
@@ -178,9 +179,9 @@
 def test_bodies_are_held_within_the_memory_limit():
     # guards against being killed for memory by clients that send large bodies at once
     memory, body = MemoryBudget(0), b"Content-Length: 60000\r\n\r\n" + bytes(60000)
-    whole = memory.left
-    assert read_all(httptools.HttpRequestParser, SENT + body, memory)[1] == 0 and memory.left == whole - 60000
-    memory.left = 50000
+    whole = memory.available
+    assert read_all(httptools.HttpRequestParser, SENT + body, memory)[1] == 0 and memory.available == whole - 60000
+    memory.available = 50000
     assert read_all(httptools.HttpRequestParser, SENT + body, memory)[:2] == ([], 503)
 
 
@@ -520,7 +521,7 @@
 
 def test_without_a_descriptor_a_hand_off_is_refused_and_the_work_item_answered():
     async def main():
-        clock, budget = Clock(), DescriptorBudget(OWN + 8)
+        clock, budget = Clock(), DescriptorBudget(RESERVED_DESCRIPTORS + 8)
         budget.servers = 8
         async with trio.open_nursery() as nursery:
             servers = Servers(clock, 0.2, 60.0, 0.1, budget, MemoryBudget(64), nursery)
@@ -739,7 +740,7 @@
             await trio.sleep(0.02)
             if asked:
                 theirs.sendall(REQUEST)
-            got = clients.budget.silent_clients(), ours.fileno() < 0, clients.budget.clients
+            got = clients.budget.close_silent_client(), ours.fileno() < 0, clients.budget.clients
             if fresh:
                 theirs.sendall(REQUEST)
             await trio.sleep(0.02)
@@ -783,12 +784,15 @@
 
 
 def test_clients_that_never_asked_and_idle_servers_go_first_when_descriptors_are_short():
-    budget, closed = DescriptorBudget(OWN + 10), []
-    for name, has in (("idle_servers", [1]), ("idle_clients", [1, 1]), ("silent_clients", [1])):
+    budget, closed = DescriptorBudget(RESERVED_DESCRIPTORS + 10), []
+    for name, has in (("close_idle_server", [1]), ("close_idle_client", [1, 1]), ("close_silent_client", [1])):
         setattr(budget, name, lambda name=name, has=has: bool(has) and (has.pop(), closed.append(name)) != ())
     budget.servers = 10
-    assert [budget.take_server() for _ in range(5)] == [True, True, True, True, False]
-    assert closed == ["silent_clients", "idle_servers", "idle_clients", "idle_clients"] and CLIENTS < 1
+    assert [budget.try_acquire_server() for _ in range(5)] == [True, True, True, True, False]
+    assert (
+        closed == ["close_silent_client", "close_idle_server", "close_idle_client", "close_idle_client"]
+        and MAX_CLIENT_FRACTION < 1
+    )
 
 
 # what a router is told --------------------------------------
--- a/tests/dataplane/test_frontend_shutdown.py
+++ b/tests/dataplane/test_frontend_shutdown.py
@@ -11,14 +11,14 @@
 from rowanshift.dataplane.drain import NOTICE
 from rowanshift.dataplane.frontend import FIRST_WITHIN, Frontend
 from rowanshift.dataplane.service import LEAVE_STEP
-from rowanshift.transport.memory_budget import CLIENTS, OWN, DescriptorBudget
+from rowanshift.transport.descriptor_budget import MAX_CLIENT_FRACTION, RESERVED_DESCRIPTORS, DescriptorBudget
 from rowanshift.transport.streams import connect
 from tests.dataplane.test_drain_order_of_events import WITHIN, until_its_end
 from tests.support.exchange_rig import FRONT, Behaviour, Client, Got, Rig, request_bytes
 
 LATE = NOTICE + 0.2  # when the new connection comes
 WAITING = 20  # connections
-LEAST_DESCRIPTORS = OWN + 40  # of a process with room for 40 connections
+LEAST_DESCRIPTORS = RESERVED_DESCRIPTORS + 40  # of a process with room for 40 connections
 KEEPS_IT_OPEN = 5.0  # seconds of a request that holds the router until then
 
 
@@ -79,11 +79,11 @@
 class Room(unittest.TestCase):
     def test_connections_are_taken_at_once_as_far_as_clients_have_room(self) -> None:
         budget = DescriptorBudget(LEAST_DESCRIPTORS)
-        most = math.ceil(CLIENTS * budget.limit)
-        self.assertEqual([budget.take_client_now() for _ in range(most + 1)], [True] * most + [False])
+        most = math.ceil(MAX_CLIENT_FRACTION * budget.limit)
+        self.assertEqual([budget.try_acquire_client() for _ in range(most + 1)], [True] * most + [False])
         self.assertEqual(budget.clients, most)
-        budget.give_client()
-        self.assertTrue(budget.take_client_now())
+        budget.release_client()
+        self.assertTrue(budget.try_acquire_client())
 
 
 if __name__ == "__main__":
--- a/tests/support/exchange_rig.py
+++ b/tests/support/exchange_rig.py
@@ -24,7 +24,8 @@
 from rowanshift.simulation.clock import Determined, VirtualClock
 from rowanshift.simulation.machine import Machine
 from rowanshift.simulation.network import End, Network, Paths
-from rowanshift.transport.memory_budget import DescriptorBudget, MemoryBudget
+from rowanshift.transport.descriptor_budget import DescriptorBudget
+from rowanshift.transport.memory_budget import MemoryBudget
 from rowanshift.transport.streams import connect, send_all
 
 FRONT, SERVED = 8080, 9000  # ports
