--- a/rowanshift/dataplane/load_index.py
+++ b/rowanshift/dataplane/load_index.py
@@ -19,7 +19,7 @@
 import trio
 from loguru import logger
 
-from rowanshift.dataplane.ownership import holder
+from rowanshift.dataplane.ownership import owner_of
 from rowanshift.dataplane.server_progress import ServerProgress
 from rowanshift.placement.hash_ring import stable
 from rowanshift.transport.runtime import Runtime
@@ -145,7 +145,7 @@
         self.peers: tuple[int, ...] = ()
         self.calls = count(1)
         self.waits: dict[int, tuple[dict[int, int], set[int], trio.Event]] = {}
-        self.holder = lru_cache(4096)(lambda server: holder(server, self.peers))
+        self.owner_of = lru_cache(4096)(lambda server: owner_of(server, self.peers))
         self.mark = lru_cache(16384)(stable)
         self.lost = 0  # questions without an answer
 
@@ -153,7 +153,7 @@
         """All members now; without this router among them nothing is shared."""
         if peers != self.peers:
             self.peers = peers if self.machine in peers else ()
-            self.holder.cache_clear()
+            self.owner_of.cache_clear()
 
     async def run(self) -> None:
         """Take datagrams of other routers in, for good."""
@@ -191,7 +191,7 @@
 
     def _place(self, server: str) -> Address | None:
         """Where a server's sum is kept; None: nowhere, or here."""
-        member = self.holder(server)
+        member = self.owner_of(server)
         return None if member is None or member == self.machine else (ip_from_machine_id(member), self.address[1])
 
     # calls ------------------------------------------------
--- a/rowanshift/dataplane/ownership.py
+++ b/rowanshift/dataplane/ownership.py
@@ -1,10 +1,13 @@
-"""Which live member does what: rendezvous hashing; a member that comes or goes moves only its own keys."""
+"""Which live router owns a key, by rendezvous hashing.
+
+A router that joins or leaves changes the owner of its own keys alone. No I/O.
+"""
 
 from collections.abc import Iterable
 
 from rowanshift.placement.hash_ring import stable
 
 
-def holder(key: str, members: Iterable[int]) -> int | None:
-    """The member that has a key; None if there are no members."""
+def owner_of(key: str, members: Iterable[int]) -> int | None:
+    """The machine id, of those given, that owns a key; ``None`` if no member is given."""
     return max(members, default=None, key=lambda member: stable(f"{key}|{member}"))
--- a/tests/dataplane/test_load_index.py
+++ b/tests/dataplane/test_load_index.py
@@ -19,7 +19,7 @@
     LoadIndex,
     Sums,
 )
-from rowanshift.dataplane.ownership import holder
+from rowanshift.dataplane.ownership import owner_of
 from rowanshift.dataplane.server_progress import HALF_LIFE
 from rowanshift.placement.hash_ring import stable
 from rowanshift.simulation.clock import Determined, VirtualClock
@@ -170,17 +170,17 @@
 class Members(unittest.TestCase):
     def test_members_that_change_move_only_their_keys(self):
         members = [machine_id_from_ip(f"10.0.0.{n}") for n in range(1, 8)]
-        before = {f"k{n}": holder(f"k{n}", members) for n in range(2000)}
+        before = {f"k{n}": owner_of(f"k{n}", members) for n in range(2000)}
         for gone in members:
             left = [member for member in members if member != gone]
             share = sum(member == gone for member in before.values())
             self.assertTrue(180 < share < 400, share)
             for key, had in before.items():
-                moved = holder(key, reversed(left))
+                moved = owner_of(key, reversed(left))
                 self.assertTrue(moved == had if had != gone else moved in left)
 
     def test_no_members(self):
-        self.assertIsNone(holder("k", ()))
+        self.assertIsNone(owner_of("k", ()))
 
 
 class Shared(unittest.TestCase):
@@ -208,7 +208,7 @@
 
     def held_by(self, one, loads):
         """The servers whose sums that counter keeps."""
-        return [server for server in SERVERS if holder(server, one.peers or loads[0].peers) == one.machine]
+        return [server for server in SERVERS if owner_of(server, one.peers or loads[0].peers) == one.machine]
 
     def test_several_counters_agree(self):
         async def main(network, loads):
