--- a/rowanshift/dataplane/load_index.py
+++ b/rowanshift/dataplane/load_index.py
@@ -2,7 +2,7 @@
 
 Each server has one router that keeps its sum: the holder of its id by rendezvous hashing over the members.
 Others tell it what they send there and how that ended, and ask before they send. Where too many requests end badly
-(``server_progress``) its answer is ``AVOIDED`` tokens higher, so that another server is taken. All of it are hints:
+(``server_health``) its answer is ``AVOIDED`` tokens higher, so that another server is taken. All of it are hints:
 a datagram that is lost, late or foreign makes a choice worse and breaks nothing. Nothing is kept for longer than
 ``KEPT``.
 """
@@ -20,7 +20,7 @@
 from loguru import logger
 
 from rowanshift.dataplane.ownership import owner_of
-from rowanshift.dataplane.server_progress import ServerProgress
+from rowanshift.dataplane.server_health import ServerHealthTracker
 from rowanshift.placement.hash_ring import stable
 from rowanshift.transport.runtime import Runtime
 from rowanshift.transport.streams import Address, Port
@@ -66,7 +66,7 @@
     def __init__(self) -> None:
         self.open: OrderedDict[Call, OpenRequest] = OrderedDict()
         self.tokens: dict[int, int] = {}  # by the server's mark
-        self.progress = ServerProgress()
+        self.health = ServerHealthTracker()
         # the oldest first, also some that ended already; ``MOST_KEPT`` at most, beyond which one is never overdue
         self.in_time: deque[tuple[Call, OpenRequest]] = deque()
         self.overdue: dict[Call, bool] = {}  # open requests, and whether they counted as badly ended
@@ -103,11 +103,11 @@
         if (was := self.done(who, call)) is None:
             return
         if verdict is DatagramKind.DONE and counted is None:
-            self.progress.ended_well(was.server, was.tokens, now - was.since, now)
+            self.health.record_success(was.server, was.tokens, now - was.since, now)
         elif verdict is DatagramKind.DONE:
-            self.progress.answered_late(was.server, now)
+            self.health.record_late_response(was.server, now)
         elif verdict is DatagramKind.FAILED and not counted:
-            self.progress.ended_badly(was.server, now)
+            self.health.record_failure(was.server, now)
 
     def of(self, server: int, now: float) -> int:
         """Tokens that a server still has to read."""
@@ -118,7 +118,7 @@
         """The same, and ``AVOIDED`` more where the server fails its requests; ``wanted``: the asker would send one
         there."""
         self._note_overdue(now)
-        return self.of(server, now) + AVOIDED * self.progress.avoids(server, now, wanted)
+        return self.of(server, now) + AVOIDED * self.health.should_avoid(server, now, wanted)
 
     def _forget_old(self, now: float) -> None:
         while self.open and next(iter(self.open.values())).since + KEPT < now:
@@ -129,9 +129,9 @@
         while self.in_time:
             call, request = self.in_time[0]
             if self.open.get(call) is request:
-                if now < request.since + self.progress.due_within(request.tokens):
+                if now < request.since + self.health.first_bytes_due_seconds(request.tokens):
                     return
-                self.overdue[call] = self.progress.overdue(request.server, request.since, now)
+                self.overdue[call] = self.health.record_overdue(request.server, request.since, now)
             self.in_time.popleft()
 
 
--- a/tests/dataplane/test_load_index.py
+++ b/tests/dataplane/test_load_index.py
@@ -20,7 +20,7 @@
     Sums,
 )
 from rowanshift.dataplane.ownership import owner_of
-from rowanshift.dataplane.server_progress import HALF_LIFE
+from rowanshift.dataplane.server_health import COUNT_HALF_LIFE_SECONDS
 from rowanshift.placement.hash_ring import stable
 from rowanshift.simulation.clock import Determined, VirtualClock
 from rowanshift.simulation.network import Network, Paths
@@ -116,8 +116,8 @@
         self.sums.add(ONE, 1, 7, 1, 0.0)
         self.sums.told(7, 1.0, False)
         self.sums.ended(ONE, 1, DatagramKind.DONE, 1.0)
-        record = self.sums.progress.records[7]
-        self.assertEqual((record.good, record.bad), (0, 1))
+        health = self.sums.health.servers[7]
+        self.assertEqual((health.succeeded, health.failed), (0, 1))
         self.assertEqual((self.sums.open, self.sums.tokens, self.sums.overdue), ({}, {}, {}))
 
     def test_a_slow_server_that_answers_others_meanwhile_is_not_avoided(self):
@@ -149,7 +149,7 @@
         for n in range(9):
             self.sums.add(ONE, n, 7, 1, 0.0)
             self.sums.ended(ONE, n, DatagramKind.DROPPED, 0.1)
-        self.assertEqual(self.sums.progress.records, {})
+        self.assertEqual(self.sums.health.servers, {})
 
     def test_drawn_calls_against_a_plain_sum(self):
         random_source, now, kept = random.Random(1), 0.0, {}
@@ -228,7 +228,7 @@
             self.assertEqual([await one.ask(SERVERS) for one in loads], [expected] * len(loads))
             await trio.sleep(KEPT + 0.1)
             self.assertIn(AVOIDED, (await loads[0].ask(SERVERS)).values())  # some were overdue
-            await trio.sleep(4 * HALF_LIFE)
+            await trio.sleep(4 * COUNT_HALF_LIFE_SECONDS)
             nothing = dict.fromkeys(SERVERS, 0)
             self.assertEqual([await one.ask(SERVERS) for one in loads], [nothing] * len(loads))
             self.assertEqual([(one.lost, one.waits) for one in loads], [(0, {})] * len(loads))
