--- a/rowanshift/dataplane/control_cache.py
+++ b/rowanshift/dataplane/control_cache.py
@@ -18,13 +18,13 @@
 from rowanshift.dataplane.version_deadlines import VersionDeadlines
 from rowanshift.kv_index.block_hashes import unpack_block_hashes
 from rowanshift.process.node_settings import RuleBounds
-from rowanshift.wire.control_updates import SERVER_DRAINING, SERVER_LOADING, ServerRecord, Update
+from rowanshift.wire.control_updates import SERVER_DRAINING, SERVER_LOADING, PartVersion, ServerRecord, Update
 
 FRESHNESS_WAIT_SECONDS = 0.6  # that a request waits while the copy may be old
 STARTUP_WAIT_SECONDS = 2.5  # that a request waits at most for a first configuration
 STARTUP_WAIT_FRACTION = 0.5  # of the time that its client has left, for the same
 REFUSAL_AGE_FRACTION = 0.75  # of ``configApplyMs``: the age of the copy up to which a client is refused by it
-NO_VERSION = (0, 0)
+NO_VERSION: PartVersion = (0, 0)
 
 
 class ControlCache:
--- a/rowanshift/dataplane/routing_table.py
+++ b/rowanshift/dataplane/routing_table.py
@@ -7,6 +7,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
+import msgspec
 import orjson
 
 from rowanshift.dataplane.errors import UnreadableConfiguration
@@ -33,8 +34,7 @@
     kv_token_bytes: int = 0  # that a token takes in its prefix cache
 
 
-@dataclass(slots=True, frozen=True)
-class WeightedService:
+class WeightedService(msgspec.Struct, frozen=True):
     """A service that gets a part of a route's requests."""
 
     name: str
--- a/rowanshift/kv_index/block_holder.py
+++ b/rowanshift/kv_index/block_holder.py
@@ -5,9 +5,10 @@
 
 from collections import OrderedDict
 from collections.abc import Mapping
-from dataclasses import dataclass, field
 from typing import Any
 
+import msgspec
+
 from rowanshift.kv_index.block_hashes import block_hash, presence_hash
 from rowanshift.kv_index.errors import MalformedHoldings
 
@@ -15,14 +16,15 @@
 UNKNOWN_BOOT_EPOCH = -1  # of a holder whose list was not read yet, or whose events were lost
 
 
-@dataclass(slots=True)
-class BlockHolder:
+class BlockHolder(msgspec.Struct, eq=False):
     """One server or store, and the blocks that it holds as far as it has reported them."""
 
     address: str  # IP:PORT
     boot_epoch: int = UNKNOWN_BOOT_EPOCH
     next_event: int = 0  # the number of the first event that was not read
-    blocks: OrderedDict[int, int] = field(default_factory=OrderedDict)  # hash to tokens, reported longest ago first
+    blocks: OrderedDict[int, int] = msgspec.field(
+        default_factory=OrderedDict
+    )  # hash to tokens, reported longest ago first
 
     @property
     def has_list(self) -> bool:
--- a/rowanshift/kv_index/prefix_holdings.py
+++ b/rowanshift/kv_index/prefix_holdings.py
@@ -1,14 +1,14 @@
 """What all stores hold, with a history of changes for routers that have an earlier state of it. No I/O."""
 
 from collections import deque
-from dataclasses import dataclass, field
 from itertools import chain, islice, repeat
-from typing import NamedTuple
+
+import msgspec
 
 MAX_CHANGES = 4096  # in the history; a router that lacks more gets the complete holdings
 
 
-class HoldingsChange(NamedTuple):
+class HoldingsChange(msgspec.Struct, frozen=True):
     """One block that was stored or removed."""
 
     serial: int  # of the update that it came by
@@ -16,8 +16,7 @@
     is_stored: bool
 
 
-@dataclass(frozen=True, slots=True)
-class HoldingsUpdate:
+class HoldingsUpdate(msgspec.Struct, frozen=True):
     """What a router lacks: the hashes that were stored and removed since, or all that are stored."""
 
     is_complete: bool
@@ -25,13 +24,12 @@
     removed: list[int]
 
 
-@dataclass(slots=True)
-class PrefixHoldings:
+class PrefixHoldings(msgspec.Struct):
     """The hashes of all blocks that stores hold, their serial number, and the latest changes."""
 
     serial: int = 1  # counts the updates that changed something
-    block_hashes: set[int] = field(default_factory=set)
-    changes: deque[HoldingsChange] = field(default_factory=lambda: deque(maxlen=MAX_CHANGES))
+    block_hashes: set[int] = msgspec.field(default_factory=set)
+    changes: deque[HoldingsChange] = msgspec.field(default_factory=lambda: deque(maxlen=MAX_CHANGES))
 
     def update(self, block_hashes: set[int]) -> bool:
         """Replaces the hashes by those held now; whether that changed anything."""
--- a/rowanshift/wire/control_updates.py
+++ b/rowanshift/wire/control_updates.py
@@ -4,8 +4,8 @@
 the primary answers with a ``Redirect``. Routers up to release 0.2 poll in former formats, which lack some fields: they
 are answered in the format that they know.
 
-What a router has is identified by pairs: the primary's epoch, and a serial number that counts the changes within it.
-(0, 0) stands for having nothing yet.
+Each part of what a router has (state, list of servers, prefix cache holdings, list of routers, announcements) is
+identified by a ``PartVersion``; (0, 0) stands for having nothing yet.
 """
 
 from typing import Any
@@ -26,6 +26,8 @@
     RecordListType,
 )
 
+PartVersion = tuple[int, int]  # of a part of what a router has: the primary's epoch, and the number of changes in it
+
 SERVER_UP, SERVER_DRAINING = 1, 2  # states of a server
 SERVER_LOADING = 4  # a flag beside them: the server is loading new weights
 
@@ -64,11 +66,11 @@
 
     machine: int  # the router's id
     incarnation: int  # drawn when the router started
-    state_version: tuple[int, int]  # epoch and sequence number of the control state that it has
+    state_version: PartVersion  # epoch and sequence number of the control state that it has
     fingerprint: int  # of that state's content, 0: it has none
-    registry_version: tuple[int, int]  # of the list of servers
-    prefix_holdings_version: tuple[int, int]  # of what stores hold in their prefix caches
-    peers_version: tuple[int, int]  # of the list of routers
+    registry_version: PartVersion  # of the list of servers
+    prefix_holdings_version: PartVersion  # of what stores hold in their prefix caches
+    peers_version: PartVersion  # of the list of routers
 
     def as_format_2(self, long_poll_ms: int) -> "PollOfFormat2":
         """The same poll with the time that it may be held, in milliseconds."""
@@ -89,11 +91,11 @@
 
     machine: int  # the router's id
     incarnation: int  # drawn when the router started
-    state_version: tuple[int, int]  # epoch and sequence number of the control state that it has
+    state_version: PartVersion  # epoch and sequence number of the control state that it has
     fingerprint: int  # of that state's content, 0: it has none
-    registry_version: tuple[int, int]  # of the list of servers
-    prefix_holdings_version: tuple[int, int]  # of what stores hold in their prefix caches
-    peers_version: tuple[int, int]  # of the list of routers
+    registry_version: PartVersion  # of the list of servers
+    prefix_holdings_version: PartVersion  # of what stores hold in their prefix caches
+    peers_version: PartVersion  # of the list of routers
     long_poll_ms: int  # how long the poll may be held while there is nothing newer; 0: answer at once
 
 
@@ -107,30 +109,30 @@
     A primary that may be new is sent the announcements whose times the router knows.
     """
 
-    announcements_version: tuple[int, int] = (0, 0)  # of the announcements and their times
+    announcements_version: PartVersion = (0, 0)  # of the announcements and their times
     announcements: tuple[ModelVersionAnnouncement, ...] = ()
 
 
 class UpdateOfFormat1(msgspec.Struct, frozen=True):
     """The answer to ``PollOfFormat1`` and ``PollOfFormat2``: what is newer than what the router has."""
 
-    state_version: tuple[int, int]
+    state_version: PartVersion
     fingerprint: int
     has_state: bool  # else the router has this very state, and the next three fields are empty
     revision: int  # of the configuration
     config: bytes  # the configuration's JSON, compressed by zlib
     versions: dict[str, int]  # the newest that was announced, of each model
-    registry_version: tuple[int, int]
+    registry_version: PartVersion
     has_server_records: bool
     # All servers. A primary may put in the bytes of ``SERVER_RECORDS.encode``, made once for many routers; an update
     # that was received holds the records.
     server_records: tuple[ServerRecord, ...] | bytes = ()
     member_count: int = 1  # routers that share budgets; 0: not known yet
-    prefix_holdings_version: tuple[int, int] = (0, 0)
+    prefix_holdings_version: PartVersion = (0, 0)
     prefix_holdings_complete: bool = False  # the hashes are all that is stored; else they are what changed
     stored_block_hashes: bytes = b""  # of prefix blocks that stores hold, 8 bytes each
     removed_block_hashes: bytes = b""  # of those that they no longer hold, 8 bytes each
-    peers_version: tuple[int, int] = (0, 0)
+    peers_version: PartVersion = (0, 0)
     has_peers: bool = False
     peer_machines: tuple[int, ...] = ()  # the routers that are members now
     core_machines: tuple[int, ...] = ()  # replicas of the control plane that may be asked next time
@@ -146,7 +148,7 @@
     """The answer to ``Poll``: all announcements whose deadlines may still be to come, where the router lacks one of
     them or its time."""
 
-    announcements_version: tuple[int, int] = (0, 0)
+    announcements_version: PartVersion = (0, 0)
     has_announcements: bool = False
     announcements: tuple[ModelVersionAnnouncement, ...] = ()
 
--- a/rowanshift/wire/field_types.py
+++ b/rowanshift/wire/field_types.py
@@ -5,8 +5,7 @@
 """
 
 from collections.abc import Collection, Mapping
-from dataclasses import dataclass
-from struct import Struct, pack
+from struct import Struct, pack, unpack_from
 from typing import Any, Protocol
 
 import msgspec
@@ -84,7 +83,9 @@
 
     def decode(self, reader: ByteReader) -> tuple[int, int]:
         """The pair at the reader's position, which is moved behind it."""
-        first, second = reader.unpack(self._layout)
+        offset = reader.offset
+        reader.offset = offset + self.minimum_size
+        first, second = self._layout.unpack_from(reader.data, offset)
         return first, second
 
 
@@ -100,7 +101,9 @@
     def decode(self, reader: ByteReader) -> tuple[int, ...]:
         """The integers at the reader's position, which is moved behind them."""
         (count,) = reader.unpack(UINT16)
-        return reader.unpack(Struct(f">{count}Q"))
+        offset = reader.offset
+        reader.offset = offset + count * UINT64.minimum_size
+        return unpack_from(f">{count}Q", reader.data, offset)  # by its format, which ``struct`` caches
 
 
 class TextType:
@@ -177,19 +180,16 @@
         return self.record_type(*[field_type.decode(reader) for field_type in self._types])
 
 
-@dataclass(frozen=True, slots=True)
 class RecordListType:
     """Records of one layout: a count of 32 bits, then the records.
 
     Bytes in place of the records are taken to be encoded before, once for an answer that goes to many.
     """
 
-    layout: RecordLayout
+    minimum_size = UINT32.size
 
-    @property
-    def minimum_size(self) -> int:
-        """Bytes of an empty list."""
-        return UINT32.size
+    def __init__(self, layout: RecordLayout) -> None:
+        self.layout = layout
 
     def encode(self, value: Collection[Any] | bytes) -> bytes:
         """The records as bytes. Raises ``struct.error`` if a field is out of range."""
--- a/rowanshift/wire/version_announcements.py
+++ b/rowanshift/wire/version_announcements.py
@@ -6,9 +6,10 @@
 
 from bisect import bisect_left, bisect_right
 from collections.abc import Iterable
-from dataclasses import dataclass
 from operator import attrgetter
 
+import msgspec
+
 MAX_ANNOUNCEMENTS_PER_MODEL = 64  # beyond these the two oldest are merged to one that is as strict as both
 MAX_ANNOUNCED_MODELS = 1024  # of further models no announcements are kept
 MAX_ANNOUNCED_AGE_MS = 24 * 3600 * 1000  # sent as the age of announcements that are older
@@ -17,8 +18,7 @@
 _announced_at_of = attrgetter("announced_at")
 
 
-@dataclass(frozen=True, slots=True)
-class VersionAnnouncement:
+class VersionAnnouncement(msgspec.Struct, frozen=True):
     """A version of a model's weights, and when it was announced.
 
     ``is_dated``: ``announced_at`` comes from a machine that knows the time; else it is a bound that stands in for it.
