--- /dev/null
+++ b/rowanshift/dataplane/kv_transfers.py
@@ -0,0 +1,105 @@
+"""KV cache transfers of a request: where its server may fetch shared prefix blocks, and which store it saves them to.
+
+Both are hints in the request's ``Kv-Fetch`` and ``Kv-Save`` headers: a server that finds nothing there computes the
+blocks itself. No I/O.
+"""
+
+from collections import OrderedDict
+from typing import Any, NamedTuple, Protocol
+
+from rowanshift.dataplane.endpoints import Endpoint
+from rowanshift.dataplane.requests import Request, salt_of
+from rowanshift.dataplane.routing_table import RoutingTable, Tenant
+from rowanshift.kv_index.block_hashes import block_hash, presence_hash, store_for_prefix
+from rowanshift.placement.shadows import Pool, is_open
+
+MIN_STORE_TRANSFER_TOKENS = 64  # shared tokens of a prompt that are worth a transfer from or to a store
+MIN_HOME_FETCH_TOKENS = 1000  # shared tokens for which the home of a prompt asks its successors
+SOURCE_CANDIDATE_SERVERS = 3  # first servers of the ring walk, the home included, that may be a source
+SAVE_REPEAT_SECONDS = 8.0  # until a block that the store still lacks is saved again
+MAX_REMEMBERED_SAVES = 4096  # blocks; the oldest is forgotten, and may be saved twice
+
+
+class KvTransfer(NamedTuple):
+    """The addresses (IP:PORT) of a request's transfers; ``None`` for no transfer."""
+
+    fetch_from: bytes | None  # a server or a store
+    save_to: bytes | None  # a store
+
+
+NO_TRANSFER = KvTransfer(None, None)
+
+
+def transfer_source(
+    pool: Pool, request: Request, ring_position: int, version: int, endpoint: Endpoint, now: float
+) -> Endpoint | None:
+    """The server that may keep the shared blocks of a request that goes to ``endpoint``; ``None`` if there is none.
+
+    It is the first other server on the ring walk that is available and has the same version of the weights. ``now`` is
+    in seconds of the clock that the endpoints' times are of.
+    """
+    # The home itself may lack the blocks, as after it has loaded weights. Its successors, which took its requests
+    # meanwhile, are asked only for so many tokens that a vain question costs less than computing them.
+    if endpoint is pool.home(ring_position) and request.shared < MIN_HOME_FETCH_TOKENS:
+        return None
+    candidates: list[Any] = pool.ring.walk(ring_position, SOURCE_CANDIDATE_SERVERS)
+    other: Endpoint
+    for other in candidates:
+        if other is not endpoint and is_open(other, now) and other.versions.get(request.model, 0) == version:
+            return other
+    return None
+
+
+class PrefixStoreState(Protocol):
+    """What a router knows of the prefix stores."""
+
+    routing_table: RoutingTable
+    stored_block_hashes: set[int]  # of the prefix blocks that stores hold, and of the stores that answer
+
+
+class KvTransferPlanner:
+    """Plans the transfers of each request, and remembers for a while which blocks were saved."""
+
+    def __init__(self, state: PrefixStoreState) -> None:
+        self.state = state
+        self.saved_until: OrderedDict[int, float] = OrderedDict()  # by block hash, the oldest first
+
+    def plan(
+        self, request: Request, tenant: Tenant | None, version: int, source: Endpoint | None, now: float
+    ) -> KvTransfer:
+        """The transfers of a request that goes to a server with this version of the weights (0: unknown).
+
+        ``source`` is a server that may keep its shared blocks. ``now`` is in seconds. A save that is planned counts as
+        done for ``SAVE_REPEAT_SECONDS``.
+        """
+        shared_blocks = request.parts[:-1]
+        if not shared_blocks or not version:
+            return NO_TRANSFER
+        source_address = source.address.encode() if source is not None else None
+        store = self._store_of(shared_blocks[-1][0])
+        if store is None or request.shared < MIN_STORE_TRANSFER_TOKENS:
+            return KvTransfer(source_address, None)
+        salt = salt_of(tenant, version).decode("latin-1")
+        hashes = [block_hash(store, request.model, salt, block_id.decode("latin-1")) for block_id, _ in shared_blocks]
+        missing = [hash_ for hash_ in hashes if hash_ not in self.state.stored_block_hashes]
+        store_address = store.encode()
+        # A store that lacks some blocks is the source only where no server is; one that lacks all never is.
+        store_is_source = not missing or (source_address is None and len(missing) < len(hashes))
+        fetch_from = store_address if store_is_source else source_address
+        if all(self.saved_until.get(hash_, 0.0) > now for hash_ in missing):
+            return KvTransfer(fetch_from, None)
+        self._remember_saves(missing, now)
+        return KvTransfer(fetch_from, store_address)
+
+    def _store_of(self, prefix: bytes) -> str | None:
+        """The address of the store for a prefix, of those that answer."""
+        stored = self.state.stored_block_hashes
+        addresses = (service.store_address for service in self.state.routing_table.services.values())
+        available = (address for address in addresses if address and presence_hash(address) in stored)
+        return store_for_prefix(available, prefix.decode("latin-1"))
+
+    def _remember_saves(self, hashes: list[int], now: float) -> None:
+        while len(self.saved_until) >= MAX_REMEMBERED_SAVES:
+            self.saved_until.popitem(last=False)
+        for hash_ in hashes:
+            self.saved_until[hash_] = now + SAVE_REPEAT_SECONDS
--- a/rowanshift/dataplane/server_attempt.py
+++ b/rowanshift/dataplane/server_attempt.py
@@ -9,7 +9,7 @@
 from rowanshift.dataplane.endpoints import Endpoint
 from rowanshift.dataplane.errors import DataPlaneError
 from rowanshift.dataplane.forwarded_request import ForwardedRequest, RequestCounts
-from rowanshift.dataplane.kv_moves import KvMoves, source_of
+from rowanshift.dataplane.kv_transfers import KvTransferPlanner, transfer_source
 from rowanshift.dataplane.load_index import DatagramKind, LoadIndex
 from rowanshift.dataplane.request_admission import Admission, RequestAdmission
 from rowanshift.dataplane.requests import priority_of, written
@@ -74,7 +74,7 @@
         self.loads = loads
         self.counts = counts
         self.silence = SilenceMonitor(state, upstream, admission, selection)
-        self.moves = KvMoves(state)
+        self.kv_transfers = KvTransferPlanner(state)
         self.last_overdue_warning_at = float("-inf")
 
     async def run(self, forwarded: ForwardedRequest, endpoint: Endpoint) -> ExchangeOutcome:
@@ -112,8 +112,8 @@
         """The request as it goes to a server."""
         request, tenant, now = forwarded.request, forwarded.tenant, trio.current_time()
         pool = self.selection.pool(forwarded)
-        near = source_of(pool, request, forwarded.ring_position, version, endpoint, now)
-        fetch, save = self.moves.choose(request, tenant, version, near, now)
+        near = transfer_source(pool, request, forwarded.ring_position, version, endpoint, now)
+        fetch, save = self.kv_transfers.plan(request, tenant, version, near, now)
         return written(
             request,
             tenant,
--- a/tests/dataplane/test_endpoints.py
+++ b/tests/dataplane/test_endpoints.py
@@ -7,7 +7,7 @@
 from unittest import mock
 
 from rowanshift.dataplane.endpoints import Endpoint, Endpoints
-from rowanshift.dataplane.kv_moves import LEAST_SOUGHT, source_of
+from rowanshift.dataplane.kv_transfers import MIN_HOME_FETCH_TOKENS, transfer_source
 from rowanshift.placement.hot_keys import EVIDENCE, HOT_EPOCHS, LEASE
 from rowanshift.placement.shadows import (
     BACK_OFF,
@@ -311,16 +311,16 @@
 class Sources(Case):
     """Where a server may take the shared parts of a prompt from."""
 
-    def source(self, endpoint, shared=LEAST_SOUGHT, version=1):
+    def source(self, endpoint, shared=MIN_HOME_FETCH_TOKENS, version=1):
         request = mock.Mock(model=MODEL, shared=shared)
-        return source_of(self.pool, request, self.mark, version, endpoint, 0.0)
+        return transfer_source(self.pool, request, self.mark, version, endpoint, 0.0)
 
     def test_the_home_for_any_other(self):
         self.assertEqual([self.source(other, 10) for other in self.walk[1:]], [self.walk[0]] * 5)
 
     def test_the_next_for_the_home(self):
         self.assertIs(self.source(self.walk[0]), self.walk[1])
-        self.assertIsNone(self.source(self.walk[0], LEAST_SOUGHT - 1))
+        self.assertIsNone(self.source(self.walk[0], MIN_HOME_FETCH_TOKENS - 1))
 
     def test_one_that_takes_no_requests_or_has_other_weights_is_left_out(self):
         self.walk[1].loading = True
--- a/tests/dataplane/test_kv_moves.py
+++ b/tests/dataplane/test_kv_transfers.py
@@ -1,28 +1,28 @@
-"""Which moves of prefix blocks a request names; a false index costs only headers."""
+"""Which transfers of prefix blocks a request names; a wrong index changes those headers alone."""
 
 import random
 import unittest
 from types import SimpleNamespace
 
 from rowanshift.dataplane.endpoints import Endpoint
-from rowanshift.dataplane.kv_moves import KvMoves
+from rowanshift.dataplane.kv_transfers import KvTransferPlanner
 from rowanshift.dataplane.requests import request_of, written
 from rowanshift.dataplane.routing_table import RoutingTable, Service, Tenant
 from rowanshift.kv_index.block_hashes import block_hash, presence_hash
 from rowanshift.transport.http_connection import Message
 
 
-class Lies(unittest.TestCase):
-    """Whatever the index says, a request differs in what it says of moves, and in nothing else."""
+class Transfers(unittest.TestCase):
+    """Whatever the index says, a request differs in its transfer headers, and in nothing else."""
 
     STORES = ("10.0.1.1:9000", "10.0.1.2:9000")
 
-    def front(self, stored):
+    def planner(self, stored):
         services = {at: Service(at, b"", 8, at, 64) for at in self.STORES}
         state = SimpleNamespace(
             routing_table=RoutingTable(1, services=services), stored_block_hashes=stored, endpoints=None
         )
-        return KvMoves(state)
+        return KvTransferPlanner(state)
 
     def request(self, prefix):
         return request_of(
@@ -37,11 +37,11 @@
 
     def sent(self, stored, prefix, home, tenant=None):
         request = self.request(prefix)
-        fetch, save = self.front(stored).choose(request, tenant, 3, home, 1.0)
+        fetch, save = self.planner(stored).plan(request, tenant, 3, home, 1.0)
         data = written(request, tenant, b"i-1", 2.0, 3, None, fetch, save, 5)
         lines = data.split(b"\r\n")
-        moves = [line for line in lines if line.startswith((b"Kv-Fetch: ", b"Kv-Save: "))]
-        return [line for line in lines if line not in moves], moves
+        transfers = [line for line in lines if line.startswith((b"Kv-Fetch: ", b"Kv-Save: "))]
+        return [line for line in lines if line not in transfers], transfers
 
     def test_any_index_changes_only_those_headers(self):
         random_source = random.Random(1)
@@ -61,11 +61,11 @@
             for _ in range(300):
                 stored = set(random_source.sample(every, random_source.randrange(len(every) + 1)))
                 stored |= {random_source.getrandbits(64) for _ in range(3)}
-                lines, moves = self.sent(stored, prefix, random_source.choice((None, home)))
+                lines, transfers = self.sent(stored, prefix, random_source.choice((None, home)))
                 self.assertEqual(lines, plain)
-                self.assertLessEqual(set(moves), allowed)
-                self.assertLessEqual(len(moves), 2)
-                seen.update(moves)
+                self.assertLessEqual(set(transfers), allowed)
+                self.assertLessEqual(len(transfers), 2)
+                seen.update(transfers)
             if prefix in (b"a:9", b""):
                 self.assertEqual(seen, set())  # nothing is shared
 
@@ -74,20 +74,20 @@
         self.assertEqual(self.sent(hashes, b"a:100,b:1", None)[1], [])
 
     def test_what_is_given_to_a_store_is_not_given_again_at_once(self):
-        front, request = self.front({presence_hash(self.STORES[0])}), self.request(b"a:100,b:1")
+        planner, request = self.planner({presence_hash(self.STORES[0])}), self.request(b"a:100,b:1")
         address = self.STORES[0].encode()
-        save = [front.choose(request, None, 3, None, at)[1] for at in (1.0, 2.0, 20.0)]
+        save = [planner.plan(request, None, 3, None, at)[1] for at in (1.0, 2.0, 20.0)]
         self.assertEqual(save, [address, None, address])
-        self.assertEqual(front.choose(request, Tenant(b"t", None, True), 3, None, 20.0)[1], address)
-        self.assertEqual(front.choose(request, None, 0, None, 40.0), (None, None))
+        self.assertEqual(planner.plan(request, Tenant(b"t", None, True), 3, None, 20.0)[1], address)
+        self.assertEqual(planner.plan(request, None, 0, None, 40.0), (None, None))
 
     def test_a_part_is_fetched_from_the_store_that_keeps_it(self):
         address, home = self.STORES[0].encode(), Endpoint("i-0", "s", "10.0.2.1:80", "z", 1, {"m": 3})
         stored = {presence_hash(self.STORES[0]), block_hash(self.STORES[0], "m", "v3.", "a")}
-        front = self.front(stored)
-        self.assertEqual(front.choose(self.request(b"a:100,b:1"), None, 3, None, 1.0), (address, None))
-        self.assertEqual(front.choose(self.request(b"a:100,b:1"), None, 3, home, 1.0), (address, None))
-        fetch, save = front.choose(self.request(b"a:100,c:50,b:1"), None, 3, home, 1.0)
+        planner = self.planner(stored)
+        self.assertEqual(planner.plan(self.request(b"a:100,b:1"), None, 3, None, 1.0), (address, None))
+        self.assertEqual(planner.plan(self.request(b"a:100,b:1"), None, 3, home, 1.0), (address, None))
+        fetch, save = planner.plan(self.request(b"a:100,c:50,b:1"), None, 3, home, 1.0)
         self.assertEqual((fetch, save), (home.address.encode(), address))
 
 
