--- a/rowanshift/controlplane/replication/core.py
+++ b/rowanshift/controlplane/replication/core.py
@@ -71,13 +71,16 @@
         self._init_durable_state(tuple(sorted(seeds)), bootstrap, durable)
         self._init_failure_domains(failure_domain)
         self._init_peers(seeds)
+        self._init_roles()
+        if self._on_disk is None:
+            self._start_save()
+
+    def _init_roles(self) -> None:
         self._init_witness()
         self._init_candidate()
         self._init_recovery()
         self._init_membership()
         self._init_primary()
-        if self._on_disk is None:
-            self._start_save()
 
     def _init_durable_state(self, seeds: tuple[int, ...], bootstrap: bool, durable: DurableState | None) -> None:
         self._on_disk = durable
--- /dev/null
+++ b/tests/controlplane/replication/test_replication_errors.py
@@ -0,0 +1,26 @@
+"""What the errors of a replica tell its caller."""
+
+from __future__ import annotations
+
+import unittest
+
+from rowanshift.controlplane import replication
+
+
+class Errors(unittest.TestCase):
+    def test_all_are_replication_errors(self) -> None:
+        for error in (replication.NotPrimary, replication.ProposalInProgress, replication.StateTooLarge):
+            self.assertTrue(issubclass(error, replication.ReplicationError), error)
+
+    def test_not_primary_names_the_machine_to_ask_if_one_is_known(self) -> None:
+        self.assertIn("machine 3", str(replication.NotPrimary(3)))
+        self.assertIn("no primary is known", str(replication.NotPrimary(0)))
+
+    def test_a_state_too_large_names_its_size_and_the_limit(self) -> None:
+        text = str(replication.StateTooLarge(99_000_000))
+        self.assertIn("99000000", text)
+        self.assertIn(str(replication.STATE_LIMIT_BYTES), text)
+
+
+if __name__ == "__main__":
+    unittest.main()
--- a/tests/support/planted_replication_faults.py
+++ b/tests/support/planted_replication_faults.py
@@ -20,19 +20,8 @@
 class EmptyDiskVotes(replication.Replica):
     """A machine that lost its disk starts as if it were the first start."""
 
-    def __init__(
-        self,
-        me,
-        f,
-        seeds,
-        bootstrap,
-        durable,
-        now,
-        random_fraction,
-        singleton_task_delay=0.0,
-        timing=replication.DEFAULT_TIMING,
-    ):
-        super().__init__(me, f, seeds, True, durable, now, random_fraction, singleton_task_delay, timing)
+    def __init__(self, me, max_failures, seeds, bootstrap, *args, **options):
+        super().__init__(me, max_failures, seeds, True, *args, **options)
 
 
 class AcceptsBeforeSave(replication.Replica):
@@ -107,21 +96,21 @@
 class NewSetAlone(replication.Replica):
     """A change of witnesses is decided by the new set, and the record names no former one."""
 
-    def _deciding_sets(self, c):
-        return (c.record.witnesses,)
+    def _deciding_sets(self, candidacy):
+        return (candidacy.record.witnesses,)
 
-    def _next_witnesses(self, c):
-        return super()._next_witnesses(c)[0], ()
+    def _next_witnesses(self, candidacy):
+        return super()._next_witnesses(candidacy)[0], ()
 
 
 class OldSetAlone(replication.Replica):
     """A change of witnesses is decided by the old set, and the record names no former one."""
 
-    def _deciding_sets(self, c):
-        return c.base.witness_sets()
+    def _deciding_sets(self, candidacy):
+        return candidacy.base.witness_sets()
 
-    def _next_witnesses(self, c):
-        return super()._next_witnesses(c)[0], ()
+    def _next_witnesses(self, candidacy):
+        return super()._next_witnesses(candidacy)[0], ()
 
 
 class LeaseNotAwaited(replication.Replica):
