--- a/rowanshift/cacheproxy/clients.py
+++ b/rowanshift/cacheproxy/clients.py
@@ -253,8 +253,8 @@
         finally:
             for flow in (client.upload, client.flow):
                 if flow is not None:
-                    flow.cut_off()
-                    flow.give_up()
+                    flow.abort()
+                    flow.cancel()
             if client.exchange is not None:
                 self.driver.gone(client.exchange)
             self._end(client)
@@ -350,8 +350,8 @@
         """Reads on in a long request, as far as it is passed on."""
         connection, flow, at = client.connection, client.upload, trio.current_time()
         with trio.CancelScope() as client.scope:
-            if flow.full():
-                await flow.room()
+            if flow.is_full():
+                await flow.wait_until_writable()
                 client.body_at += trio.current_time() - at
             else:
                 client.scope.deadline = client.until
@@ -362,7 +362,7 @@
             if trio.current_time() >= client.until:
                 self._spoilt(client, MalformedMessage(408, f"a body comes at {BODY_RATE} bytes a second at least"))
             return
-        going = connection.read_body() if not flow.full() else True
+        going = connection.read_body() if not flow.is_full() else True
         if flow.ended:
             client.upload = None
             client.keep = connection.kept
@@ -380,7 +380,7 @@
     def _spoilt(self, client: Client, error: MalformedMessage) -> None:
         """A long request that can't be followed to its end, and has not run."""
         client.upload, flow = None, client.upload
-        flow.cut_off()
+        flow.abort()
         self.driver.gone(client.exchange)
         self._refuse(client, error)
 
@@ -395,9 +395,9 @@
                     break
                 connection.pump()
             elif flow.pieces:
-                connection.push(framed(flow.take(), client.chunked))
-            elif not flow.over():
-                await flow.more()
+                connection.push(framed(flow.pop(), client.chunked))
+            elif not flow.is_finished():
+                await flow.wait_until_readable()
             elif not flow.ended:
                 break
             elif client.chunked and not ends:
--- a/rowanshift/cacheproxy/servers.py
+++ b/rowanshift/cacheproxy/servers.py
@@ -259,7 +259,7 @@
         chunked, stalled = ho.exchange.length is None, trio.current_time() + SILENT_BODY
         with trio.CancelScope(deadline=link.until) as link.scope:
             try:
-                while not (link.broken or link.withdrawn or link.written or early or flow.cut or flow.given_up):
+                while not (link.broken or link.withdrawn or link.written or early or flow.aborted or flow.cancelled):
                     if connection.sending():
                         with trio.move_on_at(stalled):
                             await connection.stream.wait_writable()
@@ -269,11 +269,11 @@
                         if not spent:
                             spent = True
                             self.spent(ho)
-                        connection.push(framed(flow.take(), chunked))
+                        connection.push(framed(flow.pop(), chunked))
                         stalled = trio.current_time() + SILENT_BODY
                     elif not flow.ended:
                         with trio.move_on_after(EARLY):
-                            await flow.more()
+                            await flow.wait_until_readable()
                         early = connection.stream.readable()
                     elif chunked:
                         chunked = False
@@ -287,7 +287,7 @@
         elif link.written:
             self.written(ho)
             link.until = self.clock.deadline(ho.until)
-        elif flow.cut or flow.given_up:  # nobody waits for it, which tells nothing of the server
+        elif flow.aborted or flow.cancelled:  # nobody waits for it, which tells nothing of the server
             self._finish(link, Verdict.MOOT)
         elif early:
             self._read_on(link)
@@ -298,9 +298,9 @@
         """Reads a long answer as fast as it is passed on, to its end."""
         connection, flow = link.connection, link.flow
         try:
-            while connection.flow is flow and connection.error is None and not flow.given_up:
-                if flow.full():
-                    await flow.room()
+            while connection.flow is flow and connection.error is None and not flow.cancelled:
+                if flow.is_full():
+                    await flow.wait_until_writable()
                     continue
                 with trio.move_on_after(SILENT_BODY) as scope:
                     await connection.stream.wait_readable()
@@ -311,11 +311,11 @@
         finally:
             link.flow = None
             if not flow.ended:
-                if not flow.given_up:
+                if not flow.cancelled:
                     at = "{}:{}".format(*link.target.address)
                     logger.info("{} broke off a long answer after {} bytes", at, flow.size)
-                flow.cut_off()
-        if flow.ended and not flow.given_up and self._reusable(link, link.message):
+                flow.abort()
+        if flow.ended and not flow.cancelled and self._reusable(link, link.message):
             self._keep(link)
         else:
             self._end(link)
@@ -379,7 +379,7 @@
         link.target.busy.pop(link, None)
         remark = REMARKS.get(dict(message.fields).get(b"x-found"))
         if ho.exchange.ended:
-            message.flow.give_up()
+            message.flow.cancel()
         reply = Reply(message.status, message.body, message.end_to_end(), flow=message.flow, length=message.length)
         self.done(ho, verdict_of(message), remark, reply)
         self._overtake(link.target, ho)
--- a/rowanshift/dataplane/upstream.py
+++ b/rowanshift/dataplane/upstream.py
@@ -139,7 +139,7 @@
         """Give a connection back after a complete response; it is kept if nothing is left on it."""
         http, flow = connection.http, response.flow
         connection.released = True
-        if not http.kept or not http.clean() or (flow is not None and not flow.drained()):
+        if not http.kept or not http.clean() or (flow is not None and not flow.is_drained()):
             self.close(connection)
             return
         http.release()
@@ -254,8 +254,8 @@
         http = connection.http
         while True:
             if flow.pieces:
-                data = flow.take()
-                return data + b"".join(flow.take() for _ in range(len(flow.pieces)))
+                data = flow.pop()
+                return data + b"".join(flow.pop() for _ in range(len(flow.pieces)))
             if flow.ended:
                 return b""
             if http.error is not None:
--- a/rowanshift/transport/flow.py
+++ b/rowanshift/transport/flow.py
@@ -1,5 +1,7 @@
-"""One body on its way: a bounded buffer between a source and a sink, and how it ended. It knows neither which
-server nor why, and nothing of HTTP."""
+"""A body while it passes through the process: a bounded buffer between one source and one sink.
+
+It knows nothing of HTTP but how a piece of a body is framed, and nothing of who the source and the sink are.
+"""
 
 from collections import deque
 
@@ -7,87 +9,95 @@
 
 from rowanshift.transport.memory_budget import MemoryBudget
 
-HIGH, LOW = 256 * 1024, 64 * 1024  # bytes held, at which the source waits and goes on
-SHORT = 32 * 1024  # the upper mark while memory for bodies is short: one read
-SCARCE = 0.25  # part of that memory, under which it is short
+HIGH_WATER_BYTES = 256 * 1024  # buffered, at which the source waits
+LOW_WATER_BYTES = 64 * 1024  # buffered, at which it reads on
+SCARCE_HIGH_WATER_BYTES = 32 * 1024  # in place of the former while memory for bodies is scarce: one read
+SCARCE_MEMORY_FRACTION = 0.25  # of the memory for bodies: with less available it is scarce
+LAST_CHUNK = b"0\r\n\r\n"
 
 
 class Flow:
-    """Its source puts pieces and ends it, or cuts it off; its sink takes them, or gives it up. Each side has
-    one task, which waits for the other."""
+    """The pieces of one body. Its source and its sink are one task each, and each may wait for the other.
 
-    __slots__ = ("cut", "ended", "given_up", "held", "memory", "pieces", "size", "waiting")
+    The source puts pieces and ends or aborts the flow; the sink pops them or cancels it. ``buffered`` counts the bytes
+    of ``pieces``, ``size`` all bytes that were put.
+    """
+
+    __slots__ = ("aborted", "buffered", "cancelled", "ended", "memory", "pieces", "size", "waiting")
 
     def __init__(self, memory: MemoryBudget) -> None:
         self.memory = memory
         self.pieces: deque[bytes] = deque()
-        self.held = 0  # bytes in them
-        self.size = 0  # bytes put so far
-        self.ended = self.cut = self.given_up = False
+        self.buffered = 0
+        self.size = 0
+        self.ended = self.aborted = self.cancelled = False
         self.waiting = trio.Event()
 
-    # the source -------------------------------------------
+    # for the source
 
     def put(self, piece: bytes) -> None:
-        """Takes what was read already; ``full`` tells when to read no more."""
-        if self.given_up:
+        """Append what was read already; ``is_full`` says when to read no more."""
+        if self.cancelled:
             return
         self.pieces.append(piece)
         self.size += len(piece)
-        self.held += len(piece)
+        self.buffered += len(piece)
         self.memory.acquire(len(piece))
         self._wake()
 
     def end(self) -> None:
+        """The body is complete."""
         self.ended = True
         self._wake()
 
-    def cut_off(self) -> None:
-        """The source broke off: what is held may go on, but the body is not whole."""
+    def abort(self) -> None:
+        """The source failed: what is buffered may be sent, but the body is not complete."""
         if not self.ended:
-            self.cut = True
+            self.aborted = True
             self._wake()
 
-    def full(self) -> bool:
-        short = self.memory.available < SCARCE * self.memory.capacity
-        return self.held >= (SHORT if short else HIGH) and not self.given_up
+    def is_full(self) -> bool:
+        """Whether the source should wait."""
+        scarce = self.memory.available < SCARCE_MEMORY_FRACTION * self.memory.capacity
+        return self.buffered >= (SCARCE_HIGH_WATER_BYTES if scarce else HIGH_WATER_BYTES) and not self.cancelled
 
-    async def room(self) -> None:
-        """Waits until the source may read on."""
-        if self.full():
-            while (self.held > LOW and not self.given_up) or self.full():
+    async def wait_until_writable(self) -> None:
+        """Wait until the source may read on."""
+        if self.is_full():
+            while (self.buffered > LOW_WATER_BYTES and not self.cancelled) or self.is_full():
                 await self._wait()
 
-    # the sink ---------------------------------------------
+    # for the sink
 
-    def take(self) -> bytes:
+    def pop(self) -> bytes:
+        """Remove and return the first piece."""
         piece = self.pieces.popleft()
-        self.held -= len(piece)
+        self.buffered -= len(piece)
         self.memory.release(len(piece))
         self._wake()
         return piece
 
-    async def more(self) -> None:
-        """Waits until there is a piece, or no more will come."""
-        while not (self.pieces or self.over()):
+    async def wait_until_readable(self) -> None:
+        """Wait until there is a piece, or no more will come."""
+        while not (self.pieces or self.is_finished()):
             await self._wait()
 
-    def over(self) -> bool:
-        return self.ended or self.cut or self.given_up
+    def is_finished(self) -> bool:
+        """Whether no more pieces will come."""
+        return self.ended or self.aborted or self.cancelled
 
-    def drained(self) -> bool:
+    def is_drained(self) -> bool:
+        """Whether the complete body was popped."""
         return self.ended and not self.pieces
 
-    def give_up(self) -> None:
-        """The sink is gone: what is held is dropped, and so is what comes."""
-        self.given_up = True
+    def cancel(self) -> None:
+        """The sink needs no more: drop what is buffered, and what will be put."""
+        self.cancelled = True
         self.pieces.clear()
-        self.memory.release(self.held)
-        self.held = 0
+        self.memory.release(self.buffered)
+        self.buffered = 0
         self._wake()
 
-    # ------------------------------------------------------
-
     def _wake(self) -> None:
         self.waiting.set()
 
@@ -98,7 +108,5 @@
 
 
 def framed(piece: bytes, chunked: bool) -> bytes:
+    """A piece as it is sent, as a chunk of HTTP/1.1 if ``chunked``."""
     return b"%x\r\n%s\r\n" % (len(piece), piece) if chunked else piece
-
-
-LAST_CHUNK = b"0\r\n\r\n"
--- a/rowanshift/transport/http_connection.py
+++ b/rowanshift/transport/http_connection.py
@@ -116,7 +116,7 @@
             else:
                 self.stream.close()
             if self.flow is not None:
-                self.flow.cut_off()
+                self.flow.abort()
             self.parser = None  # each holds the other
             self.release()
 
--- a/tests/cacheproxy/test_bodies.py
+++ b/tests/cacheproxy/test_bodies.py
@@ -13,7 +13,7 @@
 from rowanshift.cacheproxy.model import Verdict
 from rowanshift.cacheproxy.servers import Servers
 from rowanshift.transport.descriptor_budget import DescriptorBudget
-from rowanshift.transport.flow import HIGH, Flow
+from rowanshift.transport.flow import HIGH_WATER_BYTES, Flow
 from rowanshift.transport.http_connection import WHOLE, Connection, MalformedMessage
 from rowanshift.transport.memory_budget import MemoryBudget
 from tests.cacheproxy.test_network import FIELDS, Deciding, clients_of, pair
@@ -87,23 +87,23 @@
 
         async def source():
             for _ in range(100):
-                while flow.full():
-                    await flow.room()
+                while flow.is_full():
+                    await flow.wait_until_writable()
                 flow.put(bytes(32 * 1024))
             flow.end()
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(source)
             await trio.sleep(0.01)
-            peak = flow.held
-            while not flow.drained():
-                await flow.more()
+            peak = flow.buffered
+            while not flow.is_drained():
+                await flow.wait_until_readable()
                 if flow.pieces:
-                    got.append(len(flow.take()))
+                    got.append(len(flow.pop()))
         return peak, whole - memory.minimum_available, sum(got), memory.available == whole
 
     peak, held, got, back = trio.run(main)
-    assert HIGH <= peak <= HIGH + 32 * 1024 and held == peak and got == 100 * 32 * 1024 and back
+    assert HIGH_WATER_BYTES <= peak <= HIGH_WATER_BYTES + 32 * 1024 and held == peak and got == 100 * 32 * 1024 and back
 
 
 def test_many_flows_together_stay_within_the_memory_for_bodies():
@@ -113,14 +113,14 @@
         flows = [Flow(memory) for _ in range(100)]
         for _ in range(1000):
             for flow in flows:
-                if not flow.full():
+                if not flow.is_full():
                     flow.put(bytes(32 * 1024))
         return -memory.minimum_available
 
     assert trio.run(main) <= 0
 
 
-@pytest.mark.parametrize("how", ["give_up", "cut_off", "end"])
+@pytest.mark.parametrize("how", ["cancel", "abort", "end"])
 def test_each_side_of_a_flow_hears_how_it_ended(how):
     async def main():
         memory = MemoryBudget(96)
@@ -130,17 +130,17 @@
             nursery.start_soon(trio.sleep, 0)
             getattr(flow, how)()
             with trio.fail_after(1):
-                await flow.more()
-                await flow.room()
-        if how == "give_up":
+                await flow.wait_until_readable()
+                await flow.wait_until_writable()
+        if how == "cancel":
             flow.put(b"more")
-        return flow.ended, flow.cut, flow.given_up, [*flow.pieces], memory.available == whole
+        return flow.ended, flow.aborted, flow.cancelled, [*flow.pieces], memory.available == whole
 
     assert (
         trio.run(main)
         == {
-            "give_up": (False, False, True, [], True),
-            "cut_off": (False, True, False, [b"abc"], False),
+            "cancel": (False, False, True, [], True),
+            "abort": (False, True, False, [b"abc"], False),
             "end": (True, False, False, [b"abc"], False),
         }[how]
     )
@@ -300,7 +300,7 @@
         return sent < size, held, p.memory.available == p.memory.capacity, p.servers.budget.clients
 
     blocked, held, back, clients = passing(script)
-    assert blocked and 0 < held <= HIGH + 2**16 and back and clients <= 0
+    assert blocked and 0 < held <= HIGH_WATER_BYTES + 2**16 and back and clients <= 0
 
 
 # requests ---------------------------------------------------
