--- a/rowanshift/cacheproxy/decision/router.py
+++ b/rowanshift/cacheproxy/decision/router.py
@@ -10,8 +10,8 @@
 
 from rowanshift.cacheproxy.decision.shares import TELL, TICK, Shares
 from rowanshift.cacheproxy.model import Cache, Entry, Item, Learned, Results, Semantics, Settings, Tally, Verdict
-from rowanshift.placement.hash_ring import HashRing, stable
-from rowanshift.placement.hot_keys import EPOCH, LEASE, TABLE, Hot
+from rowanshift.placement.hash_ring import HashRing, stable_hash
+from rowanshift.placement.hot_keys import EPOCH_SECONDS, MAX_SCORED_KEYS, SHADOW_LEASE_SECONDS, HotKey
 
 POINTS, WALK = 64, 6  # ring points of a cache of mean heft; distinct caches kept of a key's ring walk
 HOLD = 0.2  # of the due time, that a wi is held for at most; less where few may miss it
@@ -57,10 +57,10 @@
             self._ease((now - self.eased_at) / TICK)
         if now - self.tally_at >= TELL:
             self._exchange()
-        if self.hotness.epoch_due(now):
+        if self.hotness.is_epoch_due(now):
             self._epoch()
         item = self.items[id] = Item(id, self.s.categories[category], key, now + left, write)
-        item.mark = stable(key if key is not None else str(id)) >> 32
+        item.mark = stable_hash(key if key is not None else str(id)) >> 32
         if left <= 0 or not self._share(item, customer):
             return self.give_up(item)
         if key is not None:
@@ -128,7 +128,7 @@
             cache = self.caches.get(entry.server)
             if cache is None:
                 start = max(1.0, 24 / self.s.routers)  # many routers must not crowd a cache
-                cache = Cache(entry, stable(entry.server) >> 48, heard_at=now, asked_at=now, limit=start)
+                cache = Cache(entry, stable_hash(entry.server) >> 48, heard_at=now, asked_at=now, limit=start)
                 self.caches[entry.server] = cache
             elif entry.came_up != cache.entry.came_up:  # a new life: nothing learned of the old one holds
                 cache.__init__(entry, cache.mark, cache.inflight, cache.held, now, now)
@@ -173,8 +173,8 @@
             self.asked = [max(0.0, rate) for rate in learned.asked]
         self.warm_rate, self.samples = max(0.0, learned.warm_rate), max(0.0, learned.samples)
         self.extra = min(1.0, max(0.01, learned.extra))
-        for mark, (score, streak, lease, shadows) in list(learned.keys.items())[:TABLE]:
-            self.scores[mark] = Hot(score, streak, min(lease, now + LEASE), max(0, shadows))
+        for mark, (score, streak, lease, shadows) in list(learned.keys.items())[:MAX_SCORED_KEYS]:
+            self.scores[mark] = HotKey(score, streak, min(lease, now + SHADOW_LEASE_SECONDS), max(0, shadows))
 
     def woken(self, now: float) -> None:
         self.now = now
@@ -194,13 +194,13 @@
 
     def _hotness(self, item: Item) -> None:
         worth = -1 if item.write else 1
-        self.hotness.sample(item.mark, worth)
+        self.hotness.record_access(item.mark, worth)
         self.tally.samples += 1
         self.tally.reads[item.mark] = self.tally.reads.get(item.mark, 0) + worth
 
     def _epoch(self) -> None:
-        span = self.now - self.hotness.epoch_at + EPOCH
-        for mark, part in self.hotness.epoch(self.now, len(self.ready)):
+        span = self.now - self.hotness.epoch_ends_at + EPOCH_SECONDS
+        for mark, part in self.hotness.end_epoch(self.now, len(self.ready)):
             self.results.log.append(f"hot {mark:08x}: {part:.2f} of samples")
         if self.heft and self.finished:  # many answers tell more than few
             seen = self.finished / span / self.heft
@@ -213,10 +213,11 @@
         mean = self.heft / max(1, len(self.ready)) or 1.0
         unit = 2.0 ** round(log2(mean))  # steady while caches come and go, and the same at every router
         equal = self.s.live_heft
-        self.ring.lay({c: POINTS if equal else max(1, round(POINTS * c.entry.heft / unit)) for c in self.ready})
+        points = {c: POINTS if equal else max(1, round(POINTS * c.entry.heft / unit)) for c in self.ready}
+        self.ring.set_point_counts(points)
 
     def _walk(self, mark: int, length: int = WALK) -> list[Cache]:
-        return self.ring.walk(mark, length)
+        return self.ring.successors(mark, length)
 
     def _open(self, cache: Cache, item: Item | None) -> bool:
         """Whether a new ho may go to the cache, by rule and by health, leaving its load aside."""
@@ -249,7 +250,7 @@
             return (None if self._spills() else cache), False
         return None, False
 
-    def _replica(self, hot: Hot, replicas: list[Cache]) -> Cache:
+    def _replica(self, hot: HotKey, replicas: list[Cache]) -> Cache:
         """One replica drawn at random and kept, until it holds well over the mean in flight."""
         drawn = {c: -log(1 - self.chance.draw()) / max(1e-9, c.entry.heft * min(1.0, c.limit)) for c in replicas}
         if hot.current not in drawn:
--- a/rowanshift/cacheproxy/decision/shares.py
+++ b/rowanshift/cacheproxy/decision/shares.py
@@ -4,7 +4,7 @@
 
 from rowanshift.cacheproxy.decision.limits import GOOD, Limits
 from rowanshift.cacheproxy.model import Answer, Item, Semantics, Settings, Tally
-from rowanshift.placement.hot_keys import Hotness
+from rowanshift.placement.hot_keys import HotKeyTracker
 
 TELL, TICK = 1.0, 0.1  # seconds: a sum over routers, each; between looks at the shares
 DEEP = 0.25  # a limit that two slow answers leave; under it own answers are too rare to learn from
@@ -15,7 +15,7 @@
 
     def __init__(self, settings: Settings, seed: int, now: float) -> None:
         super().__init__(settings, seed, now)
-        self.hotness = Hotness(now)
+        self.hotness = HotKeyTracker(now)
         self.held: OrderedDict[int, float] = OrderedDict()  # held wis, the oldest first
         self.tally = Tally([0] * len(settings.quotas))  # since it was last sent on or learned from
         self.tally_at, self.told_at, self.telling = now, now, 0  # the last: second that this router told of
@@ -106,7 +106,7 @@
             elif cache.heard_at < self.now - TELL:  # own answers, where any came, tell as much
                 self._regain(cache)
                 cache.limit = max(0.02, min(1.0, cache.limit) * part / 255)
-        self.hotness.add(tally.samples, tally.reads)
+        self.hotness.add_samples(tally.samples, tally.reads)
 
     def give_up(self, item: Item) -> None:
         """Answers at once: deferred where that assures no harm, else written off."""
--- a/rowanshift/capacity/command.py
+++ b/rowanshift/capacity/command.py
@@ -17,7 +17,7 @@
 from rowanshift.capacity.results import Results, Step, Sweep, read, this_machine, written
 from rowanshift.capacity.roles import report
 from rowanshift.capacity.sweep import Plan, Shape, check_steps
-from rowanshift.placement.shadows import POINTS
+from rowanshift.placement.shadows import VIRTUAL_NODES_PER_SERVER
 
 
 def numbers(text: str) -> list[int]:
@@ -99,10 +99,10 @@
         for trouble, metrics in takeover.takeovers(seeds, f, 2 * f + 1).items():
             sweep = next(sweep for sweep in made if sweep.name.endswith(trouble))
             sweep.steps.append(Step(f, metrics))
-    ring = Sweep("ring", "servers", {"points": POINTS, "keys": takeover.KEYS, "seeds": seeds})
+    ring = Sweep("ring", "servers", {"points": VIRTUAL_NODES_PER_SERVER, "keys": takeover.KEYS, "seeds": seeds})
     for servers in (111, 1111, 3333):
         begun(f"ring, servers {servers}")
-        ring.steps.append(Step(servers, takeover.ring_moves(servers, POINTS, seeds)))
+        ring.steps.append(Step(servers, takeover.ring_moves(servers, VIRTUAL_NODES_PER_SERVER, seeds)))
     return [*made, ring]
 
 
--- a/rowanshift/capacity/takeover.py
+++ b/rowanshift/capacity/takeover.py
@@ -14,7 +14,7 @@
 
 from rowanshift.controlplane.record_kinds import CODEC
 from rowanshift.controlplane.replication import ProposalCommitted, Replica, Save, Send
-from rowanshift.placement.hash_ring import HashRing, stable
+from rowanshift.placement.hash_ring import HashRing, stable_hash
 
 TICK = 0.05  # seconds
 DUTY_WAIT = 3.3  # seconds: the service's lease of 3 s and its margin
@@ -186,19 +186,19 @@
 def ring_moves(servers: int, points: int, seeds: int) -> dict[str, float]:
     """Share of keys whose home changes when one of so many servers leaves: mean and largest over seeds."""
     ring = HashRing(str)
-    names = [f"i-{stable(str(i)):016x}" for i in range(servers)]
-    ring.lay(dict.fromkeys(names, points))
-    marks = [stable(f"key {i}") >> 32 for i in range(KEYS)]
+    names = [f"i-{stable_hash(str(i)):016x}" for i in range(servers)]
+    ring.set_point_counts(dict.fromkeys(names, points))
+    marks = [stable_hash(f"key {i}") >> 32 for i in range(KEYS)]
     at = time.process_time()
-    homes = Counter(ring.walk(mark, 1)[0] for mark in marks)
+    homes = Counter(ring.successors(mark, 1)[0] for mark in marks)
     walk = (time.process_time() - at) / KEYS
     random_source = random.Random(seeds)
     gone = random_source.sample(names, min(seeds, servers))
     # a server's share of the circle is what its leaving moves
-    circle = [*ring.ring, ring.ring[0] + (1 << 64)]
+    circle = [*ring.sorted_points, ring.sorted_points[0] + (1 << 64)]
     shares: Counter[str] = Counter()
     for low, high in pairwise(circle):
-        shares[ring.owner[high % (1 << 64)]] += high - low
+        shares[ring.owner_by_point[high % (1 << 64)]] += high - low
     total = sum(shares.values())
     own = [shares[name] / total for name in gone]
     return {
@@ -206,6 +206,6 @@
         "largest": max(own),
         "largest_of_all": max(shares.values()) / total,
         "homes_seen": len(homes),
-        "points": len(ring.ring),
+        "points": len(ring.sorted_points),
         "walk_cpu_s": round(walk, 8),
     }
--- a/rowanshift/dataplane/endpoints.py
+++ b/rowanshift/dataplane/endpoints.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from rowanshift.placement.shadows import Pool
+from rowanshift.placement.shadows import ServerPool
 
 
 @dataclass(slots=True, eq=False)
@@ -48,13 +48,13 @@
 
     def __init__(self, random_source: random.Random) -> None:
         self.random_source = random_source
-        self.pools: dict[str, Pool] = {}  # by service
+        self.pools: dict[str, ServerPool[Endpoint]] = {}  # by service
         self.by_id: dict[str, Endpoint] = {}
 
-    def pool(self, service: str) -> Pool:
+    def pool(self, service: str) -> ServerPool[Endpoint]:
         """The endpoints of a service that may get requests."""
         if service not in self.pools:
-            self.pools[service] = Pool(self.random_source)
+            self.pools[service] = ServerPool(self.random_source)
         return self.pools[service]
 
     def apply_listed(self, listed: list[Endpoint]) -> list[Endpoint]:
@@ -88,8 +88,8 @@
                 available.setdefault(endpoint.service, []).append(endpoint)
         for service, members in available.items():
             pool = self.pool(service)
-            if set(members) != set(pool.engines):
-                pool.lay(members)
+            if set(members) != set(pool.servers):
+                pool.set_servers(members)
 
 
 def is_same_server(known: Endpoint, endpoint: Endpoint) -> bool:
--- a/rowanshift/dataplane/forwarded_request.py
+++ b/rowanshift/dataplane/forwarded_request.py
@@ -16,7 +16,7 @@
 )
 from rowanshift.dataplane.routing_table import Route, Tenant
 from rowanshift.dataplane.upstream import ServerConnection
-from rowanshift.placement.shadows import mark_of
+from rowanshift.placement.shadows import ring_position
 
 MIN_ATTEMPT_SECONDS = 0.02  # with less time left no attempt is made
 RETRY_AFTER_SECONDS = 0.1  # that a refused client is asked to wait
@@ -82,7 +82,7 @@
     @property
     def ring_position(self) -> int:
         """The position of its prompt's prefix on the hash ring."""
-        return mark_of(self.request.model, self.request.prefix)
+        return ring_position(self.request.model, self.request.prefix)
 
     @property
     def excluded(self) -> set[str]:
--- a/rowanshift/dataplane/forwarder.py
+++ b/rowanshift/dataplane/forwarder.py
@@ -18,7 +18,7 @@
 from rowanshift.dataplane.server_attempt import ChoiceOutdated, ServerAttempts
 from rowanshift.dataplane.server_selection import ServerSelection, max_wait_seconds
 from rowanshift.dataplane.upstream import UpstreamPool
-from rowanshift.placement.shadows import Pool, back_off, lighter
+from rowanshift.placement.shadows import ServerPool, back_off, least_loaded
 
 MAX_UNREACHABLE_SERVERS = 4  # for one request; then it is refused
 
@@ -116,7 +116,7 @@
                 return forwarded.reserved_connection.endpoint
             pool = self.selection.pool(forwarded)
             if not forwarded.excluded:
-                pool.sample(forwarded.ring_position, now)
+                pool.record_access(forwarded.ring_position, now)
             endpoint = self.selection.pick(forwarded, pool, now)
             if endpoint is None:
                 await self._wait_for_server(forwarded, pool, now)
@@ -134,7 +134,7 @@
         self.admission.require_time_left(forwarded, now)
         self.admission.require_not_draining(forwarded, now)
 
-    async def _wait_for_server(self, forwarded: ForwardedRequest, pool: Pool, now: float) -> None:
+    async def _wait_for_server(self, forwarded: ForwardedRequest, pool: ServerPool[Endpoint], now: float) -> None:
         """Wait for a change of what servers are available; ``Refusal`` once that took too long, or one was tried."""
         if not forwarded.wait_ends_at:
             forwarded.wait_ends_at = now + max_wait_seconds(forwarded, pool, now)
@@ -142,13 +142,15 @@
             raise forwarded.last_refusal
         await self.state.wait_for_update(min(forwarded.wait_ends_at, forwarded.deadline) - now)
 
-    async def _least_loaded(self, forwarded: ForwardedRequest, pool: Pool, picked: Endpoint) -> Endpoint:
+    async def _least_loaded(
+        self, forwarded: ForwardedRequest, pool: ServerPool[Endpoint], picked: Endpoint
+    ) -> Endpoint:
         """The server picked, or another that serves as well and has far fewer tokens to read, over all routers."""
         others = self.selection.alternatives(forwarded, pool, picked, trio.current_time())
         if not others:
             return picked
         waiting = await self.loads.ask([picked.id, *(endpoint.id for endpoint in others)])
-        chosen: Endpoint = lighter(picked, others, waiting, forwarded.request.shared)
+        chosen: Endpoint = least_loaded(picked, others, waiting, forwarded.request.shared)
         return chosen
 
     def _on_server_unreachable(self, forwarded: ForwardedRequest, endpoint: Endpoint) -> None:
--- a/rowanshift/dataplane/kv_transfers.py
+++ b/rowanshift/dataplane/kv_transfers.py
@@ -11,7 +11,7 @@
 from rowanshift.dataplane.requests import Request, salt_of
 from rowanshift.dataplane.routing_table import RoutingTable, Tenant
 from rowanshift.kv_index.block_hashes import block_hash, presence_hash, store_for_prefix
-from rowanshift.placement.shadows import Pool, is_open
+from rowanshift.placement.shadows import ServerPool, accepts_requests
 
 MIN_STORE_TRANSFER_TOKENS = 64  # shared tokens of a prompt that are worth a transfer from or to a store
 MIN_HOME_FETCH_TOKENS = 1000  # shared tokens for which the home of a prompt asks its successors
@@ -31,7 +31,7 @@
 
 
 def transfer_source(
-    pool: Pool, request: Request, ring_position: int, version: int, endpoint: Endpoint, now: float
+    pool: ServerPool[Endpoint], request: Request, ring_position: int, version: int, endpoint: Endpoint, now: float
 ) -> Endpoint | None:
     """The server that may keep the shared blocks of a request that goes to ``endpoint``; ``None`` if there is none.
 
@@ -42,10 +42,10 @@
     # meanwhile, are asked only for so many tokens that a vain question costs less than computing them.
     if endpoint is pool.home(ring_position) and request.shared < MIN_HOME_FETCH_TOKENS:
         return None
-    candidates: list[Any] = pool.ring.walk(ring_position, SOURCE_CANDIDATE_SERVERS)
+    candidates: list[Any] = pool.ring.successors(ring_position, SOURCE_CANDIDATE_SERVERS)
     other: Endpoint
     for other in candidates:
-        if other is not endpoint and is_open(other, now) and other.versions.get(request.model, 0) == version:
+        if other is not endpoint and accepts_requests(other, now) and other.versions.get(request.model, 0) == version:
             return other
     return None
 
--- a/rowanshift/dataplane/load_index.py
+++ b/rowanshift/dataplane/load_index.py
@@ -21,7 +21,7 @@
 
 from rowanshift.dataplane.ownership import owner_of
 from rowanshift.dataplane.server_health import ServerHealthTracker
-from rowanshift.placement.hash_ring import stable
+from rowanshift.placement.hash_ring import stable_hash
 from rowanshift.transport.runtime import Runtime
 from rowanshift.transport.streams import Address, Port
 from rowanshift.wire.machine_ids import ip_from_machine_id
@@ -146,7 +146,7 @@
         self.calls = count(1)
         self.waits: dict[int, tuple[dict[int, int], set[int], trio.Event]] = {}
         self.owner_of = lru_cache(4096)(lambda server: owner_of(server, self.peers))
-        self.mark = lru_cache(16384)(stable)
+        self.mark = lru_cache(16384)(stable_hash)
         self.lost = 0  # questions without an answer
 
     def meet(self, peers: tuple[int, ...]) -> None:
--- a/rowanshift/dataplane/server_selection.py
+++ b/rowanshift/dataplane/server_selection.py
@@ -7,7 +7,7 @@
 from rowanshift.dataplane.forwarded_request import ForwardedRequest
 from rowanshift.dataplane.retry_budget import RetryBudget
 from rowanshift.dataplane.retry_decision import ExchangeOutcome
-from rowanshift.placement.shadows import Pool, back_off
+from rowanshift.placement.shadows import ServerPool, back_off
 from rowanshift.transport.http_connection import Message
 
 NO_SERVER_WAIT_FRACTION = 0.2  # of the route's target latency, that a request waits for an available server
@@ -28,22 +28,22 @@
         self.state = state
         self.retry_budget_of = retry_budget_of
 
-    def pool(self, forwarded: ForwardedRequest) -> Pool:
+    def pool(self, forwarded: ForwardedRequest) -> ServerPool[Endpoint]:
         """The servers of the request's service."""
         return self.state.endpoints.pool(forwarded.service)
 
-    def pick(self, forwarded: ForwardedRequest, pool: Pool, now: float) -> Endpoint | None:
+    def pick(self, forwarded: ForwardedRequest, pool: ServerPool[Endpoint], now: float) -> Endpoint | None:
         """The server for the next attempt; None if none is available."""
         model = forwarded.request.model
         version = self.state.required_version(model, now)
-        picked: Endpoint | None = pool.pick(forwarded.ring_position, now, model, version, forwarded.excluded)
-        return picked
+        return pool.select(forwarded.ring_position, now, model, version, forwarded.excluded)
 
-    def alternatives(self, forwarded: ForwardedRequest, pool: Pool, picked: Endpoint, now: float) -> list[Endpoint]:
+    def alternatives(
+        self, forwarded: ForwardedRequest, pool: ServerPool[Endpoint], picked: Endpoint, now: float
+    ) -> list[Endpoint]:
         """Other servers that could serve the request as well as the one picked."""
         request = forwarded.request
-        others: list[Endpoint] = pool.others(forwarded.ring_position, now, request.model, picked, forwarded.excluded)
-        return others
+        return pool.alternatives(forwarded.ring_position, now, request.model, picked, forwarded.excluded)
 
     def grant_retry(self, forwarded: ForwardedRequest, now: float) -> bool:
         """Whether the route and the retry budget allow one more attempt; the budget is drawn on once for it."""
@@ -63,9 +63,9 @@
         return version >= self.state.required_version(model, now)
 
 
-def max_wait_seconds(forwarded: ForwardedRequest, pool: Pool, now: float) -> float:
+def max_wait_seconds(forwarded: ForwardedRequest, pool: ServerPool[Endpoint], now: float) -> float:
     """How long a request waits for an available server, from ``now``: longer while servers load new weights."""
-    if any(endpoint.loading for endpoint in pool.engines):
+    if any(endpoint.loading for endpoint in pool.servers):
         return min(LOADING_WAIT_MAX_SECONDS, LOADING_WAIT_FRACTION * (forwarded.deadline - now))
     return min(NO_SERVER_WAIT_MAX_SECONDS, NO_SERVER_WAIT_FRACTION * forwarded.route.target_latency)
 
--- a/rowanshift/kv_index/block_hashes.py
+++ b/rowanshift/kv_index/block_hashes.py
@@ -7,19 +7,19 @@
 from collections.abc import Iterable, Sequence
 from struct import pack, unpack
 
-from rowanshift.placement.hash_ring import stable
+from rowanshift.placement.hash_ring import stable_hash
 
 HASH_BYTES = 8
 
 
 def block_hash(holder: str, model: str, salt: str, block_id: str) -> int:
     """The hash, 64 bits, of one block at the holder with this address (IP:PORT)."""
-    return stable(f"{holder}|{model}|{salt}|{block_id}")
+    return stable_hash(f"{holder}|{model}|{salt}|{block_id}")
 
 
 def presence_hash(holder: str) -> int:
     """The hash that stands for the holder itself: where it is among the holdings, the holder answers."""
-    return stable(f"{holder}|")
+    return stable_hash(f"{holder}|")
 
 
 def store_for_prefix(stores: Iterable[str], prefix: str) -> str | None:
@@ -27,7 +27,7 @@
 
     By rendezvous hashing: each prefix has one store, and a store that is lost moves only its own prefixes.
     """
-    return max(stores, default=None, key=lambda address: stable(f"{address}|{prefix}"))
+    return max(stores, default=None, key=lambda address: stable_hash(f"{address}|{prefix}"))
 
 
 def pack_block_hashes(hashes: Sequence[int]) -> bytes:
--- a/rowanshift/placement/hash_ring.py
+++ b/rowanshift/placement/hash_ring.py
@@ -1,52 +1,75 @@
-"""Consistent hashing with virtual nodes: which owners a key goes to, in order."""
+"""Consistent hashing with virtual nodes: which owners a key goes to, in order. No I/O."""
 
 from bisect import bisect_left, bisect_right
-from collections.abc import Callable, Hashable, Mapping
+from collections.abc import Callable, Mapping
 from hashlib import blake2b
+from typing import Generic, TypeVar
 
-WALKS = 20000  # walks kept
+MAX_CACHED_WALKS = 20000  # positions whose successors are kept; all are dropped beyond it
 
+Owner = TypeVar("Owner")  # hashable
 
-def stable(text: str) -> int:
-    """A hash that every process shares."""
+
+def stable_hash(text: str) -> int:
+    """A hash of 64 bits that every process shares."""
     return int.from_bytes(blake2b(text.encode(), digest_size=8).digest(), "big")
 
 
-class HashRing:
-    """A ring of points (virtual nodes) of owners. ``name`` gives the text that an owner's points hash."""
-
-    def __init__(self, name: Callable[[Hashable], str] = str) -> None:
-        self.name = name
-        self.points: dict[Hashable, tuple[int, ...]] = {}
-        self.ring: list[int] = []  # all points in order
-        self.owner: dict[int, Hashable] = {}  # whose a point is
-        self.walks: dict[int, list[Hashable]] = {}
-
-    def lay(self, wanted: Mapping[Hashable, int]) -> None:
-        """Merges what has changed of each owner's number of points: laid anew, it would take much CPU."""
-        for owner in [o for o, points in self.points.items() if len(points) != wanted.get(o, 0)]:
-            for point in self.points.pop(owner):
-                del self.owner[point], self.ring[bisect_left(self.ring, point)]
-        for owner, count in wanted.items():
-            if count and owner not in self.points:
-                points = self.points[owner] = tuple(stable(f"{self.name(owner)}#{i}") for i in range(count))
-                self.owner.update(dict.fromkeys(points, owner))
-                self.ring += points
-        self.ring.sort()
-        self.walks.clear()
-
-    def walk(self, mark: int, length: int) -> list[Hashable]:
-        """The first distinct owners from the key on; its mark is the first 32 bits of its stable hash."""
-        walk = self.walks.get(mark)
-        if walk is None or len(walk) < min(length, len(self.points)):
-            if len(self.walks) > WALKS:
-                self.walks.clear()
-            walk, start = [], bisect_right(self.ring, mark << 32)
-            for i in range(start, start + len(self.ring)):
-                owner = self.owner[self.ring[i % len(self.ring)]]
-                if owner not in walk:
-                    walk.append(owner)
-                    if len(walk) == length:
-                        break
-            self.walks[mark] = walk
-        return walk[:length]
+class HashRing(Generic[Owner]):
+    """A ring of the points (virtual nodes) of owners.
+
+    A key's position on it is the first 32 bits of its stable hash. ``name_of`` gives the text from which an owner's
+    points are hashed.
+    """
+
+    def __init__(self, name_of: Callable[[Owner], str] = str) -> None:
+        self.name_of = name_of
+        self.points_by_owner: dict[Owner, tuple[int, ...]] = {}
+        self.sorted_points: list[int] = []
+        self.owner_by_point: dict[int, Owner] = {}
+        self._successors: dict[int, list[Owner]] = {}  # by position, as far as they were asked for
+
+    def set_point_counts(self, counts: Mapping[Owner, int]) -> None:
+        """Set how many points each owner has; owners that are not named have none.
+
+        Only what changes is hashed: hashing every point anew would take much processor time.
+        """
+        for owner in [owner for owner, points in self.points_by_owner.items() if len(points) != counts.get(owner, 0)]:
+            self._remove(owner)
+        for owner, count in counts.items():
+            if count and owner not in self.points_by_owner:
+                self._add(owner, count)
+        self.sorted_points.sort()
+        self._successors.clear()
+
+    def _remove(self, owner: Owner) -> None:
+        for point in self.points_by_owner.pop(owner):
+            del self.owner_by_point[point]
+            del self.sorted_points[bisect_left(self.sorted_points, point)]
+
+    def _add(self, owner: Owner, count: int) -> None:
+        points = tuple(stable_hash(f"{self.name_of(owner)}#{number}") for number in range(count))
+        self.points_by_owner[owner] = points
+        self.owner_by_point.update(dict.fromkeys(points, owner))
+        self.sorted_points += points
+
+    def successors(self, position: int, length: int) -> list[Owner]:
+        """The first distinct owners from a position on, at most ``length``; the first is the key's home."""
+        found = self._successors.get(position)
+        if found is None or len(found) < min(length, len(self.points_by_owner)):
+            if len(self._successors) > MAX_CACHED_WALKS:
+                self._successors.clear()
+            found = self._walk(position, length)
+            self._successors[position] = found
+        return found[:length]
+
+    def _walk(self, position: int, length: int) -> list[Owner]:
+        found: list[Owner] = []
+        start = bisect_right(self.sorted_points, position << 32)
+        for index in range(start, start + len(self.sorted_points)):
+            owner = self.owner_by_point[self.sorted_points[index % len(self.sorted_points)]]
+            if owner not in found:
+                found.append(owner)
+                if len(found) == length:
+                    break
+        return found
--- a/rowanshift/placement/shadows.py
+++ b/rowanshift/placement/shadows.py
@@ -1,95 +1,154 @@
-"""Where a request for a model server goes: the ring home of its prefix, a leased shadow while that is hot,
-or the next on the ring walk while the home is out or holds well over the mean. No I/O, no clock; seconds."""
+"""Where a request for a model server goes. No I/O, no clock: times are passed in, in seconds.
 
-from rowanshift.placement.hash_ring import HashRing, stable
-from rowanshift.placement.hot_keys import Hotness
+It goes to the ring home of its prompt's prefix, to one of the home's leased shadows while the prefix is hot, or to the
+next server on the ring while the home is unavailable or has far more open requests than the mean.
+"""
 
-POINTS = 128  # on the ring for a server
-WALK = 8  # servers looked at for a prefix
-SILENT = 0.8  # seconds without a byte from a server that has requests, after which no more go there
-BACK_OFF, LONGEST_BACK_OFF = 0.25, 4.0  # seconds out after a failed dial; doubled with each
-OTHERS, EASE, MOVED = 2, 1500, 0.3  # servers compared; tokens; what a moved token costs of a read one
-MARGIN, SPARE = 2.0, 3.0  # over the mean of own open work, in means and in requests
+import random
+from collections.abc import Container, Sequence
+from typing import Generic, Protocol, TypeVar
 
+from rowanshift.placement.hash_ring import HashRing, stable_hash
+from rowanshift.placement.hot_keys import HotKeyTracker
 
-def is_open(engine, now: float) -> bool:
-    """Whether a new request may go to a server, its load aside."""
-    if not engine.listed or engine.draining or engine.loading or now < engine.backed_off_until:
-        return False
-    return not (engine.open_requests and now - engine.last_received_at > SILENT)
-
-
-def back_off(engine, now: float) -> None:
-    """A dial failed, or the server isn't there any more."""
-    engine.failed_dials += 1
-    until = now + min(LONGEST_BACK_OFF, BACK_OFF * 2 ** min(engine.failed_dials - 1, 8))
-    engine.backed_off_until = max(engine.backed_off_until, until)
-
-
-def lighter(first, others: list, waiting: dict[str, int], shared: int):
-    """Of the first and the others the one with the least to read before a request, where the first has over
-    ``EASE`` tokens; another lacks the ``shared`` tokens and has them moved there."""
-    if waiting.get(first.id, 0) <= EASE:
-        return first
-    known = [engine for engine in others if engine.id in waiting]
-    best = min(known, default=first, key=lambda engine: waiting[engine.id])
-    return best if waiting.get(best.id, 0) + MOVED * shared < waiting[first.id] else first
+VIRTUAL_NODES_PER_SERVER = 128
+MAX_SUCCESSORS = 8  # servers considered for a prefix, shadows aside
+SILENCE_SECONDS = 0.8  # without a byte from a server that has requests, after which no more go there
+INITIAL_BACKOFF_SECONDS = 0.25  # after a failed dial; doubled with each
+MAX_BACKOFF_SECONDS = 4.0
+MAX_BACKOFF_DOUBLINGS = 8
+MAX_ALTERNATIVES = 2  # servers compared with the one that was selected
+LOAD_THRESHOLD_TOKENS = 1500  # still to be read, up to which a server is not compared with others
+MOVE_COST_FRACTION = 0.3  # what a token that is moved to a server costs of one that it reads
+OVERLOAD_FACTOR = 2.0  # times the mean of open requests ...
+OVERLOAD_SLACK_REQUESTS = 3.0  # ... and so many more, from which on a server is passed over
 
 
-def mark_of(model: str, prefix: bytes) -> int:
-    """A prefix's place on the ring, the same at every counter."""
-    return stable(f"{model}|{prefix.decode('latin-1')}") >> 32
+class Server(Protocol):
+    """What placement knows of a server."""
 
+    id: str
+    versions: dict[str, int]  # of the weights of each model
+    listed: bool
+    draining: bool
+    loading: bool
+    open_requests: int  # of this router
+    last_received_at: float
+    backed_off_until: float
+    failed_dials: int  # in a row
 
-class Pool:
-    """The ready servers of a service, their ring and what is hot there."""
 
-    def __init__(self, random_source) -> None:
-        self.random_source, self.hotness = random_source, Hotness(0.0)
-        self.ring, self.engines = HashRing(lambda engine: engine.id), []
-        self.drawn = {}  # the replica kept for a hot prefix
+ServerT = TypeVar("ServerT", bound=Server)
 
-    def lay(self, engines: list) -> None:
-        self.engines = engines
-        self.ring.lay(dict.fromkeys(engines, POINTS))
-        self.drawn = {mark: engine for mark, engine in self.drawn.items() if engine in engines}
 
-    def sample(self, mark: int, now: float) -> None:
-        """One more request for a prefix, of those that this counter has seen."""
-        self.hotness.sample(mark)
-        if self.hotness.epoch_due(now):
-            self.hotness.epoch(now, len(self.engines))
-
-    def pick(self, mark: int, now: float, model: str, version: int, out):
-        """The server for a prefix, of those that have the version or a newer one; None if there is none."""
-
-        def fit(engine) -> bool:
-            return engine.id not in out and is_open(engine, now) and engine.versions.get(model, 0) >= version
-
-        shadows = hot.shadows if (hot := self.hotness.get(mark)) is not None else 0
-        walk = [engine for engine in self.ring.walk(mark, WALK + shadows) if fit(engine)]
-        if not walk:
-            return min(filter(fit, self.engines), default=None, key=lambda engine: engine.open_requests)
-        most = MARGIN * sum(engine.open_requests for engine in self.engines) / len(self.engines) + SPARE
+def accepts_requests(server: Server, now: float) -> bool:
+    """Whether a new request may go to a server, its load aside."""
+    if not server.listed or server.draining or server.loading or now < server.backed_off_until:
+        return False
+    return not (server.open_requests and now - server.last_received_at > SILENCE_SECONDS)
+
+
+def back_off(server: Server, now: float) -> None:
+    """Send nothing there for a while: a dial failed, or the server isn't there any more."""
+    server.failed_dials += 1
+    doublings = min(server.failed_dials - 1, MAX_BACKOFF_DOUBLINGS)
+    until = now + min(MAX_BACKOFF_SECONDS, INITIAL_BACKOFF_SECONDS * 2**doublings)
+    server.backed_off_until = max(server.backed_off_until, until)
+
+
+def least_loaded(
+    selected: ServerT, alternatives: Sequence[ServerT], tokens_to_read: dict[str, int], shared_tokens: int
+) -> ServerT:
+    """The selected server, or an alternative that has clearly less to read where the selected one has much.
+
+    ``tokens_to_read`` is the load of the servers, by id, as far as it is known. An alternative lacks the
+    ``shared_tokens`` of the prompt and has them moved there.
+    """
+    if tokens_to_read.get(selected.id, 0) <= LOAD_THRESHOLD_TOKENS:
+        return selected
+    known = [server for server in alternatives if server.id in tokens_to_read]
+    best = min(known, default=selected, key=lambda server: tokens_to_read[server.id])
+    cost = tokens_to_read.get(best.id, 0) + MOVE_COST_FRACTION * shared_tokens
+    return best if cost < tokens_to_read[selected.id] else selected
+
+
+def ring_position(model: str, prefix: bytes) -> int:
+    """A prefix's position on the hash ring, the same at every router."""
+    return stable_hash(f"{model}|{prefix.decode('latin-1')}") >> 32
+
+
+class ServerPool(Generic[ServerT]):
+    """The available servers of a service, their hash ring, and which prefixes are hot there."""
+
+    def __init__(self, random_source: random.Random) -> None:
+        self.random_source = random_source
+        self.hot_keys = HotKeyTracker(0.0)
+        self.ring: HashRing[ServerT] = HashRing(lambda server: server.id)
+        self.servers: list[ServerT] = []
+        self.replica_by_position: dict[int, ServerT] = {}  # that is kept for a hot prefix
+
+    def set_servers(self, servers: list[ServerT]) -> None:
+        """Set the available servers."""
+        self.servers = servers
+        self.ring.set_point_counts(dict.fromkeys(servers, VIRTUAL_NODES_PER_SERVER))
+        self.replica_by_position = {
+            position: server for position, server in self.replica_by_position.items() if server in servers
+        }
+
+    def record_access(self, position: int, now: float) -> None:
+        """Count one more request for a prefix at this router."""
+        self.hot_keys.record_access(position)
+        if self.hot_keys.is_epoch_due(now):
+            self.hot_keys.end_epoch(now, len(self.servers))
+
+    def select(self, position: int, now: float, model: str, version: int, excluded: Container[str]) -> ServerT | None:
+        """The server for a prefix, of those with that version of the model or a newer one; None if there is none."""
+
+        def is_eligible(server: ServerT) -> bool:
+            if server.id in excluded or not accepts_requests(server, now):
+                return False
+            return server.versions.get(model, 0) >= version
+
+        hot_key = self.hot_keys.get(position)
+        shadows = hot_key.shadows if hot_key is not None else 0
+        successors = self.ring.successors(position, MAX_SUCCESSORS + shadows)
+        candidates = [server for server in successors if is_eligible(server)]
+        if not candidates:
+            eligible = filter(is_eligible, self.servers)
+            return min(eligible, default=None, key=lambda server: server.open_requests)
+        limit = self._open_requests_limit()
         if shadows:
-            return self._replica(mark, walk[: shadows + 1], most)
-        return next((engine for engine in walk if engine.open_requests < most), walk[0])
-
-    def others(self, mark: int, now: float, model: str, first, out) -> list:
-        """The next servers on the ring walk that could serve as well as the first that was picked."""
-        version = first.versions.get(model, 0)
-        able = [e for e in self.ring.walk(mark, WALK) if e.id not in out and e.versions.get(model, 0) >= version]
-        return [engine for engine in able if engine is not first and is_open(engine, now)][:OTHERS]
-
-    def _replica(self, mark: int, replicas: list, most: float):
-        """One replica drawn at random and kept, until it holds well over the mean."""
-        kept = self.drawn.get(mark)
-        if kept not in replicas:
+            return self._replica(position, candidates[: shadows + 1], limit)
+        return next((server for server in candidates if server.open_requests < limit), candidates[0])
+
+    def _open_requests_limit(self) -> float:
+        """The open requests from which on a server is passed over."""
+        mean = sum(server.open_requests for server in self.servers) / len(self.servers)
+        return OVERLOAD_FACTOR * mean + OVERLOAD_SLACK_REQUESTS
+
+    def alternatives(
+        self, position: int, now: float, model: str, selected: ServerT, excluded: Container[str]
+    ) -> list[ServerT]:
+        """The next servers on the ring that could serve as well as the selected one."""
+        version = selected.versions.get(model, 0)
+        able = [
+            server
+            for server in self.ring.successors(position, MAX_SUCCESSORS)
+            if server.id not in excluded and server.versions.get(model, 0) >= version
+        ]
+        available = [server for server in able if server is not selected and accepts_requests(server, now)]
+        return available[:MAX_ALTERNATIVES]
+
+    def _replica(self, position: int, replicas: list[ServerT], limit: float) -> ServerT:
+        """One replica drawn at random and kept, until it has open requests up to the limit."""
+        kept = self.replica_by_position.get(position)
+        if kept is None or kept not in replicas:
             kept = replicas[int(self.random_source.random() * len(replicas))]
-        elif kept.open_requests >= most:
-            kept = min(replicas, key=lambda engine: engine.open_requests)
-        self.drawn[mark] = kept
+        elif kept.open_requests >= limit:
+            kept = min(replicas, key=lambda server: server.open_requests)
+        self.replica_by_position[position] = kept
         return kept
 
-    def home(self, mark: int):
-        return next(iter(self.ring.walk(mark, 1)), None)
+    def home(self, position: int) -> ServerT | None:
+        """The first server of a prefix on the ring, None if there is none."""
+        return next(iter(self.ring.successors(position, 1)), None)
--- a/rowanshift/simulation/world.py
+++ b/rowanshift/simulation/world.py
@@ -25,7 +25,7 @@
 from rowanshift.emulation.servers import Cache, Kind, Origin, Server, Spoiling
 from rowanshift.invariants.checks import Broken, Rules, Terms
 from rowanshift.invariants.events import Events, Fact
-from rowanshift.placement.hash_ring import stable
+from rowanshift.placement.hash_ring import stable_hash
 from rowanshift.simulation.clock import Determined, VirtualClock
 from rowanshift.simulation.machine import Machine
 from rowanshift.simulation.network import EPOCH, Network, Paths
@@ -261,7 +261,7 @@
         entries = [entry_of(row, config.names) for row in config.known["instances"]]
         probe.list_changed(EPOCH, "cached", entries)
         for key in (f"k{n}" for n in range(self.scenario.work.keys)):
-            if walk := probe._walk(stable(key) >> 32):
+            if walk := probe._walk(stable_hash(key) >> 32):
                 self.caches[walk[0].entry.server].held[key] = 0
 
     def _new_cache(self, site: int, machine: Machine | None = None, name: str = "") -> CachePlace:
--- a/tests/cacheproxy/test_handover.py
+++ b/tests/cacheproxy/test_handover.py
@@ -11,7 +11,7 @@
 from rowanshift.cacheproxy.control import CALLERS
 from rowanshift.cacheproxy.handover import MEET_WITHIN, Handover
 from rowanshift.cacheproxy.service import Phase
-from rowanshift.placement.hot_keys import Hot
+from rowanshift.placement.hot_keys import HotKey
 from rowanshift.transport.descriptor_budget import RESERVED_DESCRIPTORS, DescriptorBudget
 from rowanshift.transport.memory_budget import MIN_CAPACITY_BYTES, MemoryBudget
 from rowanshift.transport.runtime import SYSTEM_RUNTIME
@@ -159,7 +159,7 @@
         router = rig.service.driver.router
         router.origin.base, router.origin.median, router.origin.limit = 0.05, 0.3, 3.0
         router.asked, router.warm_rate, router.extra = [70.0], 9.0, 0.4
-        router.scores[7] = Hot(5.0, 6, router.now + 4.0, 2)
+        router.scores[7] = HotKey(5.0, 6, router.now + 4.0, 2)
         new = (await second(rig)).driver.router
         origin = new.origin
         return (
--- a/tests/cacheproxy/test_router_decisions.py
+++ b/tests/cacheproxy/test_router_decisions.py
@@ -3,8 +3,8 @@
 import pytest
 
 from rowanshift.cacheproxy.model import Answer, Item, Tally, Verdict
-from rowanshift.placement.hash_ring import stable
-from rowanshift.placement.hot_keys import LEASE, Hot
+from rowanshift.placement.hash_ring import stable_hash
+from rowanshift.placement.hot_keys import SHADOW_LEASE_SECONDS, HotKey
 from tests.support.helpers import (
     CATEGORIES,
     EXCLUSIVE,
@@ -18,7 +18,7 @@
     take,
 )
 
-K = stable("k") >> 32
+K = stable_hash("k") >> 32
 KEYS = [f"k:{n}" for n in range(300)]
 
 
@@ -95,16 +95,16 @@
 @pytest.mark.parametrize("health", ["quiescing", "dead"])
 def test_a_drained_cache_gets_nothing_new_and_others_keep_their_keys(health):
     r = router()
-    before = {k: r._walk(stable(k) >> 32)[0].entry.server for k in KEYS}
+    before = {k: r._walk(stable_hash(k) >> 32)[0].entry.server for k in KEYS}
     r.list_changed(r.now, "delta", [entry(2, health)])
-    after = {k: r._walk(stable(k) >> 32)[0].entry.server for k in KEYS}
+    after = {k: r._walk(stable_hash(k) >> 32)[0].entry.server for k in KEYS}
     assert "cache:2" not in after.values()
     assert all(after[k] == home for k, home in before.items() if home != "cache:2")
 
 
 def test_heft_weighs_ring_points():
     r = router(entries=[entry(0, heft=3.0), entry(1), entry(2)])
-    homes = [r._walk(stable(k) >> 32)[0].entry.server for k in KEYS]
+    homes = [r._walk(stable_hash(k) >> 32)[0].entry.server for k in KEYS]
     assert homes.count("cache:0") > homes.count("cache:1") + homes.count("cache:2") * 0.5
 
 
@@ -144,7 +144,7 @@
 def test_a_key_is_hot_after_four_epochs_over_one_servers_share(share, epochs, hot):
     r = router(5)
     for _ in range(epochs):
-        r.scores.setdefault(K, Hot()).score += 100 * share
+        r.scores.setdefault(K, HotKey()).score += 100 * share
         r.samples += 100
         r.now += 1.0
         r._epoch()
@@ -153,9 +153,9 @@
 
 def test_a_lease_runs_out_when_the_key_cools():
     r = router()
-    hot = r.scores[K] = Hot()
-    hot.shadows, hot.lease = 2, r.now + LEASE
-    r.now += LEASE + 0.1
+    hot = r.scores[K] = HotKey()
+    hot.shadows, hot.lease = 2, r.now + SHADOW_LEASE_SECONDS
+    r.now += SHADOW_LEASE_SECONDS + 0.1
     r.samples = 100.0
     r._epoch()
     assert K not in r.scores
@@ -164,14 +164,14 @@
 @pytest.mark.parametrize(("write", "score"), [(False, 1), (True, -1)])
 def test_reads_raise_and_writes_lower_a_score(write, score):
     r = router()
-    r.scores[K] = Hot()
+    r.scores[K] = HotKey()
     take(r, 1, write=write)
     assert r.scores[K].score == score
 
 
 def test_a_replica_is_kept_until_it_holds_well_over_the_mean():
     r = router()
-    hot, replicas = Hot(), r.ready[:2]
+    hot, replicas = HotKey(), r.ready[:2]
     kept = r._replica(hot, replicas)
     assert r._replica(hot, replicas) is kept
     kept.inflight = 9
--- a/tests/dataplane/test_endpoints.py
+++ b/tests/dataplane/test_endpoints.py
@@ -8,21 +8,21 @@
 
 from rowanshift.dataplane.endpoints import Endpoint, Endpoints
 from rowanshift.dataplane.kv_transfers import MIN_HOME_FETCH_TOKENS, transfer_source
-from rowanshift.placement.hot_keys import EVIDENCE, HOT_EPOCHS, LEASE
+from rowanshift.placement.hot_keys import HOT_EPOCHS, MIN_SAMPLES, SHADOW_LEASE_SECONDS
 from rowanshift.placement.shadows import (
-    BACK_OFF,
-    EASE,
-    LONGEST_BACK_OFF,
-    MARGIN,
-    MOVED,
-    OTHERS,
-    SILENT,
-    SPARE,
-    WALK,
+    INITIAL_BACKOFF_SECONDS,
+    LOAD_THRESHOLD_TOKENS,
+    MAX_ALTERNATIVES,
+    MAX_BACKOFF_SECONDS,
+    MAX_SUCCESSORS,
+    MOVE_COST_FRACTION,
+    OVERLOAD_FACTOR,
+    OVERLOAD_SLACK_REQUESTS,
+    SILENCE_SECONDS,
+    accepts_requests,
     back_off,
-    is_open,
-    lighter,
-    mark_of,
+    least_loaded,
+    ring_position,
 )
 
 SERVICE, MODEL = "s", "m"
@@ -39,23 +39,23 @@
 
 
 def marks(many=300):
-    return [mark_of(MODEL, b"p%d" % n) for n in range(many)]
+    return [ring_position(MODEL, b"p%d" % n) for n in range(many)]
 
 
 def cold():
     """Prefixes of which none comes again."""
-    return (mark_of(MODEL, b"cold-%d" % n) for n in count())
+    return (ring_position(MODEL, b"cold-%d" % n) for n in count())
 
 
 class Case(unittest.TestCase):
     def setUp(self):
         self.endpoints = endpoints_of()
         self.pool = self.endpoints.pool(SERVICE)
-        self.mark = mark_of(MODEL, b"prefix")
-        self.walk = self.pool.ring.walk(self.mark, 6)
+        self.mark = ring_position(MODEL, b"prefix")
+        self.walk = self.pool.ring.successors(self.mark, 6)
 
     def pick(self, mark=None, now=0.0, version=1, out=()):
-        return self.pool.pick(self.mark if mark is None else mark, now, MODEL, version, out)
+        return self.pool.select(self.mark if mark is None else mark, now, MODEL, version, out)
 
 
 class Homes(Case):
@@ -67,7 +67,7 @@
         other = Endpoints(random.Random(9))
         other.apply_listed([endpoint(n) for n in reversed(range(6))])
         for mark in marks():
-            self.assertEqual(other.pool(SERVICE).pick(mark, 0.0, MODEL, 1, ()).id, self.pick(mark).id)
+            self.assertEqual(other.pool(SERVICE).select(mark, 0.0, MODEL, 1, ()).id, self.pick(mark).id)
 
     def test_prefixes_are_spread(self):
         counts = Counter(self.pick(mark).id for mark in marks(2000))
@@ -84,7 +84,7 @@
         self.assertEqual(set(moved), {"i-6"})
 
     def test_models_and_prefixes_have_places_of_their_own(self):
-        places = {mark_of(model, prefix) for model in "mn" for prefix in (b"a", b"b", b"\xff")}
+        places = {ring_position(model, prefix) for model in "mn" for prefix in (b"a", b"b", b"\xff")}
         self.assertEqual(len(places), 6)
         self.assertLess(self.mark, 2**32)
 
@@ -94,7 +94,7 @@
         for name, value in (("draining", True), ("loading", True), ("listed", False), ("backed_off_until", 5.0)):
             self.setUp()
             setattr(self.walk[0], name, value)
-            self.assertFalse(is_open(self.walk[0], 1.0))
+            self.assertFalse(accepts_requests(self.walk[0], 1.0))
             self.assertIs(self.pick(now=1.0), self.walk[1], name)
 
     def test_one_tried_before(self):
@@ -112,14 +112,14 @@
     def test_one_that_says_nothing(self):
         server = self.walk[0]
         server.on_request_sent(0.0)
-        self.assertTrue(is_open(server, SILENT))
-        self.assertFalse(is_open(server, SILENT + 0.01))
+        self.assertTrue(accepts_requests(server, SILENCE_SECONDS))
+        self.assertFalse(accepts_requests(server, SILENCE_SECONDS + 0.01))
         server.on_bytes_received(11.0)
-        self.assertTrue(is_open(server, 11.0))
+        self.assertTrue(accepts_requests(server, 11.0))
         server.on_request_ended()
-        self.assertTrue(is_open(server, 100.0))  # nothing is out there
+        self.assertTrue(accepts_requests(server, 100.0))  # nothing is out there
         server.on_request_sent(100.0)
-        self.assertTrue(is_open(server, 99.99 + SILENT))
+        self.assertTrue(accepts_requests(server, 99.99 + SILENCE_SECONDS))
 
     def test_back_off_shortens_no_longer_pause(self):
         server = endpoint(1)
@@ -132,13 +132,13 @@
         for _ in range(20):
             back_off(server, 10.0)
             spans.append(server.backed_off_until - 10.0)
-        self.assertEqual(spans[:3], [BACK_OFF, 2 * BACK_OFF, 4 * BACK_OFF])
-        self.assertEqual(spans[-1], LONGEST_BACK_OFF)
-        self.assertFalse(is_open(server, 10.1))
+        self.assertEqual(spans[:3], [INITIAL_BACKOFF_SECONDS, 2 * INITIAL_BACKOFF_SECONDS, 4 * INITIAL_BACKOFF_SECONDS])
+        self.assertEqual(spans[-1], MAX_BACKOFF_SECONDS)
+        self.assertFalse(accepts_requests(server, 10.1))
         server.on_bytes_received(10.2)
-        self.assertTrue(is_open(server, 10.2))
+        self.assertTrue(accepts_requests(server, 10.2))
         back_off(server, 10.0)
-        self.assertEqual(server.backed_off_until, 10.0 + BACK_OFF)
+        self.assertEqual(server.backed_off_until, 10.0 + INITIAL_BACKOFF_SECONDS)
 
     def test_none_fits(self):
         self.assertIsNone(self.pick(version=2))
@@ -146,23 +146,23 @@
         for server in self.walk:
             server.loading = True
         self.assertIsNone(self.pick())
-        self.assertIsNone(self.endpoints.pool("unknown").pick(self.mark, 0.0, MODEL, 0, ()))
+        self.assertIsNone(self.endpoints.pool("unknown").select(self.mark, 0.0, MODEL, 0, ()))
         self.assertIsNone(self.endpoints.pool("unknown").home(self.mark))
 
     def test_beyond_the_walk_the_one_with_the_least_open(self):
-        self.endpoints = endpoints_of(WALK + 4)
+        self.endpoints = endpoints_of(MAX_SUCCESSORS + 4)
         self.pool = self.endpoints.pool(SERVICE)
-        walk = self.pool.ring.walk(self.mark, WALK + 4)
-        for server in walk[:WALK]:
+        walk = self.pool.ring.successors(self.mark, MAX_SUCCESSORS + 4)
+        for server in walk[:MAX_SUCCESSORS]:
             server.draining = True
-        for n, server in enumerate(walk[WALK:]):
+        for n, server in enumerate(walk[MAX_SUCCESSORS:]):
             server.open_requests = 5 - n
         self.assertIs(self.pick(), walk[-1])
 
 
 class Margin(Case):
     def test_over_it_the_next_on_the_walk(self):
-        most = next(n for n in range(100) if n >= MARGIN * n / 6 + SPARE)
+        most = next(n for n in range(100) if n >= OVERLOAD_FACTOR * n / 6 + OVERLOAD_SLACK_REQUESTS)
         self.walk[0].open_requests = most - 1
         self.assertIs(self.pick(), self.walk[0])
         self.walk[0].open_requests = most
@@ -183,22 +183,22 @@
         self.assertIs(self.pick(), self.walk[0])
 
 
-class Hot(Case):
+class HotKey(Case):
     def heat(self, epochs=HOT_EPOCHS, now=0.0, share=0.5):
         """So many epochs in which one prefix has that part of the requests."""
         others = cold()
         for _ in range(epochs):
-            self.assertGreaterEqual(self.pool.hotness.epoch_at, now)
-            for n in range(4 * EVIDENCE):
-                hot = n < 4 * EVIDENCE * share
-                self.pool.sample(self.mark if hot else next(others), now + 0.1 + n / 1000)
+            self.assertGreaterEqual(self.pool.hot_keys.epoch_ends_at, now)
+            for n in range(4 * MIN_SAMPLES):
+                hot = n < 4 * MIN_SAMPLES * share
+                self.pool.record_access(self.mark if hot else next(others), now + 0.1 + n / 1000)
             now += 1.0
-            self.pool.sample(next(others), now + 0.05)
+            self.pool.record_access(next(others), now + 0.05)
             now += 0.05
         return now
 
     def shadows(self):
-        hot = self.pool.hotness.get(self.mark)
+        hot = self.pool.hot_keys.get(self.mark)
         return hot.shadows if hot is not None else 0
 
     def test_four_epochs_over_one_share_make_it_hot(self):
@@ -249,60 +249,60 @@
         self.assertIsNot(self.pick(now=now), first)
         first.loading = False
         self.endpoints.apply_listed([endpoint(n) for n in range(6) if f"i-{n}" != first.id])
-        self.assertNotIn(first, self.pool.drawn.values())
+        self.assertNotIn(first, self.pool.replica_by_position.values())
         self.assertIsNot(self.pick(now=now), first)
 
     def test_the_lease_ends(self):
         now, others = self.heat(), cold()
-        until = now + LEASE + 3.0
+        until = now + SHADOW_LEASE_SECONDS + 3.0
         while now < until:
-            for _ in range(2 * EVIDENCE):
-                self.pool.sample(next(others), now)
+            for _ in range(2 * MIN_SAMPLES):
+                self.pool.record_access(next(others), now)
             now += 1.01
         self.assertEqual(self.shadows(), 0)
         self.assertIs(self.pick(now=now), self.walk[0])
 
 
 class Lighter(Case):
-    def lighter(self, first, *others, shared=0):
+    def least_loaded(self, first, *others, shared=0):
         """By the tokens that wait at the first and the others; None: not known."""
         known = zip(self.walk, (first, *others), strict=False)
         waiting = {server.id: tokens for server, tokens in known if tokens is not None}
-        found = lighter(self.walk[0], self.walk[1 : 1 + len(others)], waiting, shared)
+        found = least_loaded(self.walk[0], self.walk[1 : 1 + len(others)], waiting, shared)
         return self.walk.index(found)
 
     def test_only_over_what_is_eased(self):
-        self.assertEqual(self.lighter(EASE, 0), 0)
-        self.assertEqual(self.lighter(EASE + 1, 0), 1)
+        self.assertEqual(self.least_loaded(LOAD_THRESHOLD_TOKENS, 0), 0)
+        self.assertEqual(self.least_loaded(LOAD_THRESHOLD_TOKENS + 1, 0), 1)
 
     def test_ties_stay(self):
-        self.assertEqual(self.lighter(EASE + 1, EASE + 1), 0)
-        self.assertEqual(self.lighter(EASE + 1, EASE), 1)
-        self.assertEqual(self.lighter(9000, 5, 5), 1)
+        self.assertEqual(self.least_loaded(LOAD_THRESHOLD_TOKENS + 1, LOAD_THRESHOLD_TOKENS + 1), 0)
+        self.assertEqual(self.least_loaded(LOAD_THRESHOLD_TOKENS + 1, LOAD_THRESHOLD_TOKENS), 1)
+        self.assertEqual(self.least_loaded(9000, 5, 5), 1)
 
     def test_what_would_be_moved_counts(self):
-        self.assertEqual(self.lighter(4000, 1000, shared=int(3000 / MOVED)), 0)
-        self.assertEqual(self.lighter(4001, 1000, shared=int(3000 / MOVED)), 1)
+        self.assertEqual(self.least_loaded(4000, 1000, shared=int(3000 / MOVE_COST_FRACTION)), 0)
+        self.assertEqual(self.least_loaded(4001, 1000, shared=int(3000 / MOVE_COST_FRACTION)), 1)
 
     def test_the_lightest_of_all(self):
-        self.assertEqual(self.lighter(9000, 500, 400), 2)
-        self.assertEqual(self.lighter(9000, 9500, 9100), 0)
+        self.assertEqual(self.least_loaded(9000, 500, 400), 2)
+        self.assertEqual(self.least_loaded(9000, 9500, 9100), 0)
 
     def test_loads_that_are_not_known(self):
-        self.assertEqual(self.lighter(None, 0), 0)
-        self.assertEqual(self.lighter(9000, None), 0)
-        self.assertEqual(self.lighter(9000, None, 5000), 2)
-        self.assertEqual(self.lighter(None, None), 0)
-        self.assertEqual(self.lighter(9000), 0)
+        self.assertEqual(self.least_loaded(None, 0), 0)
+        self.assertEqual(self.least_loaded(9000, None), 0)
+        self.assertEqual(self.least_loaded(9000, None, 5000), 2)
+        self.assertEqual(self.least_loaded(None, None), 0)
+        self.assertEqual(self.least_loaded(9000), 0)
 
     def test_others_could_serve_as_well(self):
         def others(out=()):
-            return self.pool.others(self.mark, 1.0, MODEL, self.walk[0], out)
+            return self.pool.alternatives(self.mark, 1.0, MODEL, self.walk[0], out)
 
-        self.assertEqual(others(), self.walk[1 : 1 + OTHERS])
+        self.assertEqual(others(), self.walk[1 : 1 + MAX_ALTERNATIVES])
         self.walk[1].loading = True
-        self.assertEqual(others(), self.walk[2 : 2 + OTHERS])
-        self.assertEqual(others({self.walk[2].id}), self.walk[3 : 3 + OTHERS])
+        self.assertEqual(others(), self.walk[2 : 2 + MAX_ALTERNATIVES])
+        self.assertEqual(others({self.walk[2].id}), self.walk[3 : 3 + MAX_ALTERNATIVES])
         for server in self.walk[:2]:
             server.versions, server.loading = {MODEL: 2}, False
         self.assertEqual(others(), [self.walk[1]])
@@ -350,7 +350,7 @@
     def test_one_is_removed(self):
         server = self.endpoints.by_id["i-0"]
         self.assertEqual(self.apply(), [server])
-        self.assertFalse(server.listed or "i-0" in self.endpoints.by_id or server in self.pool.engines)
+        self.assertFalse(server.listed or "i-0" in self.endpoints.by_id or server in self.pool.servers)
         self.assertNotIn(server, {self.pick(mark) for mark in marks()})
 
     def test_all_are_removed(self):
@@ -363,7 +363,7 @@
         self.assertEqual(self.apply(new), [old])
         self.assertFalse(old.listed)
         self.assertIs(self.endpoints.by_id["i-0-next"], new)
-        self.assertTrue(new.listed and new in self.pool.engines and old not in self.pool.engines)
+        self.assertTrue(new.listed and new in self.pool.servers and old not in self.pool.servers)
 
     def test_the_same_id_is_elsewhere(self):
         for name, value in (("address", "10.9.9.9:80"), ("service", "t")):
@@ -374,17 +374,17 @@
             self.assertEqual(self.apply(new), [old])
             self.assertFalse(old.listed)
             self.assertIs(self.endpoints.by_id["i-0"], new)
-            self.assertEqual(new in self.pool.engines, name == "address")
+            self.assertEqual(new in self.pool.servers, name == "address")
             for mark in mine:
                 self.assertEqual(self.pick(mark) is new, name == "address")
-        self.assertIs(self.endpoints.pool("t").pick(self.mark, 0.0, MODEL, 1, ()), new)
+        self.assertIs(self.endpoints.pool("t").select(self.mark, 0.0, MODEL, 1, ()), new)
 
     def test_draining_and_back(self):
         server = self.endpoints.by_id["i-0"]
         mine = [mark for mark in marks() if self.pick(mark) is server]
         self.assertTrue(mine)
         self.assertEqual(self.apply(endpoint(0, draining=True)), [])
-        self.assertTrue(server.listed and server.draining and server not in self.pool.engines)
+        self.assertTrue(server.listed and server.draining and server not in self.pool.servers)
         self.assertNotIn(server, {self.pick(mark) for mark in mine})
         self.assertEqual(self.apply(endpoint(0)), [])
         self.assertEqual({self.pick(mark) for mark in mine}, {server})
@@ -394,7 +394,7 @@
         self.apply()
         self.assertEqual(self.apply(endpoint(0)), [])
         self.assertIsNot(self.endpoints.by_id["i-0"], old)
-        self.assertIn(self.endpoints.by_id["i-0"], self.pool.engines)
+        self.assertIn(self.endpoints.by_id["i-0"], self.pool.servers)
 
     def test_random_lists(self):
         random_source = random.Random(4)
@@ -420,7 +420,7 @@
             for service in "st":
                 ready = {server for server in now if server.service == service and not server.draining}
                 pool = self.endpoints.pool(service)
-                self.assertEqual((set(pool.engines), set(pool.ring.points)), (ready, ready))
+                self.assertEqual((set(pool.servers), set(pool.ring.points_by_owner)), (ready, ready))
 
 
 if __name__ == "__main__":
--- a/tests/dataplane/test_load_index.py
+++ b/tests/dataplane/test_load_index.py
@@ -21,7 +21,7 @@
 )
 from rowanshift.dataplane.ownership import owner_of
 from rowanshift.dataplane.server_health import COUNT_HALF_LIFE_SECONDS
-from rowanshift.placement.hash_ring import stable
+from rowanshift.placement.hash_ring import stable_hash
 from rowanshift.simulation.clock import Determined, VirtualClock
 from rowanshift.simulation.network import Network, Paths
 from rowanshift.wire.machine_ids import ip_from_machine_id, machine_id_from_ip
@@ -309,7 +309,7 @@
             stranger = network.machine("stranger", 9)
             stranger.running = True
             port, to, random_source = stranger.port((stranger.address, PORT)), loads[0].address, random.Random(2)
-            mark = stable(SERVERS[0])
+            mark = stable_hash(SERVERS[0])
             good = RECORD.pack(MAGIC, FORMAT, DatagramKind.ADD, 1, mark, 100)
             wrong = [
                 b"",
@@ -349,8 +349,8 @@
                 nursery.start_soon(ask)
                 await trio.sleep(ASK_WITHIN / 4)
                 (call,) = loads[0].waits
-                await loads[2]._send(loads[0].address, DatagramKind.TOLD, call, stable("i-foreign"), 9)
-                await loads[2]._send(loads[0].address, DatagramKind.TOLD, call + 1, stable(server), 9)
+                await loads[2]._send(loads[0].address, DatagramKind.TOLD, call, stable_hash("i-foreign"), 9)
+                await loads[2]._send(loads[0].address, DatagramKind.TOLD, call + 1, stable_hash(server), 9)
             self.assertEqual(found, [{}])
 
         self.run_all(main)
