--- a/rowanshift/dataplane/control_client.py
+++ b/rowanshift/dataplane/control_client.py
@@ -137,7 +137,7 @@
         asked_at = trio.current_time()
         timeout = LONG_POLL_SECONDS + POLL_ANSWER_SECONDS if long_poll_seconds else SEARCH_ANSWER_SECONDS
         poll = self._poll_record(long_poll_seconds)
-        answer = await replica.client.ask(poll, timeout)
+        answer = await replica.client.call(poll, timeout)
         if isinstance(answer, Redirect):
             self.cache.core_machines = answer.core_machines or self.cache.core_machines
             self.search.on_primary_hint(answer.primary if answer.primary not in (0, replica.machine) else None)
--- a/rowanshift/transport/record_links.py
+++ b/rowanshift/transport/record_links.py
@@ -13,131 +13,137 @@
 from rowanshift.wire.codec import Codec, Frame, FrameDecoder
 from rowanshift.wire.errors import MalformedRecord
 
-CONNECT_TIMEOUT_SECONDS = 0.4  # seconds
-SENDER_CONNECT_TIMEOUT_SECONDS = (
-    0.25  # seconds that a sender waits for a connection: a machine that just gets power back misses the first
-)
-RECONNECT_PAUSE_SECONDS = 0.1  # seconds between dials
-MAX_QUEUED_RECORDS = 64  # records for one machine; the oldest goes
-WRITE_TIMEOUT_SECONDS = 1.5  # seconds that a write may take
+CONNECT_TIMEOUT_SECONDS = 0.4
+SENDER_CONNECT_TIMEOUT_SECONDS = 0.25  # a machine that has just got power back does not answer the first dial
+RECONNECT_PAUSE_SECONDS = 0.1
+MAX_QUEUED_RECORDS = 64  # for one machine; the oldest is dropped
+WRITE_TIMEOUT_SECONDS = 1.5
 
 
 class ConnectionFailed(Exception):
-    """A record could not be exchanged; it may have arrived."""
+    """A record could not be exchanged; it may have arrived, so that only what may be repeated is sent again."""
 
 
 class RecordReader:
-    """Whole records from one stream."""
+    """Reads complete records from one stream."""
 
     def __init__(self, stream: Stream, codec: Codec) -> None:
         self.stream, self.codec = stream, codec
-        self.frames, self.ring = FrameDecoder(), RingBuffer()
+        self.frame_decoder, self.ring = FrameDecoder(), RingBuffer()
         self.ready: deque[Frame] = deque()
 
     async def next(self) -> tuple[int, Any]:
-        """The call's number and the record; ``MalformedRecord``, or ``ConnectionFailed`` at the end."""
+        """The call's number and the record. Raises ``MalformedRecord``, and ``ConnectionFailed`` at the end."""
         while not self.ready:
             if not await receive(self.stream, self.ring):
                 raise ConnectionFailed("the other side ended")
-            self.ready.extend(self.frames.feed(self.ring.read()))
+            self.ready.extend(self.frame_decoder.feed(self.ring.read()))
         kind, number, body = self.ready.popleft()
         return number, self.codec.unpack(kind, body)
 
 
 class RecordClient:
-    """One call at a time on one connection to one address."""
+    """Calls one address, one call at a time on one connection, which is dialled anew after a failure."""
 
-    def __init__(self, host: Runtime, codec: Codec, address: Address) -> None:
-        self.host, self.codec, self.address = host, codec, address
-        self.inbox: RecordReader | None = None
+    def __init__(self, runtime: Runtime, codec: Codec, address: Address) -> None:
+        self.runtime, self.codec, self.address = runtime, codec, address
+        self.reader: RecordReader | None = None
         self.number = 0
 
-    async def ask(self, record: Any, within: float) -> Any:
-        """The answer; ``ConnectionFailed`` if none comes within so many seconds."""
-        self.number = (self.number + 1) & 0xFFFFFFFF
-        answer, whole = None, False
+    async def call(self, record: Any, timeout_seconds: float) -> Any:
+        """The response to a record. Raises ``ConnectionFailed`` if there is none in time."""
+        self.number = (self.number + 1) & 0xFFFFFFFF  # 32 bits in a frame
+        response, is_complete = None, False
         try:
-            with trio.move_on_after(within):
-                if self.inbox is None:
-                    stream = self.host.stream()
-                    self.inbox = RecordReader(stream, self.codec)
-                    with trio.fail_after(min(within, CONNECT_TIMEOUT_SECONDS)):
+            with trio.move_on_after(timeout_seconds):
+                if self.reader is None:
+                    stream = self.runtime.stream()
+                    self.reader = RecordReader(stream, self.codec)
+                    with trio.fail_after(min(timeout_seconds, CONNECT_TIMEOUT_SECONDS)):
                         await connect(stream, self.address)
-                await send_all(self.inbox.stream, self.codec.pack(record, self.number))
+                await send_all(self.reader.stream, self.codec.pack(record, self.number))
                 number = None
                 while number != self.number:
-                    number, answer = await self.inbox.next()
-                whole = True
+                    number, response = await self.reader.next()
+                is_complete = True
         except (OSError, MalformedRecord, trio.ClosedResourceError, trio.TooSlowError) as error:
             raise ConnectionFailed(repr(error)) from error
         finally:
-            if not whole:
+            if not is_complete:
                 self.close()
-        if not whole:
-            raise ConnectionFailed(f"no answer within {within} s")
-        return answer
+        if not is_complete:
+            raise ConnectionFailed(f"no answer within {timeout_seconds} s")
+        return response
 
     def close(self) -> None:
-        if self.inbox is not None:
-            self.inbox.stream.close()
-            self.inbox = None
+        """Close the connection, if there is one; the next call opens another."""
+        if self.reader is not None:
+            self.reader.stream.close()
+            self.reader = None
 
 
 class RecordSender:
-    """Records one way to one machine; the newest ``most`` are kept while it can't be reached.
+    """Sends records one way to one machine; while it can't be reached the newest ``max_queued`` are kept.
 
-    ``alive`` tells whether the machine was heard since this connection has been up; a write may take ``stuck`` seconds.
+    ``is_alive`` says whether the connection is worth keeping: whether the machine was heard since it was opened, or
+    not long ago. A write may take ``write_timeout_seconds``. ``hello`` is the first record of each connection.
     """
 
     def __init__(
         self,
-        host: Runtime,
+        runtime: Runtime,
         codec: Codec,
         address: Address,
         hello: Any,
-        alive: Callable[[], bool],
-        most: int = MAX_QUEUED_RECORDS,
-        stuck: float = WRITE_TIMEOUT_SECONDS,
+        is_alive: Callable[[], bool],
+        max_queued: int = MAX_QUEUED_RECORDS,
+        write_timeout_seconds: float = WRITE_TIMEOUT_SECONDS,
     ) -> None:
-        self.host, self.codec, self.address, self.hello = host, codec, address, hello
-        self.alive, self.stuck = alive, stuck
-        self.queue: deque[Any] = deque(maxlen=most)
+        self.runtime, self.codec, self.address, self.hello = runtime, codec, address, hello
+        self.is_alive, self.write_timeout_seconds = is_alive, write_timeout_seconds
+        self.queue: deque[Any] = deque(maxlen=max_queued)
         self.wake = trio.Event()
-        self.opened_at = 0.0  # trio's time of the dial
+        self.opened_at = 0.0  # trio's time at which the connection was up
         self.stopped = False
 
     def put(self, record: Any) -> None:
+        """Queue a record."""
         self.queue.append(record)
         self.wake.set()
 
     def stop(self) -> None:
+        """Let ``run`` end, without sending what is queued."""
         self.stopped = True
         self.wake.set()
 
     async def run(self) -> None:
+        """Connect once there is a record, send what is queued, and connect again after a failure."""
         while not self.stopped:
             await self.wake.wait()
             stream = None
             try:
-                stream = self.host.stream()
+                stream = self.runtime.stream()
                 with trio.fail_after(SENDER_CONNECT_TIMEOUT_SECONDS):
                     await connect(stream, self.address)
                 self.opened_at = trio.current_time()
                 await self._write(stream, self.hello)
-                while not self.stopped and self.alive():
-                    if not self.queue:
-                        self.wake = trio.Event()
-                        await self.wake.wait()
-                        continue
-                    await self._write(stream, self.queue.popleft())
+                await self._send_queue(stream)
             except (OSError, trio.TooSlowError, trio.ClosedResourceError) as error:
                 logger.debug("event=link_failed to={} error={!r}", self.address[0], error)
-                self.queue.clear()  # whoever said it says it again
+                self.queue.clear()  # the protocol repeats what is still needed
             finally:
                 if stream is not None:
                     stream.close()
-            await self.host.pause(RECONNECT_PAUSE_SECONDS)
+            await self.runtime.pause(RECONNECT_PAUSE_SECONDS)
+
+    async def _send_queue(self, stream: Stream) -> None:
+        while not self.stopped and self.is_alive():
+            if not self.queue:
+                self.wake = trio.Event()
+                await self.wake.wait()
+                continue
+            await self._write(stream, self.queue.popleft())
 
     async def _write(self, stream: Stream, record: Any) -> None:
-        with trio.fail_after(self.stuck):
+        with trio.fail_after(self.write_timeout_seconds):
             await send_all(stream, self.codec.pack(record))
--- a/tests/controlplane/test_former_poll_formats.py
+++ b/tests/controlplane/test_former_poll_formats.py
@@ -35,7 +35,7 @@
             nothing = (0, 0), 0, (0, 0), (0, 0), (0, 0), 0
             await fleet.name_version(2)
             kinds = PollOfFormat2, PollOfFormat3, Poll
-            answers = [await caller.ask(poll(1, 1, *nothing), 2.0) for poll in kinds]
+            answers = [await caller.call(poll(1, 1, *nothing), 2.0) for poll in kinds]
             caller.close()
             await trio.lowlevel.checkpoint()
             return answers
@@ -53,7 +53,7 @@
             caller = RecordClient(fleet.outside, CONTROL_UPDATE_CODEC, (fleet.primary().machine.address, INNER[0]))
             await trio.sleep(4.0)  # until its members have settled
             nothing = (0, 0), 0, (0, 0), (0, 0), (0, 0), 0
-            found = await caller.ask(PollOfFormat3(1, 1, *nothing), 2.0)
+            found = await caller.call(PollOfFormat3(1, 1, *nothing), 2.0)
             has = (
                 found.state_version,
                 found.fingerprint,
@@ -62,7 +62,7 @@
                 found.peers_version,
             )
             asked_at = fleet.now()
-            await caller.ask(PollOfFormat3(1, 1, *has, 400), 2.0)
+            await caller.call(PollOfFormat3(1, 1, *has, 400), 2.0)
             caller.close()
             return fleet.now() - asked_at
 
--- a/tests/controlplane/test_graceful_shutdown.py
+++ b/tests/controlplane/test_graceful_shutdown.py
@@ -121,7 +121,7 @@
         while machine.running:
             asked = trio.current_time()
             try:
-                answer = await caller.ask(poll, 3.0)
+                answer = await caller.call(poll, 3.0)
             except ConnectionFailed:
                 if (waited := trio.current_time() - asked) > CROSSING_SECONDS:
                     unanswered.append(waited)
--- a/tests/transport/test_call_exchanges.py
+++ b/tests/transport/test_call_exchanges.py
@@ -214,7 +214,7 @@
                 for m in range(3):
                     record = Redirect(n * 10 + m, ())
                     try:
-                        answer = await caller.ask(record, WITHIN)
+                        answer = await caller.call(record, WITHIN)
                         got.append("own" if answer == record else f"another's: {answer}")
                     except ConnectionFailed:
                         got.append("failed")
@@ -270,14 +270,14 @@
         self.finds(Lines, "test_surplus_bytes_behind_an_answer", patch)
 
     def test_the_number_of_a_record_is_not_compared(self) -> None:
-        true = RecordClient.ask
+        true = RecordClient.call
 
-        async def ask(caller: RecordClient, record: Any, within: float) -> Any:
-            caller.number = -1 if caller.inbox is None else caller.number
+        async def call(caller: RecordClient, record: Any, timeout_seconds: float) -> Any:
+            caller.number = -1 if caller.reader is None else caller.number
             caller.number = 0 if caller.number < 0 else caller.number - 1  # all calls bear one number
-            return await true(caller, record, within)
+            return await true(caller, record, timeout_seconds)
 
-        patch = unittest.mock.patch.object(RecordClient, "ask", ask)
+        patch = unittest.mock.patch.object(RecordClient, "call", call)
         self.finds(Records, "test_a_surplus_answer_is_known_by_its_number", patch)
 
 
