--- a/rowanshift/dataplane/forwarder.py
+++ b/rowanshift/dataplane/forwarder.py
@@ -149,7 +149,7 @@
         others = self.selection.alternatives(forwarded, pool, picked, trio.current_time())
         if not others:
             return picked
-        waiting = await self.loads.ask([picked.id, *(endpoint.id for endpoint in others)])
+        waiting = await self.loads.query([picked.id, *(endpoint.id for endpoint in others)])
         chosen: Endpoint = least_loaded(picked, others, waiting, forwarded.request.shared)
         return chosen
 
--- a/rowanshift/dataplane/kv_transfers.py
+++ b/rowanshift/dataplane/kv_transfers.py
@@ -5,7 +5,7 @@
 """
 
 from collections import OrderedDict
-from typing import Any, NamedTuple, Protocol
+from typing import NamedTuple, Protocol
 
 from rowanshift.dataplane.endpoints import Endpoint
 from rowanshift.dataplane.requests import Request, salt_of
@@ -42,9 +42,7 @@
     # meanwhile, are asked only for so many tokens that a vain question costs less than computing them.
     if endpoint is pool.home(ring_position) and request.shared < MIN_HOME_FETCH_TOKENS:
         return None
-    candidates: list[Any] = pool.ring.successors(ring_position, SOURCE_CANDIDATE_SERVERS)
-    other: Endpoint
-    for other in candidates:
+    for other in pool.ring.successors(ring_position, SOURCE_CANDIDATE_SERVERS):
         if other is not endpoint and accepts_requests(other, now) and other.versions.get(request.model, 0) == version:
             return other
     return None
--- a/rowanshift/dataplane/server_attempt.py
+++ b/rowanshift/dataplane/server_attempt.py
@@ -10,7 +10,8 @@
 from rowanshift.dataplane.errors import DataPlaneError
 from rowanshift.dataplane.forwarded_request import ForwardedRequest, RequestCounts
 from rowanshift.dataplane.kv_transfers import KvTransferPlanner, transfer_source
-from rowanshift.dataplane.load_index import DatagramKind, LoadIndex
+from rowanshift.dataplane.load_datagrams import DatagramKind
+from rowanshift.dataplane.load_index import LoadIndex, ReportedRequest
 from rowanshift.dataplane.request_admission import Admission, RequestAdmission
 from rowanshift.dataplane.requests import priority_of, written
 from rowanshift.dataplane.response_stream import relay_response
@@ -38,16 +39,16 @@
     ExchangeFailure.SERVER_SILENT: ExchangeOutcome.SERVER_SILENT,
 }
 LOAD_REPORTS = {  # what an outcome tells the load index of the server; any other tells nothing
-    ExchangeOutcome.SUCCESS: DatagramKind.DONE,
-    ExchangeOutcome.REQUEST_NOT_SENT: DatagramKind.FAILED,
-    ExchangeOutcome.NO_RESPONSE: DatagramKind.FAILED,
-    ExchangeOutcome.MALFORMED_RESPONSE: DatagramKind.FAILED,
-    ExchangeOutcome.SERVER_ERROR: DatagramKind.FAILED,
-    ExchangeOutcome.TIMED_OUT: DatagramKind.FAILED,
-    ExchangeOutcome.MISMATCHED_REQUEST_ID: DatagramKind.FAILED,
-    ExchangeOutcome.UNCONFIRMED_REJECTION: DatagramKind.FAILED,
-    ExchangeOutcome.LAST_SERVER_ERROR: DatagramKind.FAILED,
-    ExchangeOutcome.SERVER_SILENT: DatagramKind.FAILED,
+    ExchangeOutcome.SUCCESS: DatagramKind.FIRST_BYTES_RECEIVED,
+    ExchangeOutcome.REQUEST_NOT_SENT: DatagramKind.REQUEST_FAILED,
+    ExchangeOutcome.NO_RESPONSE: DatagramKind.REQUEST_FAILED,
+    ExchangeOutcome.MALFORMED_RESPONSE: DatagramKind.REQUEST_FAILED,
+    ExchangeOutcome.SERVER_ERROR: DatagramKind.REQUEST_FAILED,
+    ExchangeOutcome.TIMED_OUT: DatagramKind.REQUEST_FAILED,
+    ExchangeOutcome.MISMATCHED_REQUEST_ID: DatagramKind.REQUEST_FAILED,
+    ExchangeOutcome.UNCONFIRMED_REJECTION: DatagramKind.REQUEST_FAILED,
+    ExchangeOutcome.LAST_SERVER_ERROR: DatagramKind.REQUEST_FAILED,
+    ExchangeOutcome.SERVER_SILENT: DatagramKind.REQUEST_FAILED,
 }
 
 
@@ -87,8 +88,8 @@
         data = self._serialize(forwarded, endpoint, version)
         self.counts.retries += forwarded.reached_server
         endpoint.on_request_sent(trio.current_time())
-        load = await self.loads.add(endpoint.id, max(1, request.tokens[0]))
-        report = DatagramKind.DROPPED
+        load = await self.loads.report_sent(endpoint.id, max(1, request.tokens[0]))
+        report = DatagramKind.REQUEST_ABANDONED
         connection, forwarded.reserved_connection = forwarded.reserved_connection, None
         try:
             connection = connection or await self.upstream.acquire(endpoint, forwarded.deadline)
@@ -96,17 +97,17 @@
             await self.upstream.send_request(connection, data, forwarded.deadline)
             request.tried.append(endpoint.id)
             outcome = await self._receive(forwarded, connection, load, version)
-            report = LOAD_REPORTS.get(outcome, DatagramKind.DROPPED)
+            report = LOAD_REPORTS.get(outcome, DatagramKind.REQUEST_ABANDONED)
             return outcome
         except ExchangeFailed as error:
             outcome = self._outcome_of_failure(forwarded, endpoint, connection, error)
-            report = LOAD_REPORTS.get(outcome, DatagramKind.DROPPED)
+            report = LOAD_REPORTS.get(outcome, DatagramKind.REQUEST_ABANDONED)
             return outcome
         finally:
             if connection is not None and not connection.released:
                 self.upstream.close(connection)
             endpoint.on_request_ended()
-            await self.loads.ended(load, report)
+            await self.loads.report_end(load, report)
 
     def _serialize(self, forwarded: ForwardedRequest, endpoint: Endpoint, version: int) -> bytes:
         """The request as it goes to a server."""
@@ -138,7 +139,7 @@
             raise ChoiceOutdated
 
     async def _receive(
-        self, forwarded: ForwardedRequest, connection: ServerConnection, load: tuple[str, int], version: int
+        self, forwarded: ForwardedRequest, connection: ServerConnection, load: ReportedRequest, version: int
     ) -> ExchangeOutcome:
         """Wait for the response, and relay it if it is the client's."""
         endpoint, upstream = connection.endpoint, self.upstream
@@ -149,7 +150,7 @@
         endpoint.on_bytes_received(trio.current_time())
         if 200 <= response.status < 300 and response.flow is not None:
             self._warn_if_overdue(forwarded, endpoint, version)
-            await self.loads.ended(load, DatagramKind.DONE)
+            await self.loads.report_end(load, DatagramKind.FIRST_BYTES_RECEIVED)
             return await self._relay_success(forwarded, connection, response, response.flow, abandon)
         outcome = forwarded.progress.outcome_of_status(response.status, b"not-executed" in dict(response.fields))
         decision = decide(forwarded.idempotency, outcome)
--- a/rowanshift/dataplane/service.py
+++ b/rowanshift/dataplane/service.py
@@ -136,7 +136,7 @@
                 self.back = UpstreamPool(host, budget, memory)
                 self.loads = LoadIndex(host, boot.internal_address, machine_id_from_ip(boot.ip))
                 self.control_cache = ControlCache(
-                    boot.bounds, self.random_source, self.back.close_idle_to, self.loads.meet
+                    boot.bounds, self.random_source, self.back.close_idle_to, self.loads.set_peers
                 )
                 self.control_client = ControlClient(
                     host,
--- a/tests/dataplane/test_drain_order_of_events.py
+++ b/tests/dataplane/test_drain_order_of_events.py
@@ -10,7 +10,8 @@
 from loguru import logger
 
 from rowanshift.dataplane.drain import END_RESERVE_SECONDS, EXIT_RESERVE_SECONDS, Drain, request_kind
-from rowanshift.dataplane.load_index import DatagramKind
+from rowanshift.dataplane.load_datagrams import DatagramKind
+from rowanshift.dataplane.load_index import ReportedRequest
 from rowanshift.dataplane.request_outcomes import EXCUSED_GRACE_FRACTION, RequestOutcomes
 from rowanshift.dataplane.service import DataPlaneService
 from rowanshift.dataplane.upstream import UpstreamPool
@@ -147,7 +148,7 @@
 class SlowLoads(NoLoads):
     """Tells of each end in a datagram, as a router does, which takes a turn of the loop and cannot be cancelled."""
 
-    async def ended(self, told: tuple[str, int], verdict: DatagramKind) -> None:
+    async def report_end(self, request: ReportedRequest, end_kind: DatagramKind) -> None:
         with trio.CancelScope(shield=True):
             await trio.lowlevel.checkpoint()
 
--- a/tests/dataplane/test_server_health.py
+++ b/tests/dataplane/test_server_health.py
@@ -109,7 +109,7 @@
 
         _, fleet = play(main, seed, routers=20, servers=6, zones=1)
         self.assertEqual(fleet.breaches(), [])
-        owners = [unit.program.loads.sums.health for unit in fleet.routers]
+        owners = [unit.program.loads.server_loads.health for unit in fleet.routers]
         return sum(health.is_failing for tracker in owners for health in tracker.servers.values())
 
     def test_their_owners_find_them_failing(self) -> None:
--- a/tests/support/exchange_rig.py
+++ b/tests/support/exchange_rig.py
@@ -18,7 +18,8 @@
 from rowanshift.dataplane.drain import Drain
 from rowanshift.dataplane.endpoints import Endpoint, Endpoints
 from rowanshift.dataplane.frontend import BACKLOG, Frontend
-from rowanshift.dataplane.load_index import DatagramKind
+from rowanshift.dataplane.load_datagrams import DatagramKind
+from rowanshift.dataplane.load_index import ReportedRequest
 from rowanshift.dataplane.routing_table import RoutingTable, parse_routing_table
 from rowanshift.dataplane.upstream import UpstreamPool
 from rowanshift.simulation.clock import Determined, VirtualClock
@@ -382,13 +383,13 @@
 class NoLoads:
     """A load index that knows of nothing."""
 
-    async def ask(self, servers: list[str]) -> dict[str, int]:
+    async def query(self, servers: list[str]) -> dict[str, int]:
         return {}
 
-    async def add(self, server: str, tokens: int) -> tuple[str, int]:
-        return server, 0
+    async def report_sent(self, server: str, tokens: int) -> ReportedRequest:
+        return ReportedRequest(server, 0)
 
-    async def ended(self, told: tuple[str, int], verdict: DatagramKind) -> None:
+    async def report_end(self, request: ReportedRequest, end_kind: DatagramKind) -> None:
         await trio.lowlevel.checkpoint()
 
 
