--- a/rowanshift/controlplane/endpoint_list.py
+++ b/rowanshift/controlplane/endpoint_list.py
@@ -100,7 +100,9 @@
         for _ in range(MAX_LIST_PAGES):
             target = b"/instances" if page_token is None else b"/instances?pageToken=" + page_token.encode()
             self.calls += 1
-            answer = await call(self.runtime, self.memory, address, b"GET", target, within=LIST_PAGE_TIMEOUT_SECONDS)
+            answer = await call(
+                self.runtime, self.memory, address, b"GET", target, timeout_seconds=LIST_PAGE_TIMEOUT_SECONDS
+            )
             if answer.status != 200:
                 raise BadEndpointList(f"status {answer.status}")
             page = ListPage.parse(answer.body)
--- a/rowanshift/simulation/fleet.py
+++ b/rowanshift/simulation/fleet.py
@@ -225,7 +225,7 @@
         while True:
             await trio.sleep(PROBE)
             try:
-                answer = await call(self.outside, self.memory, address, b"GET", b"/readiness", within=PROBE)
+                answer = await call(self.outside, self.memory, address, b"GET", b"/readiness", timeout_seconds=PROBE)
                 missed = 0 if answer.status == 200 else missed + 1
             except CallFailed:
                 missed += 1
--- a/rowanshift/soak/load.py
+++ b/rowanshift/soak/load.py
@@ -68,7 +68,7 @@
     async def _is_ready(self, name: str) -> bool:
         address = self.layout.readiness(name)
         try:
-            answer = await call(self.host, self.memory, address, b"GET", b"/readiness", within=PROBE)
+            answer = await call(self.host, self.memory, address, b"GET", b"/readiness", timeout_seconds=PROBE)
         except CallFailed:
             return False
         return answer.status == 200
--- a/rowanshift/transport/call_client.py
+++ b/rowanshift/transport/call_client.py
@@ -10,47 +10,71 @@
 from rowanshift.transport.runtime import Runtime
 from rowanshift.transport.streams import Address, connect, send_all
 
+DEFAULT_TIMEOUT_SECONDS = 2.0
+
 
 class CallFailed(Exception):
-    """A call of another that got no whole answer; ``sent``: whether all of it was written."""
+    """A call got no complete response.
+
+    ``sent`` says whether all of the call was written, so that it may have had its effect.
+    """
 
-    def __init__(self, why: str, sent: bool) -> None:
-        super().__init__(why)
+    def __init__(self, reason: str, sent: bool) -> None:
+        super().__init__(reason)
         self.sent = sent
 
 
 class PersistentCaller:
-    """One call after another on one connection to one address, which is dialled anew once it has ended."""
+    """Makes one call after another on one connection to one address, which is dialled anew once it has ended."""
 
-    def __init__(self, host: Runtime, memory: MemoryBudget, address: Address) -> None:
-        self.host, self.memory, self.address = host, memory, address
+    def __init__(self, runtime: Runtime, memory: MemoryBudget, address: Address) -> None:
+        self.runtime, self.memory, self.address = runtime, memory, address
         self.connection: Connection | None = None
 
-    async def call(self, method: bytes, target: bytes, fields: Fields | None = None, within: float = 2.0) -> Message:
-        """The whole answer to a call without a body; ``CallFailed`` otherwise."""
+    async def call(
+        self,
+        method: bytes,
+        target: bytes,
+        fields: Fields | None = None,
+        timeout_seconds: float = DEFAULT_TIMEOUT_SECONDS,
+    ) -> Message:
+        """The complete response to a call without a body. Raises ``CallFailed``."""
         message, sent = None, False
         try:
-            with trio.move_on_after(within):
-                if self.connection is None or self.connection.stream.readable():
-                    self.close()
-                    self.connection = Connection(self.host.stream(), httptools.HttpResponseParser, self.memory)
-                    await connect(self.connection.stream, self.address)
-                await send_all(self.connection.stream, encode_call(self.address, method, target, b"", fields, True))
+            with trio.move_on_after(timeout_seconds):
+                connection = await self._connect()
+                await send_all(connection.stream, encode_call(self.address, method, target, b"", fields, True))
                 sent = True
-                message = await read_response(self.connection)
+                message = await read_response(connection)
         except (OSError, MalformedMessage, trio.ClosedResourceError) as error:
             self.close()
             raise CallFailed(str(error) or "closed", sent) from error
         finally:
-            if message is None or not message.keep or not self.connection.clean():
+            if message is None or not message.keep:
                 self.close()
-            else:
-                self.connection.release()
+            elif self.connection is not None:
+                self._keep_if_clean(self.connection)
         if message is None:
-            raise CallFailed(f"no answer within {within} s", sent)
+            raise CallFailed(f"no answer within {timeout_seconds} s", sent)
         return message
 
+    async def _connect(self) -> Connection:
+        """The connection, a new one if there is none or the other side has sent something or closed it."""
+        if self.connection is None or self.connection.stream.readable():
+            self.close()
+            self.connection = Connection(self.runtime.stream(), httptools.HttpResponseParser, self.memory)
+            await connect(self.connection.stream, self.address)
+        return self.connection
+
+    def _keep_if_clean(self, connection: Connection) -> None:
+        """Keep the connection for the next call, unless bytes follow the response."""
+        if connection.clean():
+            connection.release()
+        else:
+            self.close()
+
     def close(self) -> None:
+        """Close the connection, if there is one; the next call opens another."""
         if self.connection is not None:
             self.connection.close()
             self.connection = None
@@ -73,7 +97,7 @@
 
 
 async def read_response(connection: Connection) -> Message:
-    """The next whole answer; ``OSError`` if the connection ends before it."""
+    """The next complete response. Raises ``OSError`` if the connection ends before it."""
     while True:
         await connection.stream.wait_readable()
         message, going = connection.read_on()
@@ -84,24 +108,24 @@
 
 
 async def call(
-    host: Runtime,
+    runtime: Runtime,
     memory: MemoryBudget,
     address: Address,
     method: bytes,
     target: bytes,
     body: bytes = b"",
     fields: Fields | None = None,
-    within: float = 2.0,
+    timeout_seconds: float = DEFAULT_TIMEOUT_SECONDS,
 ) -> Message:
-    """Makes one call on a connection of its own and gives the whole answer; ``CallFailed`` otherwise."""
+    """The complete response to one call, on a connection of its own. Raises ``CallFailed``."""
     sent, message = False, None
     try:
-        stream = host.stream()
+        stream = runtime.stream()
     except OSError as error:
         raise CallFailed(str(error), False) from error
     connection = Connection(stream, httptools.HttpResponseParser, memory)
     try:
-        with trio.move_on_after(within):
+        with trio.move_on_after(timeout_seconds):
             await connect(stream, address)
             await send_all(stream, encode_call(address, method, target, body, fields, False))
             sent = True
@@ -111,5 +135,5 @@
     finally:
         connection.close()
     if message is None:
-        raise CallFailed(f"no answer within {within} s", sent)
+        raise CallFailed(f"no answer within {timeout_seconds} s", sent)
     return message
--- a/tests/controlplane/test_graceful_shutdown.py
+++ b/tests/controlplane/test_graceful_shutdown.py
@@ -82,7 +82,9 @@
             asked = trio.current_time()
             try:
                 fields = [(b"If-Match", b"1")]
-                answer = await call(fleet.outside, fleet.memory, at, b"PUT", b"/config", body, fields, within=10.0)
+                answer = await call(
+                    fleet.outside, fleet.memory, at, b"PUT", b"/config", body, fields, timeout_seconds=10.0
+                )
                 answers.append(answer.status)
             except CallFailed as error:
                 if error.sent and (waited := trio.current_time() - asked) > CROSSING_SECONDS:
--- a/tests/transport/test_call_exchanges.py
+++ b/tests/transport/test_call_exchanges.py
@@ -131,7 +131,7 @@
 
     async def told(self, line: PersistentCaller, target: bytes) -> str:
         try:
-            message = await line.call(b"GET", target, within=WITHIN)
+            message = await line.call(b"GET", target, timeout_seconds=WITHIN)
         except CallFailed as failure:
             return f"failed, sent {failure.sent}"
         return "own" if message.body == target else f"another's: {message.body!r}"
@@ -189,7 +189,9 @@
                     peer.delayed[:] = [Delayed(cut, pause)]
                     for target in (b"/0/0", b"/0/1"):
                         try:
-                            got = await call(peer.caller_machine, memory, peer.address, b"GET", target, within=WITHIN)
+                            got = await call(
+                                peer.caller_machine, memory, peer.address, b"GET", target, timeout_seconds=WITHIN
+                            )
                             if got.body != target:
                                 wrong.append(f"{cut} {pause}: {got}")
                         except CallFailed:
--- a/tests/transport/test_call_server_shutdown.py
+++ b/tests/transport/test_call_server_shutdown.py
@@ -64,7 +64,7 @@
 
     async def ask(self, answers: list[int | str]) -> None:
         try:
-            answer = await call(self.fleet.outside, self.fleet.memory, self.at, b"GET", b"/slow", within=10.0)
+            answer = await call(self.fleet.outside, self.fleet.memory, self.at, b"GET", b"/slow", timeout_seconds=10.0)
             answers.append(answer.status)
         except CallFailed as error:
             answers.append(str(error))
