--- a/rowanshift/dataplane/forwarded_request.py
+++ b/rowanshift/dataplane/forwarded_request.py
@@ -67,7 +67,7 @@
     @property
     def deadline(self) -> float:
         """The client's deadline or the end of the route's timeout, whichever is earlier."""
-        return min(self.request.until, self.request.came_at + self.route.timeout)
+        return min(self.request.deadline, self.request.received_at + self.route.timeout)
 
     @property
     def service(self) -> str:
@@ -77,7 +77,7 @@
     @property
     def request_kind(self) -> RequestKind:
         """The requests that last about as long as this one."""
-        return request_kind(self.service, self.request.tokens[1])
+        return request_kind(self.service, self.request.token_count.max_output)
 
     @property
     def ring_position(self) -> int:
@@ -87,12 +87,12 @@
     @property
     def excluded(self) -> set[str]:
         """Ids of the servers that get no further attempt."""
-        return {*self.request.tried, *self.unreachable}
+        return {*self.request.attempted_servers, *self.unreachable}
 
     @property
     def progress(self) -> RequestProgress:
         """What retry decisions depend on."""
-        servers_left = self.route.max_attempts - len(self.request.tried)
+        servers_left = self.route.max_attempts - len(self.request.attempted_servers)
         return RequestProgress(self.may_have_run, self.writer.started, bool(self.writer.last_event_id), servers_left)
 
     def record_failed_attempt(self, outcome: ExchangeOutcome, decision: Decision) -> None:
--- a/rowanshift/dataplane/forwarder.py
+++ b/rowanshift/dataplane/forwarder.py
@@ -86,7 +86,7 @@
 
     def _record_duration(self, forwarded: ForwardedRequest, now: float) -> None:
         """Note how long a completed request took, for the decisions of a later drain."""
-        self.drain.durations.record(forwarded.request_kind, now - forwarded.request.came_at, now)
+        self.drain.durations.record(forwarded.request_kind, now - forwarded.request.received_at, now)
 
     async def _attempt_until_answered(self, forwarded: ForwardedRequest) -> None:
         """Make one attempt after another; ``Refusal`` if no further one may be made."""
@@ -138,7 +138,7 @@
         """Wait for a change of what servers are available; ``Refusal`` once that took too long, or one was tried."""
         if not forwarded.wait_ends_at:
             forwarded.wait_ends_at = now + max_wait_seconds(forwarded, pool, now)
-        if forwarded.request.tried or now >= forwarded.wait_ends_at:
+        if forwarded.request.attempted_servers or now >= forwarded.wait_ends_at:
             raise forwarded.last_refusal
         await self.state.wait_for_update(min(forwarded.wait_ends_at, forwarded.deadline) - now)
 
@@ -150,7 +150,7 @@
         if not others:
             return picked
         waiting = await self.loads.query([picked.id, *(endpoint.id for endpoint in others)])
-        chosen: Endpoint = least_loaded(picked, others, waiting, forwarded.request.shared)
+        chosen: Endpoint = least_loaded(picked, others, waiting, forwarded.request.shared_tokens)
         return chosen
 
     def _on_server_unreachable(self, forwarded: ForwardedRequest, endpoint: Endpoint) -> None:
--- a/rowanshift/dataplane/frontend.py
+++ b/rowanshift/dataplane/frontend.py
@@ -14,7 +14,7 @@
 from rowanshift.dataplane.load_index import LoadIndex
 from rowanshift.dataplane.request_admission import DRAINING_REASON
 from rowanshift.dataplane.request_outcomes import ClosedRequest, RequestOutcome, RequestOutcomes
-from rowanshift.dataplane.requests import Request, request_of
+from rowanshift.dataplane.requests import Request, parse_request
 from rowanshift.dataplane.response_writer import ClientDisconnected, Refusal, ResponseWriter
 from rowanshift.dataplane.retry_budget import RetryBudget
 from rowanshift.dataplane.retry_decision import NOT_EXECUTED_STATUSES
@@ -269,7 +269,7 @@
 
     async def _final_answer(self, message: Message, writer: ResponseWriter) -> bool:
         """Answers one request by a server's answer or a refusal; whether the connection is kept."""
-        request = request_of(message, trio.current_time())
+        request = parse_request(message, trio.current_time())
         self.open += 1
         try:
             await self._forward_unless_given_up(request, writer)
@@ -305,14 +305,14 @@
                 return
         finally:
             del self.answering[scope]
-        if request.tried:
+        if request.attempted_servers:
             raise Refusal(502, f"{DRAINING_REASON}; it may have run")
         raise Refusal(503, DRAINING_REASON, RETRY_AFTER_SECONDS)
 
     async def _forward(self, request: Request, writer: ResponseWriter) -> None:
         if self.drain.draining:
             self.forwarder.refuse_if_draining(request, writer)
-        await self.state.wait_until_fresh(request.until - request.came_at)
+        await self.state.wait_until_fresh(request.deadline - request.received_at)
         await self._confirm_refusal(request)
         await self.forwarder.forward(request, writer)
 
@@ -324,7 +324,7 @@
             self.forwarder.admission.admit(request)
         except Refusal as refusal:
             if refusal.status in DENIALS:
-                await self.state.wait_until_may_refuse(min(CONFIRM_WITHIN, request.until - request.came_at))
+                await self.state.wait_until_may_refuse(min(CONFIRM_WITHIN, request.deadline - request.received_at))
 
     def _unless_old(self, refusal: Refusal) -> Refusal:
         """The refusal, or one that lets the client come again where it rests on what may be old."""
--- a/rowanshift/dataplane/kv_transfers.py
+++ b/rowanshift/dataplane/kv_transfers.py
@@ -8,7 +8,7 @@
 from typing import NamedTuple, Protocol
 
 from rowanshift.dataplane.endpoints import Endpoint
-from rowanshift.dataplane.requests import Request, salt_of
+from rowanshift.dataplane.requests import Request, cache_salt
 from rowanshift.dataplane.routing_table import RoutingTable, Tenant
 from rowanshift.kv_index.block_hashes import block_hash, presence_hash, store_for_prefix
 from rowanshift.placement.shadows import ServerPool, accepts_requests
@@ -40,7 +40,7 @@
     """
     # The home itself may lack the blocks, as after it has loaded weights. Its successors, which took its requests
     # meanwhile, are asked only for so many tokens that a vain question costs less than computing them.
-    if endpoint is pool.home(ring_position) and request.shared < MIN_HOME_FETCH_TOKENS:
+    if endpoint is pool.home(ring_position) and request.shared_tokens < MIN_HOME_FETCH_TOKENS:
         return None
     for other in pool.ring.successors(ring_position, SOURCE_CANDIDATE_SERVERS):
         if other is not endpoint and accepts_requests(other, now) and other.versions.get(request.model, 0) == version:
@@ -70,14 +70,14 @@
         ``source`` is a server that may keep its shared blocks. ``now`` is in seconds. A save that is planned counts as
         done for ``SAVE_REPEAT_SECONDS``.
         """
-        shared_blocks = request.parts[:-1]
+        shared_blocks = request.prompt_blocks[:-1]
         if not shared_blocks or not version:
             return NO_TRANSFER
         source_address = source.address.encode() if source is not None else None
         store = self._store_of(shared_blocks[-1][0])
-        if store is None or request.shared < MIN_STORE_TRANSFER_TOKENS:
+        if store is None or request.shared_tokens < MIN_STORE_TRANSFER_TOKENS:
             return KvTransfer(source_address, None)
-        salt = salt_of(tenant, version).decode("latin-1")
+        salt = cache_salt(tenant, version).decode("latin-1")
         hashes = [block_hash(store, request.model, salt, block_id.decode("latin-1")) for block_id, _ in shared_blocks]
         missing = [hash_ for hash_ in hashes if hash_ not in self.state.stored_block_hashes]
         store_address = store.encode()
--- a/rowanshift/dataplane/request_admission.py
+++ b/rowanshift/dataplane/request_admission.py
@@ -43,10 +43,10 @@
             raise Refusal(404, "no route")
         tenant = None
         if routing_table.tenants is not None:
-            tenant = routing_table.tenants.get(request.key) if request.key is not None else None
+            tenant = routing_table.tenants.get(request.api_key) if request.api_key is not None else None
             if tenant is None and not route.public:
                 raise Refusal(401, "the key is not known")
-            if not route.public and not self.state.may_admit_key(request.came_at):
+            if not route.public and not self.state.may_admit_key(request.received_at):
                 reason = "the keys in force could not be confirmed"
                 raise Refusal(503, reason, KEYS_UNCONFIRMED_RETRY_AFTER_SECONDS)
         return Admission(route, tenant)
@@ -68,4 +68,4 @@
         """Whether a draining router may still make an attempt; a response that has started goes on."""
         if forwarded.writer.started:
             return True
-        return self.drain.may_send(now, forwarded.request.came_at, forwarded.deadline, forwarded.request_kind)
+        return self.drain.may_send(now, forwarded.request.received_at, forwarded.deadline, forwarded.request_kind)
--- a/rowanshift/dataplane/requests.py
+++ b/rowanshift/dataplane/requests.py
@@ -1,11 +1,12 @@
-"""A client's request as the counter reads it, and as a server gets it. No I/O."""
+"""A client's request: parsed from its HTTP message, and serialized as a server gets it. No I/O."""
 
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from rowanshift.dataplane.routing_table import Route, Tenant
 from rowanshift.transport.http_connection import Fields, MalformedMessage, Message
 
-OURS = frozenset(
+ROUTER_FIELDS = frozenset(  # header fields that only the router sets for servers; a client's own are not forwarded
     [
         b"authorization",
         b"deadline-remaining",
@@ -19,54 +20,86 @@
         b"last-event-id",
     ]
 )
-LONGEST_MS = 3_600_000.0
-MOST_DIGITS = 9  # of a number of tokens
+SINGLE_FIELDS = (b"request-id", b"deadline-remaining", b"authorization", b"prompt-prefix")  # may not be repeated
+DEFAULT_DEADLINE_MS = b"60000"  # where the client names none
+MAX_DEADLINE_MS = 3_600_000.0
+MAX_TOKEN_COUNT_DIGITS = 9
+LOWEST_PRIORITY = 9  # 0 is the highest
+
+
+class PromptBlock(NamedTuple):
+    """A block of a prompt that a server may have in its prefix cache."""
+
+    id: bytes
+    tokens: int
+
+
+class TokenCount(NamedTuple):
+    """Tokens of a request as its client counts them; 0 where that is not known."""
+
+    prompt: int
+    max_output: int
 
 
 @dataclass(slots=True)
 class Request:
-    """A client's request as it came, with what its fields say."""
+    """A client's request and what its header fields say. Times are trio's, in seconds."""
 
     id: bytes
     method: bytes
     target: bytes
     path: bytes
     host: bytes
-    fields: Fields  # those that go on as they came
+    forwarded_fields: Fields  # header fields that go to the server unchanged
     body: bytes
-    key: bytes | None  # the bearer's
-    until: float  # trio's time until which the client waits
-    came_at: float
+    api_key: bytes | None  # the bearer token
+    deadline: float  # until when the client waits
+    received_at: float
     model: str
-    parts: tuple[tuple[bytes, int], ...]  # of the prompt: id and tokens
-    tokens: tuple[int, int]  # of the prompt, and the most out
-    after: bytes | None  # the last event that the client has
-    tried: list[str] = field(default_factory=list)  # servers it was sent to
+    prompt_blocks: tuple[PromptBlock, ...]
+    token_count: TokenCount
+    last_event_id: bytes | None  # of the last event that the client has, of a stream that it resumes
+    attempted_servers: list[str] = field(default_factory=list)  # ids of the servers that the request was sent to
 
     @property
-    def shared(self) -> int:
-        """Tokens of the parts that other requests may share: all but the last part."""
-        return sum(size for _, size in self.parts[:-1])
+    def shared_tokens(self) -> int:
+        """Tokens of the blocks that other requests may share: all but the last."""
+        return sum(tokens for _, tokens in self.prompt_blocks[:-1])
 
     @property
     def prefix(self) -> bytes:
-        """The last part that is shared, or the only one."""
-        return self.parts[-2][0] if len(self.parts) > 1 else self.parts[0][0] if self.parts else self.id
+        """Id of the last block that is shared, or of the only block; the request's own id if it has none."""
+        if len(self.prompt_blocks) > 1:
+            return self.prompt_blocks[-2].id
+        return self.prompt_blocks[0].id if self.prompt_blocks else self.id
+
+
+@dataclass(slots=True)
+class ServerFields:
+    """What the router tells a server beside the client's request."""
+
+    instance_id: str  # of the server that is meant
+    seconds_left: float  # until the request's deadline
+    version: int  # of the model's weights; 0: the model has none
+    last_event_id: bytes | None = None  # of the last event that the client has
+    fetch_address: bytes | None = None  # where the server may fetch shared prompt blocks
+    save_address: bytes | None = None  # the store that the server saves them to
+    priority: int | None = None
 
 
-def request_of(message: Message, now: float) -> Request:
-    """``MalformedMessage`` with the status that the client is to get."""
+def parse_request(message: Message, now: float) -> Request:
+    """The request that a message holds; ``MalformedMessage`` with the status for the client if it is malformed."""
     fields = dict(message.fields)
     if not (id := fields.get(b"request-id")):
         raise MalformedMessage(400, "Request-Id is missing")
-    for name in (b"request-id", b"deadline-remaining", b"authorization", b"prompt-prefix"):
+    for name in SINGLE_FIELDS:
         if name in fields and sum(given == name for given, _ in message.fields) > 1:
             raise MalformedMessage(400, f"{name.decode()} stands there twice")
     target = message.target
     if target[:1] != b"/":
-        target = absolute(target)
-    left = number(fields.get(b"deadline-remaining", b"60000"), "Deadline-Remaining")
-    scheme, _, key = fields.get(b"authorization", b"").partition(b" ")
+        target = origin_form(target)
+    deadline_ms = parse_milliseconds(fields.get(b"deadline-remaining", DEFAULT_DEADLINE_MS), "Deadline-Remaining")
+    scheme, _, token = fields.get(b"authorization", b"").partition(b" ")
     host = fields.get(b"host", b"").lower()
     return Request(
         id,
@@ -74,30 +107,30 @@
         target,
         target.split(b"?", 1)[0],
         host.split(b":", 1)[0],
-        [pair for pair in message.end_to_end() if pair[0] not in OURS],
+        [pair for pair in message.end_to_end() if pair[0] not in ROUTER_FIELDS],
         message.body,
-        key.strip() if scheme.lower() == b"bearer" else None,
-        now + min(left, LONGEST_MS) / 1000,
+        token.strip() if scheme.lower() == b"bearer" else None,
+        now + min(deadline_ms, MAX_DEADLINE_MS) / 1000,
         now,
         fields.get(b"model-name", b"").decode("latin-1"),
-        parts_of(fields.get(b"prompt-prefix", b"")),
-        tokens_of(fields.get(b"token-count", b"")),
+        parse_prompt_blocks(fields.get(b"prompt-prefix", b"")),
+        parse_token_count(fields.get(b"token-count", b"")),
         fields.get(b"last-event-id"),
     )
 
 
-def absolute(target: bytes) -> bytes:
-    """The path of a target in absolute form. Raises ``MalformedMessage``."""
-    scheme, slashes, rest = target.partition(b"://")
-    if not slashes or scheme.lower() not in (b"http", b"https"):
+def origin_form(target: bytes) -> bytes:
+    """Path and query of a request target in absolute form; ``MalformedMessage`` if it is neither."""
+    scheme, separator, rest = target.partition(b"://")
+    if not separator or scheme.lower() not in (b"http", b"https"):
         raise MalformedMessage(400, "a path is wanted")
-    host = rest.replace(b"?", b"/", 1).partition(b"/")[0]
-    path = rest[len(host) :]
+    authority = rest.replace(b"?", b"/", 1).partition(b"/")[0]
+    path = rest[len(authority) :]
     return path if path[:1] == b"/" else b"/" + path
 
 
-def number(text: bytes, name: str) -> float:
-    """A number of milliseconds. Raises ``MalformedMessage``."""
+def parse_milliseconds(text: bytes, name: str) -> float:
+    """A finite number of milliseconds, 0 or more; ``MalformedMessage`` that names the field if it is none."""
     try:
         value = float(text)
     except ValueError:
@@ -107,69 +140,60 @@
     return value
 
 
-def parts_of(text: bytes) -> tuple[tuple[bytes, int], ...]:
-    """What can't be read names no parts: the request goes on as it is, and has no prefix in common."""
-    made = []
-    for part in text.split(b",") if text else ():
-        id, colon, tokens = part.strip().partition(b":")
-        if not colon or not counted(tokens):
+def parse_prompt_blocks(text: bytes) -> tuple[PromptBlock, ...]:
+    """The blocks of a Prompt-Prefix; none if any is malformed: the request is then forwarded without a shared
+    prefix."""
+    blocks = []
+    for block in text.split(b",") if text else ():
+        id, colon, tokens = block.strip().partition(b":")
+        if not colon or not is_token_count(tokens):
             return ()
-        made.append((id, int(tokens)))
-    return tuple(made)
+        blocks.append(PromptBlock(id, int(tokens)))
+    return tuple(blocks)
 
 
-def tokens_of(text: bytes) -> tuple[int, int]:
-    """Tokens in and, at most, out; 0 where they can't be read."""
-    into, _, out = text.partition(b",")
-    into, out = into.strip(), out.strip()
-    return (int(into) if counted(into) else 0, int(out) if counted(out) else 0)
+def parse_token_count(text: bytes) -> TokenCount:
+    """The numbers of a Token-Count, each 0 where it can't be read."""
+    prompt, _, output = text.partition(b",")
+    prompt, output = prompt.strip(), output.strip()
+    return TokenCount(int(prompt) if is_token_count(prompt) else 0, int(output) if is_token_count(output) else 0)
 
 
-def counted(text: bytes) -> bool:
-    """Whether it is a count of tokens: more digits than ``MOST_DIGITS`` are nonsense."""
-    return text.isdigit() and len(text) <= MOST_DIGITS
+def is_token_count(text: bytes) -> bool:
+    """Whether it is a number of tokens of at most ``MAX_TOKEN_COUNT_DIGITS`` digits."""
+    return text.isdigit() and len(text) <= MAX_TOKEN_COUNT_DIGITS
 
 
-def salt_of(tenant: Tenant | None, version: int) -> bytes:
-    """What parts are kept under: never shared between versions, nor with an isolated tenant."""
+def cache_salt(tenant: Tenant | None, version: int) -> bytes:
+    """What separates prefix caches: they are never shared between versions, nor with an isolated tenant."""
     return b"v%d.%s" % (version, tenant.name if tenant is not None and tenant.isolated else b"")
 
 
-def written(
-    request: Request,
-    tenant: Tenant | None,
-    instance: bytes,
-    left: float,
-    version: int,
-    after: bytes | None,
-    fetch: bytes | None,
-    save: bytes | None,
-    priority: int | None,
-) -> bytes:
-    """The head and body as they go to a server. ``left`` in seconds; ``version`` 0: the model has none."""
+def serialize_request(request: Request, tenant: Tenant | None, server_fields: ServerFields) -> bytes:
+    """Head and body of a request as they go to a server."""
     lines = [b"%s %s HTTP/1.1" % (request.method, request.target)]
-    lines += [b"%s: %s" % pair for pair in request.fields]
-    lines.append(b"Deadline-Remaining: %d" % max(1, int(left * 1000)))
-    lines.append(b"Expect-Instance: " + instance)
+    lines += [b"%s: %s" % pair for pair in request.forwarded_fields]
+    lines.append(b"Deadline-Remaining: %d" % max(1, int(server_fields.seconds_left * 1000)))
+    lines.append(b"Expect-Instance: " + server_fields.instance_id.encode())
     if tenant is not None:
         lines.append(b"Tenant-Name: " + tenant.name)
-    if after is not None:
-        lines.append(b"Last-Event-Id: " + after)
-    if version:
-        lines.append(b"Expect-Version: %d" % version)
-        lines.append(b"Cache-Salt: " + salt_of(tenant, version))
-        if fetch is not None:
-            lines.append(b"Kv-Fetch: " + fetch)
-        if save is not None:
-            lines.append(b"Kv-Save: " + save)
-    if priority is not None:
-        lines.append(b"Priority: %d" % priority)
+    if server_fields.last_event_id is not None:
+        lines.append(b"Last-Event-Id: " + server_fields.last_event_id)
+    if server_fields.version:
+        lines.append(b"Expect-Version: %d" % server_fields.version)
+        lines.append(b"Cache-Salt: " + cache_salt(tenant, server_fields.version))
+        if server_fields.fetch_address is not None:
+            lines.append(b"Kv-Fetch: " + server_fields.fetch_address)
+        if server_fields.save_address is not None:
+            lines.append(b"Kv-Save: " + server_fields.save_address)
+    if server_fields.priority is not None:
+        lines.append(b"Priority: %d" % server_fields.priority)
     if request.body or request.method in (b"POST", b"PUT", b"PATCH"):
         lines.append(b"Content-Length: %d" % len(request.body))
     return b"\r\n".join([*lines, b"", request.body])
 
 
-def priority_of(route: Route, tenant: Tenant | None) -> int:
-    """The rank at a server, 0 the highest: the tenant's before the route's."""
-    given = tenant.priority if tenant is not None and tenant.priority is not None else route.priority
-    return min(9, max(0, given))
+def effective_priority(route: Route, tenant: Tenant | None) -> int:
+    """The priority at a server, 0 the highest: the tenant's if it has one, else the route's."""
+    priority = tenant.priority if tenant is not None and tenant.priority is not None else route.priority
+    return min(LOWEST_PRIORITY, max(0, priority))
--- a/rowanshift/dataplane/server_attempt.py
+++ b/rowanshift/dataplane/server_attempt.py
@@ -13,7 +13,7 @@
 from rowanshift.dataplane.load_datagrams import DatagramKind
 from rowanshift.dataplane.load_index import LoadIndex, ReportedRequest
 from rowanshift.dataplane.request_admission import Admission, RequestAdmission
-from rowanshift.dataplane.requests import priority_of, written
+from rowanshift.dataplane.requests import ServerFields, effective_priority, serialize_request
 from rowanshift.dataplane.response_stream import relay_response
 from rowanshift.dataplane.response_writer import ClientDisconnected
 from rowanshift.dataplane.retry_decision import ClientResponse, Decision, ExchangeOutcome, decide
@@ -88,14 +88,14 @@
         data = self._serialize(forwarded, endpoint, version)
         self.counts.retries += forwarded.reached_server
         endpoint.on_request_sent(trio.current_time())
-        load = await self.loads.report_sent(endpoint.id, max(1, request.tokens[0]))
+        load = await self.loads.report_sent(endpoint.id, max(1, request.token_count.prompt))
         report = DatagramKind.REQUEST_ABANDONED
         connection, forwarded.reserved_connection = forwarded.reserved_connection, None
         try:
             connection = connection or await self.upstream.acquire(endpoint, forwarded.deadline)
             self._check_choice(forwarded, connection, version)
             await self.upstream.send_request(connection, data, forwarded.deadline)
-            request.tried.append(endpoint.id)
+            request.attempted_servers.append(endpoint.id)
             outcome = await self._receive(forwarded, connection, load, version)
             report = LOAD_REPORTS.get(outcome, DatagramKind.REQUEST_ABANDONED)
             return outcome
@@ -115,17 +115,16 @@
         pool = self.selection.pool(forwarded)
         near = transfer_source(pool, request, forwarded.ring_position, version, endpoint, now)
         fetch, save = self.kv_transfers.plan(request, tenant, version, near, now)
-        return written(
-            request,
-            tenant,
-            endpoint.id.encode(),
+        server_fields = ServerFields(
+            endpoint.id,
             forwarded.deadline - now,
             version,
-            forwarded.writer.last_event_id or request.after,
+            forwarded.writer.last_event_id or request.last_event_id,
             fetch,
             save,
-            priority_of(forwarded.route, tenant),
+            effective_priority(forwarded.route, tenant),
         )
+        return serialize_request(request, tenant, server_fields)
 
     def _check_choice(self, forwarded: ForwardedRequest, connection: ServerConnection, version: int) -> None:
         """``ChoiceOutdated``, with the connection back in the pool, if the server may no longer get the request;
--- a/rowanshift/dataplane/server_selection.py
+++ b/rowanshift/dataplane/server_selection.py
@@ -47,7 +47,7 @@
 
     def grant_retry(self, forwarded: ForwardedRequest, now: float) -> bool:
         """Whether the route and the retry budget allow one more attempt; the budget is drawn on once for it."""
-        if len(forwarded.request.tried) >= forwarded.route.max_attempts:
+        if len(forwarded.request.attempted_servers) >= forwarded.route.max_attempts:
             return False
         if not forwarded.retry_granted:
             forwarded.retry_granted = self.retry_budget_of(forwarded.service).try_withdraw(now)
--- a/tests/dataplane/test_endpoints.py
+++ b/tests/dataplane/test_endpoints.py
@@ -312,7 +312,7 @@
     """Where a server may take the shared parts of a prompt from."""
 
     def source(self, endpoint, shared=MIN_HOME_FETCH_TOKENS, version=1):
-        request = mock.Mock(model=MODEL, shared=shared)
+        request = mock.Mock(model=MODEL, shared_tokens=shared)
         return transfer_source(self.pool, request, self.mark, version, endpoint, 0.0)
 
     def test_the_home_for_any_other(self):
--- a/tests/dataplane/test_kv_transfers.py
+++ b/tests/dataplane/test_kv_transfers.py
@@ -6,7 +6,7 @@
 
 from rowanshift.dataplane.endpoints import Endpoint
 from rowanshift.dataplane.kv_transfers import KvTransferPlanner
-from rowanshift.dataplane.requests import request_of, written
+from rowanshift.dataplane.requests import ServerFields, parse_request, serialize_request
 from rowanshift.dataplane.routing_table import RoutingTable, Service, Tenant
 from rowanshift.kv_index.block_hashes import block_hash, presence_hash
 from rowanshift.transport.http_connection import Message
@@ -25,7 +25,7 @@
         return KvTransferPlanner(state)
 
     def request(self, prefix):
-        return request_of(
+        return parse_request(
             Message(
                 b"POST",
                 b"/v1",
@@ -38,7 +38,7 @@
     def sent(self, stored, prefix, home, tenant=None):
         request = self.request(prefix)
         fetch, save = self.planner(stored).plan(request, tenant, 3, home, 1.0)
-        data = written(request, tenant, b"i-1", 2.0, 3, None, fetch, save, 5)
+        data = serialize_request(request, tenant, ServerFields("i-1", 2.0, 3, None, fetch, save, 5))
         lines = data.split(b"\r\n")
         transfers = [line for line in lines if line.startswith((b"Kv-Fetch: ", b"Kv-Save: "))]
         return [line for line in lines if line not in transfers], transfers
--- a/tests/dataplane/test_requests.py
+++ b/tests/dataplane/test_requests.py
@@ -1,4 +1,4 @@
-"""Requests as a counter reads them and passes them on, by the routing_table of routes, tenants and services."""
+"""Requests as a router parses and forwards them, by the routing_table of routes, tenants and services."""
 
 import random
 import unittest
@@ -8,13 +8,14 @@
 
 from rowanshift.dataplane.errors import UnreadableConfiguration
 from rowanshift.dataplane.requests import (
-    LONGEST_MS,
-    parts_of,
-    priority_of,
-    request_of,
-    salt_of,
-    tokens_of,
-    written,
+    MAX_DEADLINE_MS,
+    ServerFields,
+    cache_salt,
+    effective_priority,
+    parse_prompt_blocks,
+    parse_request,
+    parse_token_count,
+    serialize_request,
 )
 from rowanshift.dataplane.routing_table import RoutingTable, Tenant, parse_routing_table
 from rowanshift.transport.http_connection import MalformedMessage, Message
@@ -62,11 +63,11 @@
 
 
 def read(*fields, target=b"/v1/chat", method=b"POST", body=b"{}", now=100.0):
-    return request_of(Message(method, target, fields=list(fields), body=body), now)
+    return parse_request(Message(method, target, fields=list(fields), body=body), now)
 
 
 def sent(request, tenant=None, left=1.0, version=2, after=None, fetch=None, save=None, priority=5):
-    data = written(request, tenant, b"i-0-1", left, version, after, fetch, save, priority)
+    data = serialize_request(request, tenant, ServerFields("i-0-1", left, version, after, fetch, save, priority))
     head, _, body = data.partition(b"\r\n\r\n")
     first, *lines = head.split(b"\r\n")
     return first, [tuple(line.split(b": ", 1)) for line in lines], body
@@ -145,7 +146,7 @@
             (Tenant(b"t", 99, False), 9),
             (Tenant(b"t", -3, False), 0),
         ):
-            self.assertEqual(priority_of(route, tenant), expected)
+            self.assertEqual(effective_priority(route, tenant), expected)
 
     def test_no_configuration(self):
         self.assertEqual(parse_routing_table(9, b"", {"m": 1}), RoutingTable(versions={"m": 1}))
@@ -194,12 +195,12 @@
             (b"last-event-id", b"7"),
             target=b"/v1/chat?x=/y",
         )
-        self.assertEqual((request.id, request.host, request.key), (b"r-1", b"h.example", b"k1"))
+        self.assertEqual((request.id, request.host, request.api_key), (b"r-1", b"h.example", b"k1"))
         self.assertEqual(request.model, "m")
         self.assertEqual((request.path, request.target), (b"/v1/chat", b"/v1/chat?x=/y"))
-        self.assertEqual((request.until, request.came_at), (101.5, 100.0))
-        self.assertEqual((request.parts, request.prefix), (((b"a", 10), (b"b", 20), (b"c", 5)), b"b"))
-        self.assertEqual((request.tokens, request.after), ((35, 100), b"7"))
+        self.assertEqual((request.deadline, request.received_at), (101.5, 100.0))
+        self.assertEqual((request.prompt_blocks, request.prefix), (((b"a", 10), (b"b", 20), (b"c", 5)), b"b"))
+        self.assertEqual((request.token_count, request.last_event_id), ((35, 100), b"7"))
 
     def test_the_prefix(self):
         self.assertEqual(read(ID).prefix, b"r-1")
@@ -224,9 +225,9 @@
 
     def test_deadlines(self):
         for text, seconds in ((b"0", 0.0), (b"1", 0.001), (b"2.5", 0.0025), (b"1e3", 1.0), (b"9" * 40, 3600.0)):
-            self.assertAlmostEqual(read(ID, (b"deadline-remaining", text)).until, 100.0 + seconds)
-        self.assertEqual(read(ID).until, 160.0)
-        self.assertEqual(LONGEST_MS, 3_600_000)
+            self.assertAlmostEqual(read(ID, (b"deadline-remaining", text)).deadline, 100.0 + seconds)
+        self.assertEqual(read(ID).deadline, 160.0)
+        self.assertEqual(MAX_DEADLINE_MS, 3_600_000)
 
     def test_deadlines_that_are_none(self):
         for text in (
@@ -264,25 +265,25 @@
             b"a:\xb2",
             b"\xff",
         ):
-            self.assertEqual(parts_of(text), (), text)
-            self.assertEqual(read(ID, (b"prompt-prefix", text)).parts, ())
+            self.assertEqual(parse_prompt_blocks(text), (), text)
+            self.assertEqual(read(ID, (b"prompt-prefix", text)).prompt_blocks, ())
 
     def test_a_number_of_tokens_beyond_reason(self):
         """A field of 16 KiB holds one that Python won't read, and one that no float holds."""
         for digits in (5000, 400):
             text = b"9" * digits
             with self.subTest("parts", digits=digits):
-                tokens = sum(size for _, size in parts_of(b"a:1,b:" + text))
+                tokens = sum(size for _, size in parse_prompt_blocks(b"a:1,b:" + text))
                 self.assertLess(float(tokens), float("inf"))
             with self.subTest("tokens", digits=digits):
-                self.assertLess(float(sum(tokens_of(text + b"," + text))), float("inf"))
+                self.assertLess(float(sum(parse_token_count(text + b"," + text))), float("inf"))
 
     def test_drawn_prompt_prefixes_and_counts(self):
         random_source = random.Random(3)
         for _ in range(5000):
             text = bytes(random_source.choices(b"ab:,0 9-.\xff", k=random_source.randrange(14)))
-            self.assertTrue(all(tokens >= 0 for _, tokens in parts_of(text)))
-            self.assertTrue(min(tokens_of(text)) >= 0)
+            self.assertTrue(all(tokens >= 0 for _, tokens in parse_prompt_blocks(text)))
+            self.assertTrue(min(parse_token_count(text)) >= 0)
 
     def test_token_counts(self):
         for text, tokens in (
@@ -294,7 +295,7 @@
             (b"-5,7", (0, 7)),
             (b"5,7,9", (5, 0)),
         ):
-            self.assertEqual(tokens_of(text), tokens)
+            self.assertEqual(parse_token_count(text), tokens)
 
     def test_keys(self):
         for text, key in (
@@ -305,8 +306,8 @@
             (b"k1", None),
             (b"", None),
         ):
-            self.assertEqual(read(ID, (b"authorization", text)).key, key)
-        self.assertIsNone(read(ID).key)
+            self.assertEqual(read(ID, (b"authorization", text)).api_key, key)
+        self.assertIsNone(read(ID).api_key)
 
     def test_absolute_targets(self):
         for target, path in ((b"http://h.example/v1?q=1", b"/v1"), (b"HTTPS://h:80/", b"/"), (b"http://h", b"/")):
@@ -377,7 +378,7 @@
         request = read(ID, *self.OWN)
         for tenant in (None, Tenant(b"t", None, True)):
             for version in (0, 2):
-                data = written(request, tenant, b"i", 1.0, version, None, None, None, None)
+                data = serialize_request(request, tenant, ServerFields("i", 1.0, version))
                 self.assertNotIn(b"evil", data)
                 self.assertNotIn(b"77777", data)
 
@@ -390,15 +391,15 @@
     def test_the_key_never_goes_on(self):
         for scheme in (b"Bearer ", b"bearer  ", b"Basic ", b""):
             request = read(ID, (b"authorization", scheme + b"secret"))
-            data = written(request, Tenant(b"t", None, False), b"i", 1.0, 1, None, None, None, None)
+            data = serialize_request(request, Tenant(b"t", None, False), ServerFields("i", 1.0, 1))
             self.assertNotIn(b"secret", data)
 
     def test_salts(self):
         tenants = (None, Tenant(b"a", None, False), Tenant(b"b", 1, False))
         isolated = (Tenant(b"a", None, True), Tenant(b"b", None, True), Tenant(b"1.a", None, True))
         for version in (1, 2, 11):
-            self.assertEqual(len({salt_of(tenant, version) for tenant in tenants}), 1)
-        salts = [salt_of(tenant, version) for version in (1, 2, 11, 12) for tenant in (None, *isolated)]
+            self.assertEqual(len({cache_salt(tenant, version) for tenant in tenants}), 1)
+        salts = [cache_salt(tenant, version) for version in (1, 2, 11, 12) for tenant in (None, *isolated)]
         self.assertEqual(len(set(salts)), len(salts))
 
     def test_without_a_version_nothing_is_kept_or_moved(self):
--- a/tests/simulation/test_system_simulation.py
+++ b/tests/simulation/test_system_simulation.py
@@ -1,5 +1,6 @@
 """The whole system in the virtual network, between stand-ins: troubles, closing faults, planted faults."""
 
+import dataclasses
 import os
 import random
 import signal
@@ -645,10 +646,10 @@
         self.found("REFUSED", self.crashes, mock.patch.object(response_writer.ResponseWriter, "refuse", refuse))
 
     def test_a_stream_is_taken_up_from_its_start(self):
-        true = server_attempt.written
+        true = server_attempt.serialize_request
 
-        def written(request, tenant, instance, left, version, after, *more):
-            return true(request, tenant, instance, left, version, None, *more)
+        def serialize_request(request, tenant, server_fields):
+            return true(request, tenant, dataclasses.replace(server_fields, last_event_id=None))
 
         async def scenario(fleet):
             fleet.client("c", RESUMED, "key-1", 0.05, 80)
@@ -657,14 +658,16 @@
                 server.garble("break", 2)
             await trio.sleep(2)
 
-        self.found("ORDER", scenario, mock.patch.object(server_attempt, "written", written))
+        self.found("ORDER", scenario, mock.patch.object(server_attempt, "serialize_request", serialize_request))
 
     def test_an_isolated_tenant_shares_its_cache(self):
         async def scenario(fleet):
             fleet.crowd(9)
             await trio.sleep(2)
 
-        self.found("WALL", scenario, mock.patch.object(requests, "salt_of", lambda tenant, version: b"v%d" % version))
+        self.found(
+            "WALL", scenario, mock.patch.object(requests, "cache_salt", lambda tenant, version: b"v%d" % version)
+        )
 
     def test_a_counter_keeps_its_first_configuration(self):
         true = control_cache.ControlCache.apply
