--- a/rowanshift/dataplane/frontend.py
+++ b/rowanshift/dataplane/frontend.py
@@ -1,4 +1,7 @@
-"""The client side: connections of clients, and one final answer to each request that comes on them."""
+"""Accepts client connections, reads requests from them, and gives each request exactly one final response.
+
+Times are trio's, in seconds.
+"""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, field
@@ -25,129 +28,140 @@
 from rowanshift.transport.runtime import Nursery
 from rowanshift.transport.streams import Listener, Stream
 
-BACKLOG, AT_ONCE = 1024, 16
-BODY_WITHIN = 10.0  # seconds for a body to come
-LINGER_FOR = 0.5  # seconds read on after an error, so that it arrives
-DENIALS = (401, 404)  # statuses of this router's own that are final for the client
-CONFIRM_WITHIN = 0.6  # seconds that a request which would be denied waits for what is known to be confirmed
-FIRST_WITHIN = 0.2  # seconds for the first request of a connection that a leaving router took
-CONFIRM_AGAIN = 0.3  # seconds after which its client may come again if it was not
+LISTEN_BACKLOG = 1024  # connections that wait to be accepted
+MAX_ACCEPTS_PER_TURN = 16  # connections
+ACCEPT_RETRY_SECONDS = 0.02  # after an accept that failed
+BODY_TIMEOUT_SECONDS = 10.0  # for a request's body to come
+ERROR_LINGER_SECONDS = 0.5  # that a connection is read on after a 4xx, so that the response arrives
+LINGER_BUFFER_BYTES = 1 << 16
+DENIAL_STATUSES = (401, 404)  # of the router's own refusals, those that are final for the client
+CONFIRMATION_WAIT_SECONDS = 0.6  # that a request which would be denied waits for the state to be confirmed
+UNCONFIRMED_RETRY_AFTER_SECONDS = 0.3  # that its client is asked to wait if it was not
+FIRST_REQUEST_TIMEOUT_SECONDS = 0.2  # on a connection that a draining router accepted
 
 
 @dataclass(slots=True, eq=False)
-class Client:
-    """One connection of a client; ``scope`` ends its wait for a request."""
+class ClientConnection:
+    """One connection of a client; cancelling ``scope`` ends its wait for a request."""
 
-    connection: Connection
+    http: Connection
     scope: trio.CancelScope = field(default_factory=trio.CancelScope)
     connected_at: float = field(default_factory=trio.current_time)
-    requests: int = 0  # read whole
+    requests_read: int = 0
 
 
 class Frontend:
-    """Takes requests from clients and answers each once."""
+    """The router's side towards clients.
+
+    ``retry_budget_of`` gives the retry budget of a service, by its name; ``draw`` a random number from 0 to 1.
+    """
 
     def __init__(
         self,
         state: ControlState,
-        back: UpstreamPool,
-        budget: DescriptorBudget,
+        upstream: UpstreamPool,
+        descriptors: DescriptorBudget,
         memory: MemoryBudget,
-        retries: Callable[[str], RetryBudget],
+        retry_budget_of: Callable[[str], RetryBudget],
         draw: Callable[[], float],
         loads: LoadIndex,
         drain: Drain,
         outcomes: RequestOutcomes | None = None,
     ) -> None:
-        self.state, self.budget, self.memory, self.drain = state, budget, memory, drain
-        self.forwarder = Forwarder(state, back, retries, draw, loads, drain)
+        self.state = state
+        self.descriptors = descriptors
+        self.memory = memory
+        self.drain = drain
+        self.forwarder = Forwarder(state, upstream, retry_budget_of, draw, loads, drain)
         self.counts = self.forwarder.counts
-        self.idle: dict[Client, None] = {}
-        self.open = 0  # requests
-        self.reading: set[Client] = set()  # connections of which a part of a request was read
-        self.answering: dict[trio.CancelScope, ResponseWriter] = {}  # what gives up each request that is open
+        self.idle: dict[ClientConnection, None] = {}
+        self.open_requests = 0
+        self.reading: set[ClientConnection] = set()  # a part of a request has come
+        self.writers: dict[
+            trio.CancelScope, ResponseWriter
+        ] = {}  # of open requests, by the scope that abandons the request
         self.accepting = trio.CancelScope()
         self.listener_closed = trio.Event()
         self.outcomes = outcomes or RequestOutcomes()
-        budget.close_idle_client = self.drop_idle
+        descriptors.close_idle_client = self.close_longest_idle
 
     # the listener -----------------------------------------
 
     async def accept(self, listener: Listener, nursery: Nursery, pause: Callable[[float], Awaitable[None]]) -> None:
-        """Take connections in until ``stop_accepting``; then those that wait, so that their requests are refused, and
-        the listener is closed."""
+        """Accept connections until ``stop_accepting``, then those that wait already, so that their requests get a
+        refusal; close the listener. ``pause`` waits for some seconds."""
         try:
             with self.accepting:
                 await self._accept(listener, nursery, pause)
-            self._take_waiting(listener, nursery)
+            self._accept_waiting(listener, nursery)
         finally:
             listener.close()
             self.listener_closed.set()
 
-    def _take_waiting(self, listener: Listener, nursery: Nursery) -> None:
-        """Take in the connections that wait to be accepted, as far as there is room."""
-        for _ in range(BACKLOG):
-            if not self.budget.try_acquire_client():
+    def _accept_waiting(self, listener: Listener, nursery: Nursery) -> None:
+        """Accept the connections that wait already, as far as there are descriptors."""
+        for _ in range(LISTEN_BACKLOG):
+            if not self.descriptors.try_acquire_client():
                 return
             try:
                 stream = listener.accept()
             except OSError:  # none waits, or no descriptor is left
-                self.budget.release_client()
+                self.descriptors.release_client()
                 return
-            self._note_connection()
+            self._record_connection()
             nursery.start_soon(self.serve, stream)
 
     async def stop_accepting(self) -> None:
-        """Take no more connections but those that wait already; returns once the listener is closed."""
+        """Accept no more connections but those that wait already; returns once the listener is closed."""
         self.accepting.cancel()
         await self.listener_closed.wait()
 
     async def _accept(self, listener: Listener, nursery: Nursery, pause: Callable[[float], Awaitable[None]]) -> None:
         while True:
             await listener.wait()
-            for _ in range(AT_ONCE):
-                await self.budget.acquire_client()
+            for _ in range(MAX_ACCEPTS_PER_TURN):
+                await self.descriptors.acquire_client()
                 try:
                     stream = listener.accept()
                 except BlockingIOError:
-                    self.budget.release_client()
+                    self.descriptors.release_client()
                     break
                 except OSError as error:
-                    self.budget.release_client()
+                    self.descriptors.release_client()
                     logger.warning("event=accept_failed error={!r}", error)
-                    await pause(0.02)
+                    await pause(ACCEPT_RETRY_SECONDS)
                     break
-                self._note_connection()
+                self._record_connection()
                 nursery.start_soon(self.serve, stream)
 
-    def drop_idle(self) -> bool:
-        """Closes the connection that stood idle longest and has sent nothing."""
+    def close_longest_idle(self) -> bool:
+        """Close the connection that has been idle longest and has sent nothing; whether there was one."""
         for client in self.idle:
-            if not client.connection.stream.readable():
+            if not client.http.stream.readable():
                 del self.idle[client]
                 client.scope.cancel()
                 return True
         return False
 
     @property
-    def unfinished(self) -> int:
+    def unfinished_requests(self) -> int:
         """Requests that are being read or answered."""
-        return len(self.reading) + self.open
+        return len(self.reading) + self.open_requests
 
     def begin_shutdown(self) -> None:
-        """Tell each client whose answer has not begun that its connection ends with it."""
-        for writer in self.answering.values():
+        """Announce to each client whose response has not started that its connection ends with the response."""
+        for writer in self.writers.values():
             writer.keep_alive = writer.keep_alive and writer.started
 
-    def give_up(self) -> None:
-        """End each open request now: with a final answer, or by a cut if its answer has begun."""
-        for scope in [*self.answering]:
+    def abandon_open_requests(self) -> None:
+        """End each open request now: with a final response, or by a close if its response has started."""
+        for scope in [*self.writers]:
             scope.cancel()
 
-    def close_idle(self) -> None:
-        """Closes connections that are idle; a new one is given ``FIRST_WITHIN`` for its first request."""
+    def close_idle_connections(self) -> None:
+        """Close idle connections; a new one is given ``FIRST_REQUEST_TIMEOUT_SECONDS`` for its first request."""
         now = trio.current_time()
-        closed = [client for client in self.idle if self._closes(client, now)]
+        closed = [client for client in self.idle if self._should_close(client, now)]
         for client in closed:
             del self.idle[client]
             client.scope.cancel()
@@ -157,13 +171,13 @@
             logger.info("event=idle_closed_while_leaving connections={} since_signal={:.3f}", len(closed), since)
 
     @staticmethod
-    def _closes(client: Client, now: float) -> bool:
-        """Whether an idle connection is closed by a router that leaves."""
-        expected = not client.requests and now < client.connected_at + FIRST_WITHIN
-        return not expected and not client.connection.stream.readable()
+    def _should_close(client: ClientConnection, now: float) -> bool:
+        """Whether a draining router closes an idle connection."""
+        expected = not client.requests_read and now < client.connected_at + FIRST_REQUEST_TIMEOUT_SECONDS
+        return not expected and not client.http.stream.readable()
 
-    def _note_connection(self) -> None:
-        """A new connection was accepted, which matters while leaving."""
+    def _record_connection(self) -> None:
+        """Count a new connection that was accepted after SIGTERM."""
         if (shutdown := self.outcomes.shutdown) is None:
             return
         now = trio.current_time()
@@ -174,19 +188,19 @@
     # one connection ---------------------------------------
 
     async def serve(self, stream: Stream) -> None:
-        """Answer one request after another on a connection."""
+        """Handle one request after another on a connection, then close it."""
         connection = Connection(
             stream, httptools.HttpRequestParser, self.memory, largest=self.state.routing_table.max_body_bytes
         )
-        client = Client(connection)
+        client = ClientConnection(connection)
         try:
             while True:
-                message = await self._request(client)
-                if message is None or not await self._answer(client, message):
+                message = await self._read_request(client)
+                if message is None or not await self._handle_request(client, message):
                     return
                 connection.release()
         except MalformedMessage as error:
-            await self._bad(ResponseWriter(connection, keep_alive=False, is_http_1_0=False), error)
+            await self._reject_malformed(ResponseWriter(connection, keep_alive=False, is_http_1_0=False), error)
         except (ClientDisconnected, OSError, trio.ClosedResourceError):
             pass
         except Exception:
@@ -194,17 +208,17 @@
         finally:
             self.idle.pop(client, None)
             connection.close()
-            self.budget.release_client()
+            self.descriptors.release_client()
 
-    async def _request(self, client: Client) -> Message | None:
-        """The next request, whole; None when the client has ended or says nothing for too long."""
+    async def _read_request(self, client: ClientConnection) -> Message | None:
+        """The next complete request; None if the client closed the connection or was idle for too long."""
         try:
             return await self._next_message(client)
         finally:
             self.reading.discard(client)
 
-    async def _next_message(self, client: Client) -> Message | None:
-        connection, routing_table = client.connection, self.state.routing_table
+    async def _next_message(self, client: ClientConnection) -> Message | None:
+        connection, routing_table = client.http, self.state.routing_table
         connection.largest = routing_table.max_body_bytes
         until, began = trio.current_time() + routing_table.idle_timeout, 0.0
         while True:
@@ -214,7 +228,7 @@
             if connection.partial:
                 self.reading.add(client)
                 began = began or now
-                until = began + (routing_table.header_timeout if connection.in_head else BODY_WITHIN)
+                until = began + (routing_table.header_timeout if connection.in_head else BODY_TIMEOUT_SECONDS)
                 self.idle.pop(client, None)
             elif not connection.pending():
                 self.idle[client] = None
@@ -230,14 +244,14 @@
             if not connection.receive():
                 return None
 
-    async def _bad(self, writer: ResponseWriter, error: MalformedMessage) -> None:
-        """One 4xx, and the close; reads on for a moment so that it arrives."""
+    async def _reject_malformed(self, writer: ResponseWriter, error: MalformedMessage) -> None:
+        """Send a 4xx and close the connection; read on for a moment so that the response arrives."""
         connection, writer.keep_alive = writer.connection, False
         try:
             await writer.refuse(Refusal(error.status, str(error)))
             connection.stream.end()
-            space = memoryview(bytearray(1 << 16))
-            with trio.move_on_after(LINGER_FOR):
+            space = memoryview(bytearray(LINGER_BUFFER_BYTES))
+            with trio.move_on_after(ERROR_LINGER_SECONDS):
                 while True:
                     await connection.stream.wait_readable()
                     if not connection.stream.recv_into(space):
@@ -247,38 +261,38 @@
         except (OSError, trio.ClosedResourceError):
             pass
 
-    async def _answer(self, client: Client, message: Message) -> bool:
-        """Answers one request, which ends in exactly one way; whether the connection is kept."""
+    async def _handle_request(self, client: ClientConnection, message: Message) -> bool:
+        """Handle one request to its outcome; whether the connection stays open."""
         self.counts.requests += 1
-        client.requests += 1
+        client.requests_read += 1
         id = dict(message.fields).get(b"request-id", b"").decode("latin-1")
         logger.debug("event=request_read request={}", id)
-        tracked = self.outcomes.track(id, client.connected_at, client.requests, trio.current_time())
-        writer = ResponseWriter(client.connection, message.keep and not self.drain.draining, message.old)
+        tracked = self.outcomes.track(id, client.connected_at, client.requests_read, trio.current_time())
+        writer = ResponseWriter(client.http, message.keep and not self.drain.draining, message.old)
         try:
-            return await self._final_answer(message, writer)
+            return await self._respond(message, writer)
         except MalformedMessage as error:
-            await self._bad(writer, error)
+            await self._reject_malformed(writer, error)
             return False
         except ClientDisconnected:
             writer.outcome = RequestOutcome.CLIENT_DISCONNECTED
             raise
-        finally:  # also when it is cancelled
+        finally:  # also when cancelled
             now = trio.current_time()
             log_closed_request(self.outcomes.close(tracked, writer.outcome, now, writer.status, writer.bytes_written))
 
-    async def _final_answer(self, message: Message, writer: ResponseWriter) -> bool:
-        """Answers one request by a server's answer or a refusal; whether the connection is kept."""
+    async def _respond(self, message: Message, writer: ResponseWriter) -> bool:
+        """Give one request a server's response or a refusal; whether the connection stays open."""
         request = parse_request(message, trio.current_time())
-        self.open += 1
+        self.open_requests += 1
         try:
-            await self._forward_unless_given_up(request, writer)
+            await self._forward_until_abandoned(request, writer)
             self.counts.completed += 1
         except Refusal as refused:
-            refusal = self._unless_old(refused)
+            refusal = self._confirmed(refused)
             self.counts.refused += refusal.status in NOT_EXECUTED_STATUSES
             self.counts.failed += refusal.status not in NOT_EXECUTED_STATUSES
-            if writer.started:  # what went writer must not look whole
+            if writer.started:  # the part that was sent must not look complete
                 return False
             writer.keep_alive = writer.keep_alive and not self.drain.draining
             await writer.refuse(refusal)
@@ -292,19 +306,19 @@
                 await writer.refuse(Refusal(502, "a fault of this router"))
             raise
         finally:
-            self.open -= 1
+            self.open_requests -= 1
         return writer.keep_alive
 
-    async def _forward_unless_given_up(self, request: Request, writer: ResponseWriter) -> None:
-        """Forwards a request; ``Refusal`` once it is given up because this router ends."""
+    async def _forward_until_abandoned(self, request: Request, writer: ResponseWriter) -> None:
+        """Forward a request; ``Refusal`` once it is abandoned because this router ends."""
         scope = trio.CancelScope()
-        self.answering[scope] = writer
+        self.writers[scope] = writer
         try:
             with scope:
                 await self._forward(request, writer)
                 return
         finally:
-            del self.answering[scope]
+            del self.writers[scope]
         if request.attempted_servers:
             raise Refusal(502, f"{DRAINING_REASON}; it may have run")
         raise Refusal(503, DRAINING_REASON, RETRY_AFTER_SECONDS)
@@ -317,19 +331,21 @@
         await self.forwarder.forward(request, writer)
 
     async def _confirm_refusal(self, request: Request) -> None:
-        """A request that would be refused for good waits, briefly, until what is known is surely recent."""
+        """Let a request that would be denied wait, briefly, until the state is surely recent."""
         if self.state.may_refuse():
             return
         try:
             self.forwarder.admission.admit(request)
         except Refusal as refusal:
-            if refusal.status in DENIALS:
-                await self.state.wait_until_may_refuse(min(CONFIRM_WITHIN, request.deadline - request.received_at))
-
-    def _unless_old(self, refusal: Refusal) -> Refusal:
-        """The refusal, or one that lets the client come again where it rests on what may be old."""
-        if refusal.status in DENIALS and not self.state.may_refuse():
-            return Refusal(503, "the configuration could not be confirmed", CONFIRM_AGAIN)
+            if refusal.status in DENIAL_STATUSES:
+                await self.state.wait_until_may_refuse(
+                    min(CONFIRMATION_WAIT_SECONDS, request.deadline - request.received_at)
+                )
+
+    def _confirmed(self, refusal: Refusal) -> Refusal:
+        """The refusal, or a 503 in place of a denial that rests on state that may be out of date."""
+        if refusal.status in DENIAL_STATUSES and not self.state.may_refuse():
+            return Refusal(503, "the configuration could not be confirmed", UNCONFIRMED_RETRY_AFTER_SECONDS)
         return refusal
 
 
--- a/rowanshift/dataplane/service.py
+++ b/rowanshift/dataplane/service.py
@@ -10,7 +10,7 @@
 from rowanshift.dataplane.control_cache import ControlCache
 from rowanshift.dataplane.control_client import ControlClient
 from rowanshift.dataplane.drain import Drain, DrainPhase
-from rowanshift.dataplane.frontend import BACKLOG, Frontend, log_closed_request
+from rowanshift.dataplane.frontend import LISTEN_BACKLOG, Frontend, log_closed_request
 from rowanshift.dataplane.load_index import LoadIndex
 from rowanshift.dataplane.request_outcomes import RequestOutcomes
 from rowanshift.dataplane.retry_budget import RetryBudget
@@ -165,7 +165,7 @@
                 )
                 nursery.start_soon(self.control_client.run)
                 nursery.start_soon(self._watch)
-                listener = host.listen(boot.required_address("frontend"), BACKLOG)
+                listener = host.listen(boot.required_address("frontend"), LISTEN_BACKLOG)
                 nursery.start_soon(self.front.accept, listener, nursery, host.pause)
                 host.settled()
                 logger.info("event=started role=dataplane name={}", boot.name)
@@ -178,17 +178,19 @@
         self.drain.begin(self.shutdown_requested_at)
         front.outcomes.begin_shutdown(self.shutdown_requested_at, self.drain.grace)
         front.begin_shutdown()
-        logger.info("event=leaving open={}", front.open)
-        while (phase := self.drain.phase(trio.current_time(), front.unfinished)) is not DrainPhase.FINISHED:
+        logger.info("event=leaving open={}", front.open_requests)
+        while (phase := self.drain.phase(trio.current_time(), front.unfinished_requests)) is not DrainPhase.FINISHED:
             if phase is DrainPhase.REFUSING:
-                front.close_idle()
+                front.close_idle_connections()
             await trio.sleep(LEAVE_STEP)
         self.drain.stop_admitting()
         await front.stop_accepting()
-        front.give_up()
+        front.abandon_open_requests()
         clients_read_until = trio.current_time() + LAST_ANSWERS
-        while budget.clients and self.drain.must_keep_running(trio.current_time(), front.open, clients_read_until):
-            front.close_idle()
+        while budget.clients and self.drain.must_keep_running(
+            trio.current_time(), front.open_requests, clients_read_until
+        ):
+            front.close_idle_connections()
             await trio.sleep(LAST_STEP)
 
     async def _on_signals(self, signals: AsyncIterator[ReceivedSignal]) -> None:
--- a/tests/dataplane/test_frontend_shutdown.py
+++ b/tests/dataplane/test_frontend_shutdown.py
@@ -9,7 +9,7 @@
 from loguru import logger
 
 from rowanshift.dataplane.drain import NOTICE_SECONDS
-from rowanshift.dataplane.frontend import FIRST_WITHIN, Frontend
+from rowanshift.dataplane.frontend import FIRST_REQUEST_TIMEOUT_SECONDS, Frontend
 from rowanshift.dataplane.service import LEAVE_STEP
 from rowanshift.transport.descriptor_budget import MAX_CLIENT_FRACTION, RESERVED_DESCRIPTORS, DescriptorBudget
 from rowanshift.transport.streams import connect
@@ -52,11 +52,11 @@
         return answers[0]
 
     def test_a_first_request_that_comes_soon_is_refused_with_a_time_to_come_back(self) -> None:
-        got = self.got(FIRST_WITHIN - 0.02)
+        got = self.got(FIRST_REQUEST_TIMEOUT_SECONDS - 0.02)
         self.assertEqual((got.status, b"retry-after" in {name.lower() for name in got.fields}), (503, True))
 
     def test_a_connection_that_stays_silent_is_closed_unread(self) -> None:
-        got = self.got(FIRST_WITHIN + 2 * LEAVE_STEP)
+        got = self.got(FIRST_REQUEST_TIMEOUT_SECONDS + 2 * LEAVE_STEP)
         self.assertEqual((got.status, got.ended), (0, True))
 
     def test_those_that_wait_to_be_accepted_at_the_end_are_refused_and_not_reset(self) -> None:
--- a/tests/support/exchange_rig.py
+++ b/tests/support/exchange_rig.py
@@ -17,7 +17,7 @@
 
 from rowanshift.dataplane.drain import Drain
 from rowanshift.dataplane.endpoints import Endpoint, Endpoints
-from rowanshift.dataplane.frontend import BACKLOG, Frontend
+from rowanshift.dataplane.frontend import LISTEN_BACKLOG, Frontend
 from rowanshift.dataplane.load_datagrams import DatagramKind
 from rowanshift.dataplane.load_index import ReportedRequest
 from rowanshift.dataplane.routing_table import RoutingTable, parse_routing_table
@@ -479,7 +479,7 @@
         return front, upstream
 
     async def start(self) -> None:
-        listener = self.router.listen((self.router.address, FRONT), BACKLOG)
+        listener = self.router.listen((self.router.address, FRONT), LISTEN_BACKLOG)
         self.nursery.start_soon(self.front.accept, listener, self.nursery, trio.sleep)
         for server in self.servers:
             self.nursery.start_soon(server.run)
