--- a/rowanshift/dataplane/service.py
+++ b/rowanshift/dataplane/service.py
@@ -1,4 +1,4 @@
-"""A router as a service: its phases from start to exit."""
+"""The life cycle of a router: start, serve, and a shutdown that finishes what was read."""
 
 import random
 import signal
@@ -27,16 +27,16 @@
 from rowanshift.transport.signals import ReceivedSignal
 from rowanshift.wire.machine_ids import machine_id_from_ip
 
-BEAT, STOOD_STILL = 0.25, 0.5  # seconds
-SWEEP = 0.5  # seconds between sweeps of idle connections
-LEAVE_STEP = 0.05  # seconds between looks at what is open while leaving
-LAST_ANSWERS = 0.25  # seconds for clients to take the last answers
-LAST_STEP = 0.01  # seconds between looks at whether they have
-FILES = 200  # descriptors that sockets may not use
-MEMORY_PART = 0.5  # of the limit, for bodies and what carries them
-
-
 ROLE = "dataplane"
+CLOCK_CHECK_SECONDS = 0.25  # between looks at the clock, which show that the process was stalled
+STALL_THRESHOLD_SECONDS = 0.5  # beyond a look's time; from then on what the router knows counts as stale
+IDLE_SWEEP_SECONDS = 0.5  # between sweeps of idle connections to servers
+SHUTDOWN_CHECK_SECONDS = 0.05  # between looks at the open requests during a shutdown
+FINAL_ANSWERS_SECONDS = 0.25  # for clients to read the last answers
+FINAL_ANSWERS_CHECK_SECONDS = 0.01  # between looks whether they have
+RESERVED_DESCRIPTORS = 200  # that sockets may not use
+MEMORY_FRACTION = 0.5  # of ``memoryMb``, for bodies and what carries them
+READINESS_BACKLOG = 64  # connections that wait to be accepted
 
 
 class Readiness:
@@ -54,15 +54,15 @@
 class DataPlaneService:
     """One router: its frontend, upstream connections, and what it knows of the control plane."""
 
-    def __init__(self, boot: NodeSettings, host: Runtime = SYSTEM_RUNTIME, seed: int | None = None) -> None:
-        self.boot, self.host = boot, host
+    def __init__(self, settings: NodeSettings, runtime: Runtime = SYSTEM_RUNTIME, seed: int | None = None) -> None:
+        self.settings, self.runtime = settings, runtime
         self.random_source = random.Random(seed)
-        self.drain = Drain(boot.bounds.grace_s)
+        self.drain = Drain(settings.bounds.grace_s)
         self.shutdown_requested = trio.Event()
         self.shutdown_requested_at = 0.0  # trio's time at which the signal was handled
         self.outcomes = RequestOutcomes()
-        self.front: Frontend | None = None  # until it serves
-        self.budgets: dict[str, RetryBudget] = {}
+        self.frontend: Frontend | None = None  # until it serves
+        self.retry_budgets: dict[str, RetryBudget] = {}
         self.joined_at: float | None = None
 
     def ready(self) -> bool:
@@ -70,26 +70,29 @@
         return not self.drain.draining and self.control_cache.ready()
 
     def seeds(self) -> list[tuple[str, int]]:
-        """The seeds as the settings name them now."""
-        if self.boot.path is not None and self.boot.path.exists():
+        """The seed addresses, as the settings file names them now."""
+        if self.settings.path is not None and self.settings.path.exists():
             try:
-                self.boot = load_node_settings(self.boot.path)
+                self.settings = load_node_settings(self.settings.path)
             except NodeSettingsError as error:
                 logger.warning("event=settings_kept why={!r}", str(error))
-        return self.boot.seeds
+        return self.settings.seeds
+
+    def retry_budget(self, service: str) -> RetryBudget:
+        """The retry budget of a service, with this router's share of it.
 
-    def retries(self, service: str) -> RetryBudget:
-        """The retry budget of a service."""
-        bounds = self.boot.bounds
-        if service not in self.budgets:
-            self.budgets[service] = RetryBudget(
+        The share counts once this router has been a member for a whole window: before, nobody knows what others sent.
+        """
+        bounds = self.settings.bounds
+        if service not in self.retry_budgets:
+            self.retry_budgets[service] = RetryBudget(
                 bounds.retry_budget_ratio, bounds.retry_budget_slack, bounds.retry_window_s
             )
-        budget, now = self.budgets[service], trio.current_time()
+        budget, now = self.retry_budgets[service], trio.current_time()
         if self.joined_at is None and self.control_cache.member_count:
             self.joined_at = now
-        long = self.joined_at is not None and now - self.joined_at > bounds.retry_window_s
-        budget.router_count = self.control_cache.member_count if long else 0
+        is_settled = self.joined_at is not None and now - self.joined_at > bounds.retry_window_s
+        budget.router_count = self.control_cache.member_count if is_settled else 0
         return budget
 
     async def run(self) -> None:
@@ -101,12 +104,12 @@
 
     def _log_end(self) -> None:
         """Log how the requests of this process ended, once nothing of it runs any more."""
-        if self.front is None:
+        if self.frontend is None:
             return
         outcomes, now = self.outcomes, trio.current_time()
         for closed in outcomes.close_remaining(now):
             log_closed_request(closed)
-        logger.info("event=stopped counts={} {}", self.front.counts, outcomes.summary())
+        logger.info("event=stopped counts={} {}", self.frontend.counts, outcomes.summary())
         if (shutdown := outcomes.shutdown) is None:
             return
         logger.info(
@@ -128,30 +131,30 @@
 
     async def _serve(self) -> None:
         """Serve until a signal asks for the end, and finish what is open."""
-        boot, host = self.boot, self.host
-        with host.signals() as signals:
-            async with host.nursery() as nursery:
-                memory = MemoryBudget(boot.limits.memory_mb * MEMORY_PART)
-                budget = DescriptorBudget(host.descriptors(boot.limits.max_fds), FILES)
-                self.back = UpstreamPool(host, budget, memory)
-                self.loads = LoadIndex(host, boot.internal_address, machine_id_from_ip(boot.ip))
+        settings, runtime = self.settings, self.runtime
+        with runtime.signals() as signals:
+            async with runtime.nursery() as nursery:
+                memory = MemoryBudget(settings.limits.memory_mb * MEMORY_FRACTION)
+                descriptors = DescriptorBudget(runtime.descriptors(settings.limits.max_fds), RESERVED_DESCRIPTORS)
+                self.upstream = UpstreamPool(runtime, descriptors, memory)
+                self.loads = LoadIndex(runtime, settings.internal_address, machine_id_from_ip(settings.ip))
                 self.control_cache = ControlCache(
-                    boot.bounds, self.random_source, self.back.close_idle_to, self.loads.set_peers
+                    settings.bounds, self.random_source, self.upstream.close_idle_to, self.loads.set_peers
                 )
                 self.control_client = ControlClient(
-                    host,
-                    machine_id_from_ip(boot.ip),
-                    boot.internal_address[1],
+                    runtime,
+                    machine_id_from_ip(settings.ip),
+                    settings.internal_address[1],
                     self.seeds,
                     self.control_cache,
                     self.random_source,
                 )
-                self.front = Frontend(
+                self.frontend = Frontend(
                     self.control_cache,
-                    self.back,
-                    budget,
+                    self.upstream,
+                    descriptors,
                     memory,
-                    self.retries,
+                    self.retry_budget,
                     self.random_source.random,
                     self.loads,
                     self.drain,
@@ -161,62 +164,66 @@
                 readiness = CallServer({b"/readiness": Readiness(self)}, memory)
                 nursery.start_soon(self._on_signals, signals)
                 nursery.start_soon(
-                    readiness.serve, host.listen(boot.required_address("readiness"), 64), nursery, host.pause
+                    readiness.serve,
+                    runtime.listen(settings.required_address("readiness"), READINESS_BACKLOG),
+                    nursery,
+                    runtime.pause,
                 )
                 nursery.start_soon(self.control_client.run)
-                nursery.start_soon(self._watch)
-                listener = host.listen(boot.required_address("frontend"), LISTEN_BACKLOG)
-                nursery.start_soon(self.front.accept, listener, nursery, host.pause)
-                host.settled()
-                logger.info("event=started role=dataplane name={}", boot.name)
+                nursery.start_soon(self._watch_clock)
+                listener = runtime.listen(settings.required_address("frontend"), LISTEN_BACKLOG)
+                nursery.start_soon(self.frontend.accept, listener, nursery, runtime.pause)
+                runtime.settled()
+                logger.info("event=started role=dataplane name={}", settings.name)
                 await self.shutdown_requested.wait()
-                await self._leave(self.front, budget)
+                await self._shut_down(self.frontend, descriptors)
                 nursery.cancel_scope.cancel()
 
-    async def _leave(self, front: Frontend, budget: DescriptorBudget) -> None:
-        """Serve on as ``Drain`` says, then end what is open and stop; returns within the grace."""
+    async def _shut_down(self, frontend: Frontend, descriptors: DescriptorBudget) -> None:
+        """Serve on as ``Drain`` says, then end what is open and stop; return within the grace."""
         self.drain.begin(self.shutdown_requested_at)
-        front.outcomes.begin_shutdown(self.shutdown_requested_at, self.drain.grace)
-        front.begin_shutdown()
-        logger.info("event=leaving open={}", front.open_requests)
-        while (phase := self.drain.phase(trio.current_time(), front.unfinished_requests)) is not DrainPhase.FINISHED:
+        frontend.outcomes.begin_shutdown(self.shutdown_requested_at, self.drain.grace)
+        frontend.begin_shutdown()
+        logger.info("event=leaving open={}", frontend.open_requests)
+        while (phase := self.drain.phase(trio.current_time(), frontend.unfinished_requests)) is not DrainPhase.FINISHED:
             if phase is DrainPhase.REFUSING:
-                front.close_idle_connections()
-            await trio.sleep(LEAVE_STEP)
+                frontend.close_idle_connections()
+            await trio.sleep(SHUTDOWN_CHECK_SECONDS)
         self.drain.stop_admitting()
-        await front.stop_accepting()
-        front.abandon_open_requests()
-        clients_read_until = trio.current_time() + LAST_ANSWERS
-        while budget.clients and self.drain.must_keep_running(
-            trio.current_time(), front.open_requests, clients_read_until
+        await frontend.stop_accepting()
+        frontend.abandon_open_requests()
+        clients_read_until = trio.current_time() + FINAL_ANSWERS_SECONDS
+        while descriptors.clients and self.drain.must_keep_running(
+            trio.current_time(), frontend.open_requests, clients_read_until
         ):
-            front.close_idle_connections()
-            await trio.sleep(LAST_STEP)
+            frontend.close_idle_connections()
+            await trio.sleep(FINAL_ANSWERS_CHECK_SECONDS)
 
     async def _on_signals(self, signals: AsyncIterator[ReceivedSignal]) -> None:
+        """Request the shutdown at the first signal; SIGHUP needs nothing, as the settings are read again anyway."""
         async for received in signals:
             if received.number != signal.SIGHUP:
                 self.shutdown_requested_at = self.shutdown_requested_at or received.at
                 self.shutdown_requested.set()
 
-    async def _watch(self) -> None:
-        """Notices that the process stood still, and closes what was idle too long."""
+    async def _watch_clock(self) -> None:
+        """Notice that the process was stalled, and close server connections that were idle too long."""
         swept = 0.0
         while True:
             at = trio.current_time()
-            await self.host.pause(BEAT)
+            await self.runtime.pause(CLOCK_CHECK_SECONDS)
             now = trio.current_time()
             if (shutdown := self.outcomes.shutdown) is not None:
-                shutdown.longest_stall_seconds = max(shutdown.longest_stall_seconds, now - at - BEAT)
-            if now - at - BEAT > STOOD_STILL:
-                logger.warning("event=stood_still seconds={:.2f}", now - at - BEAT)
+                shutdown.longest_stall_seconds = max(shutdown.longest_stall_seconds, now - at - CLOCK_CHECK_SECONDS)
+            if now - at - CLOCK_CHECK_SECONDS > STALL_THRESHOLD_SECONDS:
+                logger.warning("event=stood_still seconds={:.2f}", now - at - CLOCK_CHECK_SECONDS)
                 self.control_client.mark_stale()
-            if now - swept > SWEEP:
+            if now - swept > IDLE_SWEEP_SECONDS:
                 swept = now
-                self.back.close_stale(now)
+                self.upstream.close_stale(now)
 
 
-def run(boot: NodeSettings, level: str = "INFO", former_role: str = "") -> int:
+def run(settings: NodeSettings, level: str = "INFO", former_role: str = "") -> int:
     """Serve until SIGTERM and return the exit code; ``former_role`` is the withdrawn name it was started by."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     log_to_stderr(level)
@@ -224,7 +231,7 @@
         logger.warning("event=former_role_name name={} now={}", former_role, ROLE)
     code = 0
     try:
-        trio.run(DataPlaneService(boot).run)
+        trio.run(DataPlaneService(settings).run)
     except* (OSError, NodeSettingsError) as group:
         logger.error("event=ended why={!r}", str(first_of(group)))
         code = 1
--- a/tests/dataplane/test_drain_order_of_events.py
+++ b/tests/dataplane/test_drain_order_of_events.py
@@ -47,7 +47,7 @@
 async def leave(rig: Rig) -> None:
     """What the service does from SIGTERM on; the end of the play is the end of the process."""
     service = SimpleNamespace(drain=rig.front.drain, shutdown_requested_at=trio.current_time())
-    await DataPlaneService._leave(service, rig.front, rig.front.descriptors)
+    await DataPlaneService._shut_down(service, rig.front, rig.front.descriptors)
 
 
 def until_its_end(
--- a/tests/dataplane/test_frontend_shutdown.py
+++ b/tests/dataplane/test_frontend_shutdown.py
@@ -10,7 +10,7 @@
 
 from rowanshift.dataplane.drain import NOTICE_SECONDS
 from rowanshift.dataplane.frontend import FIRST_REQUEST_TIMEOUT_SECONDS, Frontend
-from rowanshift.dataplane.service import LEAVE_STEP
+from rowanshift.dataplane.service import SHUTDOWN_CHECK_SECONDS
 from rowanshift.transport.descriptor_budget import MAX_CLIENT_FRACTION, RESERVED_DESCRIPTORS, DescriptorBudget
 from rowanshift.transport.streams import connect
 from tests.dataplane.test_drain_order_of_events import WITHIN, until_its_end
@@ -56,7 +56,7 @@
         self.assertEqual((got.status, b"retry-after" in {name.lower() for name in got.fields}), (503, True))
 
     def test_a_connection_that_stays_silent_is_closed_unread(self) -> None:
-        got = self.got(FIRST_REQUEST_TIMEOUT_SECONDS + 2 * LEAVE_STEP)
+        got = self.got(FIRST_REQUEST_TIMEOUT_SECONDS + 2 * SHUTDOWN_CHECK_SECONDS)
         self.assertEqual((got.status, got.ended), (0, True))
 
     def test_those_that_wait_to_be_accepted_at_the_end_are_refused_and_not_reset(self) -> None:
--- a/tests/dataplane/test_request_outcomes.py
+++ b/tests/dataplane/test_request_outcomes.py
@@ -289,7 +289,7 @@
             fleet.client(f"c{n}", ONCE, "key-1", 0.05, 400)
         await trio.sleep(1)
         router = fleet.routers[0]
-        await fleet.until(lambda: router.program.front.open_requests >= 2)
+        await fleet.until(lambda: router.program.frontend.open_requests >= 2)
         trouble(fleet, router)
         await trio.sleep(7.5)
 
--- a/tests/simulation/test_fleet_faults.py
+++ b/tests/simulation/test_fleet_faults.py
@@ -72,7 +72,7 @@
                 fleet.client(f"c{n}", (RESUMED, ONCE)[n % 2], "key-1", 0.05, 400)
             await trio.sleep(1)
             router = fleet.routers[0]
-            await fleet.until(lambda: router.program.front.open_requests >= 2)  # streams that are cut
+            await fleet.until(lambda: router.program.frontend.open_requests >= 2)  # streams that are cut
             fleet.terminate(router)
             await trio.sleep(4)
 
