--- a/Makefile
+++ b/Makefile
@@ -1,5 +1,5 @@
 # make demo: a small whole system between stand-ins on loopback; make demo-router: the router for caches;
-# make test: lint and the tests. Each makes what it needs.
+# make test: lint, types and the tests. Each makes what it needs.
 PYTHON ?= python3
 WORKERS ?= 8
 
