--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -157,6 +157,24 @@
             assert name in defined_names(ast.parse(file.read_text())), f"{page.name} names {path}:{name}"
 
 
+def test_all_pages_name_files_that_are_there() -> None:
+    roots = (
+        ROOT,
+        PACKAGE,
+        PACKAGE / "controlplane",
+        PACKAGE / "cacheproxy",
+        ROOT / "tests",
+        ROOT / "tests" / "controlplane",
+    )
+    missing = {
+        f"{page.name}: {path}"
+        for page in (ROOT / "docs").glob("*.md")
+        for path in re.findall(r"`((?:[a-z_]+/)+[a-z_]+\.py)", page.read_text())
+        if path not in EXAMPLES and not any((root / path).exists() for root in roots)
+    }
+    assert not missing
+
+
 def test_the_glossary_is_in_order() -> None:
     terms = re.findall(r"(?m)^\| \*\*([^*]+)\*\* \|", GLOSSARY.read_text())
     assert terms
