--- a/rowanshift/wire/__init__.py
+++ b/rowanshift/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Records between the processes of one system: their layouts in bytes, frames, and deltas."""
+"""The wire format between the processes of a system: record layouts, frames and deltas."""
--- a/rowanshift/wire/codec.py
+++ b/rowanshift/wire/codec.py
@@ -1,7 +1,7 @@
-"""Frames, and records to frames and back. No I/O.
+"""Encoding of records as frames, and decoding of frames. No I/O.
 
-A frame is a header of ``>2sBBII`` (the magic number, the format, the record's kind, the call's number, the length of
-the body) and the body: the record's fields by its ``RecordLayout``.
+A frame is a header of ``>2sBBII`` (magic number, format, kind of the record, call number, length of the body),
+followed by the body, in which ``RecordLayout`` encodes the fields of the record.
 """
 
 from collections.abc import Mapping
@@ -14,56 +14,60 @@
 
 MAGIC, FORMAT = b"RS", 1
 FRAME_HEADER = Struct(">2sBBII")
-MAX_RECORD_BYTES = 16 << 20  # of a frame's body
+MAX_RECORD_BYTES = 16 << 20  # limit for the body of a frame
 
 
 class Frame(NamedTuple):
-    """One frame as received; its body isn't decoded yet."""
+    """A received frame whose body has not been decoded."""
 
-    kind: int  # of the record
-    call: int  # the number that an answer has in common with its question, 0 where none is expected
+    kind: int  # kind of the record
+    call: int  # correlates a response with its request; 0 if no response is expected
     body: bytes
 
 
 class Codec:
-    """Makes frames of records, and records of frames' bodies, for the kinds that it is given."""
+    """Encodes records as frames and decodes the bodies of frames, for a given set of record kinds."""
 
     def __init__(self, layouts: Mapping[int, RecordLayout]) -> None:
-        """``layouts``: by the number of the kind, 0 to 255."""
+        """``layouts`` maps the number of a kind, 0 to 255, to its layout."""
         self.layouts = layouts
         self.kinds = {layout.record_type: kind for kind, layout in layouts.items()}
 
     def pack(self, record: Any, call: int = 0) -> bytes:
-        """The frame of a record. Raises ``KeyError`` if its type is of no kind, ``struct.error`` if a field is out of
-        range."""
+        """Encode a record as a frame. Raises ``KeyError`` if its type is unknown to this codec, ``struct.error`` if a
+        field is out of range."""
         kind = self.kinds[type(record)]
         body = self.layouts[kind].encode(record)
         return FRAME_HEADER.pack(MAGIC, FORMAT, kind, call, len(body)) + body
 
     def unpack(self, kind: int, body: bytes) -> Any:
-        """The record of a frame's body. Raises ``MalformedRecord``."""
+        """Decode the body of a frame. Raises ``MalformedRecord``."""
         layout = self.layouts.get(kind)
         if layout is None:
-            raise MalformedRecord(f"unknown kind {kind}")
+            raise MalformedRecord(f"unknown record kind {kind}")
         reader = ByteReader(body)
         try:
             record = layout.decode(reader)
         except (StructError, UnicodeDecodeError) as error:
             raise MalformedRecord(f"{layout.record_type.__name__}: {error}") from error
         if reader.offset != len(body):
-            raise MalformedRecord(f"{layout.record_type.__name__}: {len(body) - reader.offset} bytes too many")
+            raise MalformedRecord(
+                f"{layout.record_type.__name__}: {len(body) - reader.offset} unexpected bytes after the last field"
+            )
         return record
 
 
 class FrameDecoder:
-    """Collects the bytes of one connection as they come, and splits them into frames."""
+    """Splits the byte stream of a connection into frames."""
 
     def __init__(self) -> None:
-        self.buffer = bytearray()  # the start of a frame that is not complete yet
+        self.buffer = bytearray()  # the start of an incomplete frame
 
     def feed(self, data: bytes | memoryview) -> list[Frame]:
-        """The frames that are complete with these bytes. Raises ``MalformedRecord`` at the first of another format;
-        the connection is of no use then."""
+        """Append received bytes and return the frames that they complete.
+
+        Raises ``MalformedRecord`` at an invalid frame header; the connection can't be used any further then.
+        """
         self.buffer += data
         frames: list[Frame] = []
         offset = 0
@@ -74,14 +78,16 @@
         return frames
 
     def _frame_at(self, offset: int) -> Frame | None:
-        """The frame that begins there, ``None`` if it is not complete yet."""
+        """The frame that starts at ``offset``, ``None`` if it is incomplete."""
         buffer, body_start = self.buffer, offset + FRAME_HEADER.size
         if len(buffer) < body_start:
             return None
         magic, frame_format, kind, call, size = FRAME_HEADER.unpack_from(buffer, offset)
         if magic != MAGIC or frame_format != FORMAT or size > MAX_RECORD_BYTES:
             start = bytes(buffer[offset : offset + 4])
-            raise MalformedRecord(f"no frame of this system: {start!r}, {size} bytes")
+            raise MalformedRecord(
+                f"invalid frame header: starts with {start!r}, body of {size} bytes (limit {MAX_RECORD_BYTES})"
+            )
         if len(buffer) < body_start + size:
             return None
         return Frame(kind, call, bytes(buffer[body_start : body_start + size]))
--- a/rowanshift/wire/control_updates.py
+++ b/rowanshift/wire/control_updates.py
@@ -1,11 +1,11 @@
-"""Long polls of routers and the control plane's updates: their records, and the layouts of those in bytes.
+"""Records of the long polls of routers and of the control plane's updates, and their wire layouts.
 
-A router polls the primary with the versions of what it has. The update carries whatever is newer; a machine that is not
-the primary answers with a ``Redirect``. Routers up to release 0.2 poll in former formats, which lack some fields: they
-are answered in the format that they know.
+A router polls the primary with the versions of the parts that it holds (state, list of servers, prefix cache holdings,
+list of routers, announcements). The update carries the parts that are newer; a machine that is not the primary replies
+with a ``Redirect``. Routers up to release 0.2 poll in older formats, which lack some fields, and receive replies in the
+corresponding format.
 
-Each part of what a router has (state, list of servers, prefix cache holdings, list of routers, announcements) is
-identified by a ``PartVersion``; (0, 0) stands for having nothing yet.
+Each part has a ``PartVersion`` of its own; (0, 0) means that the router does not hold the part yet.
 """
 
 from typing import Any
@@ -26,54 +26,54 @@
     RecordListType,
 )
 
-PartVersion = tuple[int, int]  # of a part of what a router has: the primary's epoch, and the number of changes in it
+PartVersion = tuple[int, int]  # the epoch of the primary that published the part, and the number of changes in it
 
-SERVER_UP, SERVER_DRAINING = 1, 2  # states of a server
-SERVER_LOADING = 4  # a flag beside them: the server is loading new weights
+SERVER_UP, SERVER_DRAINING = 1, 2  # the states of a server
+SERVER_LOADING = 4  # flag added to the state while the server loads new weights
 
 
 class ServerRecord(msgspec.Struct, frozen=True):
-    """One server as the primary's registry lists it."""
+    """A model server in the primary's registry."""
 
     id: str
     service: str
     address: str  # IP:PORT
     zone: str
-    slots: int  # requests that it runs at once
-    state: int  # SERVER_UP or SERVER_DRAINING, with SERVER_LOADING
-    versions: dict[str, int]  # of the weights of each model
+    slots: int  # the number of requests that it processes concurrently
+    state: int  # SERVER_UP or SERVER_DRAINING, possibly combined with SERVER_LOADING
+    versions: dict[str, int]  # version of the weights, by model
 
 
 class ModelVersionAnnouncementOfFormat1(msgspec.Struct, frozen=True):
-    """A version of a model's weights that was announced, and how long before the update was made."""
+    """An announced version of a model's weights, and its age when the update was made."""
 
     model: str
     version: int
-    age_ms: int  # at least so long ago
+    age_ms: int  # lower bound of the age
 
 
 class ModelVersionAnnouncement(msgspec.Struct, frozen=True):
-    """A version of a model's weights that was announced, and how long before the record was made."""
+    """An announced version of a model's weights, and its age when the record was made."""
 
     model: str
     version: int
     age_ms: int
-    is_dated: bool = True  # else it was announced so long ago or longer, and no machine that was asked knows when
+    is_dated: bool = True  # if False, ``age_ms`` is a lower bound because the time of the announcement is unknown
 
 
 class PollOfFormat1(msgspec.Struct, frozen=True):
-    """A poll of routers up to 0.2, which leave the time that it is held to the primary."""
+    """A poll of routers up to 0.2 that leave the choice of the long-poll time to the primary."""
 
-    machine: int  # the router's id
-    incarnation: int  # drawn when the router started
-    state_version: PartVersion  # epoch and sequence number of the control state that it has
-    fingerprint: int  # of that state's content, 0: it has none
-    registry_version: PartVersion  # of the list of servers
-    prefix_holdings_version: PartVersion  # of what stores hold in their prefix caches
-    peers_version: PartVersion  # of the list of routers
+    machine: int  # id of the router
+    incarnation: int  # random number chosen when the router started
+    state_version: PartVersion  # epoch and sequence number of the control state that the router holds
+    fingerprint: int  # fingerprint of that state's content; 0 if the router holds no state
+    registry_version: PartVersion  # version of the list of servers
+    prefix_holdings_version: PartVersion  # version of the prefix cache holdings of the stores
+    peers_version: PartVersion  # version of the list of routers
 
     def as_format_2(self, long_poll_ms: int) -> "PollOfFormat2":
-        """The same poll with the time that it may be held, in milliseconds."""
+        """This poll in format 2, with the given long-poll time in milliseconds."""
         return PollOfFormat2(
             self.machine,
             self.incarnation,
@@ -87,83 +87,85 @@
 
 
 class PollOfFormat3(msgspec.Struct, frozen=True):
-    """A poll of routers up to 0.2, which report no times of announcements."""
+    """A poll of routers up to 0.2 that don't report the times of announcements."""
 
-    machine: int  # the router's id
-    incarnation: int  # drawn when the router started
-    state_version: PartVersion  # epoch and sequence number of the control state that it has
-    fingerprint: int  # of that state's content, 0: it has none
-    registry_version: PartVersion  # of the list of servers
-    prefix_holdings_version: PartVersion  # of what stores hold in their prefix caches
-    peers_version: PartVersion  # of the list of routers
-    long_poll_ms: int  # how long the poll may be held while there is nothing newer; 0: answer at once
+    machine: int  # id of the router
+    incarnation: int  # random number chosen when the router started
+    state_version: PartVersion  # epoch and sequence number of the control state that the router holds
+    fingerprint: int  # fingerprint of that state's content; 0 if the router holds no state
+    registry_version: PartVersion  # version of the list of servers
+    prefix_holdings_version: PartVersion  # version of the prefix cache holdings of the stores
+    peers_version: PartVersion  # version of the list of routers
+    long_poll_ms: int  # how long the primary may delay the reply while it has nothing newer; 0 for an immediate reply
 
 
 class PollOfFormat2(PollOfFormat3, frozen=True):
-    """A poll of routers up to 0.2, which don't know the age of announcements; the same fields."""
+    """A poll of routers up to 0.2 that can't decode the ages of announcements; its fields are those of format 3."""
 
 
 class Poll(PollOfFormat3, frozen=True):
-    """A router asks for what is newer than what it has, and renews its membership.
+    """A router's request for parts newer than those it holds; it also renews the router's membership.
 
-    A primary that may be new is sent the announcements whose times the router knows.
+    A router that polls a primary that may be new includes the announcements whose times it knows.
     """
 
-    announcements_version: PartVersion = (0, 0)  # of the announcements and their times
+    announcements_version: PartVersion = (0, 0)  # version of the announcements and their times
     announcements: tuple[ModelVersionAnnouncement, ...] = ()
 
 
 class UpdateOfFormat1(msgspec.Struct, frozen=True):
-    """The answer to ``PollOfFormat1`` and ``PollOfFormat2``: what is newer than what the router has."""
+    """The reply to ``PollOfFormat1`` and ``PollOfFormat2``: the parts newer than those the router holds."""
 
     state_version: PartVersion
     fingerprint: int
-    has_state: bool  # else the router has this very state, and the next three fields are empty
-    revision: int  # of the configuration
-    config: bytes  # the configuration's JSON, compressed by zlib
-    versions: dict[str, int]  # the newest that was announced, of each model
+    has_state: bool  # if False, the router already holds this state, and the next three fields are empty
+    revision: int  # revision of the configuration
+    config: bytes  # the configuration as JSON, compressed by zlib
+    versions: dict[str, int]  # newest announced version of the weights, by model
     registry_version: PartVersion
     has_server_records: bool
-    # All servers. A primary may put in the bytes of ``SERVER_RECORDS.encode``, made once for many routers; an update
-    # that was received holds the records.
+    # All servers. To encode them only once for many routers, a primary may set this to the bytes returned by
+    # ``SERVER_RECORDS.encode``; a received update always holds records.
     server_records: tuple[ServerRecord, ...] | bytes = ()
-    member_count: int = 1  # routers that share budgets; 0: not known yet
+    member_count: int = 1  # number of routers that share budgets; 0 if not known yet
     prefix_holdings_version: PartVersion = (0, 0)
-    prefix_holdings_complete: bool = False  # the hashes are all that is stored; else they are what changed
-    stored_block_hashes: bytes = b""  # of prefix blocks that stores hold, 8 bytes each
-    removed_block_hashes: bytes = b""  # of those that they no longer hold, 8 bytes each
+    prefix_holdings_complete: bool = False  # whether the hashes are all stored ones; if False, only the changes
+    stored_block_hashes: bytes = b""  # hashes of prefix blocks that stores hold, 8 bytes each
+    removed_block_hashes: bytes = b""  # hashes of prefix blocks that they no longer hold, 8 bytes each
     peers_version: PartVersion = (0, 0)
     has_peers: bool = False
-    peer_machines: tuple[int, ...] = ()  # the routers that are members now
-    core_machines: tuple[int, ...] = ()  # replicas of the control plane that may be asked next time
+    peer_machines: tuple[int, ...] = ()  # ids of the current member routers
+    core_machines: tuple[int, ...] = ()  # ids of control plane replicas that the router may poll next
 
 
 class UpdateOfFormat2(UpdateOfFormat1, frozen=True):
-    """The answer to ``PollOfFormat3``: with a state come all announcements whose deadlines may still be to come."""
+    """The reply to ``PollOfFormat3``: a state is accompanied by all announcements whose deadlines may be ahead."""
 
     announcements: tuple[ModelVersionAnnouncementOfFormat1, ...] = ()
 
 
 class Update(UpdateOfFormat1, frozen=True):
-    """The answer to ``Poll``: all announcements whose deadlines may still be to come, where the router lacks one of
-    them or its time."""
+    """The reply to ``Poll``. If the router lacks an announcement or its time, it includes all announcements whose
+    deadlines may not have passed yet."""
 
     announcements_version: PartVersion = (0, 0)
     has_announcements: bool = False
     announcements: tuple[ModelVersionAnnouncement, ...] = ()
 
     def received_server_records(self) -> tuple[ServerRecord, ...]:
-        """The servers of an update that was received. Raises ``TypeError`` if they are encoded for sending."""
+        """The servers of a received update. Raises ``TypeError`` if they are encoded for sending."""
         if isinstance(self.server_records, bytes):
-            raise TypeError("the servers of this update are encoded for sending")
+            raise TypeError(
+                "server_records holds bytes encoded for sending; records are available in a received update only"
+            )
         return self.server_records
 
     def as_format_1(self) -> UpdateOfFormat1:
-        """The same update for a router that doesn't know the age of announcements."""
+        """This update for a router that can't decode the ages of announcements."""
         return UpdateOfFormat1(*self._fields_of_format_1())
 
     def as_format_2(self) -> UpdateOfFormat2:
-        """The same update for a router that doesn't know whether announcements are dated."""
+        """This update for a router that can't decode ``is_dated`` of announcements."""
         announcements = [
             ModelVersionAnnouncementOfFormat1(announcement.model, announcement.version, announcement.age_ms)
             for announcement in self.announcements
@@ -177,10 +179,10 @@
 
 
 class Redirect(msgspec.Struct, frozen=True):
-    """The answer of a machine that is not the primary."""
+    """The reply of a machine that is not the primary."""
 
-    primary: int  # the primary's id as far as this machine knows, 0: not known
-    core_machines: tuple[int, ...]  # replicas of the control plane that may be asked next time
+    primary: int  # id of the primary as far as known, 0 if unknown
+    core_machines: tuple[int, ...]  # ids of control plane replicas that the router may poll next
 
 
 SERVER_RECORDS = RecordListType(
@@ -246,5 +248,5 @@
         has_announcements=BOOL,
         announcements=ANNOUNCEMENTS,
     ),
-}  # by the number of the kind, which never changes its meaning
-CONTROL_UPDATE_CODEC = Codec(CONTROL_UPDATE_LAYOUTS)  # for a router, which exchanges no other records
+}  # by the number of the kind; a number is never reused for another layout
+CONTROL_UPDATE_CODEC = Codec(CONTROL_UPDATE_LAYOUTS)  # for routers, which exchange no other records
--- a/rowanshift/wire/delta.py
+++ b/rowanshift/wire/delta.py
@@ -1,8 +1,8 @@
-"""The difference between two byte strings, as copies from the old one and literal bytes. No I/O.
+"""Delta encoding of byte strings as copies from the old string and literal bytes. No I/O.
 
-Both are cut into blocks after each ``},``, so that objects of a JSON text are blocks, and long blocks into pieces, so
-that what is appended at the end costs no more than itself. A delta is a sequence of operations: ``COPY`` (offset and
-length in the old bytes) and ``LITERAL`` (length, and that many bytes).
+Both strings are split into blocks after each ``},``, so that each object of a JSON text is a block, and long blocks are
+split further, so that appending to one adds little to the delta. A delta is a sequence of operations: ``COPY`` (offset
+and length in the old string) and ``LITERAL`` (length, followed by that many bytes).
 """
 
 import re
@@ -13,13 +13,13 @@
 from rowanshift.wire.errors import MalformedDelta
 
 COPY, LITERAL = 0, 1
-OPERATION = Struct(">BII")  # kind; of a copy offset and length, of a literal 0 and length
+OPERATION = Struct(">BII")  # kind, offset (0 for a literal), length
 MAX_BLOCK_BYTES = 4096
 BLOCK_END = re.compile(rb"\},")
 
 
 def split_into_blocks(data: bytes) -> Iterator[slice]:
-    """The blocks of a byte string in their order, as slices of it; together they are all of it."""
+    """Split a byte string into consecutive blocks, given as slices that cover all of it."""
     start = 0
     ends = [match.end() for match in BLOCK_END.finditer(data)]
     for end in (*ends, len(data)):
@@ -32,33 +32,33 @@
 
 
 class _DeltaWriter:
-    """Collects the operations of a delta; neighbouring ones of a kind become one."""
+    """Collects the operations of a delta and merges adjacent ones of the same kind."""
 
     def __init__(self) -> None:
         self._operations: list[bytes] = []
-        self._copy_start = self._copy_end = 0  # in the old bytes; equal while no copy is open
+        self._copy_start = self._copy_end = 0  # offsets in the old string; equal if no copy is pending
         self._literal = bytearray()
 
     def copy(self, offset: int, length: int) -> None:
-        """Adds a part of the old bytes."""
+        """Append a copy of a range of the old string."""
         if self._copy_end != offset or self._copy_start == offset:
             self._flush()
             self._copy_start = offset
         self._copy_end = offset + length
 
     def literal(self, data: bytes) -> None:
-        """Adds bytes that the old ones don't have."""
+        """Append literal bytes."""
         if not self._literal:
             self._flush()
         self._literal += data
 
     def finish(self) -> bytes:
-        """The delta."""
+        """Return the encoded delta."""
         self._flush()
         return b"".join(self._operations)
 
     def _flush(self) -> None:
-        """Closes the operation that is open, if any; copy and literal are never open together."""
+        """Write the pending operation, if any; a copy and a literal are never pending at the same time."""
         if self._copy_end > self._copy_start:
             self._operations.append(OPERATION.pack(COPY, self._copy_start, self._copy_end - self._copy_start))
             self._copy_start = self._copy_end = 0
@@ -68,7 +68,7 @@
 
 
 def make_delta(old: bytes, new: bytes) -> bytes:
-    """The delta by which ``apply_delta`` makes ``new`` of ``old``."""
+    """The delta with which ``apply_delta`` reconstructs ``new`` from ``old``."""
     offsets: dict[bytes, int] = {}
     for block in split_into_blocks(old):
         offsets.setdefault(old[block], block.start)
@@ -84,26 +84,28 @@
 
 
 def apply_delta(old: bytes, delta: bytes, max_bytes: int) -> bytes:
-    """The new bytes. Raises ``MalformedDelta``, also if they would be more than ``max_bytes``."""
+    """Reconstruct the new string. Raises ``MalformedDelta``, also if the result would exceed ``max_bytes``."""
     pieces: list[bytes] = []
     position = size = 0
     while position < len(delta):
         try:
             kind, offset, length = OPERATION.unpack_from(delta, position)
         except StructError as error:
-            raise MalformedDelta(f"{len(delta) - position} bytes at the end") from error
+            raise MalformedDelta(
+                f"incomplete operation of {len(delta) - position} bytes at the end, {OPERATION.size} expected"
+            ) from error
         position += OPERATION.size
         size += length
         if size > max_bytes:
-            raise MalformedDelta(f"over {max_bytes} bytes")
+            raise MalformedDelta(f"the result exceeds {max_bytes} bytes")
         if kind == COPY:
             piece = old[offset : offset + length]
         elif kind == LITERAL:
             piece = delta[position : position + length]
             position += length
         else:
-            raise MalformedDelta(f"operation {kind}")
+            raise MalformedDelta(f"unknown operation {kind}")
         if len(piece) != length:
-            raise MalformedDelta(f"{length} bytes wanted, {len(piece)} there")
+            raise MalformedDelta(f"operation on {length} bytes, only {len(piece)} available")
         pieces.append(piece)
     return b"".join(pieces)
--- a/rowanshift/wire/errors.py
+++ b/rowanshift/wire/errors.py
@@ -1,17 +1,17 @@
-"""Errors of the wire format: bytes received from another process, or read from a disk, that can't be decoded."""
+"""Errors in decoding bytes received from another process or read from a disk."""
 
 
 class WireFormatError(ValueError):
-    """Base of all errors of this package: the bytes are not what this system writes.
+    """Base class of the errors of this package: the bytes are not in the format that this system writes.
 
-    Decoding the same bytes again fails again. A caller closes the connection that they came by, or counts the disk that
-    held them as damaged.
+    Retrying with the same bytes fails again. The caller closes the connection that delivered them, or treats the disk
+    that contained them as damaged.
     """
 
 
 class MalformedRecord(WireFormatError):
-    """A frame or record of another format, of an unknown kind, cut short, or with bytes to spare."""
+    """A frame or record that has another format or an unknown kind, is truncated, or has surplus bytes."""
 
 
 class MalformedDelta(WireFormatError):
-    """A delta that can't be applied to the bytes at hand, or whose result is longer than allowed."""
+    """A delta that can't be applied to the given bytes, or whose result exceeds the size limit."""
--- a/rowanshift/wire/field_types.py
+++ b/rowanshift/wire/field_types.py
@@ -1,7 +1,7 @@
-"""Types of the fields of records, each with its layout in bytes (big-endian). No I/O.
+"""Field types of records and their big-endian encodings. No I/O.
 
-A field type encodes a value to bytes and decodes it from a ``ByteReader``. Where too few bytes are left, decoding
-raises ``MalformedRecord`` or ``struct.error``; ``rowanshift.wire.codec`` makes one error of both.
+A field type encodes a value to bytes and decodes it from a ``ByteReader``. If too few bytes are left, decoding raises
+``MalformedRecord`` or ``struct.error``; ``rowanshift.wire.codec`` converts the latter to ``MalformedRecord``.
 """
 
 from collections.abc import Collection, Mapping
@@ -12,11 +12,11 @@
 
 from rowanshift.wire.errors import MalformedRecord
 
-UINT16, UINT32 = Struct(">H"), Struct(">I")  # counts and lengths in front of what has no fixed length
+UINT16, UINT32 = Struct(">H"), Struct(">I")  # count or length prefixes of variable-length values
 
 
 class ByteReader:
-    """A position in the bytes of a record."""
+    """Reads the bytes of a record sequentially."""
 
     __slots__ = ("data", "offset")
 
@@ -24,65 +24,65 @@
         self.data, self.offset = data, offset
 
     def read(self, size: int) -> bytes:
-        """The next ``size`` bytes. Raises ``MalformedRecord`` if fewer are left."""
+        """Read the next ``size`` bytes. Raises ``MalformedRecord`` if fewer are left."""
         start = self.offset
         piece = self.data[start : start + size]
         if len(piece) != size:
-            raise MalformedRecord(f"{size} bytes wanted, {len(piece)} there")
+            raise MalformedRecord(f"record truncated: {size} bytes expected at offset {start}, {len(piece)} found")
         self.offset = start + size
         return piece
 
     def unpack(self, layout: Struct) -> tuple[Any, ...]:
-        """The next values of a ``struct`` layout. Raises ``struct.error`` if too few bytes are left."""
+        """Read the values of a ``struct`` layout. Raises ``struct.error`` if too few bytes are left."""
         values = layout.unpack_from(self.data, self.offset)
         self.offset += layout.size
         return values
 
 
 class FieldType(Protocol):
-    """How values of one type are laid out."""
+    """The encoding of values of one type."""
 
     @property
     def minimum_size(self) -> int:
-        """Bytes of the shortest value: of an empty text, list or map, where the length varies."""
+        """Encoded size of the shortest value, which is empty for types of variable length."""
 
     def encode(self, value: Any) -> bytes:
-        """The value as bytes. Raises ``struct.error`` if it is out of range."""
+        """Encode the value. Raises ``struct.error`` if it is out of range."""
 
     def decode(self, reader: ByteReader) -> Any:
-        """The value at the reader's position, which is moved behind it."""
+        """Decode the value at the reader's position and advance the reader."""
 
 
 class ScalarType:
-    """A value of fixed length, in one ``struct`` letter."""
+    """A value of fixed length, given by one ``struct`` format character."""
 
-    def __init__(self, letter: str) -> None:
-        self._layout = Struct(">" + letter)
+    def __init__(self, format_character: str) -> None:
+        self._layout = Struct(">" + format_character)
         self.minimum_size = self._layout.size
 
     def encode(self, value: float) -> bytes:
-        """The value as bytes. Raises ``struct.error`` if it is out of range."""
+        """Encode the value. Raises ``struct.error`` if it is out of range."""
         return self._layout.pack(value)
 
     def decode(self, reader: ByteReader) -> Any:
-        """The value at the reader's position, which is moved behind it."""
+        """Decode the value at the reader's position and advance the reader."""
         offset = reader.offset
         reader.offset = offset + self.minimum_size
         return self._layout.unpack_from(reader.data, offset)[0]
 
 
 class Uint64PairType:
-    """Two integers of 64 bits, such as epoch and sequence number."""
+    """Two unsigned 64-bit integers, such as an epoch and a sequence number."""
 
     minimum_size = 16
     _layout = Struct(">QQ")
 
     def encode(self, value: tuple[int, int]) -> bytes:
-        """The pair as bytes. Raises ``struct.error`` if one of both is out of range."""
+        """Encode the pair. Raises ``struct.error`` if a number is out of range."""
         return self._layout.pack(*value)
 
     def decode(self, reader: ByteReader) -> tuple[int, int]:
-        """The pair at the reader's position, which is moved behind it."""
+        """Decode the pair at the reader's position and advance the reader."""
         offset = reader.offset
         reader.offset = offset + self.minimum_size
         first, second = self._layout.unpack_from(reader.data, offset)
@@ -90,65 +90,65 @@
 
 
 class Uint64ListType:
-    """At most 65,535 integers of 64 bits: a count of 16 bits, then the integers."""
+    """At most 65,535 unsigned 64-bit integers, preceded by a 16-bit count."""
 
     minimum_size = UINT16.size
 
     def encode(self, value: Collection[int]) -> bytes:
-        """The integers as bytes. Raises ``struct.error`` if there are too many or one is out of range."""
+        """Encode the integers. Raises ``struct.error`` if there are too many or one is out of range."""
         return pack(f">H{len(value)}Q", len(value), *value)
 
     def decode(self, reader: ByteReader) -> tuple[int, ...]:
-        """The integers at the reader's position, which is moved behind them."""
+        """Decode the integers at the reader's position and advance the reader."""
         (count,) = reader.unpack(UINT16)
         offset = reader.offset
         reader.offset = offset + count * UINT64.minimum_size
-        return unpack_from(f">{count}Q", reader.data, offset)  # by its format, which ``struct`` caches
+        return unpack_from(f">{count}Q", reader.data, offset)  # ``struct`` caches compiled formats
 
 
 class TextType:
-    """A text of at most 65,535 bytes in UTF-8: a length of 16 bits, then the text."""
+    """A string of at most 65,535 bytes in UTF-8, preceded by its 16-bit length."""
 
     minimum_size = UINT16.size
 
     def encode(self, value: str) -> bytes:
-        """The text as bytes. Raises ``struct.error`` if it is too long."""
+        """Encode the string. Raises ``struct.error`` if it is too long."""
         data = value.encode()
         return UINT16.pack(len(data)) + data
 
     def decode(self, reader: ByteReader) -> str:
-        """The text at the reader's position, which is moved behind it. Raises ``UnicodeDecodeError``."""
+        """Decode the string at the reader's position and advance the reader. Raises ``UnicodeDecodeError``."""
         (size,) = reader.unpack(UINT16)
         return reader.read(size).decode()
 
 
 class BytesType:
-    """Bytes: a length of 32 bits, then the bytes."""
+    """A byte string, preceded by its 32-bit length."""
 
     minimum_size = UINT32.size
 
     def encode(self, value: bytes) -> bytes:
-        """The bytes with their length. Raises ``struct.error`` if they are too many."""
+        """Encode the bytes. Raises ``struct.error`` if there are too many."""
         return UINT32.pack(len(value)) + value
 
     def decode(self, reader: ByteReader) -> bytes:
-        """The bytes at the reader's position, which is moved behind them."""
+        """Decode the bytes at the reader's position and advance the reader."""
         (size,) = reader.unpack(UINT32)
         return reader.read(size)
 
 
 class VersionMapType:
-    """A version by the name of its model, at most 65,535: a count of 16 bits, then text and version, sorted by text."""
+    """Versions by model name, at most 65,535: a 16-bit count, then pairs of name and version, sorted by name."""
 
     minimum_size = UINT16.size
 
     def encode(self, value: Mapping[str, int]) -> bytes:
-        """The map as bytes. Raises ``struct.error`` if it has too many entries or one is out of range."""
+        """Encode the map. Raises ``struct.error`` if it has too many entries or one is out of range."""
         entries = [TEXT.encode(model) + UINT64.encode(version) for model, version in sorted(value.items())]
         return UINT16.pack(len(value)) + b"".join(entries)
 
     def decode(self, reader: ByteReader) -> dict[str, int]:
-        """The map at the reader's position, which is moved behind it."""
+        """Decode the map at the reader's position and advance the reader."""
         (count,) = reader.unpack(UINT16)
         versions: dict[str, int] = {}
         for _ in range(count):
@@ -158,13 +158,15 @@
 
 
 class RecordLayout:
-    """A ``msgspec.Struct`` as bytes: its fields one after the other. Also the type of a field that holds one."""
+    """The encoding of a ``msgspec.Struct`` as the sequence of its fields; also the field type of nested records."""
 
     def __init__(self, record_type: type[msgspec.Struct], **field_types: FieldType) -> None:
-        """``field_types``: the type of each field, in the record's order. Raises ``TypeError`` if they differ."""
+        """``field_types`` must name the fields in the record's order. Raises ``TypeError`` if the names differ."""
         names = [*record_type.__struct_fields__]
         if names != [*field_types]:
-            raise TypeError(f"{record_type.__name__}: layout of {[*field_types]} for the fields {names}")
+            raise TypeError(
+                f"{record_type.__name__}: the layout has the fields {[*field_types]}, the record has {names}"
+            )
         self.record_type = record_type
         self.field_types = field_types
         self.minimum_size = sum(field_type.minimum_size for field_type in field_types.values())
@@ -172,18 +174,18 @@
         self._types = tuple(field_types.values())
 
     def encode(self, value: Any) -> bytes:
-        """The record as bytes. Raises ``struct.error`` if a field is out of range."""
+        """Encode the record. Raises ``struct.error`` if a field is out of range."""
         return b"".join([field_type.encode(getattr(value, name)) for name, field_type in self._named_types])
 
     def decode(self, reader: ByteReader) -> Any:
-        """The record at the reader's position, which is moved behind it."""
+        """Decode the record at the reader's position and advance the reader."""
         return self.record_type(*[field_type.decode(reader) for field_type in self._types])
 
 
 class RecordListType:
-    """Records of one layout: a count of 32 bits, then the records.
+    """Records of one layout, preceded by a 32-bit count.
 
-    Bytes in place of the records are taken to be encoded before, once for an answer that goes to many.
+    A value of type ``bytes`` is used as it is: records that were encoded once for messages to many recipients.
     """
 
     minimum_size = UINT32.size
@@ -192,16 +194,16 @@
         self.layout = layout
 
     def encode(self, value: Collection[Any] | bytes) -> bytes:
-        """The records as bytes. Raises ``struct.error`` if a field is out of range."""
+        """Encode the records. Raises ``struct.error`` if a field is out of range."""
         if isinstance(value, bytes):
             return value
         return UINT32.pack(len(value)) + b"".join(map(self.layout.encode, value))
 
     def decode(self, reader: ByteReader) -> tuple[Any, ...]:
-        """The records at the reader's position, which is moved behind them. Raises ``MalformedRecord``."""
+        """Decode the records at the reader's position and advance the reader. Raises ``MalformedRecord``."""
         (count,) = reader.unpack(UINT32)
-        if count > len(reader.data):  # before memory is used for so many
-            raise MalformedRecord(f"{count} records in {len(reader.data)} bytes")
+        if count > len(reader.data):  # checked before memory is allocated for the records
+            raise MalformedRecord(f"record count {count} exceeds the record's size of {len(reader.data)} bytes")
         return tuple([self.layout.decode(reader) for _ in range(count)])
 
 
--- a/rowanshift/wire/machine_ids.py
+++ b/rowanshift/wire/machine_ids.py
@@ -1,8 +1,8 @@
-"""Ids of machines: their IPv4 address as an integer."""
+"""Machine ids: IPv4 addresses as integers."""
 
 
 def machine_id_from_ip(ip: str) -> int:
-    """The id of the machine with this IPv4 address. Raises ``ValueError`` if the text isn't four numbers."""
+    """The id of the machine with this IPv4 address. Raises ``ValueError`` if ``ip`` isn't four numbers."""
     a, b, c, d = (int(octet) for octet in ip.split("."))
     return a << 24 | b << 16 | c << 8 | d
 
--- a/rowanshift/wire/version_announcements.py
+++ b/rowanshift/wire/version_announcements.py
@@ -1,7 +1,7 @@
-"""The announced versions of each model's weights with their times, by which routers and the primary decide.
+"""Announced versions of each model's weights and the times of the announcements, used by routers and the primary.
 
-No I/O and no clock: times are in seconds of the steady clock of the process that keeps the announcements. Each
-announcement has a deadline of its own, counted from its own time: a later one neither extends nor replaces it.
+No I/O and no clock: times are seconds of the steady clock of the process that keeps the announcements. The deadline of
+each announcement counts from its own time; a later announcement neither extends nor replaces it.
 """
 
 from bisect import bisect_left, bisect_right
@@ -10,9 +10,9 @@
 
 import msgspec
 
-MAX_ANNOUNCEMENTS_PER_MODEL = 64  # beyond these the two oldest are merged to one that is as strict as both
-MAX_ANNOUNCED_MODELS = 1024  # of further models no announcements are kept
-MAX_ANNOUNCED_AGE_MS = 24 * 3600 * 1000  # sent as the age of announcements that are older
+MAX_ANNOUNCEMENTS_PER_MODEL = 64  # above this, the two oldest are merged into one that is at least as strict
+MAX_ANNOUNCED_MODELS = 1024  # announcements of further models are ignored
+MAX_ANNOUNCED_AGE_MS = 24 * 3600 * 1000  # larger ages are sent as this value
 
 _version_of = attrgetter("version")
 _announced_at_of = attrgetter("announced_at")
@@ -21,7 +21,7 @@
 class VersionAnnouncement(msgspec.Struct, frozen=True):
     """A version of a model's weights, and when it was announced.
 
-    ``is_dated``: ``announced_at`` comes from a machine that knows the time; else it is a bound that stands in for it.
+    ``is_dated`` is True if ``announced_at`` comes from a machine that knows the time, False if it is only a bound.
     """
 
     model: str
@@ -31,19 +31,19 @@
 
 
 class VersionAnnouncements:
-    """The announcements of each model, ordered so that both version and time rise.
+    """The announcements of each model, in ascending order of both version and time.
 
-    One with a higher version and no later time supersedes those with a lower version, which are dropped.
+    An announcement supersedes those with a lower version and the same or a later time, which are dropped.
     """
 
     def __init__(self) -> None:
         self._by_model: dict[str, list[VersionAnnouncement]] = {}
 
     def record(self, announcement: VersionAnnouncement) -> bool:
-        """Adds an announcement; whether that changed anything.
+        """Add an announcement. Returns whether that changed anything.
 
-        Where its version is known already, the earlier time counts, but a dated one before one that is not. It is
-        ignored if it is the first of a model beyond ``MAX_ANNOUNCED_MODELS``.
+        If the version is already known, a dated announcement takes precedence over one that is not dated, then the
+        earlier time over the later. The first announcement of a model beyond ``MAX_ANNOUNCED_MODELS`` is ignored.
         """
         model, version = announcement.model, announcement.version
         current = self._by_model.get(model, [])
@@ -64,9 +64,10 @@
         return True
 
     def record_all(self, announcements: Iterable[VersionAnnouncement]) -> bool:
-        """Adds announcements; whether that changed anything.
+        """Add announcements. Returns whether that changed anything.
 
-        The newest come first: the date of one may keep older ones that its former bound superseded.
+        The newest are added first: replacing the bound of a newer announcement by its date may make room for older
+        ones that the bound superseded.
         """
         changed = False
         for announcement in sorted(announcements, key=_version_of, reverse=True):
@@ -75,8 +76,8 @@
 
     @staticmethod
     def _merge_oldest(announcements: list[VersionAnnouncement]) -> list[VersionAnnouncement]:
-        """At most ``MAX_ANNOUNCEMENTS_PER_MODEL``: the newer of the two oldest is taken to be announced with the older,
-        which is stricter than either."""
+        """Merge the oldest until ``MAX_ANNOUNCEMENTS_PER_MODEL`` are left. A merged announcement has the higher version
+        and the earlier time of the two, which is stricter than either."""
         while len(announcements) > MAX_ANNOUNCEMENTS_PER_MODEL:
             first, second = announcements[:2]
             is_dated = first.is_dated and second.is_dated
@@ -84,38 +85,38 @@
         return announcements
 
     def find(self, model: str, version: int) -> VersionAnnouncement | None:
-        """The announcement of this very version, ``None`` if it is not known."""
+        """The announcement of exactly this version, ``None`` if unknown."""
         known = self._by_model.get(model, [])
         return next((announcement for announcement in known if announcement.version == version), None)
 
     def discard_superseded_before(self, time: float) -> None:
-        """Drops those that a newer one, announced at that time or before, supersedes for all questions about later."""
+        """Drop announcements that can't affect queries about ``time`` or later: a newer one was announced by then."""
         for model, known in self._by_model.items():
             superseded = bisect_right(known, time, key=_announced_at_of) - 1
             self._by_model[model] = known[max(0, superseded) :]
 
     def required_version(self, model: str, announced_by: float) -> int:
-        """The newest version that was announced at that time or before; 0 if none was."""
+        """The newest version announced at or before the given time; 0 if there is none."""
         known = self._by_model.get(model, [])
         count = bisect_right(known, announced_by, key=_announced_at_of)
         return known[count - 1].version if count else 0
 
     def first_missing(self, model: str, version: int) -> VersionAnnouncement | None:
-        """The oldest announcement of a newer version than a server has; ``None`` if there is none."""
+        """The oldest announcement of a version newer than ``version``; ``None`` if there is none."""
         known = self._by_model.get(model, [])
         index = bisect_left(known, version + 1, key=_version_of)
         return known[index] if index < len(known) else None
 
     def missing_since(self, model: str, version: int) -> float | None:
-        """When that one was announced; ``None`` if there is none."""
+        """The time of the ``first_missing`` announcement; ``None`` if there is none."""
         announcement = self.first_missing(model, version)
         return None if announcement is None else announcement.announced_at
 
     def all(self) -> list[VersionAnnouncement]:
-        """All announcements, those of a model from the oldest on."""
+        """All announcements, in ascending order within each model."""
         return [announcement for known in self._by_model.values() for announcement in known]
 
 
 def age_ms(seconds: float) -> int:
-    """An age as records carry it: whole milliseconds, from 0 to ``MAX_ANNOUNCED_AGE_MS``."""
+    """Convert an age in seconds to its encoding in records: whole milliseconds up to ``MAX_ANNOUNCED_AGE_MS``."""
     return min(MAX_ANNOUNCED_AGE_MS, int(1000 * max(0.0, seconds)))
--- a/tests/wire/test_delta.py
+++ b/tests/wire/test_delta.py
@@ -1,4 +1,4 @@
-"""Deltas of byte strings: round trips, their size, and malformed bytes."""
+"""Deltas of byte strings: round trips, sizes, and malformed deltas."""
 
 import random
 import unittest
@@ -23,7 +23,7 @@
 
 
 def configuration(revision: int, routes: int = 400, tenants: int = 1000, timeout: int = 5000) -> bytes:
-    """One of the size of which hundreds of changes are to be borne; the route in the middle has this timeout."""
+    """A configuration of the size at which frequent changes must be supported; the middle route has ``timeout``."""
     rows = [
         {
             "name": f"r-{n}",
@@ -39,12 +39,12 @@
         for n in range(routes)
     ]
     tenants = [{"name": f"t-{n}", "apiKeys": [f"key-{n}-a", f"key-{n}-b"]} for n in range(tenants)]
-    made = {"revision": revision, "routes": rows, "backends": [{"name": "s"}], "tenants": tenants}
-    return orjson.dumps(made)
+    fields = {"revision": revision, "routes": rows, "backends": [{"name": "s"}], "tenants": tenants}
+    return orjson.dumps(fields)
 
 
 class RoundTrip(unittest.TestCase):
-    def test_drawn_changes(self) -> None:
+    def test_random_changes(self) -> None:
         random_source = random.Random(3)
         for _ in range(300):
             old = b"".join(
@@ -52,22 +52,24 @@
             )
             new = bytearray(old)
             for _ in range(random_source.randrange(6)):
-                at = random_source.randrange(len(new) + 1)
-                new[at : at + random_source.randrange(300)] = random_source.randbytes(random_source.randrange(80))
+                offset = random_source.randrange(len(new) + 1)
+                new[offset : offset + random_source.randrange(300)] = random_source.randbytes(
+                    random_source.randrange(80)
+                )
             self.assertEqual(apply_delta(old, make_delta(old, bytes(new)), MAX_BYTES), bytes(new))
 
-    def test_limits(self) -> None:
+    def test_short_strings(self) -> None:
         for old, new in ((b"", b""), (b"", b"a"), (b"a", b""), (b"ab", b"ab"), (b"},},", b"},"), (b"},", b"},},},")):
             self.assertEqual(apply_delta(old, make_delta(old, new), MAX_BYTES), new)
 
-    def test_blocks_cover_all_bytes_in_their_order(self) -> None:
+    def test_blocks_cover_all_bytes_in_order(self) -> None:
         data = b"x" * (3 * MAX_BLOCK_BYTES + 5) + b"},},{}" + b"y" * MAX_BLOCK_BYTES
         self.assertEqual(b"".join(data[block] for block in split_into_blocks(data)), data)
         self.assertLessEqual(max(block.stop - block.start for block in split_into_blocks(data)), MAX_BLOCK_BYTES)
 
 
 class Sizes(unittest.TestCase):
-    def test_a_change_costs_what_it_changes(self) -> None:
+    def test_the_delta_of_a_small_change_is_small(self) -> None:
         before, _ = put_config(ControlState(), "0", configuration(1))
         for revision in range(2, 400):
             before = ControlState(before.revision, before.config, {}, before.orders.with_order(revision, bytes(32)))
@@ -78,13 +80,13 @@
         self.assertGreater(len(new), 100_000)
         self.assertLess(len(delta), 6 * MAX_BLOCK_BYTES)
 
-    def test_equal_bytes_cost_one_operation(self) -> None:
+    def test_equal_strings_give_a_single_operation(self) -> None:
         data = configuration(1)
         self.assertEqual(len(make_delta(data, data)), OPERATION.size)
 
 
 class MalformedDeltas(unittest.TestCase):
-    def test_bytes_that_are_no_delta(self) -> None:
+    def test_invalid_deltas_are_refused(self) -> None:
         old = b"abcdef"
         for delta in (
             b"\0",
@@ -97,13 +99,13 @@
             with self.subTest(delta=delta), self.assertRaises(MalformedDelta):
                 apply_delta(old, delta, MAX_BYTES)
 
-    def test_no_more_than_is_allowed(self) -> None:
+    def test_a_result_beyond_the_limit_is_refused(self) -> None:
         delta = OPERATION.pack(COPY, 0, 6) * 3
         self.assertEqual(len(apply_delta(b"abcdef", delta, 18)), 18)
         with self.assertRaises(MalformedDelta):
             apply_delta(b"abcdef", delta, 17)
 
-    def test_any_bytes_changed_are_read_or_refused(self) -> None:
+    def test_a_damaged_delta_is_applied_or_refused(self) -> None:
         random_source, old = random.Random(4), configuration(1, 20, 20)
         delta = make_delta(old, configuration(2, 20, 20, 9000))
         for _ in range(2000):
--- a/tests/wire/test_wire_records.py
+++ b/tests/wire/test_wire_records.py
@@ -1,4 +1,4 @@
-"""Records and frames: round trips at the limits of each field, and malformed bytes."""
+"""Records and frames: round trips at the limits of each field type, and malformed bytes."""
 
 import random
 import unittest
@@ -33,7 +33,7 @@
 
 
 class Measured(msgspec.Struct, frozen=True):
-    """No kind of the registry has a floating-point number yet."""
+    """A record with a floating-point number, which no registered kind has."""
 
     value: float
 
@@ -42,7 +42,7 @@
     match field_type:
         case RecordLayout():
             return field_type.record_type(
-                *(random_value(random_source, part) for part in field_type.field_types.values())
+                *(random_value(random_source, part_type) for part_type in field_type.field_types.values())
             )
         case RecordListType():
             return tuple(random_value(random_source, field_type.layout) for _ in range(random_source.choice((0, 1, 3))))
@@ -60,24 +60,24 @@
         return tuple(random_source.choice(NUMBERS) for _ in range(random_source.choice((0, 1, 5))))
     if field_type is VERSION_MAP:
         return {f"m{n}": random_source.choice(NUMBERS) for n in range(random_source.choice((0, 1, 4)))}
-    raise TypeError(f"no values for {field_type}")
+    raise TypeError(f"no random values for field type {field_type}")
 
 
 def random_records(random_source, count):
-    """Some records of each kind."""
+    """``count`` random records of each kind."""
     return [random_value(random_source, layout) for layout in record_kinds.CODEC.layouts.values() for _ in range(count)]
 
 
 def layouts_of(codec):
-    """Those of all kinds, and of the records within them."""
-    waiting, found = [*codec.layouts.values()], []
-    while waiting:
-        layout = waiting.pop()
+    """The layouts of all kinds of a codec and of the records nested in them."""
+    pending, found = [*codec.layouts.values()], []
+    while pending:
+        layout = pending.pop()
         found.append(layout)
         for field_type in layout.field_types.values():
             inner = field_type.layout if isinstance(field_type, RecordListType) else field_type
             if isinstance(inner, RecordLayout):
-                waiting.append(inner)
+                pending.append(inner)
     return found
 
 
@@ -87,11 +87,11 @@
 
 
 class RoundTrip(unittest.TestCase):
-    def test_every_kind_with_drawn_fields(self):
+    def test_every_kind_with_random_fields(self):
         for n, record in enumerate(random_records(random.Random(1), 40)):
             self.assertEqual(decode_frame(record_kinds.CODEC.pack(record, n)), (record, n))
 
-    def test_a_layout_names_each_field_in_its_order(self):
+    def test_a_layout_names_all_fields_in_order(self):
         for layout in layouts_of(record_kinds.CODEC):
             self.assertEqual([*layout.record_type.__struct_fields__], [*layout.field_types])
         with self.assertRaisesRegex(TypeError, "Redirect"):
@@ -99,18 +99,18 @@
         with self.assertRaisesRegex(TypeError, "Redirect"):
             RecordLayout(control_updates.Redirect, primary=UINT64)
 
-    def test_routers_and_the_core_give_one_number_to_a_kind(self):
+    def test_routers_and_core_machines_use_the_same_number_for_a_kind(self):
         layouts = record_kinds.CODEC.layouts
         self.assertEqual({**layouts, **control_updates.CONTROL_UPDATE_LAYOUTS}, layouts)
         self.assertEqual(len(record_kinds.CODEC.kinds), len(layouts))
         poll = control_updates.Poll(1, 2, (3, 4), 5, (6, 7), (8, 9), (10, 11), 500)
         self.assertEqual(control_updates.CONTROL_UPDATE_CODEC.pack(poll, 9), record_kinds.CODEC.pack(poll, 9))
 
-    def test_the_least_size_is_that_of_an_empty_record(self):
+    def test_the_minimum_size_is_that_of_an_empty_record(self):
         empty = {UINT64: 0, BOOL: False, TEXT: "", BYTES: b"", UINT64_PAIR: (0, 0), UINT64_LIST: (), VERSION_MAP: {}}
         for layout in record_kinds.CODEC.layouts.values():
             if not any(isinstance(field_type, RecordLayout) for field_type in layout.field_types.values()):
-                record = layout.record_type(*(empty.get(part, ()) for part in layout.field_types.values()))
+                record = layout.record_type(*(empty.get(part_type, ()) for part_type in layout.field_types.values()))
                 self.assertEqual(len(layout.encode(record)), layout.minimum_size, layout.record_type)
 
     def test_integers_at_their_limits(self):
@@ -137,7 +137,7 @@
         update = control_updates.Update((0, 0), 0, False, 0, b"", versions, (0, 0), False)
         self.assertEqual(decode_frame(record_kinds.CODEC.pack(update))[0], update)
 
-    def test_a_body_of_many_bytes(self):
+    def test_a_large_body(self):
         store = replication.Store(1, replication.StateVersion(2, 3), random.Random(1).randbytes(3 << 20))
         self.assertEqual(decode_frame(record_kinds.CODEC.pack(store))[0], store)
 
@@ -147,13 +147,13 @@
             body = codec.pack(Measured(value))[FRAME_HEADER.size :]
             self.assertEqual(repr(codec.unpack(1, body).value), repr(value))
 
-    def test_records_encoded_before_are_the_same_bytes(self):
+    def test_pre_encoded_records_give_the_same_bytes(self):
         server = control_updates.ServerRecord("i", "s", "a:1", "z", 2, control_updates.SERVER_DRAINING, {"m": 3})
-        given = ((1, 2), 3, True, 4, b"c", {"m": 1}, (5, 6), True)
+        fields = ((1, 2), 3, True, 4, b"c", {"m": 1}, (5, 6), True)
         encoded = control_updates.SERVER_RECORDS.encode((server, server))
         self.assertEqual(
-            control_updates.CONTROL_UPDATE_CODEC.pack(control_updates.Update(*given, encoded)),
-            control_updates.CONTROL_UPDATE_CODEC.pack(control_updates.Update(*given, (server, server))),
+            control_updates.CONTROL_UPDATE_CODEC.pack(control_updates.Update(*fields, encoded)),
+            control_updates.CONTROL_UPDATE_CODEC.pack(control_updates.Update(*fields, (server, server))),
         )
 
 
@@ -164,58 +164,60 @@
 
     def decode_all(self, pieces):
         frames = FrameDecoder()
-        made = [frame for piece in pieces for frame in frames.feed(piece)]
+        decoded = [frame for piece in pieces for frame in frames.feed(piece)]
         self.assertEqual(bytes(frames.buffer), b"")
-        self.assertEqual([call for _, call, _ in made], list(range(len(self.records))))
-        return [record_kinds.CODEC.unpack(kind, body) for kind, _, body in made]
+        self.assertEqual([call for _, call, _ in decoded], list(range(len(self.records))))
+        return [record_kinds.CODEC.unpack(kind, body) for kind, _, body in decoded]
 
     def test_byte_by_byte(self):
-        self.assertEqual(self.decode_all(self.data[at : at + 1] for at in range(len(self.data))), self.records)
+        self.assertEqual(
+            self.decode_all(self.data[offset : offset + 1] for offset in range(len(self.data))), self.records
+        )
 
     def test_all_at_once(self):
         self.assertEqual(self.decode_all([self.data]), self.records)
 
-    def test_odd_pieces(self):
+    def test_pieces_of_random_sizes(self):
         for seed in range(50):
-            random_source, at, pieces = random.Random(seed), 0, []
-            while at < len(self.data):
+            random_source, offset, pieces = random.Random(seed), 0, []
+            while offset < len(self.data):
                 size = random_source.choice((0, 1, 3, 11, 12, 13, 97, 1000))
-                pieces.append(memoryview(self.data)[at : at + size])
-                at += size
+                pieces.append(memoryview(self.data)[offset : offset + size])
+                offset += size
             self.assertEqual(self.decode_all(pieces), self.records)
 
-    def test_an_incomplete_frame_gives_nothing_yet(self):
+    def test_an_incomplete_frame_is_not_returned(self):
         frame, frames = record_kinds.CODEC.pack(record_kinds.Hello(7)), FrameDecoder()
         self.assertEqual(frames.feed(frame[:-1]), [])
         self.assertEqual(len(frames.feed(frame[-1:])), 1)
 
 
 class MalformedFrames(unittest.TestCase):
-    def refused(self, magic=MAGIC, form=FORMAT, size=8):
+    def assert_refused(self, magic=MAGIC, frame_format=FORMAT, size=8):
         with self.assertRaises(MalformedRecord):
-            FrameDecoder().feed(FRAME_HEADER.pack(magic, form, 16, 0, size))
+            FrameDecoder().feed(FRAME_HEADER.pack(magic, frame_format, 16, 0, size))
 
-    def test_another_magic(self):
+    def test_another_magic_number(self):
         for magic in (b"RL", b"\0\0", b"SR", b"HT"):
-            self.refused(magic=magic)
+            self.assert_refused(magic=magic)
 
     def test_another_format(self):
-        for form in (0, FORMAT + 1, 255):
-            self.refused(form=form)
+        for frame_format in (0, FORMAT + 1, 255):
+            self.assert_refused(frame_format=frame_format)
         frame = bytearray(record_kinds.CODEC.pack(record_kinds.Hello(7)))
         frame[2] = FORMAT + 1
         with self.assertRaises(MalformedRecord):
             FrameDecoder().feed(bytes(frame))
 
-    def test_one_of_another_format_after_good_ones(self):
+    def test_a_frame_of_another_format_after_a_valid_frame(self):
         frames, good = FrameDecoder(), record_kinds.CODEC.pack(record_kinds.Hello(7))
         self.assertEqual(len(frames.feed(good)), 1)
         with self.assertRaises(MalformedRecord):
             frames.feed(good[:2] + bytes([FORMAT + 1]) + good[3:])
 
-    def test_too_long(self):
-        self.refused(size=MAX_RECORD_BYTES + 1)
-        self.refused(size=2**32 - 1)
+    def test_a_body_that_is_too_long(self):
+        self.assert_refused(size=MAX_RECORD_BYTES + 1)
+        self.assert_refused(size=2**32 - 1)
         frames = FrameDecoder()
         self.assertEqual(frames.feed(FRAME_HEADER.pack(MAGIC, FORMAT, 16, 0, MAX_RECORD_BYTES)), [])
 
@@ -244,17 +246,17 @@
             with self.assertRaises(MalformedRecord):
                 control_updates.CONTROL_UPDATE_CODEC.unpack(kind, bytes(8))
 
-    def test_cut_short_anywhere(self):
+    def test_records_truncated_at_each_byte(self):
         for kind, body, _ in self.bodies():
             for end in range(len(body)):
                 with self.assertRaises(MalformedRecord):
                     record_kinds.CODEC.unpack(kind, body[:end])
 
-    def test_bytes_too_many(self):
+    def test_surplus_bytes(self):
         for kind, body, _ in self.bodies():
-            for more in (b"\0", b"\0" * 8, b"\xff" * 3):
+            for surplus in (b"\0", b"\0" * 8, b"\xff" * 3):
                 with self.assertRaises(MalformedRecord):
-                    record_kinds.CODEC.unpack(kind, body + more)
+                    record_kinds.CODEC.unpack(kind, body + surplus)
 
     def test_wrong_lengths(self):
         for body in (b"\0" * 8 + b"\xff\xff", b"\0" * 8 + b"\0\2" + bytes(8), b"\0" * 8 + b"\0\0" + bytes(8)):
@@ -281,11 +283,11 @@
                 record = record_kinds.CODEC.unpack(kind, body)
             except MalformedRecord:
                 refused += 1
-            else:  # it is a record then, and has bytes of its own
+            else:  # the bytes were valid, so the record survives a round trip
                 self.assertEqual(decode_frame(record_kinds.CODEC.pack(record))[0], record)
         self.assertGreater(refused, 4000)
 
-    def test_single_bytes_changed(self):
+    def test_records_with_one_changed_byte(self):
         random_source, bodies = random.Random(6), self.bodies()
         for _ in range(8000):
             kind, body, _ = random_source.choice(bodies)
@@ -295,18 +297,18 @@
                 record_kinds.CODEC.unpack(kind, bytes(damaged))
 
 
-class FormerFrames(unittest.TestCase):
-    """Frames and records on disk, written by the program of before its names were changed."""
+class FramesBeforeRenaming(unittest.TestCase):
+    """Frames and disk records written by the program before its types and fields were renamed."""
 
     written = orjson.loads((Path(__file__).parents[1] / "data" / "frames-before-rename.json").read_bytes())
 
-    def test_all_are_decoded_and_encoded_as_they_were(self):
+    def test_former_frames_are_decoded_and_encoded_with_identical_bytes(self):
         for name, frame in self.written.items():
             with self.subTest(name):
                 record, call = decode_frame(bytes.fromhex(frame))
                 self.assertEqual(record_kinds.CODEC.pack(record, call).hex(), frame)
 
-    def test_what_a_disk_held_is_understood(self):
+    def test_a_former_disk_record_is_decoded(self):
         durable, _ = decode_frame(bytes.fromhex(self.written["durable_state"]))
         self.assertEqual((durable.promised, durable.version.epoch, durable.version.sequence), (7, 7, 3))
         self.assertEqual(durable.accepted.former, (2, 3, 4))
