--- a/rowanshift/controlplane/replication/__init__.py
+++ b/rowanshift/controlplane/replication/__init__.py
@@ -1,7 +1,7 @@
-"""The replication protocol of the control plane, without I/O: ``Replica`` decides, its caller carries actions out.
+"""The replication protocol of the control plane, without I/O: ``Replica`` returns actions, its caller executes them.
 
-The state is replicated from a primary to backups; epochs, with their members, are agreed on by a majority of witnesses
-as in Paxos. docs/control-plane.md describes the protocol and why it is safe.
+A primary replicates the state to its backups. Each epoch and its members are decided by a majority of witnesses, as in
+Paxos. docs/control-plane.md describes the protocol and its safety argument.
 """
 
 from rowanshift.controlplane.replication.actions import (
--- a/rowanshift/controlplane/replication/actions.py
+++ b/rowanshift/controlplane/replication/actions.py
@@ -1,4 +1,4 @@
-"""Actions: what a replica wants its caller to carry out, in the order in which ``Replica.drain`` returns them."""
+"""Actions: operations that a replica asks its caller to execute, in the order that ``Replica.drain`` returns."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Save(msgspec.Struct, frozen=True):
-    """Write this to disk in one step and sync it, then call ``saved`` or ``save_failed`` with the token."""
+    """Write the durable state to disk atomically and sync it, then call ``saved`` or ``save_failed`` with the token."""
 
     token: int
     durable: DurableState
@@ -29,19 +29,19 @@
 
 
 class ProposalFailed(msgspec.Struct, frozen=True):
-    """Leadership was lost before the proposal ended. Its outcome is unknown: it may be committed later or never."""
+    """Leadership was lost before the proposal completed. Its outcome is unknown: it may still be committed."""
 
     token: int
 
 
 class ReadConfirmed(msgspec.Struct, frozen=True):
-    """``committed_state`` holds, as of now, every change that was committed anywhere when the read was requested."""
+    """The read is linearizable: ``committed_state`` now includes every change committed before it was requested."""
 
     token: int
 
 
 class ReadFailed(msgspec.Struct, frozen=True):
-    """The in-sync machines did not confirm in time that this machine is the primary."""
+    """The in-sync machines did not confirm within the read timeout that this machine is the primary."""
 
     token: int
 
--- a/rowanshift/controlplane/replication/backup.py
+++ b/rowanshift/controlplane/replication/backup.py
@@ -9,7 +9,7 @@
 
 
 class BackupRole(DurableReplica):
-    """Stores states of epochs that this machine has not promised away. A reply is sent once the state is on disk."""
+    """Stores states of epochs not below this machine's promise. The reply is sent once the state is on disk."""
 
     def _on_store(self, sender: int, message: Store) -> None:
         durable = self._durable
@@ -25,7 +25,7 @@
         self._send_after_save(sender, StoreReply(message.epoch, message.version, True, message.epoch))
 
     def _on_store_delta(self, sender: int, message: StoreDelta) -> None:
-        """Apply a delta to the state under its base: there is one state under a version, so it fits on any machine."""
+        """Apply a delta to its base version. A version denotes the same state on all machines, so any replica can."""
         durable = self._durable
         if message.epoch < durable.promised:
             self._send(sender, StoreReply(message.epoch, message.version, False, durable.promised))
--- a/rowanshift/controlplane/replication/backup_selection.py
+++ b/rowanshift/controlplane/replication/backup_selection.py
@@ -1,4 +1,4 @@
-"""Which machines a candidate makes its backups."""
+"""Selection of the machines that become a candidate's backups."""
 
 from __future__ import annotations
 
@@ -10,26 +10,26 @@
 
 
 class BackupCandidates(NamedTuple):
-    """Machines that may become backups, preferred ones first."""
+    """Machines that may become backups, in order of preference."""
 
     alive: list[int]
-    reliable: list[int]  # those of them against which nothing speaks
+    reliable: list[int]  # subset of ``alive`` without objections
 
 
 class BackupObjections(NamedTuple):
-    """What speaks against a machine as a backup, the most serious first."""
+    """Reasons against choosing a machine as a backup, the most serious first."""
 
-    timed_out: bool  # it did not store the state in this candidacy
+    timed_out: bool  # it did not store the state in time during this candidacy
     avoided: bool
     leaving: bool
-    maybe_down: bool
+    possibly_down: bool
 
 
 class BackupSelection(DurableReplica):
     """Selects backups that are alive and spread over failure domains."""
 
     def _select_backups(self, candidacy: Candidacy) -> tuple[int, ...] | None:
-        """The machines that are to store the state beside this one; None while too few are alive."""
+        """The machines that will store the state in addition to this one; None while too few are alive."""
         candidates = self._backup_candidates(candidacy)
         if len(candidates.alive) < self.max_failures:
             return None
@@ -39,17 +39,17 @@
         return (*backups, *others[:missing])
 
     def _backup_candidates(self, candidacy: Candidacy) -> BackupCandidates:
-        """Machines that are alive: preferably without objections, then in sync, then with a vote for this candidacy."""
+        """Live machines: those without objections first, then in-sync ones, then voters for this candidacy."""
         alive = (self._heard_within(self.timing.alive_seconds) | candidacy.votes) - {self.me}
-        # a primary that has just failed was heard lately, too: who takes over relies on votes alone
-        sure = self._heard_within(self.timing.backup_timeout_seconds) if candidacy.renewal else candidacy.votes
+        # A failed primary may have been heard recently, so a takeover counts only machines that voted as responsive.
+        responsive = self._heard_within(self.timing.backup_timeout_seconds) if candidacy.renewal else candidacy.votes
 
         def objections(machine: int) -> BackupObjections:
             return BackupObjections(
                 timed_out=machine in candidacy.timed_out_backups,
                 avoided=self._is_avoided(machine),
                 leaving=self._is_leaving(machine),
-                maybe_down=machine not in sure,
+                possibly_down=machine not in responsive,
             )
 
         def preference(machine: int) -> tuple[BackupObjections, bool, bool, int]:
--- a/rowanshift/controlplane/replication/candidate.py
+++ b/rowanshift/controlplane/replication/candidate.py
@@ -1,4 +1,4 @@
-"""A replica as a candidate: it leads a new epoch into force, to take over or, as primary, to renew its own."""
+"""A replica as a candidate: it establishes a new epoch, to take over or, as primary, to renew its own epoch."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
     NOMINATION_RETRY_SECONDS,
 )
 
-MACHINE_ID_BITS = 32  # of an epoch, the lower ones: the machine that chose it
+MACHINE_ID_BITS = 32  # the lower bits of an epoch hold the id of the machine that chose it
 
 
 class CandidateRole(BackupSelection):
-    """Pre-vote, prepare, store, accept: each phase ends once enough machines have voted in it."""
+    """Runs the phases pre-vote, prepare, store and accept; each ends once enough machines have voted in it."""
 
     def _start_candidacy(self, renewal: bool = False, witnesses: tuple[int, ...] = ()) -> None:
-        """Become a candidate for an epoch above all that were seen. ``witnesses``: the new set, if it is to change."""
+        """Become a candidate for an epoch above all seen. ``witnesses`` is the new witness set, empty for no change."""
         highest_round = max(self._highest_epoch_seen, self._durable.promised) >> MACHINE_ID_BITS
         epoch = (highest_round + 1) << MACHINE_ID_BITS | self.me
         if epoch >= EPOCH_LIMIT:
@@ -64,7 +64,7 @@
             case CandidacyPhase.PREPARE:
                 message, recipients = Prepare(candidacy.epoch), witnesses
                 if self.me not in candidacy.votes:
-                    recipients = {self.me}  # its own promise is on disk before others are asked
+                    recipients = {self.me}  # its own promise must be on disk before it asks others
             case CandidacyPhase.STORE:
                 message, recipients = self._store_message(candidacy), replicas
             case CandidacyPhase.ACCEPT:
@@ -75,7 +75,7 @@
     def _store_message(self, candidacy: Candidacy) -> Store:
         return Store(candidacy.epoch, StateVersion(candidacy.epoch, 0), self._durable.state)
 
-    # Time limits.
+    # Timeouts.
 
     def _tick_candidacy(self, candidacy: Candidacy) -> None:
         now, timing, phase = self._now, self.timing, candidacy.phase
@@ -84,7 +84,7 @@
         store_timed_out = now >= candidacy.phase_started_at + timing.store_timeout_seconds + transfer
         is_pre_vote = phase is CandidacyPhase.PRE_VOTE
         retry_seconds = timing.pre_vote_retry_seconds if is_pre_vote else timing.retry_seconds
-        if phase_timed_out or self._is_over_limit(candidacy):
+        if phase_timed_out or self._is_past_time_limit(candidacy):
             self._abandon_candidacy(candidacy)
         elif phase is CandidacyPhase.STORE and store_timed_out:
             candidacy.timed_out_backups |= {*candidacy.backups} - candidacy.votes
@@ -92,8 +92,8 @@
         elif now >= candidacy.sent_at + retry_seconds + transfer:
             self._send_phase(candidacy)
 
-    def _is_over_limit(self, candidacy: Candidacy) -> bool:
-        """Whether its votes may be void: the machines that gave them may have lost their disks and recovered since."""
+    def _is_past_time_limit(self, candidacy: Candidacy) -> bool:
+        """Whether its votes may be invalid because the voters may have lost their disks and recovered since."""
         limit_at = candidacy.started_at + self.timing.candidacy_limit_seconds
         return candidacy.phase is not CandidacyPhase.PRE_VOTE and self._now >= limit_at
 
@@ -106,7 +106,7 @@
         self._end_candidacy(CANDIDACY_RETRY_SECONDS)
 
     def _end_candidacy(self, wait_seconds: float) -> None:
-        """Give this epoch up for good. A primary that was renewing its epoch steps down."""
+        """Abandon the candidate's epoch permanently. A primary that was renewing its epoch steps down."""
         candidacy, self._candidacy = self._candidacy, None
         if candidacy is not None:
             jitter = self.timing.election_jitter_seconds * self._random_fraction()
@@ -115,7 +115,7 @@
                 self._step_down()
 
     def _nominate_in_sync_machines(self, candidacy: Candidacy) -> None:
-        """Ask the machines that have the state, which this one lacks, to become candidates."""
+        """Ask the in-sync machines to become candidates, because this machine lacks the state."""
         for member in candidacy.base.in_sync:
             if member != self.me:
                 self._send(member, TransferLeadership(candidacy.epoch))
@@ -123,12 +123,12 @@
     # Votes.
 
     def _count_vote(self, sender: int, epoch: int, phase: CandidacyPhase, ok: bool, promised: int) -> Candidacy | None:
-        """Count a vote for the present phase. Returns the candidacy if the vote counts, else None."""
+        """Count a vote for the current phase. Returns the candidacy if the vote counts, else None."""
         candidacy = self._candidacy
         self._highest_epoch_seen = max(self._highest_epoch_seen, promised)
         if candidacy is None or candidacy.epoch != epoch or candidacy.phase is not phase:
             return None
-        if self._is_over_limit(candidacy):
+        if self._is_past_time_limit(candidacy):
             self._end_candidacy(CANDIDACY_RETRY_SECONDS)
             return None
         if ok:
@@ -149,7 +149,7 @@
         candidacy = self._count_vote(sender, message.epoch, CandidacyPhase.PREPARE, message.ok, message.promised)
         if candidacy is None:
             return
-        candidacy.promised_records[sender] = message.accepted
+        candidacy.accepted_records[sender] = message.accepted
         newer = message.accepted.epoch > candidacy.base.epoch
         if newer:
             candidacy.base = message.accepted
@@ -182,7 +182,7 @@
             self._become_primary(candidacy)
 
     def _deciding_sets(self, candidacy: Candidacy) -> tuple[tuple[int, ...], ...]:
-        """The witness sets of which a majority each puts the candidacy's record in force."""
+        """The witness sets each of which needs a majority to decide the candidacy's record."""
         return (*candidacy.base.witness_sets(), *candidacy.record.witness_sets())
 
     # The next record.
@@ -197,17 +197,17 @@
         base = candidacy.base
         if not candidacy.renewal or base != self._own_record:
             return base.witnesses, base.former
-        # the base is in force, so its former set is needed no longer
+        # The base record is decided, so its former witness set is no longer needed.
         return (candidacy.wanted_witnesses, base.witnesses) if candidacy.wanted_witnesses else (base.witnesses, ())
 
     def _choose_backups(self, candidacy: Candidacy) -> None:
-        """Choose backups and have them store the state. A majority's records are read, and ``base`` is the newest."""
+        """Choose backups and send them the state. ``base`` must be the newest of the records read from a majority."""
         if not self._has_state(candidacy.base):
             self._nominate_in_sync_machines(candidacy)
             self._end_candidacy(NOMINATION_RETRY_SECONDS)
             return
         backups = self._select_backups(candidacy)
         if backups is None:
-            return  # more machines may answer until the phase ends
+            return  # more machines may reply before the phase times out
         candidacy.backups = backups
         self._enter_phase(candidacy, CandidacyPhase.STORE)
--- a/rowanshift/controlplane/replication/durability.py
+++ b/rowanshift/controlplane/replication/durability.py
@@ -1,4 +1,4 @@
-"""Sending and saving: what another machine may rely on is on disk before it is sent."""
+"""Sending messages and saving state: anything that other machines rely on is on disk before it is sent."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
     """A replica that sends messages, and saves its durable state with at most one save in progress."""
 
     def drain(self) -> list[Action]:
-        """The actions decided since the last call, to be carried out in this order."""
+        """The actions requested since the last call, to be executed in this order."""
         actions, self._actions = self._actions, []
         return actions
 
     def _send(self, to: int, message: Message) -> None:
         if self._is_observer() and not isinstance(message, RecoveryRequest | FailureDomainReport):
-            return  # a machine that is heard may be chosen as a backup or a witness
+            return  # machines that receive other messages may choose the sender as a backup or a witness
         if to == self.me:
             self._loopback.append(message)
         else:
             self._actions.append(Send(to, message))
 
     def _send_after_save(self, to: int, message: Message) -> None:
-        """Send once everything decided so far is on disk."""
+        """Send a message once the current durable state is on disk."""
         if self._on_disk is self._durable:
             self._send(to, message)
         elif self._save_in_progress is not None and self._save_in_progress.durable is self._durable:
@@ -56,7 +56,7 @@
         return save
 
     def saved(self, token: int, now: float) -> None:
-        """Note that the save with this token is on disk."""
+        """Called when the save with this token is on disk."""
         self._now = max(self._now, now)
         save = self._finish_save(token)
         if save is None:
@@ -69,7 +69,7 @@
         self._process_loopback()
 
     def save_failed(self, token: int, now: float) -> None:
-        """Note that the save with this token failed: the disk has either it or what it had before."""
+        """Called when the save with this token failed: the disk holds either the new or the previous state."""
         self._now = max(self._now, now)
         if self._finish_save(token) is None:
             return
@@ -81,7 +81,7 @@
         self._process_loopback()
 
     def _tick_save(self) -> None:
-        """Save again, after a failure, what is not on disk yet."""
+        """Retry a failed save."""
         unsaved = self._on_disk is not self._durable and self._save_in_progress is None
         if unsaved and self._now >= self._save_failed_at + self.timing.retry_seconds:
             self._start_save()
--- a/rowanshift/controlplane/replication/failure_domain_reports.py
+++ b/rowanshift/controlplane/replication/failure_domain_reports.py
@@ -1,4 +1,4 @@
-"""Failure domains that machines report to each other, where the fault tolerance depends on them."""
+"""Reports of failure domains between machines, sent where the fault tolerance depends on them."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class FailureDomainReporter(DurableReplica):
-    """Reports this machine's failure domain periodically, and remembers those of others."""
+    """Reports this machine's failure domain periodically, and records those of other machines."""
 
     def _tick_failure_domain(self) -> None:
-        if self.quorum_member and not self.tolerance.domains and not self._failure_domains_matter:
+        if self.quorum_member and not self.tolerance.domains and not self._received_failure_domain_report:
             return
         report, due_since = self._failure_domain_report(), self._now - self.timing.failure_domain_interval_seconds
         for machine in sorted(self.known_machines):
@@ -26,7 +26,7 @@
         return FailureDomainReport(domain.zone, domain.region, domain.quorum_member, no_quorum_members)
 
     def _on_failure_domain_report(self, sender: int, message: FailureDomainReport) -> None:
-        self._failure_domains_matter = True
+        self._received_failure_domain_report = True
         self.failure_domains[sender] = FailureDomain(message.zone, message.region, message.quorum_member)
         if message.no_quorum_members:
             self._no_quorum_members_heard[sender] = self._now
--- a/rowanshift/controlplane/replication/failure_domains.py
+++ b/rowanshift/controlplane/replication/failure_domains.py
@@ -1,6 +1,7 @@
-"""Failure domains: which machines the worst tolerated loss takes, and how replicas and witnesses are spread against it.
+"""Failure domains: the worst tolerated loss, and a placement of replicas and witnesses that survives it.
 
-A loss takes regions, zones and single machines at once, as many of each as ``faultTolerance`` in the settings says.
+A loss takes regions, zones and single machines at the same time, at most as many of each as the setting
+``faultTolerance`` allows.
 """
 
 from __future__ import annotations
@@ -13,12 +14,12 @@
 
 from rowanshift.controlplane.replication.quorum import majority
 
-MAX_WITNESSES = 15  # up to which witnesses are added so that a majority survives the loss of zones and regions
+MAX_WITNESSES = 15  # limit for adding witnesses so that a majority survives the loss of zones and regions
 
 
 @dataclass(frozen=True, slots=True)
 class FaultTolerance:
-    """What may be lost at once: this many regions, zones and single machines, all of them together."""
+    """The tolerated loss: this many regions, zones and single machines, all at the same time."""
 
     machines: int = 0
     zones: int = 0
@@ -26,37 +27,37 @@
 
     @property
     def domains(self) -> bool:
-        """Whether zones or regions may be lost, not machines alone."""
+        """Whether the tolerated loss includes whole zones or regions."""
         return bool(self.zones or self.regions)
 
     @property
     def total(self) -> int:
-        """How many replicas may be lost if each is in a zone and a region of its own."""
+        """The number of replicas that may be lost if each is in a separate zone and region."""
         return self.machines + self.zones + self.regions
 
 
 @dataclass(frozen=True, slots=True)
 class FailureDomain:
-    """Where a machine is, and whether it is a quorum member: one of those that the fault tolerance speaks of."""
+    """A machine's location, and whether it is a quorum member: a machine that the fault tolerance covers."""
 
     zone: str = ""
     region: str = ""
     quorum_member: bool = True
 
 
-UNKNOWN_FAILURE_DOMAIN = FailureDomain()  # of machines that have not reported theirs: they are taken to share one zone
+UNKNOWN_FAILURE_DOMAIN = FailureDomain()  # assumed for machines without a report, which thus share one zone
 FailureDomains = Mapping[int, FailureDomain]  # by machine
 
 
 class SharedDomains(NamedTuple):
-    """How many of other machines share a machine's region and its zone."""
+    """The numbers of other machines in the same region and in the same zone as a machine."""
 
     in_region: int
     in_zone: int
 
 
 def worst_case_losses(members: Collection[int], failure_domains: FailureDomains, tolerance: FaultTolerance) -> int:
-    """How many of the members the worst loss takes."""
+    """The number of members lost in the worst tolerated loss."""
     domains = [failure_domains.get(member, UNKNOWN_FAILURE_DOMAIN) for member in members]
     regions = {domain.region for domain in domains}
     return max(
@@ -68,7 +69,7 @@
 def _losses_with_regions(
     lost_regions: Collection[str], domains: Sequence[FailureDomain], tolerance: FaultTolerance
 ) -> int:
-    """How many are lost with these regions, the fullest zones of the others, and any machines left there."""
+    """The number lost with these regions, the largest zones elsewhere, and single machines among the rest."""
     remaining = [domain for domain in domains if domain.region not in lost_regions]
     zone_sizes = Counter((domain.region, domain.zone) for domain in remaining)
     lost_with_zones = sum(size for _, size in zone_sizes.most_common(tolerance.zones)) if tolerance.zones else 0
@@ -77,21 +78,21 @@
 
 
 def surviving_replicas(members: Collection[int], failure_domains: FailureDomains, tolerance: FaultTolerance) -> int:
-    """How many of the members survive the worst loss."""
+    """The number of members that survive the worst tolerated loss."""
     return len(members) - worst_case_losses(members, failure_domains, tolerance)
 
 
 def vote_margin(witnesses: Collection[int], failure_domains: FailureDomains, tolerance: FaultTolerance) -> int:
-    """How many witnesses beyond a majority survive the worst loss. Below 0 no majority survives it."""
+    """The number of witnesses beyond a majority that survive the worst loss; negative if no majority survives."""
     return surviving_replicas(witnesses, failure_domains, tolerance) - majority(witnesses)
 
 
 def choose_backups(
     me: int, preferred: Sequence[int], failure_domains: FailureDomains, tolerance: FaultTolerance
 ) -> list[int]:
-    """The fewest machines, preferred ones first, with which a replica survives the worst loss; ``me`` has one as well.
+    """The fewest machines that, together with ``me``, keep a replica alive in the worst loss, preferred ones first.
 
-    Where no choice achieves that, as many as would if each were in a zone and a region of its own.
+    Where no choice achieves that, returns as many as would suffice if each were in a separate zone and region.
     """
     chosen: list[int] = []
     remaining = list(preferred)
@@ -107,7 +108,7 @@
 def _shared_domains(
     machine: int, others: Sequence[int], failure_domains: FailureDomains, tolerance: FaultTolerance
 ) -> SharedDomains:
-    """How many of the others share its region and its zone. Domains that can't be lost as a whole count as 0."""
+    """Count the others in its region and in its zone; 0 for domains that the tolerance doesn't lose as a whole."""
     own = failure_domains.get(machine, UNKNOWN_FAILURE_DOMAIN)
     domains = [failure_domains.get(other, UNKNOWN_FAILURE_DOMAIN) for other in others]
     in_region = sum(other.region == own.region for other in domains) if tolerance.regions else 0
@@ -118,7 +119,7 @@
 def witnesses_with_spare(
     witnesses: Collection[int], spares: Sequence[int], failure_domains: FailureDomains, tolerance: FaultTolerance
 ) -> tuple[int, ...]:
-    """The witnesses and the spare with which most survive the worst loss; the first of several."""
+    """The witnesses plus the spare with the highest vote margin; the first spare of several equal ones."""
     best = max(spares, key=lambda spare: vote_margin([*witnesses, spare], failure_domains, tolerance))
     return tuple(sorted((*witnesses, best)))
 
@@ -126,9 +127,9 @@
 def improved_witnesses(
     witnesses: Sequence[int], spares: Sequence[int], failure_domains: FailureDomains, tolerance: FaultTolerance
 ) -> tuple[int, ...]:
-    """Witnesses of which more survive the worst loss, by one exchange or addition.
+    """A witness set with a higher vote margin, obtained by exchanging or adding one witness.
 
-    Empty if a majority of the present ones survives it, or if no change helps.
+    Empty if a majority of the current set survives the worst loss, or if no change improves it.
     """
     margin = vote_margin(witnesses, failure_domains, tolerance)
     if margin >= 0:
@@ -143,7 +144,7 @@
 
 
 def can_be_tolerated(tolerance: FaultTolerance, regions_by_zone: Mapping[str, str]) -> bool:
-    """Whether a majority survives the worst loss with some number of machines, the same in each of these zones."""
+    """Whether some number of machines per zone, the same in each, lets a majority survive the worst loss."""
     if not tolerance.domains:
         return True
     for machines_per_zone in range(1, MAX_WITNESSES + 1):
--- a/rowanshift/controlplane/replication/lease.py
+++ b/rowanshift/controlplane/replication/lease.py
@@ -1,4 +1,4 @@
-"""Heartbeats of the primary, and what their replies give it: the lease, and confirmed reads."""
+"""The primary's heartbeats; their replies renew its lease and confirm reads."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
 
 class LeaseRole(DurableReplica):
-    """A majority of the witnesses renews the lease with each round; all in-sync machines confirm a read."""
+    """Renews the lease by replies of a majority of witnesses; confirms reads by replies of all in-sync machines."""
 
     def confirm_read(self, token: int, now: float) -> None:
-        """Confirm that ``committed_state`` is the newest. ``ReadConfirmed`` or ``ReadFailed`` follows with the token.
+        """Confirm that ``committed_state`` is current. ``ReadConfirmed`` or ``ReadFailed`` follows with the token.
 
-        Reads that are requested during a round share the next one. Raises ``NotPrimary``.
+        Reads requested while a heartbeat round is in progress share the next round. Raises ``NotPrimary``.
         """
         self._now = max(self._now, now)
         if self._own_record is None:
             raise NotPrimary(self.primary_hint)
-        in_progress = any(read.serial <= self._heartbeat_round for read in self._reads)
-        self._reads.append(PendingRead(token, self._heartbeat_round + 1, self._now))
+        in_progress = any(read.serial <= self._heartbeat_round for read in self._pending_reads)
+        self._pending_reads.append(PendingRead(token, self._heartbeat_round + 1, self._now))
         if not in_progress and self._candidacy is None:
             self._send_heartbeat()
         self._process_loopback()
@@ -32,11 +32,11 @@
         record = self._led_record
         self._heartbeat_round += 1
         self._heartbeat_sent_at = self._round_sent_at[self._heartbeat_round] = self._now
-        self._forget_old_rounds()
+        self._discard_old_rounds()
         for machine in sorted(self.known_machines | record.members() | {self.me}):
             self._send(machine, Heartbeat(record.epoch, self._heartbeat_round, record))
 
-    def _forget_old_rounds(self) -> None:
+    def _discard_old_rounds(self) -> None:
         lifetime = 2 * self.timing.quorum_loss_seconds
         self._round_sent_at = {
             serial: sent_at for serial, sent_at in self._round_sent_at.items() if self._now < sent_at + lifetime
@@ -60,7 +60,7 @@
         self._end_confirmed_reads()
 
     def _renew_lease(self, witnesses: tuple[int, ...]) -> None:
-        """Count the lease from when the newest round that a majority answered was sent, not from the answers."""
+        """Start the lease at the sending time, not the reply time, of the newest round that a majority acknowledged."""
         rounds = sorted((self._acknowledged_rounds.get(witness, 0) for witness in witnesses), reverse=True)
         sent_at = self._round_sent_at.get(rounds[majority(witnesses) - 1])
         if sent_at is not None:
@@ -71,25 +71,25 @@
         if message.promised > record.epoch:
             self._epoch_refused |= sender in record.in_sync or sender in record.witnesses
         elif sender in record.in_sync and self._candidacy is None and self._proposal is None:
-            # its disk was lost, so it needs the state again
+            # The machine lost its disk and needs the state again.
             version = StateVersion(record.epoch, self._sequence)
             self._send(sender, Store(record.epoch, version, self.committed_state))
 
     def _end_confirmed_reads(self) -> None:
-        """End every read that all in-sync machines have confirmed since it was requested."""
+        """Complete every read that all in-sync machines have confirmed since it was requested."""
         if self._candidacy is not None:
             return
         confirmed_round = min(self._acknowledged_rounds.get(member, 0) for member in self._led_record.in_sync)
-        confirmed = [read for read in self._reads if read.serial <= confirmed_round]
+        confirmed = [read for read in self._pending_reads if read.serial <= confirmed_round]
         if not confirmed:
             return
-        self._reads = [read for read in self._reads if read.serial > confirmed_round]
+        self._pending_reads = [read for read in self._pending_reads if read.serial > confirmed_round]
         self._actions.extend(ReadConfirmed(read.token) for read in confirmed)
-        if self._reads and all(read.serial > self._heartbeat_round for read in self._reads):
+        if self._pending_reads and all(read.serial > self._heartbeat_round for read in self._pending_reads):
             self._send_heartbeat()
 
     def _fail_overdue_reads(self) -> None:
         timeout = self.timing.read_timeout_seconds
-        overdue = [read for read in self._reads if self._now >= read.requested_at + timeout]
-        self._reads = [read for read in self._reads if self._now < read.requested_at + timeout]
+        overdue = [read for read in self._pending_reads if self._now >= read.requested_at + timeout]
+        self._pending_reads = [read for read in self._pending_reads if self._now < read.requested_at + timeout]
         self._actions.extend(ReadFailed(read.token) for read in overdue)
--- a/rowanshift/controlplane/replication/membership.py
+++ b/rowanshift/controlplane/replication/membership.py
@@ -1,4 +1,4 @@
-"""Planned changes of membership: a spare joins, and a machine that stops hands over first."""
+"""Planned membership changes: a spare joins, and a machine that is about to stop is replaced first."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 
 class MembershipRole(DurableReplica):
-    """Joins and leaves. A leaving machine takes part as before, as a candidate too, until the primary lets it go."""
+    """Joins and leaves. A leaving machine keeps all roles, candidate included, until the primary grants the leave."""
 
     def leave(self, now: float) -> None:
-        """Give leadership, this machine's replica and its vote to others. ``leave_granted`` is set once done."""
+        """Hand leadership, the replica and the vote over to other machines; then ``leave_granted`` is set."""
         self._now = max(self._now, now)
         self.leaving = True
         self._tick_leaving()
@@ -20,24 +20,24 @@
         if self.leave_granted or self._now < self._leave_sent_at + self.timing.retry_seconds:
             return
         if self._durable.amnesic or self._is_observer():
-            self.leave_granted = True  # no record in force relies on it
+            self.leave_granted = True  # the current epoch does not depend on this machine
             return
         self._request_replacement()
 
     def _request_replacement(self) -> None:
-        """Have the primary give this machine's replica and vote to others; a primary transfers leadership first."""
+        """Ask the primary to replace this machine as replica and witness; a primary transfers leadership first."""
         if self._own_record is not None and not self._transfer_leadership_before_leaving():
             return
         self._leave_sent_at = self._now
         for machine in sorted(self.known_machines):
-            if self._transferred_epoch:  # a machine that missed this would wait for the end of the lease
+            if self._transferred_epoch:  # sent again: a machine that missed it would wait for the lease to expire
                 self._send(machine, TransferLeadership(self._transferred_epoch))
             self._send(machine, Leave(self.me))
 
     def _transfer_leadership_before_leaving(self) -> bool:
-        """Transfer leadership once no candidacy or proposal is under way; whether it was transferred."""
+        """Transfer leadership unless a candidacy or proposal is in progress. Returns whether it was transferred."""
         if len(self._led_record.in_sync) == 1:
-            self.leave_granted = True  # no other machine is to have the state
+            self.leave_granted = True  # there is no other replica to hand over to
             return False
         if self._candidacy is not None or self._proposal is not None:
             return False
@@ -52,20 +52,20 @@
             self._send(sender, LeaveReply(self._own_record.epoch, granted))
 
     def _vote_still_needed(self, machine: int) -> bool:
-        """Whether a leaving machine is a witness that a spare can replace, or belongs to the former witnesses.
+        """Whether a leaving machine is a former witness, or a witness that a spare can still replace.
 
-        Until the former set is dropped, whoever takes over needs a majority of it as well.
+        A takeover needs a majority of the former witness set as well, until that set is dropped.
         """
         record = self._led_record
         return machine in record.former or (machine in record.witnesses and bool(self._live_spares()))
 
     def _on_leave_reply(self, sender: int, message: LeaveReply) -> None:
-        """Accept the grant unless a newer epoch was heard of here: it may have chosen this machine again."""
+        """Accept the grant unless this machine has promised a newer epoch, which may have chosen it again."""
         if self.leaving and message.granted and message.epoch >= self._durable.promised:
             self.leave_granted = True
 
     def _tick_non_quorum_member(self) -> None:
-        """Make an observer known to the primary; have a member by a first start replaced by a quorum member."""
+        """Announce an observer to the primary, or ask that a bootstrap member be replaced by a quorum member."""
         if self._is_observer():
             if not self.primary_hint and self._now >= self._join_sent_at + self.timing.join_interval_seconds:
                 self._join_sent_at = self._now
@@ -74,17 +74,17 @@
             self._request_replacement()
 
     def _has_quorum_member_spare(self) -> bool:
-        """Whether a quorum member that is no witness has asked lately to become one."""
+        """Whether a quorum member that is not a witness has recently asked to become one."""
         spares = self._recent_spares() - {*self._durable.accepted.witnesses}
         return any(self._domain_of(machine).quorum_member for machine in spares)
 
     def _recent_spares(self) -> set[int]:
-        """Machines that have sent a Join lately."""
+        """Machines whose last Join is within the spare lifetime."""
         lifetime = self.timing.spare_lifetime_seconds
         return {machine for machine, joined_at in self._spare_joined_at.items() if self._now < joined_at + lifetime}
 
     def _live_spares(self) -> list[int]:
-        """Machines that can become witnesses, this one first."""
+        """Machines that can become witnesses, starting with this one."""
         spares = [self.me, *sorted(self._recent_spares() & self._eligible_backups())]
         return [machine for machine in spares if machine not in self._led_record.witnesses]
 
--- a/rowanshift/controlplane/replication/messages.py
+++ b/rowanshift/controlplane/replication/messages.py
@@ -1,7 +1,7 @@
-"""Messages between replicas. Wire layouts are bound to their fields in ``controlplane/record_kinds.py``.
+"""Messages between replicas. ``controlplane/record_kinds.py`` defines their wire layouts.
 
-In each message ``epoch`` is the epoch that it is about. In replies ``promised`` is the highest epoch that the sender
-promised; ``ok`` is False if that forbids what was asked.
+``epoch`` is the epoch that a message concerns. In replies, ``promised`` is the highest epoch that the sender has
+promised; ``ok`` is False if that promise forbids the request.
 """
 
 from __future__ import annotations
@@ -12,26 +12,26 @@
 
 
 class PreVote(msgspec.Struct, frozen=True):
-    """Asks whether the receiver would promise this epoch. It changes nothing there."""
+    """Asks whether the receiver would promise this epoch, without changing its state."""
 
     epoch: int
 
 
 class PreVoteReply(msgspec.Struct, frozen=True):
-    """Answers PreVote; nothing was promised."""
+    """Reply to PreVote; it is not a promise."""
 
     epoch: int
     ok: bool
 
 
 class Prepare(msgspec.Struct, frozen=True):
-    """Asks for the promise to take part in no lower epoch (Paxos, phase 1)."""
+    """Asks for a promise to ignore all lower epochs (Paxos phase 1a)."""
 
     epoch: int
 
 
 class PrepareReply(msgspec.Struct, frozen=True):
-    """Answers Prepare. ``accepted`` is the last record that the sender accepted."""
+    """Reply to Prepare (Paxos phase 1b). ``accepted`` is the last record that the sender accepted."""
 
     epoch: int
     ok: bool
@@ -40,7 +40,7 @@
 
 
 class Store(msgspec.Struct, frozen=True):
-    """Asks to store this state under a version of the epoch."""
+    """Asks to store this state as a version of the epoch."""
 
     epoch: int
     version: StateVersion
@@ -48,9 +48,9 @@
 
 
 class StoreDelta(msgspec.Struct, frozen=True):
-    """Asks to store the state that ``delta`` makes of the one under ``base``.
+    """Asks to store the state that results from applying ``delta`` to the state of version ``base``.
 
-    A machine that has another version doesn't answer, and gets a Store when the proposal is sent again.
+    A machine that holds another version doesn't reply, and receives a Store when the proposal is sent again.
     """
 
     epoch: int
@@ -60,7 +60,7 @@
 
 
 class StoreReply(msgspec.Struct, frozen=True):
-    """Answers Store and StoreDelta. ``ok``: a state of this version or a later one is on disk."""
+    """Reply to Store and StoreDelta. ``ok`` means that this version or a later one is on disk."""
 
     epoch: int
     version: StateVersion
@@ -69,14 +69,14 @@
 
 
 class Accept(msgspec.Struct, frozen=True):
-    """Asks to accept the record of this epoch (Paxos, phase 2)."""
+    """Asks to accept the record of this epoch (Paxos phase 2a)."""
 
     epoch: int
     record: EpochRecord
 
 
 class AcceptReply(msgspec.Struct, frozen=True):
-    """Answers Accept. ``ok``: the record is on disk."""
+    """Reply to Accept (Paxos phase 2b). ``ok`` means that the record is on disk."""
 
     epoch: int
     ok: bool
@@ -84,7 +84,7 @@
 
 
 class Heartbeat(msgspec.Struct, frozen=True):
-    """Sent by the primary in rounds: it renews the lease, and confirms reads that wait for the round ``serial``."""
+    """Sent by the primary in rounds: renews the lease and confirms the reads assigned to round ``serial``."""
 
     epoch: int
     serial: int
@@ -92,7 +92,7 @@
 
 
 class HeartbeatReply(msgspec.Struct, frozen=True):
-    """Answers Heartbeat. Not ``ok`` below a promise, or where an in-sync machine lacks the state."""
+    """Reply to Heartbeat. ``ok`` is False for an epoch below the promise, or if an in-sync machine lacks the state."""
 
     epoch: int
     serial: int
@@ -104,20 +104,20 @@
 class TransferLeadership(msgspec.Struct, frozen=True):
     """Asks the receiver to become a candidate now.
 
-    If its sender is the primary of ``epoch``, it also gives up that epoch and its lease.
+    If the sender is the primary of ``epoch``, it has stepped down and released its lease.
     """
 
     epoch: int
 
 
 class RecoveryRequest(msgspec.Struct, frozen=True):
-    """Sent by an amnesic machine. ``serial`` tells replies to an earlier incarnation apart."""
+    """Sent by an amnesic machine. ``serial`` distinguishes its replies from those to an earlier incarnation."""
 
     serial: int
 
 
 class RecoveryReply(msgspec.Struct, frozen=True):
-    """What a machine has promised and accepted, for one that lost its disk or asked to join."""
+    """The sender's promise and accepted record, for a machine that lost its disk or asked to join."""
 
     serial: int
     promised: int
@@ -126,10 +126,10 @@
 
 
 class FailureDomainReport(msgspec.Struct, frozen=True):
-    """Where the sender is: its zone and region.
+    """The sender's zone and region.
 
-    ``quorum_member``: it is one of the machines that the fault tolerance speaks of. ``no_quorum_members``: as far as
-    it knows, no member of its epoch is.
+    ``quorum_member`` tells whether the fault tolerance covers the sender; ``no_quorum_members``, whether it covers no
+    member of the sender's epoch, as far as the sender knows.
     """
 
     zone: str
@@ -139,19 +139,19 @@
 
 
 class Join(msgspec.Struct, frozen=True):
-    """Sent by a spare: a machine that is no witness asks to become one."""
+    """Sent by a spare, a machine that is not a witness, to ask to become one."""
 
     machine: int
 
 
 class Leave(msgspec.Struct, frozen=True):
-    """Sent by a machine that stops soon: its replica and its vote are to be given to others first."""
+    """Sent by a machine that is about to stop, to ask the primary to replace it as replica and witness first."""
 
     machine: int
 
 
 class LeaveReply(msgspec.Struct, frozen=True):
-    """From the primary of ``epoch``. ``granted``: no record in force needs the leaving machine any more."""
+    """Reply to Leave from the primary of ``epoch``. ``granted``: the epoch no longer depends on the leaving machine."""
 
     epoch: int
     granted: bool
--- a/rowanshift/controlplane/replication/primary.py
+++ b/rowanshift/controlplane/replication/primary.py
@@ -1,4 +1,4 @@
-"""A replica as primary: how its epoch begins and ends, what it does periodically, and its redundancy."""
+"""A replica as primary: the start and end of its epoch, its periodic work, and its redundancy."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 
 class PrimaryRole(ProposalRole, LeaseRole, ReconfigurationRole):
-    """Within an epoch all in-sync machines store each change; a majority of the witnesses renews the lease."""
+    """Leads an epoch: all in-sync machines store each change, and a majority of the witnesses renews the lease."""
 
     def _become_primary(self, candidacy: Candidacy) -> None:
-        """Begin the epoch of a candidacy whose record is in force."""
+        """Begin the epoch of a candidacy whose record has been decided."""
         self._candidacy = None
         before, self._own_record = self._own_record, candidacy.record
         self._start_epoch(candidacy.record)
@@ -26,10 +26,10 @@
             self.singleton_tasks_from = self._now + self.singleton_task_delay
             self._actions.append(RoleChanged(True))
         if before is None or before.witnesses != candidacy.record.witnesses:
-            self._lease_started_at = NEVER  # other witnesses give it anew
+            self._lease_started_at = NEVER  # the new witness set has not granted a lease yet
         self._carry_over_proposal()
         self.committed_version = StateVersion(candidacy.record.epoch, 0)
-        for read in self._reads:
+        for read in self._pending_reads:
             read.serial = self._heartbeat_round + 1
         self._send_heartbeat()
 
@@ -40,10 +40,10 @@
         self._last_reply_at = dict.fromkeys((*record.in_sync, *record.witnesses), self._now)
 
     def _carry_over_proposal(self) -> None:
-        """Commit a proposal that was sent in the epoch before, and send one that was not."""
+        """Commit a pending proposal that was sent in the previous epoch, or send it if it was not."""
         proposal = self._proposal
         if proposal is not None and proposal.version is not None:
-            self._commit_proposal()  # every in-sync machine has stored it with the state of the new epoch
+            self._commit_proposal()  # every in-sync machine stored it as the initial state of the new epoch
             return
         self.committed_state = self._durable.state
         if proposal is not None:
@@ -58,13 +58,13 @@
         if self._proposal is not None:
             self._actions.append(ProposalFailed(self._proposal.token))
             self._proposal = None
-        self._actions.extend(ReadFailed(read.token) for read in self._reads)
-        self._reads = []
+        self._actions.extend(ReadFailed(read.token) for read in self._pending_reads)
+        self._pending_reads = []
         self._actions.append(RoleChanged(False))
         self._postpone_candidacy(self.timing.phase_timeout_seconds)
 
     def _transfer_leadership(self) -> None:
-        """Give up the epoch and its lease, and have the backups become candidates."""
+        """Step down, release the lease, and ask the other members to become candidates."""
         record = self._led_record
         self._step_down()
         if self._lease_holder == self.me:
@@ -93,7 +93,7 @@
         return save is not None and self._now >= save.started_at + self.timing.slow_save_seconds
 
     def redundancy(self) -> Redundancy:
-        """The redundancy of this machine's epoch as it is now."""
+        """The current redundancy of the epoch that this machine leads."""
         record = self._own_record
         if record is None:
             return NO_REDUNDANCY
@@ -111,17 +111,17 @@
         )
 
     def unmet_tolerance(self) -> str:
-        """Why the fault tolerance of the settings can't be met however many machines are alive; empty if it is met.
+        """Why the configured fault tolerance is not met even if all members are alive; empty if it is met.
 
         Raises ``NotPrimary``.
         """
         record, tolerance = self._led_record, self.tolerance
         if tolerance.total and self._no_quorum_members(record.members()):
-            return "no core machine counts (quorumMember), so that faultTolerance speaks of none"
+            return "no member is a quorum member (quorumMember is false), so faultTolerance covers none of them"
         if not tolerance.domains:
             return ""
         if surviving_replicas(record.in_sync, self.failure_domains, tolerance) < 1:
-            return f"{tolerance} may take all copies"
+            return f"a loss within {tolerance} can take all replicas of the state"
         if vote_margin(record.witnesses, self.failure_domains, tolerance) < 0:
-            return f"{tolerance} may take the majority of the witnesses"
+            return f"a loss within {tolerance} can take a majority of the witnesses"
         return ""
--- a/rowanshift/controlplane/replication/progress.py
+++ b/rowanshift/controlplane/replication/progress.py
@@ -1,4 +1,4 @@
-"""Operations of a replica that are under way: a candidacy, a proposal, reads and a save. Times are steady seconds."""
+"""Operations in progress on a replica: a candidacy, a proposal, reads and a save. Times are steady seconds."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class CandidacyPhase(Enum):
-    """The phases of a candidacy, in their order."""
+    """The phases of a candidacy, in the order in which it passes through them."""
 
     PRE_VOTE = "pre-vote"  # ask whether a majority would promise the epoch
     PREPARE = "prepare"  # have a majority promise it and read what they accepted
@@ -20,7 +20,7 @@
 
 @dataclass
 class Candidacy:
-    """The way of one epoch from pre-vote to being in force. ``renewal``: a primary renews its own epoch."""
+    """An attempt to establish one epoch. ``renewal`` means that a primary replaces its own epoch."""
 
     epoch: int
     renewal: bool
@@ -28,22 +28,22 @@
     started_at: float
     phase_started_at: float
     sent_at: float
-    wanted_witnesses: tuple[int, ...] = ()  # the new set, if the witnesses are to change
-    votes: set[int] = field(default_factory=set)  # of this phase
-    promised_records: dict[int, EpochRecord] = field(default_factory=dict)  # by machine: what it had accepted
-    base: EpochRecord = NO_RECORD  # the newest record read: the one this epoch follows
+    wanted_witnesses: tuple[int, ...] = ()  # the new witness set; empty for no change
+    votes: set[int] = field(default_factory=set)  # machines that voted in the current phase
+    accepted_records: dict[int, EpochRecord] = field(default_factory=dict)  # record each voter had accepted
+    base: EpochRecord = NO_RECORD  # the newest record read, which this epoch follows
     backups: tuple[int, ...] = ()
-    timed_out_backups: set[int] = field(default_factory=set)  # that did not store the state in time
-    record: EpochRecord = NO_RECORD  # to be accepted
+    timed_out_backups: set[int] = field(default_factory=set)  # did not store the state in time
+    record: EpochRecord = NO_RECORD  # the record that the witnesses are asked to accept
 
 
 @dataclass
 class Proposal:
-    """A state that is to be committed next."""
+    """A proposed state that has not been committed yet."""
 
     token: int
     state: bytes
-    version: StateVersion | None = None  # None until it is sent
+    version: StateVersion | None = None  # assigned when the proposal is first sent
     stored: set[int] = field(default_factory=set)  # machines that have it on disk
     started_at: float = 0.0
     sent_at: float = 0.0
@@ -51,16 +51,16 @@
 
 @dataclass
 class PendingRead:
-    """A read that waits for a heartbeat round."""
+    """A read that waits for the acknowledgement of a heartbeat round."""
 
     token: int
-    serial: int  # of the round
+    serial: int  # number of the round
     requested_at: float
 
 
 @dataclass
 class SaveInProgress:
-    """A save that the disk has not confirmed, and what is sent once it has."""
+    """A save that has not completed, and the messages to send once it has."""
 
     token: int
     durable: DurableState
--- a/rowanshift/controlplane/replication/proposals.py
+++ b/rowanshift/controlplane/replication/proposals.py
@@ -1,4 +1,4 @@
-"""Proposals of the primary: each state is committed once all in-sync machines have stored it."""
+"""Proposals of the primary: a state is committed once all in-sync machines have stored it."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from rowanshift.controlplane.replication.timing import STATE_LIMIT_BYTES
 from rowanshift.wire.delta import make_delta
 
-DELTA_MIN_SAVING_FACTOR = 2  # a delta is sent if it is smaller than the state by this factor
+DELTA_MIN_SAVING_FACTOR = 2  # a delta is sent only if it is at least this many times smaller than the state
 
 
 class ProposalRole(DurableReplica):
-    """Proposes states one at a time, first as a delta where that is shorter."""
+    """Proposes states one at a time; the first transmission is a delta if that is much smaller."""
 
     def propose(self, token: int, state: bytes, now: float) -> None:
-        """Replicate ``state``, which was made from ``committed_state``.
+        """Replicate ``state``, which the caller derived from ``committed_state``.
 
         ``ProposalCommitted`` or ``ProposalFailed`` follows with the token. Raises ``NotPrimary``,
         ``ProposalInProgress`` and ``StateTooLarge``.
@@ -36,7 +36,7 @@
         self._process_loopback()
 
     def _send_proposal(self, proposal: Proposal) -> None:
-        """Send it to every machine that has not stored it: at first as a delta if possible, in full when repeated."""
+        """Send it to all machines that have not stored it: first as a delta, if possible, and in full on a retry."""
         record, delta = self._led_record, None
         if proposal.version is None:
             self._sequence += 1
@@ -49,7 +49,7 @@
             self._send(member, delta if delta is not None and has_base else full)
 
     def _delta_of(self, state: bytes, version: StateVersion) -> StoreDelta | None:
-        """The difference to the committed state; None where the state is small, or most of it has changed."""
+        """The delta from the committed state; None if the state is small or the delta would save too little."""
         if len(state) < self.delta_min_state_bytes:
             return None
         delta = make_delta(self.committed_state, state)
@@ -58,7 +58,7 @@
         return StoreDelta(self._led_record.epoch, version, self.committed_version, delta)
 
     def _on_proposal_stored(self, sender: int, message: StoreReply) -> None:
-        """Count a reply to a Store of the epoch in force."""
+        """Process a reply to a Store of the current epoch."""
         record, proposal = self._led_record, self._proposal
         if not message.ok:
             self._epoch_refused |= message.promised > record.epoch
@@ -75,7 +75,7 @@
             self._actions.append(ProposalCommitted(proposal.token))
 
     def _tick_proposal(self) -> None:
-        """Send the proposal again to those that have not stored it."""
+        """Resend the proposal to machines that have not stored it in time."""
         proposal = self._proposal
         if proposal is None:
             return
--- a/rowanshift/controlplane/replication/quorum.py
+++ b/rowanshift/controlplane/replication/quorum.py
@@ -1,4 +1,4 @@
-"""Majorities of witness sets."""
+"""Majorities of sets of machines."""
 
 from collections.abc import Collection
 
--- a/rowanshift/controlplane/replication/reconfiguration.py
+++ b/rowanshift/controlplane/replication/reconfiguration.py
@@ -1,4 +1,4 @@
-"""Changes that the primary makes to its epoch: it replaces backups and witnesses by renewing the epoch."""
+"""Reconfiguration by the primary: it replaces backups and witnesses by renewing its epoch."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class ReconfigurationRole(MembershipRole):
-    """Becomes a candidate for a new epoch of its own where the present one lacks a backup or a witness."""
+    """Starts a renewal when the current epoch needs a change of its backups or witnesses."""
 
     def _renew_if_needed(self) -> None:
         if not self._may_renew():
@@ -33,13 +33,13 @@
             self._start_candidacy(renewal=True, witnesses=witnesses)
 
     def _may_renew(self) -> bool:
-        """Whether a majority of the witnesses answers, and the last renewal is not too recent."""
+        """Whether a majority of the witnesses has replied recently and the renewal interval has passed."""
         answers_end_at = self._lease_started_at + self.timing.quorum_loss_seconds * RENEWAL_LEASE_FRACTION
         next_renewal_at = self._renewed_at + self.timing.renewal_interval_seconds
         return next_renewal_at <= self._now < answers_end_at
 
     def _failed_backups(self) -> set[int]:
-        """In-sync machines that don't answer, are leaving, or are too slow with the present proposal."""
+        """Backups that don't reply, are leaving, or are too slow to store the current proposal."""
         record, proposal, timeout = self._led_record, self._proposal, self.timing.backup_timeout_seconds
         backups = {*record.in_sync} - {self.me}
         failed = {
@@ -56,12 +56,12 @@
         return failed
 
     def _eligible_backups(self) -> set[int]:
-        """Machines heard lately that may become backups."""
+        """Live machines that are neither avoided nor leaving, so that they may become backups."""
         alive = self._heard_within(self.timing.backup_timeout_seconds)
         return {machine for machine in alive if not self._is_avoided(machine) and not self._is_leaving(machine)}
 
     def _replicas_could_be_spread_better(self, live: set[int]) -> bool:
-        """Whether the worst loss would take all replicas, and more of them would survive it on other machines."""
+        """Whether the worst loss takes all replicas, and another choice of backups would let some survive."""
         if not self.tolerance.domains:
             return False
         domains, tolerance = self.failure_domains, self.tolerance
@@ -70,7 +70,7 @@
         return surviving < 1 and surviving_replicas([self.me, *backups], domains, tolerance) > surviving
 
     def _next_witness_set(self) -> tuple[int, ...]:
-        """The witnesses with a failed one replaced, or one added; empty if they stay as they are."""
+        """The witness set with a failed witness replaced, or one added or exchanged; empty for no change."""
         spares = self._live_spares()
         if not spares:
             return ()
@@ -82,6 +82,6 @@
         return improved_witnesses(kept, spares, domains, tolerance) if tolerance.domains else ()
 
     def _has_witness_failed(self, witness: int) -> bool:
-        """Whether a witness is leaving or has not answered for long."""
+        """Whether a witness is leaving or has not replied within the witness timeout."""
         answered_at = self._last_reply_at.get(witness, 0.0)
         return self._is_leaving(witness) or self._now >= answered_at + self.timing.witness_timeout_seconds
--- a/rowanshift/controlplane/replication/records.py
+++ b/rowanshift/controlplane/replication/records.py
@@ -1,4 +1,4 @@
-"""What replicas agree on and keep on disk: state versions, epoch records, and a machine's durable state."""
+"""Records that replicas agree on and persist: state versions, epoch records, and a machine's durable state."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class StateVersion(msgspec.Struct, frozen=True, order=True):
-    """Orders the states of the control plane: by the epoch they were stored in, then by their sequence within it."""
+    """The version of a replicated state, ordered by epoch and then by sequence number within the epoch."""
 
     epoch: int
     sequence: int
@@ -16,11 +16,11 @@
 
 
 class EpochRecord(msgspec.Struct, frozen=True):
-    """An epoch's configuration, what viewstamped replication calls a view.
+    """The configuration of an epoch, called a view in viewstamped replication.
 
-    It names the primary, the in-sync machines that store every change, and the witnesses whose majority decides on the
-    next record. ``former`` is the previous witness set while a change of witnesses is under way: a majority of it is
-    needed as well. The lower 32 bits of ``epoch`` are the id of the machine that chose it.
+    It names the primary, the in-sync machines, which store every change, and the witnesses, a majority of which decides
+    the next record. During a change of witnesses, ``former`` is the previous witness set, and a majority of it is
+    required as well. The lower 32 bits of ``epoch`` are the id of the machine that chose it.
     """
 
     epoch: int
@@ -30,11 +30,11 @@
     former: tuple[int, ...] = ()
 
     def witness_sets(self) -> tuple[tuple[int, ...], ...]:
-        """The witness sets of which a majority each must promise, or accept, what follows this record."""
+        """The witness sets each of which needs a majority to promise or accept a successor of this record."""
         return (self.witnesses, self.former) if self.former else (self.witnesses,)
 
     def members(self) -> set[int]:
-        """Every machine that has a part in this epoch."""
+        """All machines in this epoch: in sync, witnesses and former witnesses."""
         return {*self.in_sync, *self.witnesses, *self.former}
 
 
@@ -42,10 +42,10 @@
 
 
 class DurableState(msgspec.Struct, frozen=True):
-    """What a machine's disk holds, written in one save.
+    """The contents of a machine's disk, written in one save.
 
-    ``promised`` is the highest epoch it promised, ``accepted`` the last record it accepted. ``amnesic``: the disk was
-    lost, and what this machine promised before is not recovered yet.
+    ``promised`` is the highest epoch promised, ``accepted`` the last record accepted. ``amnesic`` means that the disk
+    was lost and the machine has not yet recovered its earlier promise.
     """
 
     promised: int
--- a/rowanshift/controlplane/replication/recovery.py
+++ b/rowanshift/controlplane/replication/recovery.py
@@ -1,4 +1,4 @@
-"""Recovery of a replica whose disk was lost: it learns again what it promised."""
+"""Recovery of a replica whose disk was lost: it obtains its promise and record from other machines."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class RecoveryRole(DurableReplica):
-    """Recovers from a majority. Until then an amnesic machine takes part in nothing else."""
+    """Recovers from enough replies to intersect every majority. Until then an amnesic machine does nothing else."""
 
     def _on_recovery_request(self, sender: int, message: RecoveryRequest) -> None:
         durable = self._durable
@@ -27,7 +27,7 @@
             self._recover(newest)
 
     def _replies_suffice(self, newest: EpochRecord) -> bool:
-        """Whether every majority that includes this machine shares a machine that replied: no promise is missed."""
+        """Whether every majority contains a machine that replied, so that no promise is missed."""
         return all(
             sum(member in self._recovery_replies for member in members) >= len(members) - majority(members) + 1
             for members in newest.witness_sets()
@@ -47,6 +47,6 @@
             self._send_recovery_requests()
 
     def _send_recovery_requests(self) -> None:
-        """Ask for records. The recipients learn of this machine, and don't count it as alive."""
+        """Request records. The recipients add this machine to the known machines, but don't count it as alive."""
         for machine in sorted(self.known_machines):
             self._send(machine, RecoveryRequest(self._recovery_serial))
--- a/rowanshift/controlplane/replication/redundancy.py
+++ b/rowanshift/controlplane/replication/redundancy.py
@@ -1,4 +1,4 @@
-"""Redundancy of an epoch as its primary sees it, and for how long it has been reduced."""
+"""Redundancy of an epoch as observed by its primary, and the time for which it has been reduced."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Redundancy:
-    """Live replicas and witnesses of an epoch, beside the numbers that the fault tolerance asks for."""
+    """The numbers of live replicas and witnesses of an epoch, and the numbers that the fault tolerance requires."""
 
-    replicas: int  # in-sync machines that are alive
+    replicas: int  # live in-sync machines
     replicas_wanted: int
-    witnesses: int  # that are alive
+    witnesses: int  # live witnesses
     witnesses_wanted: int
     witnesses_changing: bool
-    tolerance_met: bool = True  # the worst loss tolerated, zones and regions included, spares a replica and a majority
+    tolerance_met: bool = True  # a replica and a majority survive the worst tolerated loss, zones and regions included
 
     @property
     def is_full(self) -> bool:
-        """Whether the tolerated number of machines may be lost right now."""
+        """Whether the tolerated loss could be survived at this moment."""
         enough = self.replicas >= self.replicas_wanted and self.witnesses >= self.witnesses_wanted
         return enough and self.tolerance_met and not self.witnesses_changing
 
@@ -28,14 +28,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RedundancyChange:
-    """Redundancy as it is now. ``seconds_until_full``: how long it was reduced, if it is full again."""
+    """The new redundancy. ``seconds_until_full`` is the time for which it was reduced, set when it is full again."""
 
     redundancy: Redundancy
     seconds_until_full: float | None = None
 
 
 class RedundancyMonitor:
-    """Detects changes of redundancy. A primary creates one when it is elected. Times are steady seconds."""
+    """Detects changes of redundancy. A primary creates a monitor when it is elected. Times are steady seconds."""
 
     def __init__(self, now: float) -> None:
         self.last_observed = NO_REDUNDANCY
@@ -55,5 +55,5 @@
         return RedundancyChange(redundancy, seconds_until_full)
 
     def reduced_for_seconds(self, now: float) -> float:
-        """Seconds since redundancy was last full, 0 while it is."""
+        """Seconds since redundancy was last full; 0 while it is full."""
         return 0.0 if self.reduced_since is None else now - self.reduced_since
--- a/rowanshift/controlplane/replication/replica.py
+++ b/rowanshift/controlplane/replication/replica.py
@@ -1,9 +1,9 @@
-"""The replica of one core machine: a primary-backup store whose epochs witnesses agree on (docs/control-plane.md).
+"""The replica of one core machine: primary-backup replication with epochs decided by witnesses (docs/control-plane.md).
 
-Events go in with ``now`` in steady seconds, and actions come out of ``drain``. Nothing here waits, reads a clock,
-writes a file or opens a connection. The caller sends each ``Send``; it writes each ``Save`` in one step, syncs it and
-then calls ``saved`` or ``save_failed``; it calls ``tick`` every 50 ms or by ``next_wake``. What must be on disk before
-another machine may learn of it is sent by the replica itself after ``saved``.
+The caller passes events in with ``now`` in seconds of the steady clock, and takes actions out of ``drain``. Nothing
+here blocks, reads a clock, writes a file or opens a connection. The caller sends the message of each ``Send``; it
+writes each ``Save`` atomically, syncs it and then calls ``saved`` or ``save_failed``; it calls ``tick`` every 50 ms or
+by ``next_wake``. The replica holds back messages that depend on a save until ``saved`` is called.
 """
 
 from __future__ import annotations
@@ -42,11 +42,11 @@
     messages.Join: "_on_join",
     messages.Leave: "_on_leave",
     messages.LeaveReply: "_on_leave_reply",
-}  # names of methods, so that a subclass may override one
+}  # method names rather than functions, so that a subclass can override a handler
 
 
 class Replica(PrimaryRole, CandidateRole, RecoveryRole, BackupRole, WitnessRole, FailureDomainReporter):
-    """One core machine's part in the protocol."""
+    """One core machine's participant in the replication protocol, in all its roles."""
 
     def receive(self, sender: int, message: Message, now: float) -> None:
         """Process a message from another machine."""
@@ -58,12 +58,12 @@
         if self._durable.amnesic and not isinstance(
             message, RecoveryRequest | RecoveryReply | Join | FailureDomainReport
         ):
-            return  # this machine doesn't know what it promised
+            return  # this machine has not yet recovered its promise
         self._dispatch(sender, message)
         self._process_loopback()
 
     def tick(self, now: float) -> None:
-        """Do what is due at ``now``."""
+        """Perform the periodic work that is due at ``now``."""
         self._now = max(self._now, now)
         self._tick_save()
         if self._durable.amnesic:
@@ -88,7 +88,7 @@
             self._tick_follower()
 
     def _tick_follower(self) -> None:
-        """Become a candidate or ask to become a witness once that is due."""
+        """Become a candidate or ask to become a witness when the time for it has come."""
         if self._now >= self._candidacy_due_at:
             self._start_candidacy()
             return
@@ -100,13 +100,13 @@
         getattr(self, HANDLERS[type(message)])(sender, message)
 
     def _process_loopback(self) -> None:
-        """Process what this machine has sent to itself."""
+        """Process the messages that this machine has sent to itself."""
         while self._loopback:
             self._dispatch(self.me, self._loopback.pop(0))
 
 
 def _shows_participation(message: Message) -> bool:
-    """Whether only a machine that takes part in the protocol sends this: it may become a backup or a witness."""
+    """Whether only participants of the protocol, which may become backups or witnesses, send this message."""
     if isinstance(message, RecoveryReply):
         return not message.amnesic
     return not isinstance(message, RecoveryRequest | FailureDomainReport)
--- a/rowanshift/controlplane/replication/timing.py
+++ b/rowanshift/controlplane/replication/timing.py
@@ -1,76 +1,77 @@
-"""Times and sizes that the replication protocol goes by. docs/control-plane.md says why each is what it is."""
+"""Time and size limits of the replication protocol; docs/control-plane.md gives the reason for each value."""
 
 from dataclasses import dataclass
 
-CLOCK_RATE_MARGIN = 1.25  # steady clocks of two machines may run at rates that differ by 25 %
+CLOCK_RATE_MARGIN = 1.25  # tolerates steady clocks whose rates differ by up to 25 %
 
-# from one heartbeat round to the next
+# Interval between heartbeat rounds.
 HEARTBEAT_INTERVAL_SECONDS = 0.15
-# a primary holds the lease for so long after it sent a round that a majority answered
+# Duration of a primary's lease, counted from the sending of a heartbeat round that a majority acknowledged.
 LEASE_SECONDS = 0.6
-# a witness that answered promises no other machine for so long
+# Time for which a witness that replied to a primary makes no promise to another machine.
 LEASE_GUARD_SECONDS = LEASE_SECONDS * CLOCK_RATE_MARGIN
-# without a majority's answers; then a primary steps down
+# A primary steps down after this time without replies from a majority.
 QUORUM_LOSS_SECONDS = LEASE_GUARD_SECONDS
-# at most, drawn at random: what a machine waits beyond LEASE_GUARD_SECONDS before it becomes a candidate
+# Upper bound of the random delay, added to LEASE_GUARD_SECONDS, before a machine becomes a candidate.
 ELECTION_JITTER_SECONDS = 0.2
-# until an unanswered message is sent again
+# Time after which an unanswered message is sent again.
 RETRY_SECONDS = 0.2
-# until an unanswered pre-vote is sent again: the machines asked may just be starting
+# Time after which an unanswered pre-vote is sent again; shorter, because the recipients may be just starting.
 PRE_VOTE_RETRY_SECONDS = 0.1
-# for each phase of a candidacy
+# Time limit for each phase of a candidacy.
 PHASE_TIMEOUT_SECONDS = 0.5
-# for chosen backups to store the state; then others are chosen, if there are any
+# Time limit for the chosen backups to store the state, after which other backups are chosen if available.
 STORE_TIMEOUT_SECONDS = 0.25
-# from an epoch's first Prepare until it is in force; later it is abandoned
+# Time limit for a candidacy, from its first Prepare until its record is decided.
 CANDIDACY_LIMIT_SECONDS = 1.2
-# from the start of an amnesic machine: votes it gave before its disk was lost are counted or void by then
+# Time from the start of an amnesic machine to its first recovery request: by then, any candidacy that it voted in
+# before it lost its disk has been decided or abandoned.
 RECOVERY_DELAY_SECONDS = CANDIDACY_LIMIT_SECONDS * CLOCK_RATE_MARGIN
-# without an answer; then a backup is replaced
+# A backup is replaced after this time without a reply.
 BACKUP_TIMEOUT_SECONDS = 0.6
-# of a primary's own save; then it transfers leadership
+# A primary transfers leadership when a save to its own disk takes this long.
 SLOW_SAVE_SECONDS = 0.8
-# without an answer; then a witness is replaced, if there is a spare
+# A witness is replaced after this time without a reply, if there is a spare.
 WITNESS_TIMEOUT_SECONDS = 2.0
-# from one change of witnesses to the next
+# Minimum interval between changes of the witness set.
 WITNESS_CHANGE_INTERVAL_SECONDS = 1.0
-# from one renewal of an epoch by its primary to the next
+# Minimum interval between a primary's renewals of its epoch.
 RENEWAL_INTERVAL_SECONDS = 0.3
-# since a machine was heard: it counts as alive for a candidate
+# A candidate regards a machine as alive for this time after its last message.
 ALIVE_SECONDS = 1.0
-# until an unconfirmed read fails
+# Time after which an unconfirmed read fails.
 READ_TIMEOUT_SECONDS = 1.0
-# between Joins of a spare
+# Interval between a spare's Join messages.
 JOIN_INTERVAL_SECONDS = 0.3
-# since its last Join: a machine counts as a spare
+# A machine counts as a spare for this time after its last Join.
 SPARE_LIFETIME_SECONDS = 2.0
-# between reports of a machine's failure domain
+# Interval between a machine's reports of its failure domain.
 FAILURE_DOMAIN_INTERVAL_SECONDS = 2.0
-# since a machine reported that no member is a quorum member: that is believed
+# Validity of a report that no member is a quorum member.
 NO_QUORUM_MEMBERS_LIFETIME_SECONDS = 3 * FAILURE_DOMAIN_INTERVAL_SECONDS
-# since a machine's last Leave: it is chosen as a backup only if no other is there
+# For this time after its last Leave, a machine is chosen as a backup only if there is no other.
 LEAVE_LIFETIME_SECONDS = 3.0
-# since a primary transferred leadership, or a backup was too slow: it is avoided
+# For this time after it transferred leadership or was too slow, a machine is not preferred as a backup.
 COOLDOWN_SECONDS = 3.0
 
-EPOCH_LIMIT = 1 << 53  # epochs below it are exact as doubles
-STATE_LIMIT_BYTES = 16 * 1024 * 1024 - 4096  # a Store fits into one frame
-DELTA_MIN_STATE_BYTES = 32 * 1024  # a smaller state is always sent in full
-MIN_BANDWIDTH_BYTES_PER_SECOND = 10_000_000  # between core machines: below it a backup counts as slow
+EPOCH_LIMIT = 1 << 53  # lower epochs are represented exactly by double-precision numbers
+STATE_LIMIT_BYTES = 16 * 1024 * 1024 - 4096  # so that a Store fits into one frame
+DELTA_MIN_STATE_BYTES = 32 * 1024  # smaller states are always sent in full
+MIN_BANDWIDTH_BYTES_PER_SECOND = 10_000_000  # between core machines; with less, a backup counts as too slow
 
-# the part of QUORUM_LOSS_SECONDS after which a primary without answers changes no members any more
+# Fraction of QUORUM_LOSS_SECONDS after which a primary without a majority's replies no longer starts renewals.
 RENEWAL_LEASE_FRACTION = 0.8
-# an abandoned candidacy is followed by the next after so long and a random delay
+# Delay, besides a random one, between an abandoned candidacy and the next.
 CANDIDACY_RETRY_SECONDS = 0.1
-# the same where this machine lacks the state: the in-sync machines, which it has nominated, go first
+# The same delay if this machine lacks the state, long enough for the in-sync machines it nominated to go first.
 NOMINATION_RETRY_SECONDS = 0.8
-# the time by which a replica with work under way wants to be called again
+# Interval at which ``Replica.next_wake`` requests ticks while work is in progress.
 TICK_INTERVAL_SECONDS = 0.05
 
 
 @dataclass(frozen=True, slots=True)
 class Timing:
-    """The times a replica goes by, in seconds: each field is the constant of the same name unless given."""
+    """The time limits of a replica, in seconds. Each field defaults to the constant of the same name."""
 
     heartbeat_interval_seconds: float = HEARTBEAT_INTERVAL_SECONDS
     lease_seconds: float = LEASE_SECONDS
--- a/rowanshift/controlplane/replication/witness.py
+++ b/rowanshift/controlplane/replication/witness.py
@@ -1,4 +1,4 @@
-"""A replica as a witness: it promises and accepts epochs, and answers heartbeats."""
+"""A replica as a witness: it promises and accepts epochs, and replies to heartbeats."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 
 
 class WitnessRole(DurableReplica):
-    """Answers candidates and primaries. What a reply states is on disk before it is sent."""
+    """Replies to candidates and primaries. Everything that a reply states is on disk before it is sent."""
 
     def _lease_may_be_held_by_another(self, candidate: int) -> bool:
-        """Whether a machine other than the candidate may still hold a lease that rests on this witness's reply."""
+        """Whether a machine other than the candidate may still hold a lease that this witness granted."""
         guarded_until = self._lease_granted_at + self.timing.lease_guard_seconds
         return candidate != self._lease_holder and self._now < guarded_until
 
@@ -68,7 +68,7 @@
         self._confirm_heartbeat(sender, message)
 
     def _confirm_heartbeat(self, sender: int, message: Heartbeat) -> None:
-        """Reply at once if what the reply states is on disk already, else after the save."""
+        """Reply immediately if everything that the reply states is already on disk, else after the save."""
         ok = self.me not in message.record.in_sync or self._has_state(message.record)
         on_disk, durable = self._on_disk, self._durable
         reply = HeartbeatReply(message.epoch, message.serial, ok, durable.promised, durable.version)
@@ -85,11 +85,11 @@
         accepted = self._durable.accepted
         self._highest_epoch_seen = max(self._highest_epoch_seen, message.epoch)
         if sender == self._lease_holder and message.epoch == accepted.epoch:
-            self._lease_granted_at = self._lease_holder_heard_at = NEVER  # the sender has given its lease up
+            self._lease_granted_at = self._lease_holder_heard_at = NEVER  # the sender has released its lease
             self._avoided_until[sender] = self._now + self.timing.cooldown_seconds
         busy = self._own_record is not None or self._candidacy is not None
         if not busy and not self._lease_may_be_held_by_another(self.me) and self._has_state(accepted):
-            # where several backups are asked, a random delay keeps their candidacies apart
+            # If several backups may be asked, a random delay reduces the risk of competing candidacies.
             jitter = self.timing.election_jitter_seconds / 2
             delay = jitter * self._random_fraction() if self.max_failures > 1 else 0.0
             self._candidacy_due_at = self._now + delay
--- a/tests/controlplane/replication/test_backup_selection.py
+++ b/tests/controlplane/replication/test_backup_selection.py
@@ -1,4 +1,4 @@
-"""Which machines a candidate prefers as backups, and when it has too few to choose from."""
+"""Selection of backups by a candidate: preferences, and too few live machines."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 class Selection(unittest.TestCase):
     def setUp(self) -> None:
-        """A candidate that has heard of three others just now, and has a vote of each."""
+        """Create a candidate that has just received a message and a vote from each of three other machines."""
         self.replica = single_replica()
         self.candidacy = replication.Candidacy(
             epoch_of(2, ME),
@@ -34,7 +34,7 @@
     def test_an_in_sync_machine_is_preferred(self) -> None:
         self.assertEqual(self.selected(), (OTHER,))
 
-    def test_a_machine_that_voted_is_preferred_to_one_that_was_heard(self) -> None:
+    def test_a_machine_that_voted_is_preferred_to_one_that_only_sent_a_message(self) -> None:
         self.candidacy.votes -= {OTHER, THIRD}
         self.assertEqual(self.selected(), (FOURTH,))
 
@@ -46,14 +46,14 @@
         self.candidacy.timed_out_backups = {OTHER, THIRD}
         self.assertEqual(self.selected(), (FOURTH,))
 
-    def test_a_machine_with_objections_is_chosen_if_there_is_no_other(self) -> None:
+    def test_a_machine_with_objections_is_selected_if_there_is_no_other(self) -> None:
         self.candidacy.votes = {ME, OTHER}
         self.candidacy.timed_out_backups = {OTHER}
         for machine in (THIRD, FOURTH):
             del self.replica._last_heard_at[machine]
         self.assertEqual(self.selected(), (OTHER,))
 
-    def test_no_choice_is_made_while_too_few_machines_are_alive(self) -> None:
+    def test_no_backups_are_selected_while_too_few_machines_are_alive(self) -> None:
         self.candidacy.votes = {ME}
         self.replica.tick(NOW + timing.ALIVE_SECONDS)
         self.assertIsNone(self.selected())
--- a/tests/controlplane/replication/test_candidate.py
+++ b/tests/controlplane/replication/test_candidate.py
@@ -1,4 +1,4 @@
-"""Candidacies: takeovers, nominations, and who may become a candidate when."""
+"""Candidacies: takeovers, nominations, and the conditions for becoming a candidate."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
         rig = ReplicationRig(singleton_task_delay=4.0)
         first = rig.elect()
         rig.commit()
-        kept = rig.replica(first).committed_state
+        committed_state_before = rig.replica(first).committed_state
         rig.cluster.crash(first, save_persisted=False)
         seconds = rig.run(5, lambda: bool(rig.primary()))
         self.assertLess(seconds, 2.0)
         second = rig.replica(rig.primary())
-        self.assertEqual(kept, second.committed_state)
+        self.assertEqual(committed_state_before, second.committed_state)
         self.assertAlmostEqual(rig.cluster.now + 4.0, second.singleton_tasks_from, delta=0.01)
         self.assertEqual(2, rig.commit())
 
@@ -43,7 +43,7 @@
         rig.run(4, lambda: bool(rig.primary()))
         self.assertEqual(backup, rig.primary())
 
-    def test_a_change_of_witnesses_needs_a_majority_of_both_sets(self):
+    def test_a_change_of_witnesses_requires_majorities_of_both_sets(self):
         candidacy = replication.Candidacy(
             epoch_of(5, ME),
             renewal=True,
@@ -57,7 +57,7 @@
         witness_sets = single_replica()._deciding_sets(candidacy)
         self.assertEqual({(ME, OTHER, THIRD), (ME, OTHER, FOURTH)}, set(witness_sets))
 
-    def test_a_pre_vote_is_repeated_soon(self):
+    def test_an_unanswered_pre_vote_is_resent_soon(self):
         rig = ReplicationRig()
         rig.elect()
         for me in (1, 2, 3):
--- a/tests/controlplane/replication/test_durability.py
+++ b/tests/controlplane/replication/test_durability.py
@@ -1,4 +1,4 @@
-"""What is on disk before a replica sends it, and what happens when a save fails."""
+"""Order of saves and dependent messages, and the handling of failed saves."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Saves(unittest.TestCase):
-    def test_a_promise_is_sent_only_once_it_is_saved(self):
+    def test_a_promise_is_sent_only_after_it_is_saved(self):
         replica = single_replica()
         replica.receive(OTHER, replication.Prepare(epoch_of(1, OTHER)), 1.0)
         save, *more = replica.drain()
@@ -25,7 +25,7 @@
         replica.saved(save.token, 1.1)
         self.assertEqual([True], [m.ok for m in sent_messages(replica)])
 
-    def test_one_save_is_outstanding_and_later_ones_go_together(self):
+    def test_updates_during_a_save_are_combined_in_one_further_save(self):
         replica = single_replica()
         replica.receive(OTHER, replication.Prepare(epoch_of(1, OTHER)), 1.0)
         first = replica.drain()[0]
@@ -40,7 +40,7 @@
         replica.saved(second.token, 1.2)
         self.assertEqual([replication.PrepareReply, replication.StoreReply], [type(m) for m in sent_messages(replica)])
 
-    def test_nothing_is_answered_after_a_failed_save(self):
+    def test_replies_that_depend_on_a_failed_save_are_dropped(self):
         replica = single_replica()
         replica.receive(OTHER, replication.Prepare(epoch_of(1, OTHER)), 1.0)
         replica.save_failed(replica.drain()[0].token, 1.1)
@@ -49,7 +49,7 @@
         replica.receive(THIRD, replication.Prepare(epoch_of(0, THIRD)), 1.2)
         self.assertEqual([False], [m.ok for m in sent_messages(replica)])  # the promise may have reached the disk
 
-    def test_a_record_not_yet_saved_is_not_shown(self):
+    def test_a_record_is_not_exposed_before_it_is_saved(self):
         replica = single_replica()
         replica.receive(OTHER, replication.Heartbeat(RECORD.epoch, 1, RECORD), 1.0)
         self.assertEqual(0, replica.record.epoch)
@@ -57,7 +57,7 @@
         self.assertEqual(RECORD, replica.record)
         self.assertEqual([replication.HeartbeatReply], [type(m) for m in sent_messages(replica)])
 
-    def test_durable_state_wins_over_bootstrap(self):
+    def test_durable_state_takes_precedence_over_bootstrap(self):
         self.assertEqual(RECORD, single_replica(DURABLE, bootstrap=True).record)
 
 
--- a/tests/controlplane/replication/test_model_checking.py
+++ b/tests/controlplane/replication/test_model_checking.py
@@ -1,4 +1,4 @@
-"""The model checker finds no violation in the protocol, and finds each planted fault."""
+"""The model checker finds no violation of the protocol's invariants, and detects each planted fault."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
     def test_walks_of_three_machines(self):
         self.walk(range(1000, 1020), 3, 1, 0)
 
-    def test_walks_of_three_and_a_spare(self):
+    def test_walks_of_three_machines_and_a_spare(self):
         self.walk(range(1000, 1020), 3, 1, 1)
 
-    def test_walks_of_five_and_two_spares(self):
+    def test_walks_of_five_machines_and_two_spares(self):
         self.walk(range(1000, 1020), 5, 2, 2)
 
     def test_a_breadth_first_search(self):
--- a/tests/controlplane/replication/test_primary.py
+++ b/tests/controlplane/replication/test_primary.py
@@ -1,4 +1,4 @@
-"""What a primary commits and reads, when it steps down, and whom it replaces."""
+"""Commits and reads of a primary, the conditions for stepping down, and replacement of failed machines."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
         rig.paused = set()
         rig.cluster.in_flight = [
             entry for entry in rig.cluster.in_flight if entry.recipient != first
-        ]  # it has heard nothing of it
+        ]  # the old primary does not learn of the takeover
         self.assertTrue(rig.replica(first).is_primary)
         now = rig.cluster.now
         self.assertLess(rig.replica(first).lease_until(now), now)
@@ -60,7 +60,7 @@
         rig.run(timing.QUORUM_LOSS_SECONDS + 0.3)
         self.assertFalse(rig.replica(first).is_primary)
 
-    def test_a_silent_backup_is_replaced_and_the_proposal_committed(self):
+    def test_an_unresponsive_backup_is_replaced_and_the_proposal_committed(self):
         rig = ReplicationRig()
         primary = rig.elect()
         record = rig.replica(primary).record
@@ -72,7 +72,7 @@
         after = rig.replica(primary).record
         self.assertGreater(after.epoch, record.epoch)
         self.assertNotIn(backup, after.in_sync)
-        self.assertEqual(1, len(rig.actions_of(replication.RoleChanged)))  # primary all the while
+        self.assertEqual(1, len(rig.actions_of(replication.RoleChanged)))  # it remained primary throughout
 
     def test_a_backup_with_a_slow_disk_is_replaced(self):
         rig = ReplicationRig()
@@ -109,16 +109,16 @@
         primary = rig.elect()
         rig.run(4)
         self.assertFalse(rig.replica(FOURTH).is_amnesic)
-        gone = next(m for m in (1, 2, 3) if m not in rig.replica(primary).record.in_sync)
-        rig.cluster.crash(gone, save_persisted=False)
+        lost_witness = next(m for m in (1, 2, 3) if m not in rig.replica(primary).record.in_sync)
+        rig.cluster.crash(lost_witness, save_persisted=False)
         rig.run(5)
         record = rig.replica(primary).record
-        self.assertEqual(({1, 2, 3, 4} - {gone}, ()), (set(record.witnesses), record.former))
-        rig.start(gone)  # it learns that it is no witness any more
+        self.assertEqual(({1, 2, 3, 4} - {lost_witness}, ()), (set(record.witnesses), record.former))
+        rig.start(lost_witness)  # it learns that it is no longer a witness
         rig.run(3)
-        self.assertEqual(record.witnesses, rig.replica(gone).record.witnesses)
+        self.assertEqual(record.witnesses, rig.replica(lost_witness).record.witnesses)
 
-    def test_calls_are_refused_elsewhere_than_at_the_primary_too_early_or_too_large(self):
+    def test_calls_to_a_non_primary_concurrent_proposals_and_large_states_are_refused(self):
         rig = ReplicationRig()
         primary = rig.elect()
         other = next(m for m in (1, 2, 3) if m != primary)
--- a/tests/controlplane/replication/test_recovery.py
+++ b/tests/controlplane/replication/test_recovery.py
@@ -1,4 +1,4 @@
-"""Recovery of replicas whose disks were lost."""
+"""Recovery of replicas after the loss of their disks."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Recovery(unittest.TestCase):
-    def test_an_amnesic_replica_ignores_all_but_recovery(self):
+    def test_an_amnesic_replica_ignores_all_other_messages(self):
         replica = single_replica(bootstrap=False)
         high = epoch_of(9, THIRD)
         record = replication.EpochRecord(high, THIRD, (ME, THIRD), (ME, OTHER, THIRD))
@@ -36,7 +36,7 @@
             self.assertIsNone(reply_to(replica, message, 1.0), message)
         self.assertTrue(replica.is_amnesic)
 
-    def test_two_replies_of_others_recover_one_of_three(self):
+    def test_two_valid_replies_recover_one_of_three_machines(self):
         replica = single_replica(bootstrap=False)
         self.assertEqual(0, self.recovery_serial(replica, timing.RECOVERY_DELAY_SECONDS - 0.1))
         serial = self.recovery_serial(replica, timing.RECOVERY_DELAY_SECONDS)
@@ -53,7 +53,7 @@
         self.assertEqual(RECORD, reply_to(replica, replication.Prepare(epoch_of(6, OTHER)), 9.0, OTHER).accepted)
 
     def recovery_serial(self, replica: replication.Replica, now: float) -> int:
-        """The serial of the recovery request that is due at ``now``, 0 if none is."""
+        """The serial of the recovery request sent at ``now``, 0 if none is sent."""
         replica.tick(now)
         return next((m.serial for m in sent_messages(replica) if isinstance(m, replication.RecoveryRequest)), 0)
 
@@ -71,7 +71,7 @@
         for member in record.in_sync:
             self.assertEqual(rig.replica(primary).committed_state, rig.cluster.machines[member].disk.state)
 
-    def test_an_in_sync_machine_without_the_state_is_sent_it_again(self):
+    def test_an_in_sync_machine_that_lacks_the_state_receives_it_again(self):
         rig = ReplicationRig()
         primary = rig.elect()
         rig.commit()
@@ -88,7 +88,7 @@
 
 
 class FirstStart(unittest.TestCase):
-    """All core machines killed before the first record is on any disk: their disks are empty, bootstrap is false."""
+    """All core machines were killed before the first record was saved, so all disks are empty at the restart."""
 
     def restarted(self, bootstrap: bool) -> ReplicationRig:
         rig = ReplicationRig()
@@ -100,12 +100,12 @@
         rig.run(30.0, lambda: rig.primary() != 0)
         return rig
 
-    def test_machines_that_are_all_amnesic_never_serve(self) -> None:
+    def test_no_primary_is_elected_if_all_machines_are_amnesic(self) -> None:
         rig = self.restarted(bootstrap=False)
         self.assertEqual(rig.primary(), 0)
         self.assertTrue(all(rig.replica(machine).is_amnesic for machine in (1, 2, 3)))
 
-    def test_a_start_with_bootstrap_begins_anew(self) -> None:
+    def test_a_start_with_bootstrap_elects_a_primary(self) -> None:
         rig = self.restarted(bootstrap=True)
         self.assertNotEqual(rig.primary(), 0)
         self.assertEqual(rig.commit(), 1)
--- a/tests/controlplane/replication/test_redundancy.py
+++ b/tests/controlplane/replication/test_redundancy.py
@@ -1,4 +1,4 @@
-"""Redundancy as the primary sees it, its monitor, and how long a repair takes."""
+"""Redundancy observed by the primary, its monitor, and the duration of repairs."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class Redundancy(unittest.TestCase):
-    def test_a_loss_and_its_repair(self) -> None:
+    def test_loss_and_replacement_of_a_backup(self) -> None:
         rig = ReplicationRig()
         primary = rig.elect()
         replica = rig.replica(primary)
@@ -46,7 +46,7 @@
     def test_a_machine_that_is_not_primary_reports_no_redundancy(self) -> None:
         self.assertEqual(single_replica().redundancy().replicas_wanted, 0)
 
-    def test_the_monitor_reports_changes_and_for_how_long_redundancy_was_reduced(self) -> None:
+    def test_the_monitor_reports_changes_and_the_time_of_reduced_redundancy(self) -> None:
         full, reduced = (
             replication.Redundancy(2, 2, 3, 3, witnesses_changing=False),
             replication.Redundancy(2, 2, 2, 3, witnesses_changing=False),
@@ -67,7 +67,7 @@
 
 
 def is_redundancy_full(fleet: Fleet) -> bool:
-    """Whether the primary that holds the lease sees full redundancy."""
+    """Whether a primary that holds the lease observes full redundancy."""
     runners = [unit.program.replica_runner for unit in fleet.cores if unit.machine.running and unit.program is not None]
     return any(
         runner is not None and runner.lease_remaining() and runner.replica.redundancy().is_full for runner in runners
@@ -75,54 +75,54 @@
 
 
 class RepairTime(unittest.TestCase):
-    """Redundancy is full again before the next loss may come: ``syncS``, 4 s on the small sites, a quarter to spare."""
+    """Redundancy is restored within three quarters of ``syncS`` (4 s on small sites), before the next allowed loss."""
 
-    def repaired_after(self, trouble: str, role: str, slow: int = 1, seeds: range = range(4)) -> float:
-        """The longest time from a machine's return, or its successor's start, over the seeds; in seconds."""
+    def longest_repair_seconds(self, fault: str, role: str, disk_slowdown: int = 1, seeds: range = range(4)) -> float:
+        """The longest time in seconds, over all seeds, from a machine's restart or replacement to full redundancy."""
 
         async def main(fleet: Fleet) -> float:
             await fleet.start()
             await trio.sleep(1.5 + fleet.random_source.random())
             primary, backup = fleet.primary(), fleet.backups()[0]
-            third = next(unit for unit in fleet.cores if unit not in (primary, backup))
-            unit = {"primary": primary, "backup": backup, "witness": third}[role]
+            witness = next(unit for unit in fleet.cores if unit not in (primary, backup))
+            unit = {"primary": primary, "backup": backup, "witness": witness}[role]
             for core in fleet.cores:
-                fleet.slow_disk(core, slow)
-            if trouble == "replace":
+                fleet.slow_disk(core, disk_slowdown)
+            if fault == "replace":
                 fleet.cut_power(unit)
                 await trio.sleep(1.0)
                 fleet.spare()
             else:
-                getattr(fleet, trouble)(unit)
+                getattr(fleet, fault)(unit)
                 await trio.sleep(1.5)
                 fleet.back(unit)
-            began = fleet.now()
+            started_at = fleet.now()
             await trio.sleep(0.1)
             self.assertTrue(await fleet.until(lambda: is_redundancy_full(fleet)))
-            return fleet.now() - began
+            return fleet.now() - started_at
 
         return max(play(main, str(seed))[0] for seed in seeds)
 
-    def test_a_lost_disk(self) -> None:
+    def test_repair_after_a_disk_loss(self) -> None:
         for role in ("primary", "backup", "witness"):
             with self.subTest(role):
-                self.assertLess(self.repaired_after("empty_disk", role), 3.0)
+                self.assertLess(self.longest_repair_seconds("empty_disk", role), 3.0)
 
-    def test_a_lost_disk_while_all_disks_are_slow(self) -> None:
-        self.assertLess(self.repaired_after("empty_disk", "backup", slow=30), 3.0)
+    def test_repair_after_a_disk_loss_while_all_disks_are_slow(self) -> None:
+        self.assertLess(self.longest_repair_seconds("empty_disk", "backup", disk_slowdown=30), 3.0)
 
-    def test_a_machine_that_is_replaced(self) -> None:
+    def test_repair_by_a_replacement_machine(self) -> None:
         for role in ("primary", "witness"):
             with self.subTest(role):
-                self.assertLess(self.repaired_after("replace", role), 3.0)
+                self.assertLess(self.longest_repair_seconds("replace", role), 3.0)
 
-    def test_a_machine_that_is_terminated(self) -> None:
-        self.assertLess(self.repaired_after("terminate", "primary"), 3.0)
+    def test_repair_after_a_terminated_machine_returns(self) -> None:
+        self.assertLess(self.longest_repair_seconds("terminate", "primary"), 3.0)
 
-    def test_a_recovery_delay_that_is_too_long_is_found(self) -> None:
-        late = Timing(recovery_delay_seconds=4.0)
-        with mock.patch.object(ReplicaCore.__init__, "__defaults__", (0.0, late)):
-            self.assertGreater(self.repaired_after("empty_disk", "backup", seeds=range(1)), 3.0)
+    def test_an_excessive_recovery_delay_is_detected(self) -> None:
+        slow_recovery = Timing(recovery_delay_seconds=4.0)
+        with mock.patch.object(ReplicaCore.__init__, "__defaults__", (0.0, slow_recovery)):
+            self.assertGreater(self.longest_repair_seconds("empty_disk", "backup", seeds=range(1)), 3.0)
 
 
 if __name__ == "__main__":
--- a/tests/controlplane/replication/test_state_delta.py
+++ b/tests/controlplane/replication/test_state_delta.py
@@ -1,4 +1,4 @@
-"""Changes that are sent to backups as deltas."""
+"""Replication of changes to backups as deltas."""
 
 import unittest
 
@@ -14,14 +14,14 @@
 
 
 def state(changed: int) -> bytes:
-    """A state over DELTA_MIN_STATE_BYTES whose row in the middle names the change."""
+    """A state larger than DELTA_MIN_STATE_BYTES whose middle row contains ``changed``."""
     rows = [ROW % n for n in range(ROWS)]
     rows[ROWS // 2] = ROW % changed
     return b"".join(rows)
 
 
-class AlwaysByDelta(replication.Replica):
-    """States of the model checker only grow: a delta is the state before and what was appended."""
+class AlwaysSendsDelta(replication.Replica):
+    """Sends every change as a delta. States of the model checker only grow, so a delta appends to the old state."""
 
     def _delta_of(self, state: bytes, version: replication.StateVersion) -> replication.StoreDelta | None:
         base = self.committed_state
@@ -31,28 +31,28 @@
 
 
 class DeltaCase(unittest.TestCase):
-    def sent(self, rig: ReplicationRig) -> list[type]:
-        """Types of the Stores that go out from now on, as they do."""
-        kinds: list[type] = []
+    def recorded_store_types(self, rig: ReplicationRig) -> list[type]:
+        """A list to which the type of each Store or StoreDelta sent from now on is appended."""
+        store_types: list[type] = []
 
-        def note(sender: int, to: int, message: replication.Message) -> bool:
+        def record_store_type(sender: int, to: int, message: replication.Message) -> bool:
             if isinstance(message, replication.Store | replication.StoreDelta):
-                kinds.append(type(message))
+                store_types.append(type(message))
             return False
 
-        rig.drop = note
-        return kinds
+        rig.drop = record_store_type
+        return store_types
 
-    def propose(self, rig: ReplicationRig, made: bytes) -> None:
+    def propose(self, rig: ReplicationRig, new_state: bytes) -> None:
         primary = rig.primary()
         rig.cluster.last_token += 1
-        rig.replica(primary).propose(rig.cluster.last_token, made, rig.cluster.now)
-        rig.cluster.invariants.proposed_states[rig.cluster.last_token] = made
+        rig.replica(primary).propose(rig.cluster.last_token, new_state, rig.cluster.now)
+        rig.cluster.invariants.proposed_states[rig.cluster.last_token] = new_state
         for action in rig.replica(primary).drain():
-            self.carry(rig, primary, action)
+            self.carry_out(rig, primary, action)
         rig.run(0.05)
 
-    def carry(self, rig: ReplicationRig, me: int, action: replication.Action) -> None:
+    def carry_out(self, rig: ReplicationRig, me: int, action: replication.Action) -> None:
         if isinstance(action, replication.Send):
             rig.cluster.in_flight.append(Envelope(me, action.to, action.message))
         elif isinstance(action, replication.Save):
@@ -65,18 +65,18 @@
 class Deltas(DeltaCase):
     def test_the_first_state_is_sent_in_full_and_changes_as_deltas(self) -> None:
         rig = ReplicationRig()
-        rig.cluster.invariants.check_commit = lambda *_: None  # these states don't grow, as the model's do
+        rig.cluster.invariants.check_commit = lambda *_: None  # it expects states that only grow, as the model's do
         rig.elect()
-        kinds = self.sent(rig)
+        store_types = self.recorded_store_types(rig)
         self.propose(rig, state(90001))
-        self.assertEqual(set(kinds), {replication.Store})
-        kinds.clear()
+        self.assertEqual(set(store_types), {replication.Store})
+        store_types.clear()
         self.propose(rig, state(90002))
-        self.assertEqual(kinds, [replication.StoreDelta])
+        self.assertEqual(store_types, [replication.StoreDelta])
         for member in rig.replica(rig.primary()).record.in_sync:
             self.assertEqual(rig.cluster.machines[member].disk.state, state(90002))
 
-    def test_a_lost_delta_is_followed_by_the_full_state(self) -> None:
+    def test_the_full_state_is_sent_after_a_delta_is_lost(self) -> None:
         rig = ReplicationRig()
         rig.cluster.invariants.check_commit = lambda *_: None
         rig.elect()
@@ -92,13 +92,13 @@
         rig = ReplicationRig()
         rig.cluster.invariants.check_commit = lambda *_: None
         rig.elect()
-        kinds = self.sent(rig)
-        for made in (b"small", b"smaller", state(90001), bytes(100_000), state(90002)):
-            self.propose(rig, made)
-        self.assertEqual(set(kinds), {replication.Store})
+        store_types = self.recorded_store_types(rig)
+        for new_state in (b"small", b"smaller", state(90001), bytes(100_000), state(90002)):
+            self.propose(rig, new_state)
+        self.assertEqual(set(store_types), {replication.Store})
 
-    def test_a_delta_to_another_base_is_ignored(self) -> None:
-        """The walks don't reach this: a backup that lost its disk is replaced before it may answer again."""
+    def test_a_delta_with_another_base_is_ignored(self) -> None:
+        """Random walks don't cover this, because a backup that lost its disk is replaced before it may reply again."""
         rig = ReplicationRig()
         rig.cluster.invariants.check_commit = lambda *_: None
         rig.elect()
@@ -130,16 +130,16 @@
 
 
 class AppliesToAnyBase(replication.Replica):
-    """Planted: a backup applies a delta to a state that it doesn't have."""
+    """Planted fault: a backup applies a delta to its state even if the delta has another base."""
 
     def _on_store_delta(self, sender: int, message: replication.StoreDelta) -> None:
         durable = self._durable.version
         super()._on_store_delta(sender, replication.StoreDelta(message.epoch, message.version, durable, message.delta))
 
 
-class AnotherBase(unittest.TestCase):
+class UnknownBase(unittest.TestCase):
     def state_after(self, replica_class: type[replication.Replica]) -> bytes:
-        """The state of a backup after a delta to a version that it never stored."""
+        """The state of a backup after a delta whose base it never stored."""
         epoch = 1 << 32 | 2
         replica = replica_class(1, 1, (1, 2, 3), True, None, 0.0, fixed_random)
         replica.receive(2, replication.Store(epoch, replication.StateVersion(epoch, 1), state(1)), 1.0)
@@ -153,10 +153,10 @@
         )
         return replica._durable.state
 
-    def test_a_delta_to_an_unknown_base_changes_nothing(self) -> None:
+    def test_a_delta_with_an_unknown_base_has_no_effect(self) -> None:
         self.assertEqual(self.state_after(replication.Replica), state(1))
 
-    def test_a_replica_that_applies_it_to_any_base_is_found(self) -> None:
+    def test_a_replica_that_applies_a_delta_to_any_base_is_detected(self) -> None:
         self.assertNotEqual(self.state_after(AppliesToAnyBase), state(1))
 
 
@@ -164,7 +164,7 @@
     def test_walks_in_which_all_changes_are_deltas(self) -> None:
         committed = 0
         for seed in range(3000, 3012):
-            outcome = RandomWalk(seed, 3, 1, 1, implementations=Implementations(replica=AlwaysByDelta)).run(5000)
+            outcome = RandomWalk(seed, 3, 1, 1, implementations=Implementations(replica=AlwaysSendsDelta)).run(5000)
             self.assertEqual((outcome.violation, outcome.stall), ("", ""))
             committed += outcome.commits
         self.assertGreater(committed, 300)
--- a/tests/controlplane/replication/test_witness.py
+++ b/tests/controlplane/replication/test_witness.py
@@ -1,4 +1,4 @@
-"""What a witness promises, accepts and refuses."""
+"""Promises, acceptances and refusals of a witness."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Witness(unittest.TestCase):
-    def test_no_lower_epoch_is_promised(self):
+    def test_no_lower_epoch_is_promised_after_a_higher_one(self):
         replica = single_replica()
         self.assertTrue(reply_to(replica, replication.Prepare(epoch_of(2, THIRD)), 1.0).ok)
         self.assertTrue(reply_to(replica, replication.Prepare(epoch_of(2, THIRD)), 1.0).ok)
@@ -34,13 +34,15 @@
             answer = reply_to(replica, message, 10.0, OTHER)
             self.assertEqual((False, high), (answer.ok, answer.promised))
 
-    def test_no_other_machine_is_promised_while_a_lease_may_be_held(self):
+    def test_no_promise_to_another_machine_while_a_lease_may_be_held(self):
         replica = single_replica(DURABLE)
         self.assertTrue(reply_to(replica, replication.Heartbeat(RECORD.epoch, 1, RECORD), 10.0, OTHER).ok)
         late = 10.0 + timing.LEASE_GUARD_SECONDS - 0.01
         self.assertFalse(reply_to(replica, replication.PreVote(epoch_of(2, THIRD)), late).ok)
         self.assertFalse(reply_to(replica, replication.Prepare(epoch_of(2, THIRD)), late).ok)
-        self.assertTrue(reply_to(replica, replication.Prepare(epoch_of(2, OTHER)), late, OTHER).ok)  # the holder itself
+        self.assertTrue(
+            reply_to(replica, replication.Prepare(epoch_of(2, OTHER)), late, OTHER).ok
+        )  # the lease holder itself
         self.assertTrue(
             reply_to(replica, replication.Prepare(epoch_of(3, THIRD)), 10.0 + timing.LEASE_GUARD_SECONDS).ok
         )
--- a/tests/support/planted_replication_faults.py
+++ b/tests/support/planted_replication_faults.py
@@ -1,4 +1,4 @@
-"""Replicas with one planted fault each, which the random walks of rowanshift.modelcheck must find."""
+"""Replicas with one planted fault each, which the random walks of rowanshift.modelcheck must detect."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class AcknowledgesAlone(replication.Replica):
-    """The primary commits when its own disk has the state."""
+    """The primary commits as soon as its own disk has the state."""
 
     def _on_store_reply(self, sender, message):
         super()._on_store_reply(sender, message)
@@ -18,49 +18,49 @@
 
 
 class EmptyDiskVotes(replication.Replica):
-    """A machine that lost its disk starts as if it were the first start."""
+    """A machine that lost its disk starts as if the system were new, and votes."""
 
     def __init__(self, me, max_failures, seeds, bootstrap, *args, **options):
         super().__init__(me, max_failures, seeds, True, *args, **options)
 
 
 class AcceptsBeforeSave(replication.Replica):
-    """A witness says that it has accepted a record before the record is on its disk."""
+    """A witness replies that it accepted a record before the record is on its disk."""
 
     def _send_after_save(self, to, message):
         (self._send if isinstance(message, replication.AcceptReply) else super()._send_after_save)(to, message)
 
 
 class PromiseNotDurable(replication.Replica):
-    """A witness gives a promise before it is on its disk."""
+    """A witness sends a promise before the promise is on its disk."""
 
     def _send_after_save(self, to, message):
         (self._send if isinstance(message, replication.PrepareReply) else super()._send_after_save)(to, message)
 
 
 class CommitsBeforeOwnSave(replication.Replica):
-    """What is stored is acknowledged before it is on the disk of the one that stored it."""
+    """An in-sync machine acknowledges a state before the state is on its disk."""
 
     def _send_after_save(self, to, message):
         (self._send if isinstance(message, replication.StoreReply) else super()._send_after_save)(to, message)
 
 
 class OutOfSyncCandidate(replication.Replica):
-    """A candidate continues although it isn't in sync."""
+    """A candidate continues although it is not in sync."""
 
     def _has_state(self, record):
         return True
 
 
 class CandidateWithoutState(replication.Replica):
-    """An in-sync machine stands although its disk was lost since."""
+    """An in-sync machine becomes a candidate although it has lost its disk since."""
 
     def _has_state(self, record):
         return self.me in record.in_sync
 
 
 class ReadsUnconfirmed(replication.Replica):
-    """A primary answers a read without asking the other in-sync machines."""
+    """A primary confirms a read without asking the other in-sync machines."""
 
     def confirm_read(self, token, now):
         if self._own_record is None:
@@ -69,7 +69,7 @@
 
 
 class ReadsProposed(replication.Replica):
-    """A read gives the state that is proposed and not committed."""
+    """A read returns a state that is proposed but not committed."""
 
     def _send_proposal(self, proposal):
         self.committed_state = proposal.state
@@ -77,7 +77,7 @@
 
 
 class AcceptsLowerNumber(replication.Replica):
-    """A witness accepts a record whose number is below its promise."""
+    """A witness accepts a record of an epoch below its promise."""
 
     def _on_accept(self, sender, message):
         self._adopt_record(message.record)
@@ -86,7 +86,7 @@
 
 
 class IgnoresRecordsRead(replication.Replica):
-    """A candidate goes by the record it knew before."""
+    """A candidate ignores the records in prepare replies and builds on the record it knew before."""
 
     def _on_prepare_reply(self, sender, message):
         own = self._candidacy.base if self._candidacy is not None else message.accepted
@@ -94,7 +94,7 @@
 
 
 class NewSetAlone(replication.Replica):
-    """A change of witnesses is decided by the new set, and the record names no former one."""
+    """A change of witnesses is decided by the new set alone, and the record names no former set."""
 
     def _deciding_sets(self, candidacy):
         return (candidacy.record.witnesses,)
@@ -104,7 +104,7 @@
 
 
 class OldSetAlone(replication.Replica):
-    """A change of witnesses is decided by the old set, and the record names no former one."""
+    """A change of witnesses is decided by the old set alone, and the record names no former set."""
 
     def _deciding_sets(self, candidacy):
         return candidacy.base.witness_sets()
@@ -114,14 +114,14 @@
 
 
 class LeaseNotAwaited(replication.Replica):
-    """A witness promises to a candidate at any time."""
+    """A witness makes promises to candidates while another machine may hold a lease."""
 
     def _lease_may_be_held_by_another(self, candidate):
         return False
 
 
 class RestartedDoesNotWait(replication.Replica):
-    """A restarted witness promises at once."""
+    """A restarted witness makes promises without waiting for the lease guard."""
 
     def __init__(self, *args, **options):
         super().__init__(*args, **options)
@@ -130,8 +130,8 @@
 
 
 class BackupsStandAtOnce(replication.Replica):
-    """Any in-sync machine stands as soon as it has started, as only the former primary may; restarted witnesses let
-    it."""
+    """Any in-sync machine becomes a candidate as soon as it has started, which only the former primary may do, and
+    restarted witnesses vote for it."""
 
     def _was_primary_before_restart(self):
         return self.me in self._durable.accepted.in_sync and not self._durable.amnesic
@@ -144,7 +144,7 @@
 
 
 class StoresBelowPromise(replication.Replica):
-    """A backup stores a state under an epoch below its promise."""
+    """A backup stores a state of an epoch below its promise."""
 
     def _on_store(self, sender, message):
         if message.version > self._durable.version:
@@ -154,7 +154,7 @@
 
 
 class RecoversFromOne(replication.Replica):
-    """One answer is enough to vote again after the disk was lost."""
+    """A single recovery reply suffices to vote again after a disk loss."""
 
     def _on_recovery_reply(self, sender, message):
         if self._durable.amnesic and not message.amnesic and message.serial == self._recovery_serial:
@@ -163,7 +163,7 @@
 
 
 class CountsAnyStored(replication.Replica):
-    """An answer to an earlier Store counts for the present proposal."""
+    """A reply to an earlier Store counts for the current proposal."""
 
     def _on_store_reply(self, sender, message):
         if self._proposal is not None and self._candidacy is None and message.ok:
@@ -172,7 +172,7 @@
 
 
 class CountsAnyHeartbeatReply(replication.Replica):
-    """An answer to an earlier Heartbeat counts for the round last asked."""
+    """A reply to an earlier Heartbeat counts for the latest round."""
 
     def _on_heartbeat_reply(self, sender, message):
         super()._on_heartbeat_reply(
@@ -184,7 +184,7 @@
 
 
 class KeepsLeaseTransferring(replication.Replica):
-    """A primary with a slow disk transfers leadership and stays."""
+    """A primary with a slow disk transfers leadership without stepping down."""
 
     def _transfer_leadership(self):
         for member in sorted({*self._own_record.witnesses, *self._own_record.in_sync} - {self.me}):
@@ -192,14 +192,14 @@
 
 
 class ReleasesFormerWitness(replication.Replica):
-    """A leaving witness may end as soon as a spare has its place, while its former vote is still asked for."""
+    """A leaving witness is released as soon as a spare has replaced it, while it is still a former witness."""
 
     def _vote_still_needed(self, machine):
         return machine in self._own_record.witnesses and bool(self._live_spares())
 
 
 class CountsEveryMachine(replication.Replica):
-    """A machine that doesn't count takes copies and votes like any other."""
+    """A machine that is not a quorum member becomes a backup and a witness like any other."""
 
     def _is_observer(self):
         return False
--- a/tests/support/replication_rig.py
+++ b/tests/support/replication_rig.py
@@ -1,4 +1,4 @@
-"""A cluster of replicas for tests: messages and saves complete at once, unless a test holds them up."""
+"""A cluster of replicas for tests, in which messages and saves complete at once unless a test blocks them."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 ME, OTHER, THIRD, FOURTH = 1, 2, 3, 4
 TICK_SECONDS = 0.05
-MOST_STEPS = 2000  # until no message or save is left
+MAX_STEPS = 2000  # limit for delivering all messages and completing all saves
 
 
 class RecordedAction(NamedTuple):
@@ -26,7 +26,7 @@
 
 
 class ReplicationRig:
-    """Replicas on the cluster model, run step by step in a fixed order."""
+    """Replicas on the cluster model, executed step by step in a fixed order."""
 
     def __init__(
         self, machines: int = 3, max_failures: int = 1, spares: int = 0, singleton_task_delay: float = 0.0
@@ -35,7 +35,7 @@
         self.cluster = ClusterModel({}, max_failures, seeds)
         self.singleton_task_delay = singleton_task_delay
         self.drop: Callable[[int, int, replication.Message], bool] = _drop_nothing
-        self.stalled_disks: set[int] = set()  # machines whose saves don't complete
+        self.stalled_disks: set[int] = set()  # machines whose saves never complete
         self.paused: set[int] = set()
         self.actions: list[RecordedAction] = []
         for me in range(1, machines + spares + 1):
@@ -43,7 +43,7 @@
             self.start(me, bootstrap=me <= machines)
 
     def start(self, me: int, bootstrap: bool = False) -> None:
-        """Start a machine's replica from what its disk has."""
+        """Start a machine's replica from its durable state."""
         machine, cluster = self.cluster.machines[me], self.cluster
         replica = replication.Replica(
             me,
@@ -71,12 +71,12 @@
         cluster.carry_out_actions(me)
 
     def settle(self) -> None:
-        """Deliver messages and complete saves until none is left."""
-        for _ in range(MOST_STEPS):
+        """Deliver messages and complete saves until none are pending."""
+        for _ in range(MAX_STEPS):
             if not self._deliver_next() and not self._complete_next_save():
                 self.cluster.check_leases()
                 return
-        raise AssertionError("messages and saves never end")
+        raise AssertionError(f"messages or saves are still pending after {MAX_STEPS} steps")
 
     def _deliver_next(self) -> bool:
         cluster = self.cluster
@@ -98,23 +98,23 @@
         return False
 
     def run(self, seconds: float, until: Callable[[], bool] = lambda: False) -> float:
-        """Let so many seconds pass, or fewer once ``until`` holds. Returns the seconds that passed."""
-        began = self.cluster.now
+        """Advance the time by ``seconds``, or until ``until`` returns True. Returns the seconds that passed."""
+        started_at = self.cluster.now
         self.settle()
-        while self.cluster.now < began + seconds and not until():
+        while self.cluster.now < started_at + seconds and not until():
             self.cluster.now += TICK_SECONDS
             for me, machine in self.cluster.machines.items():
                 if machine.replica is not None and me not in self.paused:
                     self.cluster.tick(me)
             self.settle()
-        return self.cluster.now - began
+        return self.cluster.now - started_at
 
     def replica(self, me: int) -> replication.Replica:
         """The replica of a machine."""
         return self.cluster.machines[me].replica
 
     def primary(self) -> int:
-        """The machine that is primary of the highest epoch, or 0."""
+        """The primary of the highest epoch, 0 if there is none."""
         found = [
             (machine.replica.record.epoch, me)
             for me, machine in self.cluster.machines.items()
@@ -127,19 +127,19 @@
         primary = self.primary()
         return next(member for member in self.replica(primary).record.in_sync if member != primary)
 
-    def mere_witness(self) -> int:
-        """A machine of three that is not in sync."""
+    def witness_not_in_sync(self) -> int:
+        """One of the first three machines that is not in sync."""
         in_sync = self.replica(self.primary()).record.in_sync
         return next(machine for machine in (1, 2, 3) if machine not in in_sync)
 
     def elect(self) -> int:
-        """Run until there is a primary, and half a second more. Returns the primary."""
+        """Run until there is a primary, then for another 0.5 s. Returns the primary."""
         self.run(3, lambda: bool(self.primary()))
         self.run(0.5)
         return self.primary()
 
     def commit(self) -> int:
-        """Propose a state at the primary and settle. Returns how many proposals were committed since the start."""
+        """Propose a state at the primary and settle. Returns the number of proposals committed since the start."""
         self.cluster.propose(self.primary())
         self.settle()
         return self.cluster.commit_count
@@ -150,7 +150,7 @@
 
 
 def sent_messages(replica: replication.Replica) -> list[replication.Message]:
-    """The messages that a replica has decided to send since the last call."""
+    """The messages that a replica has requested to send since the last call."""
     return [action.message for action in replica.drain() if isinstance(action, replication.Send)]
 
 
@@ -179,7 +179,7 @@
 
 
 def epoch_of(election_round: int, machine: int) -> int:
-    """The epoch that a machine chooses in a round of elections."""
+    """The epoch that a machine chooses in the given round of elections."""
     return election_round << 32 | machine
 
 
