--- a/rowanshift/controlplane/durable_state.py
+++ b/rowanshift/controlplane/durable_state.py
@@ -1,4 +1,4 @@
-"""The durable state of a core machine: opening its disk at the start, and reading what is on it."""
+"""The durable state of a core machine: opening its disk at startup and decoding the state on it."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenedDisk:
-    """The disk, None where the machine has none, and the durable state on it, None where it is empty or damaged."""
+    """The disk, None if the machine has none, and the durable state on it, None if it is empty or damaged."""
 
     disk: Disk | None
     durable_state: DurableState | None
@@ -28,9 +28,9 @@
 async def open_disk(
     runtime: CoreRuntime, data_directory: Path | None, store_directory: str = STORE_DIRECTORY
 ) -> OpenedDisk:
-    """Open a store on the machine's disk and read it, however often that takes.
+    """Open a store on the machine's disk and read it, retrying until that succeeds.
 
-    A damaged disk counts as an empty one: the replica recovers its state from the others. Raises ``NewerFormat``.
+    A damaged disk is treated as empty: the replica recovers its state from the others. Raises ``NewerFormat``.
     """
     if data_directory is None:
         return OpenedDisk(None, None)
@@ -39,7 +39,7 @@
         try:
             await runtime.in_thread(disk.open)
             record = await runtime.in_thread(disk.read)
-            if disk.damage:  # what is left may be older than what the machine has promised
+            if disk.damage:  # the intact slot may be older than the machine's last promise
                 raise DamagedRecord(disk.damage)
             return OpenedDisk(disk, decode_durable_state(record))
         except NewerFormat:
@@ -53,13 +53,15 @@
 
 
 def decode_durable_state(record: bytes | None) -> DurableState | None:
-    """The durable state in a disk's record, None where there is no record. Raises ``MalformedRecord``."""
+    """Decode the record of a disk, None if there is none. Raises ``MalformedRecord``."""
     if record is None:
         return None
     if len(record) < FRAME_HEADER.size:
-        raise MalformedRecord("a record cut short")
+        raise MalformedRecord(
+            f"record cut short: {len(record)} bytes, shorter than its frame header of {FRAME_HEADER.size} bytes"
+        )
     _, _, kind, _, _ = FRAME_HEADER.unpack_from(record)
     durable_state = CODEC.unpack(kind, record[FRAME_HEADER.size :])
     if not isinstance(durable_state, DurableState):
-        raise MalformedRecord(f"{type(durable_state).__name__} where a DurableState belongs")
+        raise MalformedRecord(f"the record is a {type(durable_state).__name__} where a DurableState belongs")
     return durable_state
--- a/rowanshift/controlplane/internal_port.py
+++ b/rowanshift/controlplane/internal_port.py
@@ -1,4 +1,4 @@
-"""The internal port of a core machine: connections of routers, which poll, and of the other core machines."""
+"""The internal port of a core machine, to which routers connect for polls and other core machines for replication."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 from rowanshift.transport.streams import Listener, Stream
 from rowanshift.wire.errors import MalformedRecord
 
-MAX_CONNECTIONS = 2048  # of routers and core machines at once; more are closed
-ACCEPT_RETRY_SECONDS = 0.02  # after an error
+MAX_CONNECTIONS = 2048  # concurrent connections; further ones are closed at once
+ACCEPT_RETRY_SECONDS = 0.02  # delay after a failed accept
 
 
 class InternalPort:
-    """Accepts connections, and hands each to the poll endpoint or to a replica.
+    """Accepts connections, and passes each to the poll endpoint or to a replica.
 
-    ``coordination`` runs the replica of the coordination state, None where no application calls for it.
+    ``coordination`` runs the replica of the coordination state, None if no application requires it.
     """
 
     def __init__(
@@ -34,10 +34,10 @@
         self.replica_runner = replica_runner
         self.poll_endpoint = poll_endpoint
         self.coordination = coordination
-        self.connections = 0  # that are open
+        self.connections = 0  # number of open connections
 
     async def accept(self, listener: Listener, nursery: Nursery) -> None:
-        """Serve each connection in a task of its own; runs until it is cancelled."""
+        """Accept connections and serve each in its own task, until cancelled."""
         while True:
             await listener.wait()
             try:
@@ -53,29 +53,31 @@
             nursery.start_soon(self._serve, stream)
 
     async def _serve(self, stream: Stream) -> None:
-        """Serve one connection of a router or of a core machine until it ends."""
+        """Serve one connection of a router or a core machine until it ends."""
         self.connections += 1
         try:
             await self._serve_records(stream)
         except MalformedRecord as error:
             logger.warning("event=bad_record why={!r}", str(error))
         except (ConnectionFailed, OSError, trio.ClosedResourceError, trio.TooSlowError):
-            pass  # whoever called dials again
-        except Exception:  # an error in this program costs one connection, not the machine
+            pass  # the peer reconnects
+        except Exception:  # a defect ends this connection, but not the process
             logger.exception("event=internal_connection_failed")
         finally:
             self.connections -= 1
             stream.close()
 
     async def _serve_records(self, stream: Stream) -> None:
-        """Serve the records of a connection; a core machine begins its own with the hello of a replica."""
+        """Serve the records of a connection. Connections of core machines start with the hello of a replica."""
         reader = RecordReader(stream, CODEC)
         number, record = await reader.next()
         if isinstance(record, Hello):
             await self.replica_runner.receive_from(reader, record.machine)
         if isinstance(record, CoordinationHello):
             if self.coordination is None:
-                raise MalformedRecord("no replica of the coordination state runs here")
+                raise MalformedRecord(
+                    "received a CoordinationHello, but this machine runs no replica of the coordination state"
+                )
             await self.coordination.receive_from(reader, record.machine)
         while True:
             await self.poll_endpoint.serve(stream, number, record)
--- a/rowanshift/controlplane/machine_disk.py
+++ b/rowanshift/controlplane/machine_disk.py
@@ -1,4 +1,4 @@
-"""The disk of a core machine as the control plane asks for it, and the runtime of a machine that has one."""
+"""The interface of a core machine's disk, and the runtime that provides it."""
 
 from pathlib import Path
 from typing import Protocol
@@ -10,36 +10,36 @@
 class Disk(Protocol):
     """One record on a machine's disk.
 
-    Its calls block, so they are made in ``Runtime.in_thread``. They raise the errors of ``controlplane/store.py``.
+    Calls block, so they are made in ``Runtime.in_thread``. They raise the errors of ``controlplane/store.py``.
     """
 
-    damage: str  # what the last read found, empty if nothing
+    damage: str  # damage found by the last read; empty for none
 
     def open(self) -> None:
-        """Open the record, and make its directory."""
+        """Open the store of the record, creating its directory if necessary."""
 
     def read(self) -> bytes | None:
-        """Return the record; ``None`` if there never was one."""
+        """Return the record, ``None`` if none was ever written."""
 
     def write(self, record: bytes, /) -> None:
-        """Store the record; it is on the disk afterwards, also after a loss of power."""
+        """Store the record durably: once this returns, the record survives a power loss."""
 
     def close(self) -> None:
-        """Close the record; closing a closed one does nothing."""
+        """Close the store; no effect if it is already closed."""
 
 
 class CoreRuntime(Runtime, Protocol):
-    """A runtime that also has a disk."""
+    """A runtime that also provides a disk."""
 
     def disk(self, path: Path) -> Disk:
-        """Return what is kept in a directory, not open yet."""
+        """Return the disk record in a directory, not yet opened."""
 
 
 class SystemCoreRuntime(SystemRuntime):
-    """The operating system of a core machine."""
+    """The runtime of a core machine on the operating system."""
 
     def disk(self, path: Path) -> Disk:
-        """Return the store in a directory, not open yet."""
+        """Return the store in a directory, not yet opened."""
         return Store(path)
 
 
--- a/rowanshift/controlplane/record_kinds.py
+++ b/rowanshift/controlplane/record_kinds.py
@@ -1,7 +1,7 @@
-"""The registry of all kinds of records: those between processes of one system, and the one on disk.
+"""The registry of all record kinds: those sent between the processes of a system, and the one stored on disk.
 
-A kind's number and layout never change: machines of two releases talk to each other, and read each other's disks. What
-has to change becomes a new kind.
+The number and layout of a kind never change, because machines of different releases exchange records and read each
+other's disks. A changed record becomes a new kind.
 """
 
 import msgspec
@@ -13,15 +13,15 @@
 
 
 class Hello(msgspec.Struct, frozen=True):
-    """The first record on a connection between replicas of the control state: which machine sends what follows."""
+    """The first record on a connection between replicas of the control state; it identifies the sender."""
 
-    machine: int  # its id
+    machine: int  # id of the sender
 
 
 class CoordinationHello(msgspec.Struct, frozen=True):
-    """The same on a connection between replicas of the coordination state."""
+    """The first record on a connection between replicas of the coordination state."""
 
-    machine: int  # its id
+    machine: int  # id of the sender
 
 
 EPOCH_RECORD = RecordLayout(
--- a/rowanshift/controlplane/replica_connections.py
+++ b/rowanshift/controlplane/replica_connections.py
@@ -1,4 +1,4 @@
-"""The connections by which a replica sends its messages to the other core machines."""
+"""The connections over which a replica sends messages to other core machines."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 from rowanshift.transport.runtime import Nursery, Runtime
 from rowanshift.wire.machine_ids import ip_from_machine_id
 
-PEER_SILENCE_SECONDS = 0.9  # without a message from a machine, after which its connection is dialled anew
-MAX_SENDERS = 64  # connections to other core machines, three a machine at most
-LARGE_STATE_BYTES = 64 * 1024  # of a state; a larger one goes by a connection of its own
-MAX_QUEUED_LARGE_STATES = 2  # that wait for one machine; the oldest is dropped
-LARGE_STATE_WRITE_SECONDS = 5.0  # that writing a large state may take
+PEER_SILENCE_SECONDS = 0.9  # a connection is redialled after this time without a message from the machine
+MAX_SENDERS = 64  # limit for connections to other core machines, of which each has up to three
+LARGE_STATE_BYTES = 64 * 1024  # larger states are sent over a separate connection
+MAX_QUEUED_LARGE_STATES = 2  # per machine; beyond this the oldest is dropped
+LARGE_STATE_WRITE_SECONDS = 5.0  # timeout for writing a large state
 
 
 class Channel(Enum):
-    """The connections to another core machine, by what they carry.
+    """The connections to another core machine, by the messages that they carry.
 
-    Large states have one of their own, so that heartbeats don't wait behind them; so have failure domains, which
-    former programs can't read: they close the connection.
+    Large states have a separate connection so that heartbeats don't queue behind them. So do failure domain reports,
+    because older releases can't decode them and close the connection.
     """
 
     MESSAGES = "messages"
@@ -33,30 +33,30 @@
 
 
 def channel_of(message: Message) -> Channel:
-    """The connection by which a message goes."""
+    """The connection over which a message is sent."""
     if isinstance(message, Store) and len(message.state) > LARGE_STATE_BYTES:
         return Channel.LARGE_STATES
     return Channel.FAILURE_DOMAINS if isinstance(message, FailureDomainReport) else Channel.MESSAGES
 
 
 class ReplicaConnections:
-    """Sends messages to other core machines, on connections that are dialled as they are needed."""
+    """Sends messages to other core machines over connections that are opened on demand."""
 
     def __init__(self, runtime: Runtime, hello: Hello | CoordinationHello, port: int, nursery: Nursery) -> None:
-        """``hello`` begins each connection, ``port`` is the internal port of all core machines."""
+        """``hello`` is the first record on each connection, ``port`` the internal port of all core machines."""
         self.runtime = runtime
         self.hello = hello
         self.port = port
         self.nursery = nursery
         self.senders: dict[tuple[int, Channel], RecordSender] = {}
-        self.heard_at: dict[int, float] = {}  # by machine, trio's time of its last message
+        self.heard_at: dict[int, float] = {}  # time of each machine's last message, by trio's clock
 
-    def record_message_from(self, machine: int, now: float) -> None:
-        """A message of another machine has come: the connections to it are worth keeping."""
+    def mark_heard(self, machine: int, now: float) -> None:
+        """Record the arrival of a message from another machine, which keeps the connections to it open."""
         self.heard_at[machine] = now
 
     def send(self, machine: int, message: Message) -> None:
-        """Queue a message for another machine; it may be lost."""
+        """Queue a message for another machine. Delivery is not guaranteed."""
         channel = channel_of(message)
         sender = self.senders.get((machine, channel))
         if sender is None:
@@ -73,7 +73,7 @@
             CODEC,
             (ip_from_machine_id(machine), self.port),
             self.hello,
-            partial(self._is_alive, machine, channel),
+            partial(self._should_keep, machine, channel),
             MAX_QUEUED_LARGE_STATES if is_large else MAX_QUEUED_RECORDS,
             LARGE_STATE_WRITE_SECONDS if is_large else WRITE_TIMEOUT_SECONDS,
         )
@@ -81,7 +81,7 @@
         self.nursery.start_soon(sender.run)
         return sender
 
-    def _is_alive(self, machine: int, channel: Channel) -> bool:
-        """Whether a connection is worth keeping: the machine was heard since it was opened, or not long ago."""
+    def _should_keep(self, machine: int, channel: Channel) -> bool:
+        """Whether to keep a connection: it was opened, or a message from the machine arrived, a short time ago."""
         since = max(self.heard_at.get(machine, 0.0), self.senders[machine, channel].opened_at)
         return trio.current_time() - since < PEER_SILENCE_SECONDS
--- a/rowanshift/controlplane/replica_runner.py
+++ b/rowanshift/controlplane/replica_runner.py
@@ -1,4 +1,4 @@
-"""Runs a replica: carries out what the pure ``Replica`` decides, and offers confirmed reads and changes to callers."""
+"""Runs a replica: executes the actions of the I/O-free ``Replica``, and offers reads and changes to callers."""
 
 from __future__ import annotations
 
@@ -34,13 +34,13 @@
 from rowanshift.transport.runtime import Nursery, Runtime
 from rowanshift.wire.machine_ids import ip_from_machine_id
 
-TICK_SECONDS = 0.05  # between ticks of the replica
-RELEASE_CHECK_SECONDS = TICK_SECONDS / 5  # between checks whether the others have released a leaving machine
+TICK_SECONDS = 0.05  # interval between ticks of the replica
+RELEASE_CHECK_SECONDS = TICK_SECONDS / 5  # interval between checks whether a leave has been granted
 
 
 @dataclass(slots=True)
 class PendingOperation:
-    """A read or a proposal that waits for its outcome."""
+    """A read or a proposal whose outcome is pending."""
 
     ended: trio.Event = field(default_factory=trio.Event)
     succeeded: bool = False
@@ -49,8 +49,9 @@
 class ReplicaRunner:
     """One replica with its disk, its connections and its clock.
 
-    ``on_role_change`` is called with whether this machine is primary now, ``on_commit`` after each commit.
-    ``log_prefix`` stands before the names of its log events, to tell replicas of one process apart.
+    ``on_role_change`` is called with True when this machine becomes primary and False when it no longer is;
+    ``on_commit`` is called after each commit. ``log_prefix`` is prepended to the names of log events, to distinguish
+    the replicas of one process.
     """
 
     def __init__(
@@ -74,22 +75,22 @@
         self.on_commit = on_commit
         self.role_changes = 0
         self.saves = 0
-        self.save_seconds = 0.0  # that all of them took
+        self.save_seconds = 0.0  # total duration of all saves
         self.redundancy_watch = RedundancyMonitor(0.0)
         self._tokens = count(1)
         self._pending: dict[int, PendingOperation] = {}  # by token
-        self._change_turn = trio.Lock()  # one change at a time
+        self._change_lock = trio.Lock()  # serializes changes
 
-    # calls
+    # Calls.
 
     async def read(self) -> bytes:
-        """The state, confirmed to be the newest when it was asked for. Raises ``NotPrimary`` and ``NotConfirmed``."""
+        """The committed state, by a linearizable read. Raises ``NotPrimary`` and ``NotConfirmed``."""
         if not await self.confirm():
             raise NotConfirmed()
         return self.replica.committed_state
 
     async def confirm(self) -> bool:
-        """Whether this machine was confirmed to be the primary after this was called. Raises ``NotPrimary``."""
+        """Whether the in-sync machines confirm, after this call, that this is the primary. Raises ``NotPrimary``."""
         with self._pending_operation() as (token, pending):
             self.replica.confirm_read(token, trio.current_time())
             self.carry_out_actions()
@@ -97,25 +98,25 @@
             return pending.succeeded
 
     async def commit(self, state: bytes, role_changes: int) -> bool:
-        """Replicate a state that the caller, who alone changes it, made while ``role_changes`` was as given.
+        """Replicate a state that the caller, the only writer, derived while ``role_changes`` had the given value.
 
-        Whether it is on all disks that are wanted; where it isn't, it may be in force later, under another primary.
-        Raises ``NotPrimary``: then it never will be.
+        Returns whether the state was committed. If it returns False, the outcome is unknown: another primary may still
+        commit the state. Raises ``NotPrimary``: then the state will never be committed.
         """
-        async with self._change_turn:
-            if self.role_changes != role_changes:  # the state that it was made from may be an old one
+        async with self._change_lock:
+            if self.role_changes != role_changes:  # the state may be derived from an outdated one
                 raise NotPrimary(self.replica.primary_hint)
             return await self._propose(state)
 
     async def change(self, make_next: Callable[[bytes], bytes | None], timeout: float) -> bytes:
-        """Make the next state from the newest, and return it once it is on all disks that are wanted.
+        """Derive the next state from the current one, and return it once it is committed.
 
-        ``make_next`` returns the next state, None to change nothing. Raises ``NotPrimary``, ``NotConfirmed``,
-        ``OutcomeUnknown`` after ``timeout`` seconds, and what ``make_next`` raises: a refusal rests on a state that
-        was confirmed.
+        ``make_next`` returns the next state, or None for no change. Raises ``NotPrimary``, ``NotConfirmed``,
+        ``OutcomeUnknown`` after ``timeout`` seconds, and any error of ``make_next``, which is called with a confirmed
+        state.
         """
         with trio.move_on_after(timeout):
-            async with self._change_turn:
+            async with self._change_lock:
                 state = make_next(await self.read())
                 if state is None:
                     return self.replica.committed_state
@@ -124,7 +125,7 @@
         raise OutcomeUnknown()
 
     async def _propose(self, state: bytes) -> bool:
-        """Whether the state was committed; where it wasn't, it may be in force later."""
+        """Propose a state. Returns whether it was committed; if not, it may still be committed later."""
         with self._pending_operation() as (token, pending):
             try:
                 self.replica.propose(token, state, trio.current_time())
@@ -135,9 +136,9 @@
             return pending.succeeded
 
     async def leave(self, until: float) -> bool:
-        """Transfer leadership, state and vote to others by this time; whether that was done."""
+        """Hand leadership, state and vote over to other machines. Returns whether that succeeded by ``until``."""
         with trio.move_on_at(until):
-            async with self._change_turn:  # a change under way is answered first
+            async with self._change_lock:  # lets a change in progress complete first
                 self.replica.leave(trio.current_time())
                 self.carry_out_actions()
         while not self.replica.leave_granted and trio.current_time() < until:
@@ -145,7 +146,7 @@
         return self.replica.leave_granted
 
     def lease_remaining(self) -> float:
-        """Seconds for which this machine may still act as the only lease holder; 0 if it may not."""
+        """Seconds for which this machine still holds the lease; 0 if it does not hold it."""
         now = trio.current_time()
         return max(0.0, self.replica.lease_until(now) - now) if self.replica.is_primary else 0.0
 
@@ -158,10 +159,10 @@
         finally:
             del self._pending[token]
 
-    # what drives the replica
+    # Input to the replica.
 
     async def run(self) -> None:
-        """Tick the replica; runs until it is cancelled."""
+        """Tick the replica until cancelled."""
         while True:
             self.replica.tick(trio.current_time())
             self.carry_out_actions()
@@ -169,18 +170,18 @@
             await self.runtime.pause(TICK_SECONDS)
 
     async def receive_from(self, reader: RecordReader, machine: int) -> None:
-        """Hand the messages of another core machine to the replica until its connection ends."""
+        """Pass messages of another core machine to the replica until the connection ends."""
         while True:
             _, message = await reader.next()
             now = trio.current_time()
-            self.connections.record_message_from(machine, now)
+            self.connections.mark_heard(machine, now)
             self.replica.receive(machine, message, now)
             self.carry_out_actions()
 
-    # what the replica decides
+    # Actions of the replica.
 
     def carry_out_actions(self) -> None:
-        """Carry out what the replica has decided since the last call."""
+        """Execute the actions that the replica has requested since the last call."""
         for action in self.replica.drain():
             match action:
                 case Send(to, message):
@@ -213,7 +214,7 @@
             pending.ended.set()
 
     async def _save(self, token: int, durable: DurableState) -> None:
-        """Write the durable state to the disk, and report to the replica how that ended."""
+        """Write the durable state to the disk, and report success or failure to the replica."""
         started_at, succeeded = trio.current_time(), True
         if self.disk is not None:
             try:
@@ -231,7 +232,7 @@
         self.carry_out_actions()
 
     def _log_redundancy(self) -> None:
-        """Log each change of the redundancy, as the primary sees it."""
+        """Log each change of the redundancy that the primary observes."""
         if not self.replica.is_primary:
             return
         change = self.redundancy_watch.observe(self.replica.redundancy(), trio.current_time())
--- a/rowanshift/controlplane/store.py
+++ b/rowanshift/controlplane/store.py
@@ -1,12 +1,12 @@
-"""The disk of a core machine: one record, kept in lmdb in two slots that are written in turn.
+"""The persistent store of a core machine: one record in lmdb, written alternately to two slots.
 
-A write replaces the older slot in one synced transaction, so that the newer one stays intact whatever becomes of the
-write. A slot is a header, ``HEADER``, which stays the same in every format, and a body: the slot's generation, which
-rises by one with each write, and the record. The header's checksum covers the format, the length and the body, so that
-a damaged slot is not mistaken for one of a newer format.
+A write replaces the older slot in one synced transaction, so that the newer slot stays intact even if the write fails.
+A slot consists of a header, ``HEADER``, which is the same in all formats, and a body: the slot's generation, which
+increases by one with each write, and the record. The header's checksum covers the format, the length and the body, so
+that a damaged slot is not mistaken for one of a newer format.
 
-All calls block; callers run them in a thread. lmdb trusts its own pages: damage to those, other than a file cut short,
-is not found here.
+All calls block; callers run them in a thread. lmdb does not verify its own pages: damage to them is not detected here,
+except that the file is truncated.
 """
 
 from __future__ import annotations
@@ -25,52 +25,52 @@
 
 from rowanshift.controlplane.errors import ControlPlaneError
 
-# The store was once called the ledger. Its directory keeps that name, so that a machine finds the data of programs
-# before the renaming, and they find its data after a return to them.
+# The store was formerly called the ledger. The directory keeps that name so that upgrades and downgrades across the
+# renaming find the data of the other program.
 STORE_DIRECTORY = "ledger"
-COORDINATION_DIRECTORY = "coordination"  # of the store with the coordination state
-DATA_FILE = "data.mdb"  # lmdb's own name
+COORDINATION_DIRECTORY = "coordination"  # directory of the store with the coordination state
+DATA_FILE = "data.mdb"  # name chosen by lmdb
 
 MAGIC = b"RSLG"
 FORMAT = 1
 HEADER = Struct(">4sHII")  # magic, format, checksum, length of the body
-CHECKSUMMED_FIELDS = Struct(">HI")  # of the header: format, length
+CHECKSUMMED_FIELDS = Struct(">HI")  # fields of the header covered by the checksum: format, length
 GENERATION = Struct(">Q")
-SLOT_KEYS = (b"copy-0", b"copy-1")  # as they are on disk
+SLOT_KEYS = (b"copy-0", b"copy-1")  # lmdb keys on disk
 CORRUPTION_ERRORS = (lmdb.InvalidError, lmdb.VersionMismatchError, lmdb.CorruptedError, lmdb.PageNotFoundError)
 
 
 class StoreError(ControlPlaneError):
-    """Base class of the store's errors; the text says what failed and where."""
+    """Base class of the errors of the store."""
 
 
 class NewerFormat(StoreError):
-    """A newer program wrote this; it is left as it is. Start that program, or a newer one."""
+    """The record was written by a newer program and is left unchanged. Start that program or a newer one."""
 
     def __init__(self, found: int) -> None:
-        super().__init__(f"the record has format {found}, this program knows {FORMAT}")
+        super().__init__(f"the record has format {found}; this program supports formats up to {FORMAT}")
         self.found = found
 
 
 class DamagedRecord(StoreError):
-    """Something is stored, and no slot of it is intact. The machine recovers its state from the others."""
+    """A record is stored, but no slot is intact. The machine recovers its state from the other core machines."""
 
 
 class StoreWriteFailed(StoreError):
-    """The disk refused a write: the record may or may not be stored. The next write may succeed."""
+    """A write to disk failed: the record may or may not be stored. The next write may succeed."""
 
 
 class StoreReadFailed(StoreError):
-    """What is stored can't be read now; nothing says that it is damaged. Try again."""
+    """The record can't be read at the moment, without any sign of damage. The caller may retry."""
 
 
 class StoreClosed(StoreError):
-    """A call on a store that isn't open."""
+    """A call was made on a store that is not open."""
 
 
 @dataclass(frozen=True, slots=True)
 class Slot:
-    """One of the two slots as read from disk. ``damage`` says what is wrong with it, empty for an intact one."""
+    """One of the two slots as read from disk. ``damage`` describes its damage and is empty for an intact slot."""
 
     key: bytes
     format: int = 0
@@ -80,53 +80,53 @@
 
 
 def checksum(format_number: int, body: bytes) -> int:
-    """The checksum of a slot with this body."""
+    """The checksum of a slot with this format and body."""
     return crc32(body, crc32(CHECKSUMMED_FIELDS.pack(format_number, len(body))))
 
 
 def encode_slot(generation: int, record: bytes) -> bytes:
-    """A slot's bytes as they are stored."""
+    """Encode a slot for storage."""
     body = GENERATION.pack(generation) + record
     return HEADER.pack(MAGIC, FORMAT, checksum(FORMAT, body), len(body)) + body
 
 
 def decode_slot(key: bytes, stored: bytes) -> Slot:
-    """The slot in stored bytes; what is wrong with it is in its ``damage``."""
+    """Decode a stored slot. Damage is reported in ``damage`` of the result."""
     if len(stored) < HEADER.size:
-        return Slot(key, damage=f"{len(stored)} bytes, shorter than its header")
+        return Slot(key, damage=f"{len(stored)} bytes, shorter than its header of {HEADER.size} bytes")
     magic, version, expected_checksum, length = HEADER.unpack_from(stored)
     body = stored[HEADER.size :]
     if magic != MAGIC:
-        return Slot(key, damage="another magic number")
+        return Slot(key, damage=f"magic number {magic!r}, expected {MAGIC!r}")
     if len(body) != length:
-        return Slot(key, version, damage=f"{len(body)} bytes after the header, {length} expected")
+        return Slot(key, version, damage=f"body of {len(body)} bytes, expected {length}")
     if checksum(version, body) != expected_checksum:
-        return Slot(key, version, damage="the checksum differs")
+        return Slot(key, version, damage="checksum mismatch")
     if version > FORMAT:
         return Slot(key, version)
     if version < FORMAT or length < GENERATION.size:
-        return Slot(key, version, damage="a format that never was")
+        return Slot(key, version, damage=f"invalid format {version} or body length {length}")
     (generation,) = GENERATION.unpack_from(body)
     return Slot(key, version, generation, record=body[GENERATION.size :])
 
 
 def check_file_size(environment: Any, path: Path) -> None:
-    """Raise ``DamagedRecord`` if the data file is cut short: reading past its end would end the process."""
+    """Raise ``DamagedRecord`` if the data file is truncated: reading past its end would kill the process."""
     expected = (environment.info()["last_pgno"] + 1) * environment.stat()["psize"]
     size = (path / DATA_FILE).stat().st_size
     if size < expected:
-        raise DamagedRecord(f"{path / DATA_FILE} is cut short: {size} bytes of {expected}")
+        raise DamagedRecord(f"{path / DATA_FILE} is cut short: it has {size} bytes, expected {expected}")
 
 
 def read_slots(environment: Any) -> list[Slot]:
-    """The slots that an open lmdb environment holds, none to two. May raise ``lmdb.Error``."""
+    """The zero to two slots in an open lmdb environment. May raise ``lmdb.Error``."""
     with environment.begin() as transaction:
         found = [(key, transaction.get(key)) for key in SLOT_KEYS]
     return [decode_slot(key, bytes(stored)) for key, stored in found if stored is not None]
 
 
 def describe_damage(slots: list[Slot]) -> str:
-    """What is wrong with the slots, empty if nothing is."""
+    """Describe the damage of the slots; empty if all are intact."""
     return "; ".join(f"{slot.key.decode()}: {slot.damage}" for slot in slots if slot.damage)
 
 
@@ -142,10 +142,11 @@
 
 
 def directories_to_sync(path: Path) -> list[Path]:
-    """The directories that must be synced for a file in ``path`` to last: ``path``, its parent, absent ones above.
+    """The directories to sync to make a file in ``path`` durable: ``path``, its parent, parents of missing directories.
 
-    A file's name is safe only once its directory was synced after it was made. Who made it, in which incarnation of
-    the process, and whether it was synced then can't be seen, so that these are synced at each opening.
+    A file's name is durable only once its directory has been synced after the file was created. Whether an earlier
+    incarnation of the process created it and was killed before the sync can't be determined, so these directories are
+    synced each time the store is opened.
     """
     directories = [path, path.parent]
     while not directories[-1].exists():
@@ -154,7 +155,7 @@
 
 
 def sync_directory(path: Path) -> None:
-    """Sync a directory, so that the names in it outlast a loss of power."""
+    """Sync a directory, so that the names in it survive a power loss."""
     handle = os.open(path, os.O_RDONLY | os.O_DIRECTORY)
     try:
         os.fsync(handle)
@@ -163,9 +164,10 @@
 
 
 class Store:
-    """One record on disk, in the directory ``path``, which ``open`` makes where it is absent.
+    """One record on disk, in the directory ``path``, which ``open`` creates if it is missing.
 
-    ``map_size_mib`` bounds the file, in MiB; it must hold three records. ``open_lmdb`` is replaced by tests.
+    ``map_size_mib`` limits the size of the file in MiB and must leave room for three records. Tests replace
+    ``open_lmdb``.
     """
 
     def __init__(self, path: str | Path, map_size_mib: int = 64, open_lmdb: Callable[..., Any] = lmdb.open) -> None:
@@ -173,17 +175,17 @@
         self.map_size_mib = map_size_mib
         self.open_lmdb = open_lmdb
         self.lock = Lock()
-        self.environment: Any = None  # lmdb's; None also after a failed write, until the next call
+        self.environment: Any = None  # lmdb environment; None after a failed write until the next call
         self.is_open = False
-        self.key = SLOT_KEYS[1]  # of the newest slot
+        self.key = SLOT_KEYS[1]  # key of the newest slot
         self.generation = 0
-        self.damage = ""  # of the slots found by the last read; see there
+        self.damage = ""  # damage found by the last ``read``
 
     def open(self) -> None:
-        """Open the store, and make its directory.
+        """Open the store, creating its directory if necessary.
 
-        Raises ``NewerFormat``, ``DamagedRecord`` (the file itself is damaged; a damaged record is found by
-        ``read``), and ``StoreWriteFailed`` where the directory or the file can't be made.
+        Raises ``NewerFormat``, ``DamagedRecord`` if the file itself is damaged (``read`` detects a damaged record),
+        and ``StoreWriteFailed`` if the directory or the file can't be created.
         """
         with self.lock:
             self.is_open = True
@@ -194,9 +196,9 @@
                 raise
 
     def _ensure_environment(self) -> None:
-        """Open lmdb's environment where it isn't open, and find the newest slot."""
+        """Open the lmdb environment unless it is open, and find the newest slot."""
         if not self.is_open:
-            raise StoreClosed(f"{self.path} isn't open")
+            raise StoreClosed(f"the store in {self.path} is not open")
         if self.environment is not None:
             return
         try:
@@ -206,7 +208,7 @@
             raise DamagedRecord(f"{self.path}: {error}") from error
         except (lmdb.Error, OSError) as error:
             self._close_environment()
-            raise StoreWriteFailed(f"{self.path} can't be opened: {error}") from error
+            raise StoreWriteFailed(f"the store in {self.path} can't be opened: {error}") from error
         except BaseException:
             self._close_environment()
             raise
@@ -228,24 +230,24 @@
             sync_directory(directory)
         check_file_size(self.environment, self.path)
         self.key, self.generation = SLOT_KEYS[1], 0
-        with suppress(DamagedRecord):  # which ``read`` reports
+        with suppress(DamagedRecord):  # reported by ``read``
             slot = newest_slot(read_slots(self.environment))
             if slot is not None:
                 self.key, self.generation = slot.key, slot.generation
 
     def _close_environment(self) -> None:
-        """Close lmdb's environment; the next call opens it again."""
+        """Close the lmdb environment; the next call opens it again."""
         environment, self.environment = self.environment, None
         if environment is not None:
             environment.close()
 
     def read(self) -> bytes | None:
-        """The record written last, ``None`` if there never was one.
+        """The last record written, ``None`` if none was ever written.
 
         Raises ``DamagedRecord`` if no slot is intact, ``NewerFormat``, and ``StoreReadFailed``. A write after
-        ``DamagedRecord`` starts the record anew. ``damage`` then says which slots are damaged, empty if none is. No
-        loss of power leaves a damaged slot: it was intact once and may have been the newer one, so that what was
-        read may be older than what was stored last.
+        ``DamagedRecord`` replaces the record. ``damage`` then describes the damaged slots and is empty if there are
+        none. A power loss doesn't damage a slot, so a damaged slot was intact before and may have been the newer one:
+        the record returned may be older than the last one written.
         """
         with self.lock:
             self._ensure_environment()
@@ -260,10 +262,10 @@
             return None if slot is None else slot.record
 
     def write(self, record: bytes) -> None:
-        """Store ``record`` in place of the one before; it is on disk when this returns.
+        """Replace the stored record; the new one is on disk when this returns.
 
-        Raises ``StoreWriteFailed``: the disk then holds this record or the one before, and the next call
-        opens the file again to see which.
+        Raises ``StoreWriteFailed``: the disk then holds either this record or the previous one, and the next call
+        opens the file again to determine which.
         """
         with self.lock:
             self._ensure_environment()
@@ -283,7 +285,7 @@
             self.key, self.generation = older_key, generation
 
     def close(self) -> None:
-        """Close the store; closing a closed one does nothing."""
+        """Close the store; no effect if it is already closed."""
         with self.lock:
             self.is_open = False
             self._close_environment()
--- a/rowanshift/controlplane/store_check.py
+++ b/rowanshift/controlplane/store_check.py
@@ -1,4 +1,4 @@
-"""``rowanshift ledger check DIR``: reports what a store holds and never changes it."""
+"""Check of a store for ``rowanshift controlplane check DIR``: describes its contents without changing any file."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -20,27 +20,27 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreReport:
-    """What was found: ``sound`` if the store can be used and no slot in it is damaged."""
+    """The result of a check. ``sound`` is True if the store is usable and none of its slots is damaged."""
 
     text: str
     sound: bool
 
 
 def describe_slot(slot: Slot) -> str:
-    """A line about one slot."""
+    """Describe one slot in one line."""
     key = slot.key.decode()
     if slot.damage:
         return f"{key}: damaged: {slot.damage}"
     if slot.format > FORMAT:
         return f"{key}: format {slot.format}, newer than this program's {FORMAT}"
-    return f"{key}: whole, generation {slot.generation}, {len(slot.record)} bytes"
+    return f"{key}: intact, generation {slot.generation}, {len(slot.record)} bytes"
 
 
 def check_store(path: str | Path, describe_record: Callable[[bytes], str] | None = None) -> StoreReport:
-    """A report on the store in the directory ``path``, whatever its state; no file is changed or made.
+    """Check the store in the directory ``path``, whatever its state, without changing or creating a file.
 
-    ``describe_record`` adds lines about the record itself, and raises ``StoreError`` where it can't be read. No lock
-    is taken: where a program writes at the same time, a slot may be reported as damaged that is not.
+    ``describe_record`` returns additional lines about the record, and raises ``StoreError`` if it can't be decoded. No
+    lock is taken: if a program writes at the same time, an intact slot may be reported as damaged.
     """
     path = Path(path)
     if not (path / DATA_FILE).is_file():
@@ -48,7 +48,7 @@
     try:
         environment = lmdb.open(str(path), readonly=True, lock=False, create=False, max_dbs=0)
     except (lmdb.Error, OSError) as error:
-        return StoreReport(f"{path}: can't be opened: {error}", False)
+        return StoreReport(f"{path}: the store can't be opened: {error}", False)
     lines: list[str] = []
     sound = False
     try:
@@ -58,18 +58,18 @@
         lines += _describe_newest(slots, describe_record)
         sound = not describe_damage(slots)
     except (StoreError, lmdb.Error, OSError) as error:
-        lines.append(f"can't be used: {error}")
+        lines.append(f"the store can't be used: {error}")
     finally:
         environment.close()
     return StoreReport("\n".join(f"{path}: {line}" for line in lines), sound)
 
 
 def _describe_newest(slots: list[Slot], describe_record: Callable[[bytes], str] | None) -> list[str]:
-    """Lines about the slot in force. Raises ``StoreError`` where there is no intact one."""
+    """Describe the newest slot. Raises ``StoreError`` if no slot is intact."""
     slot = newest_slot(slots)
     if slot is None:
-        return ["nothing stored yet"]
-    lines = [f"in force: {slot.key.decode()}, generation {slot.generation}"]
+        return ["no record stored yet"]
+    lines = [f"newest record: {slot.key.decode()}, generation {slot.generation}"]
     if describe_record is not None:
         lines += describe_record(slot.record).splitlines()
     return lines
--- a/tests/controlplane/test_data_folder_of_34514ad.py
+++ b/tests/controlplane/test_data_folder_of_34514ad.py
@@ -1,4 +1,4 @@
-"""Data folders written by revision 34514ad are read as that revision read them: see their README.md."""
+"""Compatibility with data folders written by revision 34514ad, which the README.md beside them describes."""
 
 import contextlib
 import hashlib
@@ -27,7 +27,7 @@
 DATA = ROOT / "tests" / "data" / "data-folder-of-34514ad"
 ORDERS = json.loads((DATA / "orders.json").read_text())
 ADDRESS = "127.77.34.9"
-MACHINE = 2135761417  # the number of that address
+MACHINE_ID = 2135761417  # of ADDRESS
 EPOCH = 6430728713
 FOLDERS = ("format-1", "format-2")
 VERSIONS = {
@@ -53,15 +53,15 @@
     b'"engine":{"slots":4,"models":[{"name":"chat-model"}]}}],'
     b'"tenants":[{"name":"demo","apiKeys":["demo-key","second-key"]}],"limits":{"maxBodyBytes":1048576}}'
 )
-SERVES_WITHIN_SECONDS = 20.0
+SERVING_TIMEOUT_SECONDS = 20.0
 
 
-def copied(name: str, tmp_path: Path) -> Path:
-    """A copy of a data folder: whoever opens a store makes files beside it."""
+def copy_data_folder(name: str, tmp_path: Path) -> Path:
+    """A copy of a data folder, because opening a store creates files in it."""
     return shutil.copytree(DATA / name, tmp_path / name)
 
 
-def stored_record(folder: Path) -> bytes:
+def read_stored_record(folder: Path) -> bytes:
     store = Store(folder / "ledger")
     store.open()
     try:
@@ -73,31 +73,31 @@
 
 
 @pytest.mark.parametrize("name", FOLDERS)
-def test_the_durable_state_is_read_as_it_was_stored(name: str, tmp_path: Path) -> None:
-    durable = decode_durable_state(stored_record(copied(name, tmp_path)))
+def test_the_durable_state_is_decoded_unchanged(name: str, tmp_path: Path) -> None:
+    durable = decode_durable_state(read_stored_record(copy_data_folder(name, tmp_path)))
     assert isinstance(durable, DurableState)
     assert durable.promised == EPOCH
-    assert durable.accepted == EpochRecord(EPOCH, MACHINE, (MACHINE,), (MACHINE,), ())
+    assert durable.accepted == EpochRecord(EPOCH, MACHINE_ID, (MACHINE_ID,), (MACHINE_ID,), ())
     assert durable.version == StateVersion(EPOCH, 7)
     assert durable.amnesic is False
 
 
 @pytest.mark.parametrize("name", FOLDERS)
 def test_the_durable_state_is_written_back_with_identical_bytes(name: str, tmp_path: Path) -> None:
-    folder = copied(name, tmp_path)
-    record = stored_record(folder)
+    folder = copy_data_folder(name, tmp_path)
+    record = read_stored_record(folder)
     packed = CODEC.pack(decode_durable_state(record))
     assert packed == record
     store = Store(folder / "ledger")
     store.open()
     store.write(packed)
     store.close()
-    assert stored_record(folder) == record
+    assert read_stored_record(folder) == record
 
 
 @pytest.mark.parametrize("name", FOLDERS)
-def test_configuration_versions_and_orders_are_read_as_they_were_stored(name: str, tmp_path: Path) -> None:
-    state = unpack(decode_durable_state(stored_record(copied(name, tmp_path))).state)
+def test_configuration_versions_and_orders_are_decoded_unchanged(name: str, tmp_path: Path) -> None:
+    state = unpack(decode_durable_state(read_stored_record(copy_data_folder(name, tmp_path))).state)
     assert state.revision == REVISIONS[name]
     assert hashlib.sha256(state.config).hexdigest() == CONFIGURATION_SHA256[name]
     assert state.versions == VERSIONS[name]
@@ -105,25 +105,26 @@
     assert (state.orders.entries.hex(), state.orders.highest_dropped) == ("".join(entries), 0)
 
 
-def test_the_configuration_made_by_a_patch_has_its_very_bytes(tmp_path: Path) -> None:
+def test_the_configuration_made_by_a_patch_has_identical_bytes(tmp_path: Path) -> None:
     assert (
-        unpack(decode_durable_state(stored_record(copied("format-2", tmp_path))).state).config == PATCHED_CONFIGURATION
+        unpack(decode_durable_state(read_stored_record(copy_data_folder("format-2", tmp_path))).state).config
+        == PATCHED_CONFIGURATION
     )
 
 
-def test_a_control_state_of_format_1_holds_the_body_as_it_was_put(tmp_path: Path) -> None:
-    state = unpack(decode_durable_state(stored_record(copied("format-1", tmp_path))).state)
+def test_a_control_state_of_format_1_holds_the_body_of_the_put(tmp_path: Path) -> None:
+    state = unpack(decode_durable_state(read_stored_record(copy_data_folder("format-1", tmp_path))).state)
     assert json.loads(state.config) == ORDERS[1]["body"]
 
 
 def test_a_control_state_of_format_2_is_packed_with_identical_bytes(tmp_path: Path) -> None:
-    packed = decode_durable_state(stored_record(copied("format-2", tmp_path))).state
+    packed = decode_durable_state(read_stored_record(copy_data_folder("format-2", tmp_path))).state
     assert packed[:6] == b"RSSH\0\2"
     assert unpack(packed).pack() == packed
 
 
 def test_a_control_state_of_format_1_is_packed_in_format_2(tmp_path: Path) -> None:
-    packed = decode_durable_state(stored_record(copied("format-1", tmp_path))).state
+    packed = decode_durable_state(read_stored_record(copy_data_folder("format-1", tmp_path))).state
     assert packed[:6] == b"RSSH\0\1"
     state = unpack(packed)
     assert state.pack()[:6] == b"RSSH\0\2"
@@ -134,10 +135,10 @@
 
 @pytest.mark.parametrize("name", FOLDERS)
 def test_the_check_of_a_data_folder_reports_it_as_sound(name: str, tmp_path: Path) -> None:
-    folder = copied(name, tmp_path)
+    folder = copy_data_folder(name, tmp_path)
     command = [sys.executable, str(ROOT / "rowanshift.py"), "controlplane", "check", str(folder)]
-    done = subprocess.run(command, capture_output=True, text=True, timeout=30, env=os.environ | {"PYTHONUTF8": "1"})
-    assert (done.returncode, done.stderr) == (0, "")
+    result = subprocess.run(command, capture_output=True, text=True, timeout=30, env=os.environ | {"PYTHONUTF8": "1"})
+    assert (result.returncode, result.stderr) == (0, "")
     for line in (
         f"promised {EPOCH}",
         f"epoch {EPOCH}, primary {ADDRESS}",
@@ -145,11 +146,11 @@
         f"state of epoch {EPOCH}, sequence 7: revision {REVISIONS[name]}, ",
         *(f"named: {model} version {version}" for model, version in VERSIONS[name].items()),
     ):
-        assert line in done.stdout
+        assert line in result.stdout
     assert [path.name for path in (folder / "ledger").iterdir()] == ["data.mdb"]
 
 
-# a process of the control plane on a copied folder
+# Tests of a control plane process on a copied folder.
 
 
 def free_ports(count: int) -> list[int]:
@@ -177,18 +178,18 @@
     ).encode()
 
 
-class CorePlane:
-    """A running process of the control plane, called by HTTP."""
+class CoreProcess:
+    """A running control plane process with an HTTP client."""
 
     def __init__(self, process: subprocess.Popen, control_port: int) -> None:
         self.process, self.control_port = process, control_port
 
     def call(self, method: str, path: str, body: object = None, if_match: str | None = None) -> tuple[int, bytes]:
-        """The status and body of the answer, once the process is the primary."""
+        """The status and body of the response, after retries until the process is the primary."""
         url = f"http://{ADDRESS}:{self.control_port}{path}"
         data = None if body is None else json.dumps(body).encode()
         headers = {} if if_match is None else {"If-Match": if_match}
-        until = time.monotonic() + SERVES_WITHIN_SECONDS
+        deadline = time.monotonic() + SERVING_TIMEOUT_SECONDS
         while True:
             try:
                 with urllib.request.urlopen(
@@ -199,21 +200,21 @@
                 if error.code != 503:
                     return error.code, error.read()
             except OSError:
-                assert self.process.poll() is None, "the process has ended"
-            assert time.monotonic() < until, "it does not serve in time"
+                assert self.process.poll() is None, f"the process exited with status {self.process.returncode}"
+            assert time.monotonic() < deadline, f"no response other than 503 within {SERVING_TIMEOUT_SECONDS} s"
             time.sleep(0.02)
 
 
 @contextlib.contextmanager
-def core_on(folder: Path) -> Iterator[CorePlane]:
-    """A process on a data folder, ended by SIGTERM."""
+def running_core(folder: Path) -> Iterator[CoreProcess]:
+    """Run a control plane process on a data folder, and terminate it with SIGTERM."""
     ports = free_ports(3)
-    boot = folder.with_suffix(".json")
-    boot.write_bytes(settings(folder, ports))
-    command = [sys.executable, str(ROOT / "rowanshift.py"), "controlplane", "--boot", str(boot)]
+    settings_file = folder.with_suffix(".json")
+    settings_file.write_bytes(settings(folder, ports))
+    command = [sys.executable, str(ROOT / "rowanshift.py"), "controlplane", "--boot", str(settings_file)]
     process = subprocess.Popen(command, stderr=subprocess.DEVNULL)
     try:
-        yield CorePlane(process, ports[0])
+        yield CoreProcess(process, ports[0])
         process.send_signal(signal.SIGTERM)
         assert process.wait(20) == 0
     finally:
@@ -223,29 +224,29 @@
 
 @pytest.mark.parametrize("name", FOLDERS)
 def test_a_core_machine_serves_from_the_data_folder(name: str, tmp_path: Path) -> None:
-    folder = copied(name, tmp_path)
-    packed = decode_durable_state(stored_record(folder)).state
+    folder = copy_data_folder(name, tmp_path)
+    packed = decode_durable_state(read_stored_record(folder)).state
     config = unpack(packed).config
     acknowledged = (200, b'{"revision":%d}' % REVISIONS[name])
-    with core_on(folder) as core:
+    with running_core(folder) as core:
         assert core.call("GET", "/config") == (200, config)
         for order in ORDERS:
-            if order["body"]["revision"] <= REVISIONS[name]:  # taken before the restart: acknowledged again
+            if order["body"]["revision"] <= REVISIONS[name]:  # accepted before the restart, so acknowledged again
                 assert core.call(order["method"], "/config", order["body"], order["ifMatch"]) == acknowledged
-        another = ORDERS[0]["body"] | {"tenants": []}
-        assert core.call("PUT", "/config", another, "0")[0] == 412
+        conflicting_body = ORDERS[0]["body"] | {"tenants": []}
+        assert core.call("PUT", "/config", conflicting_body, "0")[0] == 412
         status = json.loads(core.call("GET", "/status")[1])
         assert (status["versions"], status["revision"]) == (VERSIONS[name], REVISIONS[name])
         assert status["epoch"] > EPOCH
         assert core.call("GET", "/config") == (200, config)
-    assert decode_durable_state(stored_record(folder)).state == packed
+    assert decode_durable_state(read_stored_record(folder)).state == packed
 
 
 def test_a_change_rewrites_a_control_state_of_format_1_in_format_2(tmp_path: Path) -> None:
-    folder = copied("format-1", tmp_path)
-    with core_on(folder) as core:
+    folder = copy_data_folder("format-1", tmp_path)
+    with running_core(folder) as core:
         assert core.call("POST", "/version-put", {"model": "embed-model", "revision": 9})[0] == 200
-        third = ORDERS[2]
-        assert core.call("PATCH", "/config", third["body"], third["ifMatch"]) == (200, b'{"revision":7}')
-    packed = decode_durable_state(stored_record(folder)).state
-    assert packed == decode_durable_state(stored_record(copied("format-2", tmp_path))).state
+        patch_order = ORDERS[2]
+        assert core.call("PATCH", "/config", patch_order["body"], patch_order["ifMatch"]) == (200, b'{"revision":7}')
+    packed = decode_durable_state(read_stored_record(folder)).state
+    assert packed == decode_durable_state(read_stored_record(copy_data_folder("format-2", tmp_path))).state
--- a/tests/support/store_case.py
+++ b/tests/support/store_case.py
@@ -1,4 +1,4 @@
-"""A store in a directory of its own, and lmdb with writes that fail or stop at numbered points."""
+"""A test case with a store in a temporary directory, and lmdb wrappers that call a hook at named points of a write."""
 
 import shutil
 import tempfile
@@ -13,7 +13,7 @@
 
 
 class FaultyTransaction:
-    """A write transaction that stops at each numbered point."""
+    """A write transaction that calls ``fail_point`` with a name before and after each operation."""
 
     def __init__(self, transaction: Any, fail_point: Callable[[str], None]) -> None:
         self.transaction = transaction
@@ -34,7 +34,7 @@
 
 
 class FaultyEnvironment:
-    """An lmdb environment whose write transactions stop at each numbered point."""
+    """An lmdb environment that calls ``fail_point`` at each named point of its write transactions."""
 
     def __init__(self, environment: Any, fail_point: Callable[[str], None]) -> None:
         self.environment = environment
@@ -51,7 +51,7 @@
 
 
 class StoreCase(unittest.TestCase):
-    """A store in a directory of its own."""
+    """A test case with a store in a temporary directory."""
 
     def setUp(self) -> None:
         self.base = Path(tempfile.mkdtemp(prefix="rowanshift-store-"))
@@ -66,33 +66,33 @@
         return store
 
     def write_records(self, *records: bytes) -> None:
-        """Write records one after the other and close the store."""
+        """Write records in sequence and close the store."""
         store = self.open_store()
         for record in records:
             store.write(record)
         store.close()
 
     def read(self, path: Path | None = None) -> bytes | None:
-        """The record that a store opened now finds."""
+        """The record read by a newly opened store."""
         store = self.open_store(path)
         try:
             return store.read()
         finally:
             store.close()
 
-    def put_raw(self, *puts: tuple[bytes, bytes]) -> None:
-        """Put stored bytes past the store."""
+    def put_raw(self, *slots_to_put: tuple[bytes, bytes]) -> None:
+        """Put bytes into lmdb directly, bypassing the store."""
         self.path.mkdir(parents=True, exist_ok=True)
         environment = lmdb.open(str(self.path), map_size=64 << 20)
         with environment.begin(write=True) as transaction:
-            for key, value in puts:
+            for key, value in slots_to_put:
                 transaction.put(key, value)
         environment.close()
 
     def stored_slots(self) -> dict[bytes, bytes]:
-        """The bytes of each slot."""
+        """The stored bytes of each slot, by key."""
         environment = lmdb.open(str(self.path), readonly=True, lock=False)
         with environment.begin() as transaction:
-            found = {bytes(key): bytes(value) for key, value in transaction.cursor()}
+            slots = {bytes(key): bytes(value) for key, value in transaction.cursor()}
         environment.close()
-        return found
+        return slots
