--- a/rowanshift/controlplane/configuration_change.py
+++ b/rowanshift/controlplane/configuration_change.py
@@ -1,6 +1,6 @@
-"""What changes the configuration within the control state: complete ones and patches, as pure functions.
+"""Pure functions that apply a complete configuration or a patch to the control state.
 
-With it comes pyserde, which takes longer to load than the rest of the control plane: see ``change_loader``.
+This module depends on pyserde, which takes longer to import than the rest of the control plane: see ``change_loader``.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class ConfigurationChange(NamedTuple):
-    """The state that a change makes, and the configuration in it."""
+    """The control state that results from a change, and the configuration in it."""
 
     state: ControlState
     configuration: Configuration
@@ -29,11 +29,11 @@
 
 
 def put_config(state: ControlState, if_match: str | None, body: bytes) -> ConfigurationChange | None:
-    """Replace the configuration by that in ``body``; ``None`` if this order was applied already.
+    """Replace the configuration by the one in ``body``; return ``None`` if this order was applied before.
 
-    An applied order is known by its digest, whatever its ``If-Match`` and whatever followed it. Raises
-    ``InvalidConfiguration`` (400), then ``OrderTooOld`` where nobody knows whether it was applied, then ``StaleMatch``
-    (412), then ``InvalidConfiguration`` if its revision is not above the current one.
+    An applied order is recognized by its digest, regardless of its ``If-Match`` and of later changes. The errors are
+    checked in this sequence: ``InvalidConfiguration`` (400); ``OrderTooOld`` if it is unknown whether the order was
+    applied; ``StaleMatch`` (412); ``InvalidConfiguration`` if the revision is not above the current one.
     """
     document = read_document(body)
     digest = document_digest(document)
@@ -46,11 +46,12 @@
 
 
 def patch_config(state: ControlState, if_match: str | None, body: bytes) -> ConfigurationChange | None:
-    """Apply the patch in ``body`` to the configuration; ``None`` if this order was applied already.
+    """Apply the patch in ``body`` to the configuration; return ``None`` if this order was applied before.
 
-    An applied patch is known by its digest, as a complete configuration is. Raises ``InvalidConfiguration`` where the
-    patch has no proper revision, ``OrderTooOld``, ``StaleMatch`` where it builds on another revision, and then
-    ``InvalidConfiguration`` for the patch and for the configuration that it makes.
+    An applied patch is recognized by its digest, as a complete configuration is. The errors are checked in this
+    sequence: ``InvalidConfiguration`` if the revision of the patch is missing or invalid; ``OrderTooOld``;
+    ``StaleMatch`` if the patch is based on another revision; ``InvalidConfiguration`` for the rest of the patch and for
+    the resulting configuration.
     """
     patch = read_document(body)
     digest = document_digest({"patch": patch})
@@ -65,9 +66,9 @@
 
 
 def _with_config(state: ControlState, config: Configuration, body: bytes, digest: bytes) -> ConfigurationChange:
-    """The state with a configuration and its ``body``; ``digest`` is that of the order that brought it."""
+    """Return the state with a new configuration and its ``body``; ``digest`` identifies the order that set it."""
     orders = state.orders.with_order(config.revision, digest)
     return ConfigurationChange(replace(state, revision=config.revision, config=body, orders=orders), config)
 
 
-CHANGES: dict[bytes, ChangeFunction] = {b"PUT": put_config, b"PATCH": patch_config}  # by method
+CHANGES: dict[bytes, ChangeFunction] = {b"PUT": put_config, b"PATCH": patch_config}  # by HTTP method
--- a/rowanshift/controlplane/configuration_checks.py
+++ b/rowanshift/controlplane/configuration_checks.py
@@ -1,11 +1,11 @@
-"""What makes a configuration invalid that could be read. No I/O.
+"""Semantic checks of a configuration that has been deserialized. No I/O.
 
-What the protocol's page leaves open is settled so:
+The following rules fill gaps in the protocol specification:
 
-- A route with neither ``backend`` nor ``trafficSplit`` names no service and is invalid. One with both is split, and the
-  services of both must be known.
-- Hosts are compared without regard to case, ports included; path prefixes as they stand.
-- Two services or two routes of one name are no error; the last service of a name is the one meant.
+- A route with neither ``backend`` nor ``trafficSplit`` has no service and is invalid. If a route has both, the traffic
+  split applies, and the services of both must exist.
+- Hostnames are compared case-insensitively, including the port; path prefixes are compared case-sensitively.
+- Duplicate names of services or routes are no error; the last service with a given name takes effect.
 """
 
 from __future__ import annotations
@@ -18,32 +18,32 @@
 
 
 def check_configuration(configuration: Configuration) -> None:
-    """Raise ``InvalidConfiguration`` for the first thing that is invalid."""
+    """Raise ``InvalidConfiguration`` for the first invalid value."""
     check_revision_bounds(configuration.revision)
     _check_routes(configuration.routes, {service.name for service in configuration.backends})
     _check_tenants(configuration.tenants or ())
 
 
 def _check_routes(routes: Sequence[Route], service_names: set[str]) -> None:
-    first_routes: dict[tuple[str, str], int] = {}  # by host and path prefix
+    first_routes: dict[tuple[str, str], int] = {}  # index of the first route by host and path prefix
     for index, route in enumerate(routes):
         path = f"routes[{index}]"
         _check_targets(path, route, service_names)
         if route.timeout_ms is not None and route.timeout_ms <= 0:
-            raise InvalidConfiguration(f"{path}.timeoutMs", "a time above 0 expected")
+            raise InvalidConfiguration(f"{path}.timeoutMs", f"expected a time above 0 ms, found {route.timeout_ms:g}")
         first = first_routes.setdefault((route.hostname.lower(), route.path_prefix), index)
         if first != index:
-            raise InvalidConfiguration(path, f"has host and prefix of routes[{first}]")
+            raise InvalidConfiguration(path, f"has the same host and path prefix as routes[{first}]")
 
 
 def _check_targets(path: str, route: Route, service_names: set[str]) -> None:
-    """The route's services must be known and have some weight."""
+    """Check that all services of the route exist and that their weights are valid."""
     if route.traffic_split:
         _check_traffic_split(path, route.traffic_split, service_names)
-        if not route.backend:  # absent, or left empty beside a split
+        if not route.backend:  # absent, or empty in addition to a traffic split
             return
     if route.backend is None:
-        raise InvalidConfiguration(path, "names no service")
+        raise InvalidConfiguration(path, "expected a service in backend or trafficSplit, found none")
     if route.backend not in service_names:
         raise InvalidConfiguration(f"{path}.backend", f"unknown service {route.backend!r}")
 
@@ -55,17 +55,21 @@
         if split.backend not in service_names:
             raise InvalidConfiguration(f"{split_path}.backend", f"unknown service {split.backend!r}")
         if split.weight < 0:
-            raise InvalidConfiguration(f"{split_path}.weight", "a weight of 0 or more expected")
+            raise InvalidConfiguration(
+                f"{split_path}.weight", f"expected a weight of 0 or more, found {split.weight:g}"
+            )
         total_weight += split.weight
     if total_weight <= 0:
-        raise InvalidConfiguration(f"{path}.trafficSplit", "the weights add up to 0")
+        raise InvalidConfiguration(f"{path}.trafficSplit", "expected a sum of weights above 0, found 0")
 
 
 def _check_tenants(tenants: Sequence[Tenant]) -> None:
-    """No API key may belong to two tenants."""
-    owners: dict[str, int] = {}  # by API key
+    """Check that no API key belongs to two tenants."""
+    owners: dict[str, int] = {}  # index of the tenant by API key
     for index, tenant in enumerate(tenants):
         for key in tenant.api_keys:
             owner = owners.setdefault(key, index)
             if owner != index:
-                raise InvalidConfiguration(f"tenants[{index}].apiKeys", f"shares a key with tenants[{owner}]")
+                raise InvalidConfiguration(
+                    f"tenants[{index}].apiKeys", f"contains an API key that also belongs to tenants[{owner}]"
+                )
--- a/rowanshift/controlplane/configuration_reader.py
+++ b/rowanshift/controlplane/configuration_reader.py
@@ -1,8 +1,8 @@
-"""Reads the operator's configuration from JSON and checks it; digests tell whether two documents are the same.
+"""Parses and validates the operator's configuration, and computes digests that identify equal documents.
 
-``parse_configuration`` refuses what the protocol's page calls invalid and nothing else: fields it does not know are
-ignored, ``null`` stands for an absent field wherever a field may be absent, and a number may be written with or without
-a fraction.
+``parse_configuration`` rejects what the protocol specification calls invalid and nothing else: unknown fields are
+ignored, ``null`` is equivalent to an absent optional field, and a number may be written with or without a fractional
+part.
 """
 
 from __future__ import annotations
@@ -21,36 +21,36 @@
 
 
 def read_document(body: bytes) -> JsonObject:
-    """The JSON object in ``body``. Raises ``InvalidConfiguration`` where there is none."""
+    """Return the JSON object in ``body``. Raises ``InvalidConfiguration`` if ``body`` is not a JSON object."""
     try:
         document = orjson.loads(body)
     except orjson.JSONDecodeError as error:
-        raise InvalidConfiguration("", f"can't be read whole: {error}") from error
+        raise InvalidConfiguration("", f"expected a JSON object: {error}") from error
     if type(document) is not dict:
-        raise InvalidConfiguration("", "can't be read whole: no JSON object")
+        raise InvalidConfiguration("", f"expected a JSON object: found {type(document).__name__}")
     return document
 
 
 def configuration_from(document: JsonObject) -> Configuration:
-    """The configuration in a JSON object, checked. Raises ``InvalidConfiguration``."""
+    """Return the validated configuration in a JSON object. Raises ``InvalidConfiguration``."""
     configuration = read_object(Configuration, document)
     check_configuration(configuration)
     return configuration
 
 
 def parse_configuration(body: bytes) -> Configuration:
-    """The configuration in the operator's ``body``, checked. Raises ``InvalidConfiguration``."""
+    """Return the validated configuration in the request ``body``. Raises ``InvalidConfiguration``."""
     return configuration_from(read_document(body))
 
 
 def document_digest(document: JsonObject) -> bytes:
-    """32 bytes that are equal for equal JSON objects, whatever the order of their fields."""
+    """Return a SHA-256 digest of a JSON object that does not depend on the order of its fields."""
     return sha256(orjson.dumps(document, option=orjson.OPT_SORT_KEYS)).digest()
 
 
 def body_digest(body: bytes) -> bytes:
-    """32 bytes that are equal for bodies that hold the very same configuration, unknown fields included.
+    """Return a SHA-256 digest of the JSON object in ``body``, including unknown fields.
 
-    The order of an object's fields and the space between them don't count. Raises ``InvalidConfiguration``.
+    It does not depend on the order of fields or on white space. Raises ``InvalidConfiguration``.
     """
     return document_digest(read_document(body))
--- a/rowanshift/controlplane/order_history.py
+++ b/rowanshift/controlplane/order_history.py
@@ -1,8 +1,8 @@
-"""The history of applied orders: an order that is sent again is acknowledged again and never refused.
+"""The history of applied orders, which makes orders idempotent: a repeated order is acknowledged and not applied again.
 
-An entry is ``ORDER_ENTRY``: the order's revision and a fingerprint of its complete content. All entries stand in one
-bytes object, oldest first, which is how they are stored and sent, so that a change of the control state costs no work
-for each of them.
+An order is an operator's change of the configuration: a complete configuration or a patch. ``ORDER_ENTRY`` holds its
+revision and a fingerprint of its complete content. All entries are concatenated in one bytes object, oldest first, in
+the format in which they are stored and sent, so a change of the control state does not process them one by one.
 """
 
 from __future__ import annotations
@@ -13,15 +13,15 @@
 from rowanshift.controlplane.errors import OrderTooOld
 
 ORDER_ENTRY = Struct(">Q16s")  # revision, fingerprint
-FINGERPRINT_BYTES = 16  # of a SHA-256: two contents alike in these would take 2**64 orders to find
-MAX_REMEMBERED_ORDERS = 20_000  # two days of 9,600 changes each, and some; 480 KB
+FINGERPRINT_BYTES = 16  # prefix of a SHA-256 digest; a collision is expected only after 2**64 orders
+MAX_REMEMBERED_ORDERS = 20_000  # over two days at 9,600 changes per day; 480 KB
 
 
 @dataclass(frozen=True, slots=True)
 class OrderHistory:
     """The newest ``MAX_REMEMBERED_ORDERS`` orders, packed in ``entries``.
 
-    ``highest_dropped`` is the highest revision that was dropped for room, 0 if none was.
+    ``highest_dropped`` is the highest revision that was dropped to make room, or 0 if none was.
     """
 
     entries: bytes = b""
@@ -31,11 +31,11 @@
         return len(self.entries) // ORDER_ENTRY.size
 
     def revisions(self) -> list[int]:
-        """The revisions of all remembered orders, oldest first."""
+        """Return the revisions of all remembered orders, oldest first."""
         return [revision for revision, _ in ORDER_ENTRY.iter_unpack(self.entries)]
 
     def contains(self, digest: bytes) -> bool:
-        """Whether an order with this digest (32 bytes, SHA-256) is remembered as applied."""
+        """Return whether the history contains an order with this SHA-256 digest (32 bytes)."""
         fingerprint = digest[:FINGERPRINT_BYTES]
         fingerprint_offset = ORDER_ENTRY.size - FINGERPRINT_BYTES
         found_at = self.entries.find(fingerprint)
@@ -44,7 +44,7 @@
         return found_at >= 0
 
     def with_order(self, revision: int, digest: bytes) -> OrderHistory:
-        """The history with one more order, and without the oldest where it is full."""
+        """Return the history with one more order, dropping the oldest one if the history is full."""
         entries, highest_dropped = self.entries, self.highest_dropped
         while len(entries) >= MAX_REMEMBERED_ORDERS * ORDER_ENTRY.size:
             highest_dropped = max(highest_dropped, ORDER_ENTRY.unpack_from(entries)[0])
@@ -53,7 +53,7 @@
         return OrderHistory(entries + entry, highest_dropped)
 
     def check_not_dropped(self, revision: int) -> None:
-        """Raise ``OrderTooOld`` where an order of this revision may have been applied and dropped since."""
+        """Raise ``OrderTooOld`` if an order with this revision may have been applied and dropped since."""
         if revision <= self.highest_dropped:
             raise OrderTooOld(revision, self.highest_dropped)
 
--- a/rowanshift/controlplane/revision_match.py
+++ b/rowanshift/controlplane/revision_match.py
@@ -1,7 +1,7 @@
-"""Revisions of the configuration: which one a change builds on (``If-Match``), and which may follow. No I/O.
+"""Checks the revision that a change is based on (``If-Match``) and the revision that it sets. No I/O.
 
-``If-Match`` may be quoted as an entity tag. A change without it, or with one that is no number, is answered 412: the
-operator ends such a call at once, whereas it would send 428 three times.
+``If-Match`` may be quoted as an entity tag. A change without ``If-Match``, or with a value that is not a number, is
+answered with 412: operators' clients give up on 412 immediately, whereas they send the change three times on 428.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 from rowanshift.controlplane.control_state import MAX_REVISION
 from rowanshift.controlplane.errors import InvalidConfiguration, StaleMatch
 
-MAX_REVISION_DIGITS = 20  # of an ``If-Match`` that is read as a number
+MAX_REVISION_DIGITS = 20  # longer values of ``If-Match`` are not parsed as numbers
 
 
 def if_match_revision(if_match: str | None) -> int | None:
-    """The revision that an ``If-Match`` names, ``None`` where it names none."""
+    """Return the revision in an ``If-Match`` value, or ``None`` if it does not contain one."""
     if if_match is None:
         return None
     tag = if_match.strip().removeprefix("W/")
@@ -28,29 +28,31 @@
 
 
 def check_match(current_revision: int, if_match: str | None) -> None:
-    """Raise ``StaleMatch`` unless ``if_match`` names the current revision (0: there is none yet)."""
+    """Raise ``StaleMatch`` unless ``if_match`` is the current revision (0 before the first configuration)."""
     if if_match_revision(if_match) != current_revision:
         raise StaleMatch(current_revision, if_match)
 
 
 def check_follows(current_revision: int, revision: int) -> None:
-    """Raise ``InvalidConfiguration`` unless a revision is above the current one (0: there is none yet)."""
+    """Raise ``InvalidConfiguration`` unless ``revision`` is above the current one (0: no configuration yet)."""
     if revision <= current_revision:
-        raise InvalidConfiguration("revision", f"{revision} is not above the current {current_revision}")
+        raise InvalidConfiguration(
+            "revision", f"expected a revision above the current {current_revision}, found {revision}"
+        )
 
 
 def check_change(current_revision: int, if_match: str | None, revision: int) -> None:
-    """Whether a configuration of this revision may follow the current one (0: there is none yet).
+    """Check that a configuration with this revision may replace the current one (0: no configuration yet).
 
-    Raises ``StaleMatch`` unless ``if_match`` names the current revision, then ``InvalidConfiguration`` unless the new
-    one is above it.
+    Raises ``StaleMatch`` unless ``if_match`` is the current revision, and then ``InvalidConfiguration`` unless the new
+    revision is above it.
     """
     check_match(current_revision, if_match)
     check_follows(current_revision, revision)
 
 
 def document_revision(document: dict[str, Any]) -> int:
-    """The revision of a JSON object whose other fields are not read. Raises ``InvalidConfiguration``."""
+    """Return the revision of a JSON object without reading its other fields. Raises ``InvalidConfiguration``."""
     try:
         revision = read_integer(document.get("revision"))
     except InvalidConfiguration as error:
@@ -60,6 +62,6 @@
 
 
 def check_revision_bounds(revision: int) -> None:
-    """Raise ``InvalidConfiguration`` for a revision that can't be stored."""
+    """Raise ``InvalidConfiguration`` for a revision outside the range that can be stored."""
     if not 0 < revision <= MAX_REVISION:
-        raise InvalidConfiguration("revision", f"a number from 1 to {MAX_REVISION} expected")
+        raise InvalidConfiguration("revision", f"expected a number from 1 to {MAX_REVISION}, found {revision}")
--- a/tests/admin/test_configuration_commands.py
+++ b/tests/admin/test_configuration_commands.py
@@ -89,5 +89,5 @@
             for command in (("check",), ("put", "--at", "127.0.0.1:1"), ("diff", "--at", "127.0.0.1:1")):
                 code, output = invoke("config", command[0], path, *command[1:])
                 self.assertEqual(code, 2)
-                self.assertTrue(output.startswith(f"rowanshift: {path}: can't be read whole"), output)
+                self.assertTrue(output.startswith(f"rowanshift: {path}: expected a JSON object"), output)
         self.assertEqual(invoke("config", "check", path.parent / "none")[0], 2)
--- a/tests/controlplane/test_order_history.py
+++ b/tests/controlplane/test_order_history.py
@@ -1,4 +1,4 @@
-"""The history of applied orders: what it remembers, drops and finds."""
+"""The history of applied orders: capacity, lookup by digest, and conversion from format 1."""
 
 import random
 import unittest
@@ -34,23 +34,23 @@
         with self.assertRaises(OrderTooOld):
             history.check_not_dropped(5)
 
-    def test_a_fingerprint_is_searched_at_its_offset_alone(self) -> None:
+    def test_a_fingerprint_is_found_only_at_its_offset(self) -> None:
         history = OrderHistory().with_order(0x0101010101010101, b"\1" * 16).with_order(1, b"\2" * 8 + b"\3" * 8)
         self.assertTrue(history.contains(b"\1" * 32))
         shifted = history.entries[3:19]
         self.assertIn(shifted, history.entries)
         self.assertFalse(OrderHistory(history.entries[ORDER_ENTRY.size :]).contains(b"\0" * 8 + b"\2" * 8))
 
-    def test_a_full_history_fits_and_is_quick_to_search(self) -> None:
+    def test_a_full_history_fits_into_the_state(self) -> None:
         history = OrderHistory(random.Random(5).randbytes(ORDER_ENTRY.size * MAX_REMEMBERED_ORDERS))
         self.assertEqual(len(history), MAX_REMEMBERED_ORDERS)
         self.assertEqual(len(history.with_order(1, bytes(32))), MAX_REMEMBERED_ORDERS)
         self.assertLess(len(ControlState(orders=history).pack()), 500_000)
 
-    def test_orders_of_format_1_are_known(self) -> None:
-        old = [(3, body_digest(configuration_body(3))), (4, body_digest(configuration_body(4)))]
+    def test_orders_of_format_1_are_recognized(self) -> None:
+        former_orders = [(3, body_digest(configuration_body(3))), (4, body_digest(configuration_body(4)))]
         packed = Struct(">4sHQIIH").pack(b"RSSH", 1, 4, len(configuration_body(4)), 0, 2) + configuration_body(4)
-        state = unpack(packed + b"".join(ORDER_FORMAT_1.pack(*order) for order in old))
+        state = unpack(packed + b"".join(ORDER_FORMAT_1.pack(*order) for order in former_orders))
         self.assertEqual((state.revision, state.config, state.orders.revisions()), (4, configuration_body(4), [3, 4]))
         self.assertIsNone(put_config(state, "0", configuration_body(3)))
         self.assertEqual(unpack(state.pack()), state)
