--- a/rowanshift/controlplane/errors.py
+++ b/rowanshift/controlplane/errors.py
@@ -1,18 +1,18 @@
-"""Errors of the control plane: why an operator's change is refused, why a call has no outcome, what can't be read.
+"""Errors of the control plane: rejected changes, calls with an unknown outcome, and data that cannot be decoded.
 
-The errors of the disk are in ``store`` and those of the replication protocol in ``replication``.
+Storage errors are in ``store``; errors of the replication protocol are in ``replication``.
 """
 
 
 class ControlPlaneError(Exception):
-    """Base class of the control plane's errors; the text says what failed and may be shown to operators."""
+    """Base class of the control plane's errors; the message may be shown to operators."""
 
 
 class InvalidConfiguration(ControlPlaneError, ValueError):
-    """A configuration or patch that must be answered 400; the operator mends it before sending it again.
+    """An invalid configuration or patch (status 400); the operator must correct it before sending it again.
 
-    ``path`` says where in the JSON document, empty for the document itself, and ``reason`` why. Neither holds an API
-    key.
+    ``path`` is the location in the JSON document, empty for the document itself; ``reason`` says what is invalid.
+    Neither contains an API key.
     """
 
     status = 400
@@ -24,7 +24,7 @@
 
 
 class StaleMatch(ControlPlaneError, ValueError):
-    """A change that builds on another revision than the ``current`` one, to be answered 412."""
+    """A change that is based on another revision than the ``current`` one (status 412)."""
 
     status = 412
 
@@ -36,7 +36,7 @@
 
 
 class InvalidVersion(ControlPlaneError, ValueError):
-    """A model version that must be answered 400: ``path`` is the field's name, ``reason`` says why."""
+    """An invalid model version (status 400): ``path`` is the name of the field, ``reason`` says what is invalid."""
 
     status = 400
 
@@ -47,34 +47,37 @@
 
 
 class OrderTooOld(ControlPlaneError, ValueError):
-    """An order older than the order history reaches back: whether it was applied is unknown, so it isn't refused.
+    """An order that may have been dropped from the order history.
 
-    ``highest_dropped`` is the highest revision that the history has dropped.
+    It is unknown whether the order was applied, so it is not rejected as stale. ``highest_dropped`` is the highest
+    revision that was dropped from the history.
     """
 
     def __init__(self, revision: int, highest_dropped: int) -> None:
-        super().__init__(f"revision {revision}: orders up to revision {highest_dropped} are no longer remembered")
+        super().__init__(
+            f"revision {revision}: the history of orders up to revision {highest_dropped} has been dropped"
+        )
         self.revision = revision
         self.highest_dropped = highest_dropped
 
 
 class BadControlState(ControlPlaneError, ValueError):
-    """Bytes that are no control state; the text says why."""
+    """Bytes that cannot be decoded as a control state."""
 
 
 class OutcomeUnknown(ControlPlaneError):
-    """A change ended without an answer: it may or may not be in force. Sending it again is safe."""
+    """A change whose outcome is unknown: it may or may not be in force. It is safe to send it again."""
 
     def __init__(self) -> None:
-        super().__init__("not on enough disks in time: it may or may not be in force")
+        super().__init__("the change was not stored on enough disks in time: it may or may not be in force")
 
 
 class NotConfirmed(ControlPlaneError):
-    """A majority did not confirm in time that this machine is the primary; nothing was changed. Try again."""
+    """A majority did not confirm in time that this machine is the primary; nothing was changed. It is safe to retry."""
 
     def __init__(self) -> None:
-        super().__init__("this machine could not confirm that it is the primary")
+        super().__init__("a majority did not confirm in time that this machine is the primary")
 
 
 class BadEndpointList(ControlPlaneError, ValueError):
-    """An answer of the platform that is no list of servers; the list that is known stays in use."""
+    """A response of the platform that is not a valid endpoint list; the last valid list stays in use."""
--- a/rowanshift/controlplane/service.py
+++ b/rowanshift/controlplane/service.py
@@ -1,4 +1,4 @@
-"""The life cycle of a core machine: start, serve, reload of the settings, and an end that leaves no call unanswered."""
+"""The life cycle of a core machine: start, operation, reload of the settings, and graceful shutdown."""
 
 from __future__ import annotations
 
@@ -46,18 +46,18 @@
     from rowanshift.controlplane.coordination_service import CoordinationService
 
 ROLE = "controlplane"
-MAX_CALL_BODY_BYTES = 16 << 20  # of an operator's body
-CALL_MEMORY_FRACTION = 0.4  # of ``memoryMb``, for the bodies of calls
-LISTEN_BACKLOG = 256  # connections that wait to be accepted, of each port
-ROLE_WAIT_MARGIN_SECONDS = 0.3  # beyond ``leaseMs``, until a new primary may act as the only lease holder
-GRACE_RESERVE_SECONDS = 1.5  # of the grace that are kept: until then this machine waits for its release
-FINAL_ANSWERS_SECONDS = 0.8  # of these, for calls and polls that were read to be answered
-FINAL_ANSWERS_CHECK_SECONDS = 0.05  # between checks whether all polls have been answered
-FINAL_WRITES_SECONDS = 0.1  # from then to the end, in which answers still go out
+MAX_CALL_BODY_BYTES = 16 << 20  # maximum size of an operator's request body
+CALL_MEMORY_FRACTION = 0.4  # fraction of ``memoryMb`` for request bodies
+LISTEN_BACKLOG = 256  # maximum number of connections per port that wait to be accepted
+ROLE_WAIT_MARGIN_SECONDS = 0.3  # added to ``leaseMs`` before a new primary acts as the only lease holder
+GRACE_RESERVE_SECONDS = 1.5  # last part of the grace period, in which this machine no longer waits for its release
+FINAL_ANSWERS_SECONDS = 0.8  # part of GRACE_RESERVE_SECONDS for answering pending calls and polls
+FINAL_ANSWERS_CHECK_SECONDS = 0.05  # interval between checks whether all polls have been answered
+FINAL_WRITES_SECONDS = 0.1  # time for the last answers to be written before the process ends
 
 
 class ControlPlaneService:
-    """One core machine. What it is made of exists once the disk has been read."""
+    """One core machine. Its components are created after the disk has been read."""
 
     publication: StatePublication
     membership: RouterMembership
@@ -67,22 +67,22 @@
     def __init__(
         self, settings: NodeSettings, runtime: CoreRuntime = SYSTEM_CORE_RUNTIME, seed: int | None = None
     ) -> None:
-        """``seed`` is that of the random numbers, for simulations."""
+        """``seed`` initializes the random number generator, for simulations."""
         self.settings = settings
         self.runtime = runtime
         self.random_source = random.Random(seed)
         self.machine = machine_id_from_ip(settings.ip)
         self.shutdown_requested = trio.Event()
-        self.shutdown_requested_at: float | None = None  # trio's time at which the signal was handled
+        self.shutdown_requested_at: float | None = None  # time on trio's clock at which the signal was handled
         self.updates = UpdateSignal()
         self.calls = CallOutcomes()
-        self.replica_runner: ReplicaRunner | None = None  # until the disk has been read
-        self.coordination: CoordinationService | None = None  # where applications call for it
+        self.replica_runner: ReplicaRunner | None = None  # None until the disk has been read
+        self.coordination: CoordinationService | None = None  # only if the settings enable it
 
-    # what changes while it serves
+    # changes during operation
 
     def _on_role_change(self, primary: bool) -> None:
-        """This machine has become the primary, or is so no longer: what it knew as primary is out of date."""
+        """Discard the state of the primary role: this machine has become the primary or has ceased to be it."""
         self.membership.on_role_change(primary)
         self.tasks.reset()
         self.publication.reset()
@@ -90,7 +90,7 @@
         self.updates.notify()
 
     def _on_new_state(self, state: ControlState) -> None:
-        """A state was committed: its versions count as announced from now on."""
+        """Record the versions of a newly committed state as announced now."""
         self.tasks.registry.record_versions(state.versions, trio.current_time())
 
     def _status(self, replica_runner: ReplicaRunner) -> ControlPlaneStatus:
@@ -107,7 +107,7 @@
     # start
 
     async def run(self) -> None:
-        """Serve from the start to the end that a signal asks for, and log how the calls ended."""
+        """Serve until a signal requests shutdown, and then log the outcomes of all calls."""
         try:
             await self._serve()
         finally:
@@ -120,7 +120,7 @@
             )
 
     async def _serve(self) -> None:
-        """Serve until a signal asks for the end, and leave the core."""
+        """Serve until a signal requests shutdown, and then leave the core."""
         runtime = self.runtime
         with runtime.signals() as signals:
             async with runtime.nursery() as nursery:
@@ -135,7 +135,7 @@
                 nursery.cancel_scope.cancel()
 
     async def _create_coordination(self, nursery: Nursery) -> None:
-        """The coordination service. Its modules are loaded where they are needed alone."""
+        """Create the coordination service. Its modules are imported only if it is enabled."""
         from rowanshift.controlplane.coordination_service import open_coordination
 
         self.coordination = await open_coordination(
@@ -151,7 +151,7 @@
         return ReplicaConnections(self.runtime, hello, self.settings.internal_address[1], nursery)
 
     def _create_replica_runner(self, opened: OpenedDisk, nursery: Nursery) -> ReplicaRunner:
-        """The replica of the control state as the settings have it, with what was on the disk."""
+        """Create the replica of the control state from the settings and the state on the disk."""
         replica = self._create_replica(opened.durable_state)
         for warning in fault_tolerance_warnings(self.settings.file):
             logger.warning("event=tolerance_not_met why={!r}", warning)
@@ -185,7 +185,7 @@
         )
 
     def _start(self, replica_runner: ReplicaRunner, nursery: Nursery) -> CallServer:
-        """Start all tasks, and log that this machine serves. Returns what answers the operator's calls."""
+        """Start all tasks and log that this machine is serving. Returns the server for operators' calls."""
         runtime, settings, publication = self.runtime, self.settings, self.publication
         memory = MemoryBudget(settings.limits.memory_mb * CALL_MEMORY_FRACTION)
         self.tasks = SingletonTasks(
@@ -202,8 +202,8 @@
         )
         coordination_runner = None if self.coordination is None else self.coordination.replica_runner
         internal_port = InternalPort(runtime, replica_runner, self.poll_endpoint, coordination_runner)
-        control_address, changes = settings.required_address("controlPlane"), ChangeLoader(runtime)
-        call_server = self._create_call_server(replica_runner, control_address[1], changes, memory)
+        control_address, change_loader = settings.required_address("controlPlane"), ChangeLoader(runtime)
+        call_server = self._create_call_server(replica_runner, control_address[1], change_loader, memory)
         internal_listener = runtime.listen(settings.internal_address, LISTEN_BACKLOG)
         nursery.start_soon(internal_port.accept, internal_listener, nursery)
         control_listener = runtime.listen(control_address, LISTEN_BACKLOG)
@@ -211,7 +211,7 @@
         nursery.start_soon(replica_runner.run)
         if self.coordination is not None:
             self.coordination.start(nursery)
-        nursery.start_soon(changes.load_later)
+        nursery.start_soon(change_loader.load_after_delay)
         nursery.start_soon(self.membership.run, runtime)
         self.tasks.start(nursery)
         runtime.settled()
@@ -224,10 +224,10 @@
         return call_server
 
     def _create_call_server(
-        self, replica_runner: ReplicaRunner, control_port: int, changes: ChangeLoader, memory: MemoryBudget
+        self, replica_runner: ReplicaRunner, control_port: int, change_loader: ChangeLoader, memory: MemoryBudget
     ) -> CallServer:
         resources: dict[bytes, Resource] = {
-            b"/config": ConfigResource(replica_runner, self.machine, control_port, changes),
+            b"/config": ConfigResource(replica_runner, self.machine, control_port, change_loader),
             b"/version-put": VersionResource(replica_runner, self.machine, control_port),
             b"/status": StatusResource(partial(self._status, replica_runner)),
         }
@@ -235,16 +235,16 @@
             resources |= self.coordination.resources(self.machine, control_port)
         return CallServer(resources, memory, MAX_CALL_BODY_BYTES, self.calls)
 
-    # end
+    # shutdown
 
     def request_shutdown(self, at: float) -> None:
-        """Serve no longer than the grace from this time on; a second call changes nothing."""
+        """Start the shutdown, whose grace period begins at time ``at``; further calls have no effect."""
         if self.shutdown_requested_at is None:
             self.shutdown_requested_at = at
         self.shutdown_requested.set()
 
     async def _leave(self, replica_runner: ReplicaRunner, call_server: CallServer) -> None:
-        """Hand over what this machine holds, then answer the calls and polls that were read, all within the grace."""
+        """Hand over all roles, then answer the pending calls and polls, all within the grace period."""
         assert self.shutdown_requested_at is not None
         reserve_starts_at = self.shutdown_requested_at + self.settings.bounds.grace_s - GRACE_RESERVE_SECONDS
         logger.info("event=stopping primary={}", replica_runner.replica.is_primary)
@@ -260,7 +260,7 @@
         logger.info("event={}left released={}", replica_runner.log_prefix, released)
 
     async def _answer_last_calls(self, call_server: CallServer, latest: float) -> None:
-        """Answer the calls and polls that were read, and refuse what comes, until ``latest`` at most."""
+        """Answer the pending calls and polls and reject new ones, until ``latest`` at most."""
         self.poll_endpoint.leave()
         now = trio.current_time()
         until = max(now, min(now + FINAL_ANSWERS_SECONDS, latest))
@@ -272,7 +272,7 @@
     # signals
 
     async def _on_signals(self, signals: AsyncIterator[ReceivedSignal], scope: trio.CancelScope) -> None:
-        """End on SIGTERM and SIGINT, at once where the disk is not open yet; read the settings anew on SIGHUP."""
+        """Shut down on SIGTERM and SIGINT, immediately if the disk is not open yet; reload the settings on SIGHUP."""
         async for received in signals:
             if received.number == signal.SIGHUP:
                 self._reload_settings()
@@ -282,7 +282,7 @@
                 scope.cancel()
 
     def _reload_settings(self) -> None:
-        """Read the settings file anew: seeds and quorum membership take effect. Where it can't be read nothing does."""
+        """Reload the seeds and the quorum membership from the settings file; keep the old settings if it is invalid."""
         if self.settings.path is None:
             return
         try:
@@ -294,7 +294,7 @@
             logger.warning("event=settings_kept why={!r}", str(error))
 
     def _replicas(self) -> list[Replica]:
-        """The replicas of this machine, once they have been created."""
+        """Return the replicas of this machine that have been created."""
         coordination = None if self.coordination is None else self.coordination.replica_runner
         return [runner.replica for runner in (self.replica_runner, coordination) if runner is not None]
 
@@ -303,7 +303,7 @@
 
 
 def run(settings: NodeSettings, level: str = "INFO", former_role: str = "") -> int:
-    """Serve until SIGTERM and return the exit code; ``former_role`` is the withdrawn name it was started by."""
+    """Serve until SIGTERM and return the exit code; ``former_role`` is the withdrawn role name that was used."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     log_to_stderr(level)
     if former_role:
--- a/rowanshift/controlplane/settings_warnings.py
+++ b/rowanshift/controlplane/settings_warnings.py
@@ -1,4 +1,4 @@
-"""What the settings of a core machine promise and can't be kept, as far as one machine's settings show it."""
+"""Warnings about guarantees in a core machine's settings that cannot be met, as far as these settings show it."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 
 
 def fault_tolerance_warnings(file: NodeSettingsFile) -> Iterator[str]:
-    """Each reason why ``faultTolerance`` may not be kept, as a line for operators."""
+    """Yield a message for operators for each reason why ``faultTolerance`` may not be met."""
     settings = file.fault_tolerance
     tolerance = FaultTolerance(settings.machines, settings.zones, settings.regions)
     regions_by_zone = file.zones or {file.zone: file.region}
     if not can_be_tolerated(tolerance, regions_by_zone):
         yield (
-            f"faultTolerance: the loss of {settings.machines} machines, {settings.zones} zones and {settings.regions} "
-            f"regions at once leaves no majority in {len(regions_by_zone)} zones of "
-            f"{len({*regions_by_zone.values()})} regions, wherever machines are"
+            f"faultTolerance: after losing {settings.machines} machines, {settings.zones} zones and {settings.regions} "
+            f"regions at once, no placement of machines in {len(regions_by_zone)} zones and "
+            f"{len({*regions_by_zone.values()})} regions leaves a majority"
         )
     if tolerance.total and not file.quorum_member:
         yield (
-            "quorumMember: false, so that faultTolerance doesn't speak of this machine; if it is so on all core "
-            "machines, none of them may be lost"
+            "quorumMember: false, so this machine does not count for faultTolerance; if it is false on all core "
+            "machines, no machine may fail"
         )
--- a/tests/admin/test_settings_check.py
+++ b/tests/admin/test_settings_check.py
@@ -47,11 +47,11 @@
             ({"faultTolerance": {"machines": 1, "zones": 1}, "zones": zones}, ""),
             (
                 {"faultTolerance": {"zones": 2}, "zones": zones},
-                "can't be kept: faultTolerance: the loss of 0 machines, 2",
+                "can't be kept: faultTolerance: after losing 0 machines, 2",
             ),
             (
                 {"faultTolerance": {"regions": 1}, "zones": zones},
-                "1 regions at once leaves no majority in 4 zones of 2",
+                "1 regions at once, no placement of machines in 4 zones and 2",
             ),
             ({"quorumMember": False}, "can't be kept: quorumMember: false"),
             ({"quorumMember": False, "faultTolerance": {}}, ""),
--- a/tests/controlplane/test_configuration_too_large.py
+++ b/tests/controlplane/test_configuration_too_large.py
@@ -1,4 +1,4 @@
-"""A configuration that the control state has no room for."""
+"""A configuration that would make the control state larger than its limit is rejected with 413."""
 
 import unittest
 from unittest import mock
@@ -13,9 +13,9 @@
 
 
 class TooLarge(unittest.TestCase):
-    def test_a_configuration_that_the_control_state_has_no_room_for(self) -> None:
-        node = mock.Mock(change=mock.AsyncMock(side_effect=StateTooLarge))
+    def test_a_configuration_over_the_state_limit_is_answered_with_413(self) -> None:
+        replica_runner = mock.Mock(change=mock.AsyncMock(side_effect=StateTooLarge))
         put = Message(b"PUT", b"/config", fields=[(b"if-match", b"0")], body=b"{}")
-        answer = trio.run(ConfigResource(node, 1, 8500, ChangeLoader(SYSTEM_RUNTIME)).call, put)
-        self.assertEqual(answer.status, 413)
-        self.assertIn(b"16773120 bytes", answer.body)
+        response = trio.run(ConfigResource(replica_runner, 1, 8500, ChangeLoader(SYSTEM_RUNTIME)).call, put)
+        self.assertEqual(response.status, 413)
+        self.assertIn(b"16773120 bytes", response.body)
--- a/tests/controlplane/test_graceful_shutdown.py
+++ b/tests/controlplane/test_graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""What was read is answered before a process of the control plane ends: calls, polls, changes under way."""
+"""Graceful shutdown of a core machine: calls, polls and changes that were read are answered before it ends."""
 
 import os
 import signal
@@ -24,7 +24,7 @@
 
 ROOT = Path(__file__).parents[2]
 GRACE_SECONDS = BOUNDS["graceS"]
-CROSSING_SECONDS = 0.02  # in which a poll may cross the close of its connection
+CROSSING_SECONDS = 0.02  # time in which a request may be sent while the server closes its connection
 
 
 def setUpModule() -> None:
@@ -35,20 +35,20 @@
     logger.enable("rowanshift")
 
 
-class UnderWay(unittest.TestCase):
-    """SIGTERM at a core machine while calls and polls are under way."""
+class PendingRequests(unittest.TestCase):
+    """SIGTERM to a core machine with pending calls and polls."""
 
-    def assert_ended_well(self, fleet: Fleet, unit: Unit, since: float) -> None:
-        """The program has ended by itself, within its grace, and without an error."""
+    def assert_clean_exit(self, fleet: Fleet, unit: Unit, signalled_at: float) -> None:
+        """Check that the process has exited by itself, within its grace period, and without an error."""
         self.assertFalse(unit.machine.running)
         self.assertEqual(fleet.ended, [])
-        self.assertLess(fleet.now() - since, GRACE_SECONDS)
+        self.assertLess(fleet.now() - signalled_at, GRACE_SECONDS)
 
-    async def until_ended(self, fleet: Fleet, unit: Unit) -> None:
+    async def wait_until_ended(self, fleet: Fleet, unit: Unit) -> None:
         await fleet.until(lambda: not unit.machine.running, within=2 * GRACE_SECONDS)
 
-    def test_changes_and_polls_under_way_are_answered_when_nobody_can_release_the_machine(self) -> None:
-        """The backup's disk hangs and the third machine is away: a change neither ends nor lets leadership go."""
+    def test_pending_changes_and_polls_are_answered_when_the_machine_cannot_be_released(self) -> None:
+        """The disk of one backup hangs and the other one is down: a change neither completes nor allows a handover."""
 
         async def main(fleet: Fleet) -> None:
             await fleet.start()
@@ -59,36 +59,36 @@
             answers: list[int] = []
             unanswered: list[float] = []
             for number in range(8):
-                fleet.nursery.start_soon(self.keep_polling, fleet, unit.machine, 0.01 * number, unanswered)
-                fleet.nursery.start_soon(self.keep_putting, fleet, unit.machine, 0.3 * number, answers, unanswered)
+                fleet.nursery.start_soon(self.poll_repeatedly, fleet, unit.machine, 0.01 * number, unanswered)
+                fleet.nursery.start_soon(self.put_repeatedly, fleet, unit.machine, 0.3 * number, answers, unanswered)
             await trio.sleep(1.0)
-            since = fleet.now()
+            signalled_at = fleet.now()
             fleet.terminate(unit)
-            await self.until_ended(fleet, unit)
-            self.assert_ended_well(fleet, unit, since)
+            await self.wait_until_ended(fleet, unit)
+            self.assert_clean_exit(fleet, unit, signalled_at)
             await trio.sleep(0.1)
             self.assertEqual(unanswered, [])
             self.assertEqual(set(answers), {503})
 
         play(main)
 
-    async def keep_putting(
+    async def put_repeatedly(
         self, fleet: Fleet, machine: Machine, after: float, answers: list[int], unanswered: list[float]
     ) -> None:
-        """Sends an order to one machine again and again; notes for how long each was read that got no answer."""
+        """Send an order to one machine repeatedly; record how long each unanswered order was pending."""
         await trio.sleep(after)
-        at, body = (machine.address, CONTROL), orjson.dumps(config_of(2))
+        address, body = (machine.address, CONTROL), orjson.dumps(config_of(2))
         while machine.running:
-            asked = trio.current_time()
+            sent_at = trio.current_time()
             try:
                 fields = [(b"If-Match", b"1")]
                 answer = await call(
-                    fleet.outside, fleet.memory, at, b"PUT", b"/config", body, fields, timeout_seconds=10.0
+                    fleet.outside, fleet.memory, address, b"PUT", b"/config", body, fields, timeout_seconds=10.0
                 )
                 answers.append(answer.status)
             except CallFailed as error:
-                if error.sent and (waited := trio.current_time() - asked) > CROSSING_SECONDS:
-                    unanswered.append(waited)
+                if error.sent and (pending_seconds := trio.current_time() - sent_at) > CROSSING_SECONDS:
+                    unanswered.append(pending_seconds)
             await trio.sleep(0.05)
 
     def test_polls_that_were_read_are_answered(self) -> None:
@@ -103,53 +103,55 @@
             await trio.sleep(1.0)
             unit = fleet.primary() if role == "primary" else fleet.backups()[0]
             unanswered: list[float] = []
-            since = fleet.now()
+            signalled_at = fleet.now()
             for number in range(8):
-                fleet.nursery.start_soon(self.keep_polling, fleet, unit.machine, 0.01 * number, unanswered)
+                fleet.nursery.start_soon(self.poll_repeatedly, fleet, unit.machine, 0.01 * number, unanswered)
             await trio.sleep(0.5)
             fleet.terminate(unit)
-            await self.until_ended(fleet, unit)
-            self.assert_ended_well(fleet, unit, since + 0.5)
+            await self.wait_until_ended(fleet, unit)
+            self.assert_clean_exit(fleet, unit, signalled_at + 0.5)
             await trio.sleep(0.1)
             self.assertEqual(unanswered, [])
 
         play(main, seed)
 
-    async def keep_polling(self, fleet: Fleet, machine: Machine, after: float, unanswered: list[float]) -> None:
-        """Polls as a router does; notes for how long each poll was held that got no answer."""
+    async def poll_repeatedly(self, fleet: Fleet, machine: Machine, after: float, unanswered: list[float]) -> None:
+        """Poll as a router does; record how long each unanswered poll was pending."""
         await trio.sleep(after)
-        caller = RecordClient(fleet.outside, CODEC, (machine.address, INNER[0]))
+        client = RecordClient(fleet.outside, CODEC, (machine.address, INNER[0]))
         poll = Poll(1, 0, (0, 0), 0, (0, 0), (0, 0), (0, 0), 1000)
         while machine.running:
-            asked = trio.current_time()
+            sent_at = trio.current_time()
             try:
-                answer = await caller.call(poll, 3.0)
+                answer = await client.call(poll, 3.0)
             except ConnectionFailed:
-                if (waited := trio.current_time() - asked) > CROSSING_SECONDS:
-                    unanswered.append(waited)
+                if (pending_seconds := trio.current_time() - sent_at) > CROSSING_SECONDS:
+                    unanswered.append(pending_seconds)
                 return
             if isinstance(answer, Update):
-                known = dict(
+                known_versions = dict(
                     fingerprint=answer.fingerprint,
                     registry_version=answer.registry_version,
                     prefix_holdings_version=answer.prefix_holdings_version,
                 )
-                poll = replace(poll, state_version=answer.state_version, peers_version=answer.peers_version, **known)
+                poll = replace(
+                    poll, state_version=answer.state_version, peers_version=answer.peers_version, **known_versions
+                )
             else:
                 await trio.sleep(0.05)
 
 
 class Signals(unittest.TestCase):
-    def test_a_second_sigterm_and_sighup_change_nothing(self) -> None:
+    def test_a_second_sigterm_and_sighup_have_no_effect(self) -> None:
         async def main(fleet: Fleet) -> None:
             await fleet.start()
             await trio.sleep(1.0)
-            unit, since = fleet.primary(), fleet.now()
+            unit, signalled_at = fleet.primary(), fleet.now()
             fleet.terminate(unit)
             unit.machine.signal(signal.SIGHUP)
             unit.machine.signal(signal.SIGTERM)
             await fleet.until(lambda: not unit.machine.running)
-            self.assertLess(fleet.now() - since, GRACE_SECONDS)
+            self.assertLess(fleet.now() - signalled_at, GRACE_SECONDS)
             self.assertEqual(fleet.ended, [])
             await fleet.put(config_of(fleet.sent + 1))
             self.assertGreater(fleet.revision, 1)
@@ -158,16 +160,16 @@
 
 
 class Process(unittest.TestCase):
-    """A real process of the control plane that receives signals."""
+    """A real control plane process that receives signals."""
 
     def run_until_signalled(
         self, event: str, signals: list[signal.Signals], data_is_a_file: bool = False
     ) -> tuple[int, str]:
-        """The exit code, and what was logged after the line of this event, at which the signals were sent."""
-        folder = Path(self.enterContext(TemporaryDirectory()))
+        """Send signals when ``event`` is logged; return the exit code and the log after that line."""
+        directory = Path(self.enterContext(TemporaryDirectory()))
         ip = f"127.{os.getpid() >> 8 & 0x7F}.{os.getpid() & 0xFF}.9"
         if data_is_a_file:
-            (folder / "data").write_text("")
+            (directory / "data").write_text("")
         boot = {
             "nodeName": "core-1",
             "machineClass": "core",
@@ -177,17 +179,17 @@
             "internalPorts": [7400, 7401],
             "bootstrap": True,
             "seedNodes": [f"{ip}:8500"],
-            "dataDir": str(folder / "data"),
+            "dataDir": str(directory / "data"),
         }
-        (folder / "boot.json").write_bytes(orjson.dumps(boot))
+        (directory / "boot.json").write_bytes(orjson.dumps(boot))
         process = subprocess.Popen(
-            [sys.executable, str(ROOT / "rowanshift.py"), "controlplane", "--boot", str(folder / "boot.json")],
+            [sys.executable, str(ROOT / "rowanshift.py"), "controlplane", "--boot", str(directory / "boot.json")],
             stderr=subprocess.PIPE,
             text=True,
         )
         try:
             while event not in (line := process.stderr.readline()):
-                self.assertNotEqual(line, "", "it ended before")
+                self.assertNotEqual(line, "", f"the process ended before it logged {event}")
             for number in signals:
                 process.send_signal(number)
             _, log = process.communicate(timeout=30)
@@ -196,7 +198,7 @@
             process.stderr.close()
         return process.returncode, log
 
-    def test_it_ends_well_however_many_signals_come(self) -> None:
+    def test_the_process_exits_cleanly_after_one_or_more_signals(self) -> None:
         for signals in ([signal.SIGTERM], [signal.SIGTERM, signal.SIGHUP, signal.SIGTERM, signal.SIGTERM]):
             with self.subTest(signals=signals):
                 code, log = self.run_until_signalled("event=started", signals)
@@ -204,7 +206,7 @@
                 self.assertIn("event=left released=True", log)
                 self.assertNotIn("Traceback", log)
 
-    def test_it_ends_well_while_its_disk_can_not_be_opened(self) -> None:
+    def test_the_process_exits_cleanly_while_its_disk_cannot_be_opened(self) -> None:
         code, log = self.run_until_signalled("event=disk_not_open", [signal.SIGTERM], data_is_a_file=True)
         self.assertEqual(code, 0, log)
         self.assertNotIn("Traceback", log)
