--- a/rowanshift/controlplane/__init__.py
+++ b/rowanshift/controlplane/__init__.py
@@ -1,1 +1,1 @@
-"""The control plane: replicates the control state, applies operators' changes to it, and serves it to the routers."""
+"""The control plane: replicates the control state, applies operators' changes, and publishes it to the routers."""
--- a/rowanshift/controlplane/endpoint_list.py
+++ b/rowanshift/controlplane/endpoint_list.py
@@ -1,4 +1,4 @@
-"""Reads the platform's endpoint list for all routers, as a singleton role: only while this machine holds the lease."""
+"""Reads the platform's endpoint list for all routers. A singleton task: it runs only on the lease holder."""
 
 from __future__ import annotations
 
@@ -19,40 +19,40 @@
 from rowanshift.transport.runtime import Runtime
 from rowanshift.transport.streams import Address
 
-LIST_INTERVAL_SECONDS = 0.8  # from the start of one reading to that of the next
-LIST_LEASE_CHECK_SECONDS = 0.1  # between checks for the lease on a machine that doesn't hold it
-LIST_MIN_PAUSE_SECONDS = 0.05  # after a reading, however long it took
+LIST_INTERVAL_SECONDS = 0.8  # interval between the starts of two reads of the list
+LIST_LEASE_CHECK_SECONDS = 0.1  # interval between checks for the lease on a machine that does not hold it
+LIST_MIN_PAUSE_SECONDS = 0.05  # minimum pause after a read, even if it took longer than the interval
 LIST_PAGE_TIMEOUT_SECONDS = 1.0
 MAX_LIST_PAGES = 400
 
 
 @dataclass(frozen=True, slots=True)
 class ListPage:
-    """One page of the list; ``next_token`` asks for the next, None or empty on the last one."""
+    """One page of the list; ``next_token`` requests the next page and is None or empty on the last one."""
 
     entries: list[Any]
     next_token: str | None
 
     @classmethod
     def parse(cls, body: bytes) -> ListPage:
-        """The page in an answer's body. Raises ``BadEndpointList``."""
+        """Parse the page in a response body. Raises ``BadEndpointList``."""
         try:
             page = orjson.loads(body)
             entries, next_token = page["instances"], page.get("nextToken")
         except (ValueError, KeyError, TypeError, AttributeError) as error:
-            raise BadEndpointList(repr(error)) from error
+            raise BadEndpointList(f"expected a JSON object with instances: {error!r}") from error
         if not isinstance(entries, list):
-            raise BadEndpointList(f"instances: a list expected, not {type(entries).__name__}")
+            raise BadEndpointList(f"instances: expected a list, found {type(entries).__name__}")
         if not isinstance(next_token, str | None):
-            raise BadEndpointList(f"nextToken: text expected, not {type(next_token).__name__}")
+            raise BadEndpointList(f"nextToken: expected a string or null, found {type(next_token).__name__}")
         return cls(entries, next_token)
 
 
 class EndpointListReader:
-    """Reads the list again and again and applies it to the registry.
+    """Reads the list periodically and applies it to the registry.
 
-    ``address`` is that of the platform's API, None where there is none. ``registry`` gives the registry in use, which
-    is replaced when the primary changes; ``on_change`` is called when a reading has changed it.
+    ``address`` is the address of the platform's API, or None if there is none. ``registry`` returns the current
+    registry, which is replaced when the primary changes. ``on_change`` is called when a read has changed the registry.
     """
 
     def __init__(
@@ -70,10 +70,10 @@
         self.address = address
         self.registry = registry
         self.on_change = on_change
-        self.calls = 0  # pages asked for
+        self.pages_requested = 0
 
     async def run(self) -> None:
-        """Read the list while this machine holds the lease; runs until it is cancelled."""
+        """Read the list while this machine holds the lease; runs until cancelled."""
         while True:
             started_at = trio.current_time()
             if self.address is not None and self.replica_runner.lease_remaining():
@@ -84,7 +84,7 @@
             await self.runtime.pause(max(LIST_MIN_PAUSE_SECONDS, pause))
 
     async def _read_once(self, address: Address) -> None:
-        """Read the list and apply it, unless the lease ended meanwhile."""
+        """Read the list and apply it, unless the lease expires during the read."""
         try:
             entries = await self._read_pages(address)
         except (CallFailed, BadEndpointList) as error:
@@ -94,20 +94,20 @@
             self.on_change()
 
     async def _read_pages(self, address: Address) -> list[RegisteredServer]:
-        """All entries of the list. Raises ``CallFailed`` and ``BadEndpointList``."""
+        """Return all entries of the list. Raises ``CallFailed`` and ``BadEndpointList``."""
         servers: list[RegisteredServer] = []
         page_token: str | None = None
         for _ in range(MAX_LIST_PAGES):
             target = b"/instances" if page_token is None else b"/instances?pageToken=" + page_token.encode()
-            self.calls += 1
-            answer = await call(
+            self.pages_requested += 1
+            response = await call(
                 self.runtime, self.memory, address, b"GET", target, timeout_seconds=LIST_PAGE_TIMEOUT_SECONDS
             )
-            if answer.status != 200:
-                raise BadEndpointList(f"status {answer.status}")
-            page = ListPage.parse(answer.body)
+            if response.status != 200:
+                raise BadEndpointList(f"expected status 200, found {response.status}")
+            page = ListPage.parse(response.body)
             servers += [parse_registered_server(entry) for entry in page.entries]
             if not page.next_token:
                 return servers
             page_token = page.next_token
-        raise BadEndpointList(f"over {MAX_LIST_PAGES} pages")
+        raise BadEndpointList(f"expected at most {MAX_LIST_PAGES} pages, found more")
--- a/rowanshift/controlplane/model_server_client.py
+++ b/rowanshift/controlplane/model_server_client.py
@@ -1,4 +1,4 @@
-"""Calls of the primary to model servers: their reports, and the orders to load a model version."""
+"""Client of the primary for model servers: requests their reports and orders them to load model versions."""
 
 from __future__ import annotations
 
@@ -20,29 +20,29 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerReport:
-    """What a model server reports of itself."""
+    """The report of a model server about its own state."""
 
-    data: Mapping[str, Any]
+    fields: Mapping[str, Any]
 
     @property
     def active_streams(self) -> Any:
-        """Streams that run there."""
-        return self.data.get("active", 0)
+        """The number of active streams."""
+        return self.fields.get("active", 0)
 
     @property
     def has_queue(self) -> bool:
-        """Whether requests wait there."""
-        return bool(self.data.get("queued"))
+        """Whether requests are queued."""
+        return bool(self.fields.get("queued"))
 
     @property
     def is_loading(self) -> bool:
-        """Whether an order is under way there."""
-        return bool(self.data.get("busy"))
+        """Whether the server is executing an order."""
+        return bool(self.fields.get("busy"))
 
     def versions(self) -> dict[str, int]:
-        """The version of each model; empty, with a line in the log, where the report can't be read."""
+        """Return the version of each model; if the report is invalid, log it and return an empty dictionary."""
         try:
-            return {str(model["name"]): int(model["revision"]) for model in self.data["models"]}
+            return {str(model["name"]): int(model["revision"]) for model in self.fields["models"]}
         except (KeyError, TypeError, ValueError) as error:
             logger.info("event=bad_report why={!r}", repr(error))
             return {}
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadOrder:
-    """An order to load a version of a model, under the fencing token of the lease holder that gives it."""
+    """An order to load a version of a model, with the fencing token of the lease holder that sends it."""
 
     model: str
     version: int
@@ -58,7 +58,7 @@
     fencing_token: int
 
     def as_json(self) -> bytes:
-        """The order's body."""
+        """Return the request body of the order."""
         return orjson.dumps(
             {
                 "operation": "revision",
@@ -72,16 +72,16 @@
 
 
 class ModelServerClient:
-    """Calls to model servers; each names the incarnation that it is meant for."""
+    """Calls model servers; each call is addressed to one incarnation of a server."""
 
     def __init__(self, runtime: Runtime, memory: MemoryBudget) -> None:
         self.runtime = runtime
         self.memory = memory
 
     async def report(self, server: RegisteredServer) -> ServerReport | None:
-        """What a server reports of itself; None, with a line in the log, if it gives no report that can be read."""
+        """Request a server's report; if the call fails or the report is not valid JSON, log it and return None."""
         try:
-            answer = await call(
+            response = await call(
                 self.runtime,
                 self.memory,
                 address_of(server),
@@ -91,19 +91,20 @@
                 incarnation_field(server),
                 REPORT_TIMEOUT_SECONDS,
             )
-            data = orjson.loads(answer.body)
+            fields = orjson.loads(response.body)
         except (CallFailed, ValueError) as error:
             logger.info("event=report_failed server={} why={!r}", server.id, str(error))
             return None
-        return ServerReport(data) if answer.status == 200 and isinstance(data, dict) else None
+        return ServerReport(fields) if response.status == 200 and isinstance(fields, dict) else None
 
     async def order(self, server: RegisteredServer, order: LoadOrder, timeout: float) -> int:
-        """The status with which a server answers an order within ``timeout`` seconds.
+        """Send an order and return the status of the response, waiting at most ``timeout`` seconds.
 
-        0 where the answer was lost: the order may be under way there. Raises ``CallFailed`` where it was not sent.
+        Returns 0 if the response was lost: the server may be executing the order. Raises ``CallFailed`` if the order
+        was not sent.
         """
         try:
-            answer = await call(
+            response = await call(
                 self.runtime,
                 self.memory,
                 address_of(server),
@@ -117,17 +118,17 @@
             if not error.sent:
                 raise
             return 0
-        return answer.status
+        return response.status
 
 
 def address_of(server: RegisteredServer) -> Address:
-    """IP and port of a server. Raises ``CallFailed`` where its address in the list is no ``IP:PORT``."""
+    """Return the IP and port of a server. Raises ``CallFailed`` if its listed address is not ``IP:PORT``."""
     ip, _, port = server.address.rpartition(":")
     if not (ip and port.isascii() and port.isdigit() and 0 < int(port[:6]) < 65536):
-        raise CallFailed(f"no IP:PORT in the list: {server.address[:64]!r}", False)
+        raise CallFailed(f"address in the endpoint list: expected IP:PORT, found {server.address[:64]!r}", False)
     return ip, int(port)
 
 
 def incarnation_field(server: RegisteredServer) -> list[tuple[bytes, bytes]]:
-    """The header field by which another incarnation at the same address refuses a call."""
+    """Return the header field that makes another incarnation at the same address reject the call."""
     return [(b"Expect-Instance", server.id.encode())]
--- a/rowanshift/controlplane/poll_endpoint.py
+++ b/rowanshift/controlplane/poll_endpoint.py
@@ -1,4 +1,4 @@
-"""Answers the routers' long polls with what they lack, as it is committed, or with a redirect to the primary."""
+"""Answers the routers' long polls with the committed data that they lack, or with a redirect to the primary."""
 
 from __future__ import annotations
 
@@ -29,15 +29,15 @@
 from rowanshift.wire.errors import MalformedRecord
 from rowanshift.wire.version_announcements import age_ms
 
-LONG_POLL_SECONDS = 1.0  # that a poll is held at most while there is nothing newer
-PRIMARY_SEARCH_SECONDS = 0.4  # that a poll waits at a machine that knows of no primary
-PRIMARY_CHECK_SECONDS = 0.05  # between checks for a primary meanwhile
-ANSWER_WRITE_SECONDS = 2.0  # for a router to take an answer
+LONG_POLL_SECONDS = 1.0  # maximum time for which a poll is held while there is nothing new
+PRIMARY_SEARCH_SECONDS = 0.4  # time for which a poll is held on a machine that knows no primary
+PRIMARY_CHECK_SECONDS = 0.05  # interval between checks for a primary during PRIMARY_SEARCH_SECONDS
+ANSWER_WRITE_SECONDS = 2.0  # timeout for writing an answer to a router
 
 
 @dataclass(frozen=True, slots=True)
 class MissingParts:
-    """What a router lacks of what is committed."""
+    """The parts of the committed data that a router lacks."""
 
     state: bool
     server_records: bool
@@ -46,12 +46,12 @@
     announcements: bool
 
     def any(self) -> bool:
-        """Whether it lacks anything."""
+        """Return whether the router lacks any part."""
         return self.state or self.server_records or self.holdings or self.peers or self.announcements
 
 
 class PollEndpoint:
-    """The routers' polls at one core machine."""
+    """Serves the routers' polls on one core machine."""
 
     def __init__(
         self,
@@ -68,29 +68,29 @@
         self.membership = membership
         self.tasks = tasks
         self.updates = updates
-        self.open_polls = 0  # that were read and have no answer yet
-        self.leaving = False  # released, or the grace is nearly over: no poll is held any more
+        self.open_polls = 0  # polls that have been read and not yet answered
+        self.leaving = False  # True once the process shuts down: polls are no longer held
         self._packed_records = b""
-        self._packed_records_of: tuple[ServerRegistry | None, int] = (None, 0)  # with the registry's serial
+        self._packed_records_of: tuple[ServerRegistry | None, int] = (None, 0)  # the registry and its serial
 
     def leave(self) -> None:
-        """Hold no poll from now on: each is redirected at once."""
+        """Stop holding polls: open and new polls are redirected immediately."""
         self.leaving = True
         self.updates.notify()
 
     async def serve(self, stream: Stream, number: int, record: object) -> None:
-        """Answer one record of a router, which bears a number, on its connection.
+        """Answer a router's record on its connection; ``number`` identifies the record on that connection.
 
-        Raises ``MalformedRecord`` for a record that is no poll, and ``trio.TooSlowError`` for a router that takes no
-        answer.
+        Raises ``MalformedRecord`` if the record is not a poll, and ``trio.TooSlowError`` if the router does not read
+        the answer.
         """
         if isinstance(record, PollOfFormat1):
             record = record.as_format_2(int(1000 * LONG_POLL_SECONDS))
         if not isinstance(record, PollOfFormat3):
-            raise MalformedRecord(f"{type(record).__name__} was not expected")
+            raise MalformedRecord(f"expected a poll, found {type(record).__name__}")
         self.open_polls += 1
         try:
-            answer = answer_readable_by(record, await self.answer(record))
+            answer = convert_answer(record, await self.answer(record))
             frame = CODEC.pack(answer, number)
             with trio.fail_after(ANSWER_WRITE_SECONDS):
                 await send_all(stream, frame)
@@ -98,9 +98,9 @@
             self.open_polls -= 1
 
     async def answer(self, poll: PollOfFormat3) -> Update | Redirect:
-        """Hold a router's poll until there is something newer than it has, as long as it allows.
+        """Hold a router's poll until there is something new for it, or until its long poll time is over.
 
-        The answer is made under a lease that was checked after the poll came in.
+        The answer is created under a lease that was checked after the poll was received.
         """
         now = trio.current_time()
         until = now + min(LONG_POLL_SECONDS, poll.long_poll_ms / 1000)
@@ -124,7 +124,7 @@
                 await self.updates.wait()
 
     def _knows_other_primary(self) -> bool:
-        """Whether this machine is sure not to be the primary and has heard the primary lately."""
+        """Return whether this machine is not the primary and has recently heard from the primary."""
         replica = self.replica_runner.replica
         return not replica.is_primary and replica.primary_hint != 0
 
@@ -137,7 +137,7 @@
         return tuple(sorted({*record.witnesses, *record.in_sync}))
 
     def _apply_announcements(self, poll: PollOfFormat3) -> None:
-        """Apply the dates of announcements that the router knows, if it sends any."""
+        """Apply the announcement times that the router knows, if the poll contains any."""
         announcements = poll.announcements if isinstance(poll, Poll) else ()
         if not announcements:
             return
@@ -146,7 +146,7 @@
             self.updates.notify()
 
     def _missing_parts(self, poll: PollOfFormat3) -> MissingParts:
-        """What the router lacks; each part has a serial, which counts within an epoch."""
+        """Return the parts that the router lacks; each part has a serial that is valid within an epoch."""
         epoch = self.replica_runner.replica.record.epoch
         registry, membership = self.tasks.registry, self.membership
         announcements_version = epoch, registry.announcements_serial
@@ -159,7 +159,7 @@
         )
 
     def _update(self, poll: PollOfFormat3, missing: MissingParts, now: float) -> Update:
-        """All that the router lacks, as it is committed."""
+        """Return an update with all committed data that the router lacks."""
         replica, registry, holdings = self.replica_runner.replica, self.tasks.registry, self.tasks.holdings
         publication, membership = self.publication, self.membership
         epoch, state, version = replica.record.epoch, publication.state, replica.committed_version
@@ -191,7 +191,7 @@
         )
 
     def _server_records(self, registry: ServerRegistry) -> bytes:
-        """The registry's records, packed once for all routers that poll."""
+        """Return the packed records of the registry; they are packed once for all routers."""
         if self._packed_records_of != (registry, registry.serial):
             self._packed_records_of = (registry, registry.serial)
             self._packed_records = SERVER_RECORDS.encode(registry.records())
@@ -199,10 +199,10 @@
 
 
 def version_announcements(registry: ServerRegistry, now: float) -> tuple[ModelVersionAnnouncement, ...]:
-    """The announced versions whose deadlines may be still to come, each with its age.
+    """Return the announced versions whose deadlines may still be ahead, each with its age.
 
-    The age counts from when this machine saw it committed, or from the date that a router sent; else from when this
-    machine became primary, undated.
+    The age is measured from the time at which this machine saw the version committed, or from the time that a router
+    sent. If neither is known, it is measured from the time at which this machine became primary, and marked as undated.
     """
     return tuple(
         ModelVersionAnnouncement(
@@ -212,8 +212,8 @@
     )
 
 
-def answer_readable_by(poll: PollOfFormat3, answer: Update | Redirect) -> UpdateOfFormat1 | Redirect:
-    """An answer in the format that the router which polled knows."""
+def convert_answer(poll: PollOfFormat3, answer: Update | Redirect) -> UpdateOfFormat1 | Redirect:
+    """Convert an answer to the format that the polling router understands."""
     if isinstance(poll, Poll) or isinstance(answer, Redirect):
         return answer
     return answer.as_format_1() if isinstance(poll, PollOfFormat2) else answer.as_format_2()
--- a/rowanshift/controlplane/prefix_store_follower.py
+++ b/rowanshift/controlplane/prefix_store_follower.py
@@ -1,4 +1,4 @@
-"""Follows the events of the prefix stores, as a singleton role: what they hold goes to all routers with the polls."""
+"""Follows the prefix stores' events for all routers, which receive the holdings with their polls. A singleton task."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 from rowanshift.transport.runtime import Nursery, Runtime
 from rowanshift.transport.streams import Address
 
-HOLDINGS_UPDATE_SECONDS = 0.25  # between updates of what all stores hold
-EVENTS_LONG_POLL_MS = 1000  # that a store may hold a question for events
-EVENTS_TIMEOUT_SECONDS = 1.6  # for its answer
-EVENTS_INTERVAL_SECONDS = 0.2  # from the start of one question to that of the next
-STORE_RETRY_SECONDS = 0.5  # until a store that failed is asked again
+HOLDINGS_UPDATE_SECONDS = 0.25  # interval between updates of the combined holdings of all stores
+EVENTS_LONG_POLL_MS = 1000  # maximum time for which a store may hold a request for events
+EVENTS_TIMEOUT_SECONDS = 1.6  # timeout for the response to such a request
+EVENTS_INTERVAL_SECONDS = 0.2  # minimum interval between the starts of two requests
+STORE_RETRY_SECONDS = 0.5  # additional delay after a failed request
 
 
 class PrefixStoreFollower:
-    """Asks each store that the configuration names for its events, while this machine holds the lease.
+    """Polls the events of each prefix store in the configuration while this machine holds the lease.
 
-    ``store_addresses`` gives the stores to follow, ``on_change`` is called when ``holdings`` has changed.
+    ``store_addresses`` returns the stores to follow; ``on_change`` is called when ``holdings`` has changed.
     """
 
     def __init__(
@@ -47,16 +47,16 @@
         self.holders: dict[Address, BlockHolder] = {}
 
     def reset(self) -> None:
-        """Start with empty holdings: the primary has changed."""
+        """Reset the holdings, because the primary has changed."""
         self.holdings = PrefixHoldings()
 
     async def run(self, nursery: Nursery) -> None:
-        """Follow the stores, each in a task of its own; runs until it is cancelled."""
+        """Follow each store in its own task; runs until cancelled."""
         while True:
             wanted = self.store_addresses() if self.replica_runner.lease_remaining() else set()
             for address in wanted - self.holders.keys():
                 self.holders[address] = BlockHolder("{}:{}".format(*address))
-                nursery.start_soon(self._follow, address, self.holders[address])
+                nursery.start_soon(self._follow_store, address, self.holders[address])
             for address in self.holders.keys() - wanted:
                 del self.holders[address]
             self._update_holdings()
@@ -67,35 +67,35 @@
         if self.holdings.update(block_hashes):
             self.on_change()
 
-    async def _follow(self, address: Address, holder: BlockHolder) -> None:
-        """Ask one store until it is no longer to be followed."""
+    async def _follow_store(self, address: Address, holder: BlockHolder) -> None:
+        """Poll one store until it is removed from ``holders``."""
         connection = PersistentCaller(self.runtime, self.memory, address)
         while self.holders.get(address) is holder:
-            asked_at = trio.current_time()
+            requested_at = trio.current_time()
             try:
-                await self._ask(connection, address, holder)
+                await self._poll_store(connection, address, holder)
             except (CallFailed, MalformedHoldings, ValueError) as error:
-                self._discard(address, holder, error)
+                self._discard_holdings(address, holder, error)
                 await self.runtime.pause(STORE_RETRY_SECONDS)
-            await self.runtime.pause(max(0.0, asked_at + EVENTS_INTERVAL_SECONDS - trio.current_time()))
+            await self.runtime.pause(max(0.0, requested_at + EVENTS_INTERVAL_SECONDS - trio.current_time()))
         connection.close()
 
-    async def _ask(self, connection: PersistentCaller, address: Address, holder: BlockHolder) -> None:
-        """Ask for the store's complete list, or for the events since the last answer, and apply the answer."""
+    async def _poll_store(self, connection: PersistentCaller, address: Address, holder: BlockHolder) -> None:
+        """Request the complete list of the store, or the events since the last response, and apply the response."""
         has_list = holder.has_list
         target = b"/kv-events?since=%d" % holder.next_event if has_list else b"/kv-list"
         fields = [(b"Wait-Ms", b"%d" % EVENTS_LONG_POLL_MS)]
-        answer = await connection.call(b"GET", target, fields, EVENTS_TIMEOUT_SECONDS)
-        if answer.status != 200:
-            raise MalformedHoldings(f"status {answer.status}")
-        data = orjson.loads(answer.body)
+        response = await connection.call(b"GET", target, fields, EVENTS_TIMEOUT_SECONDS)
+        if response.status != 200:
+            raise MalformedHoldings(f"expected status 200, found {response.status}")
+        content = orjson.loads(response.body)
         if not has_list:
-            holder.apply_list(data)
-        elif not holder.apply_events(data):
+            holder.apply_list(content)
+        elif not holder.apply_events(content):
             logger.info("event=store_events_lost store={}:{}", *address)
 
-    def _discard(self, address: Address, holder: BlockHolder, error: Exception) -> None:
-        """Drop what is known of a store that failed."""
+    def _discard_holdings(self, address: Address, holder: BlockHolder, error: Exception) -> None:
+        """Discard the holdings of a store after a failed request."""
         if holder.blocks or holder.has_list:
             logger.info("event=store_unreachable store={}:{} why={!r}", *address, str(error))
         holder.reset()
--- a/rowanshift/controlplane/registered_server.py
+++ b/rowanshift/controlplane/registered_server.py
@@ -1,4 +1,4 @@
-"""One incarnation of a model server as the platform's list names it. No I/O, no clock."""
+"""An incarnation of a model server from the platform's endpoint list. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 from rowanshift.controlplane.errors import BadEndpointList
 from rowanshift.wire.control_updates import SERVER_DRAINING, SERVER_LOADING, SERVER_UP, ServerRecord
 
-MAX_LISTED_TEXT_CHARACTERS = 1024  # of an id, an address or another text in the list
-LISTED_NUMBER_LIMIT = 1 << 53  # what slots and revisions in the list stay under
+MAX_LISTED_TEXT_CHARACTERS = 1024  # maximum length of an id, an address or another string in the list
+LISTED_NUMBER_LIMIT = 1 << 53  # exclusive upper bound of slots and revisions in the list
 
 
 @dataclass(slots=True, frozen=True)
 class FailedLoads:
-    """The loads of one model that failed at a server since the last one that succeeded."""
+    """Failed loads of one model on a server since its last successful load."""
 
     failures: int = 0
-    not_before: float = 0.0  # seconds of the steady clock; the model may be ordered there again from then on
+    not_before: float = 0.0  # in seconds of the monotonic clock; earliest time of the next order for this model
 
 
 NO_FAILED_LOADS = FailedLoads()
@@ -25,7 +25,7 @@
 
 @dataclass(slots=True)
 class RegisteredServer:
-    """One incarnation of a server, with what the primary has learned of it beyond the list."""
+    """An incarnation of a server: its entry in the list and what the primary has learned about it."""
 
     id: str
     service: str
@@ -36,20 +36,20 @@
     versions: dict[str, int]  # by model
     loading: bool = False
     failed_loads: dict[str, FailedLoads] = field(default_factory=dict)  # by model
-    load_started_at: float = 0.0  # seconds of the steady clock, of its last load
+    load_started_at: float = 0.0  # start of its last load, in seconds of the monotonic clock
 
     def record(self) -> ServerRecord:
-        """The server as routers receive it."""
+        """Return the record of this server that is sent to routers."""
         state = (SERVER_DRAINING if self.draining else SERVER_UP) | (SERVER_LOADING if self.loading else 0)
         return ServerRecord(self.id, self.service, self.address, self.zone, self.slots, state, dict(self.versions))
 
     def failed_loads_of(self, model: str) -> FailedLoads:
-        """The loads of a model that failed since the last one that succeeded."""
+        """Return the failed loads of a model since its last successful load."""
         return self.failed_loads.get(model, NO_FAILED_LOADS)
 
 
 def parse_registered_server(entry: dict[str, Any]) -> RegisteredServer:
-    """A server from its entry in the platform's list. Raises ``BadEndpointList`` if the entry can't be read."""
+    """Parse an entry of the platform's endpoint list. Raises ``BadEndpointList`` if the entry is invalid."""
     try:
         versions = {str(model["name"]): int(model.get("revision") or 0) for model in entry.get("models") or ()}
         server = RegisteredServer(
@@ -62,10 +62,14 @@
             versions,
         )
     except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
-        raise BadEndpointList(repr(error)) from error
+        raise BadEndpointList(f"invalid entry: {error!r}") from error
     texts = (server.id, server.service, server.address, server.zone, *versions)
     if any(len(text) > MAX_LISTED_TEXT_CHARACTERS for text in texts):
-        raise BadEndpointList(f"a text of over {MAX_LISTED_TEXT_CHARACTERS} characters")
+        raise BadEndpointList(
+            f"invalid entry: expected strings of at most {MAX_LISTED_TEXT_CHARACTERS} characters, found a longer one"
+        )
     if not all(0 <= number < LISTED_NUMBER_LIMIT for number in (server.slots, *versions.values())):
-        raise BadEndpointList(f"{server.id}: slots or a revision out of range")
+        raise BadEndpointList(
+            f"{server.id}: expected slots and revisions from 0 to {LISTED_NUMBER_LIMIT - 1}, found one out of range"
+        )
     return server
--- a/rowanshift/controlplane/server_registry.py
+++ b/rowanshift/controlplane/server_registry.py
@@ -1,7 +1,7 @@
-"""What the primary knows of the servers, and which of them loads a new model version next. No I/O, no clock.
+"""The primary's registry of servers, and the choice of the server to load a new model version next. No I/O, no clock.
 
-The newest version counts, of the list, of reports and of the answers to orders: an incarnation never goes back. Times
-are in seconds of the steady clock.
+The version of a model on a server is the newest one from the endpoint list, the server's reports and its responses to
+orders; it never decreases for an incarnation. Times are in seconds of the monotonic clock.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 from rowanshift.wire.control_updates import ModelVersionAnnouncement, ServerRecord
 from rowanshift.wire.version_announcements import VersionAnnouncement, VersionAnnouncements
 
-MAX_LOADING_FRACTION = 0.4  # of a service's servers that may load at once, one at least
-INITIAL_LOAD_SECONDS = 1.5  # that a load is reckoned to need, with all around it, until one has succeeded
-LOAD_TIME_SMOOTHING = 0.3  # weight of a new load in the smoothed time of loads
-FAILED_LOAD_RETRY_SECONDS = 0.6  # until a server whose load failed may be ordered again
-FAILED_LOAD_PENALTY_SECONDS = 2.0  # by which each failed load puts a server back behind others
-ANNOUNCEMENT_RETENTION_SECONDS = 60.0  # for which a version's announcement is kept after a newer one
-DATE_TOLERANCE_SECONDS = 0.25  # by which a router's date of an announcement must lie before a known one to count
-MAX_ANNOUNCEMENTS_PER_POLL = 256  # of one router that are looked at
+MAX_LOADING_FRACTION = 0.4  # fraction of a service's servers that may load at once; at least one may
+INITIAL_LOAD_SECONDS = 1.5  # estimated duration of a load, with its overhead, until one has succeeded
+LOAD_TIME_SMOOTHING = 0.3  # weight of a new load in the moving average of load durations
+FAILED_LOAD_RETRY_SECONDS = 0.6  # delay after a failed load until the server may be ordered again
+FAILED_LOAD_PENALTY_SECONDS = 2.0  # each failed load postpones the due time of a server by this time
+ANNOUNCEMENT_RETENTION_SECONDS = 60.0  # time for which an announcement is kept after a newer one
+DATE_TOLERANCE_SECONDS = 0.25  # a router's announcement time must be earlier than the known one by more than this
+MAX_ANNOUNCEMENTS_PER_POLL = 256  # further announcements in a poll are ignored
 
 
 class PendingLoad(NamedTuple):
@@ -39,27 +39,29 @@
 
     id: str
     model: str
-    version: int  # that it has
-    lag_seconds: float  # since the first announcement of a version that it lacks
+    version: int  # the version that it has
+    lag_seconds: float  # time since the first announcement of a version that it lacks
     loading: bool
 
 
 @dataclass(slots=True)
 class ServerRegistry:
-    """All servers of the platform's list, with the version that each has."""
+    """All servers in the platform's endpoint list, with their model versions."""
 
     servers: dict[str, RegisteredServer] = field(default_factory=dict)  # by id
-    serial: int = 0  # of its changes; 0: the list was not read yet
-    rollout_seconds: float = 0.0  # in which all servers should have an announced version; 0: as soon as possible
-    load_seconds: float = INITIAL_LOAD_SECONDS  # that a load takes, smoothed
+    serial: int = 0  # incremented with each change; 0: the list has not been read yet
+    rollout_seconds: float = 0.0  # time in which an announced version should be on all servers; 0: as soon as possible
+    load_seconds: float = INITIAL_LOAD_SECONDS  # moving average of the duration of a load
     announcement_retention: float = ANNOUNCEMENT_RETENTION_SECONDS
     announcements: VersionAnnouncements = field(default_factory=VersionAnnouncements)
-    announcements_serial: int = 1  # of the changes of the announcements
-    inherited_versions: dict[str, int] | None = None  # of the first call, until the model's servers were looked at
-    overdue_models: set[str] = field(default_factory=set)  # whose inherited version another primary began to roll out
+    announcements_serial: int = 1  # incremented with each change of the announcements
+    # versions of the first call of record_versions, by model; removed once the model's servers have been examined
+    inherited_versions: dict[str, int] | None = None
+    # models whose inherited version a former primary had begun to roll out
+    overdue_models: set[str] = field(default_factory=set)
 
     def apply_list(self, entries: list[RegisteredServer]) -> bool:
-        """Replace the servers by a complete list; whether anything changed."""
+        """Replace the servers by a complete list; return whether anything changed."""
         records_before = {id: server.record() for id, server in self.servers.items()}
         servers = {}
         for entry in entries:
@@ -77,13 +79,13 @@
         return True
 
     def records(self) -> tuple[ServerRecord, ...]:
-        """All servers as routers receive them."""
+        """Return the records of all servers that are sent to routers."""
         return tuple(server.record() for server in self.servers.values())
 
-    # announcements of versions
+    # version announcements
 
     def record_versions(self, versions: dict[str, int], now: float) -> None:
-        """Record the announced versions; those of the first call were announced to a former primary, if any."""
+        """Record the announced versions; those of the first call were announced to a former primary, if at all."""
         is_dated = self.inherited_versions is not None
         if self.inherited_versions is None:
             self.inherited_versions = dict(versions)
@@ -98,10 +100,11 @@
     def apply_announcements(
         self, announcements: Sequence[ModelVersionAnnouncement], versions: dict[str, int], now: float
     ) -> bool:
-        """Apply the dates of announcements that a router knows; whether anything changed.
+        """Apply the announcement times that a router knows; return whether anything changed.
 
-        Routers outlive primaries, and the complete core: they date what a primary has inherited. ``versions`` are
-        those in force; dates of others are ignored.
+        Routers keep these times across changes of the primary and restarts of all core machines, so they can date the
+        versions that a primary has inherited. Only versions up to those in ``versions``, the current ones, are
+        accepted.
         """
         dated = [
             VersionAnnouncement(announcement.model, announcement.version, now - announcement.age_ms / 1000)
@@ -115,18 +118,18 @@
         return changed
 
     def _is_earlier(self, announcement: VersionAnnouncement) -> bool:
-        """Whether a date lies before the known one by more than a message takes."""
+        """Return whether an announcement time is earlier than the known one by more than the message delay."""
         known = self.announcements.find(announcement.model, announcement.version)
         if known is None or not known.is_dated:
             return True
         return announcement.announced_at < known.announced_at - DATE_TOLERANCE_SECONDS
 
-    # which server loads next
+    # choice of the next server to load
 
     def next_load(self, versions: dict[str, int], now: float) -> PendingLoad | None:
-        """The next load to be ordered; None if none should be now.
+        """Return the load that should be ordered now, or None.
 
-        It is that of the server whose time to have a newer version ends first, whatever was announced since.
+        The server with the earliest due time comes first, regardless of versions that were announced later.
         """
         self.record_versions(versions, now)
         pending = [
@@ -138,7 +141,7 @@
         return min(pending, key=lambda load: (self._due_at(load.model, load.server), load.server.id), default=None)
 
     def _servers_by_service(self, model: str) -> Iterator[list[RegisteredServer]]:
-        """The servers that run a model and don't drain, service by service."""
+        """Yield the servers of each service that run a model and are not draining."""
         running = [server for server in self.servers.values() if model in server.versions and not server.draining]
         for service in dict.fromkeys(server.service for server in running):
             service_servers = [server for server in running if server.service == service]
@@ -148,27 +151,34 @@
     def _most_urgent(
         self, model: str, version: int, service_servers: list[RegisteredServer], now: float
     ) -> RegisteredServer | None:
-        """The server of a service that should be ordered now; None if none should be."""
-        lacking = [server for server in service_servers if server.versions[model] < version]
-        ready = [server for server in lacking if not server.loading and server.failed_loads_of(model).not_before <= now]
+        """Return the server of a service that should be ordered to load now, or None."""
+        outdated = [server for server in service_servers if server.versions[model] < version]
+        ready = [
+            server for server in outdated if not server.loading and server.failed_loads_of(model).not_before <= now
+        ]
         if not ready:
             return None
-        due_times = [self._due_at(model, server) for server in lacking]
+        due_times = [self._due_at(model, server) for server in outdated]
         loading = sum(server.loading for server in service_servers)
         if loading >= self.concurrent_loads(due_times, len(service_servers), now):
             return None
         return min(ready, key=lambda server: (self._due_at(model, server), server.id))
 
     def _mark_overdue(self, model: str, service_servers: list[RegisteredServer]) -> None:
-        """A rollout that another primary began may be late already: it goes on as fast as possible, unless the date of
-        its announcement is known."""
+        """Mark a model as overdue if a former primary had begun to roll out its inherited version.
+
+        Such a rollout may already be late, so it continues as fast as possible unless its announcement time is known.
+        """
         version = (self.inherited_versions or {}).pop(model, None)
         if version is not None and any(server.versions[model] >= version for server in service_servers):
             self.overdue_models.add(model)
 
     def _due_at(self, model: str, server: RegisteredServer) -> float:
-        """When a server should have a newer version: ``rollout_seconds`` after the first announcement of one that it
-        lacks; later where loads failed, so that one which fails for good doesn't keep the others waiting."""
+        """Return the time by which a server should have a newer version.
+
+        It is ``rollout_seconds`` after the first announcement of a version that the server lacks. Failed loads postpone
+        it, so that a server that fails permanently does not delay the others.
+        """
         announcement = self.announcements.first_missing(model, server.versions[model])
         if announcement is None:
             return float("inf")
@@ -178,17 +188,20 @@
         return announcement.announced_at + rollout_seconds + penalty
 
     def concurrent_loads(self, due_times: list[float], server_count: int, now: float) -> int:
-        """How many of a service's servers may load at once: as few as bring each of those that lack a version, or load
-        it now, to it when it is due, since each of them leaves its requests, and its cache, to the others."""
+        """Return how many of a service's servers may load at once.
+
+        This is the smallest number that completes all missing and running loads by their due times, because the
+        other servers must take over the requests of each loading server without its cache.
+        """
         most = max(1, int(MAX_LOADING_FRACTION * server_count))
         needed = (
-            ceil(count * self.load_seconds / max(due_at - now, self.load_seconds))
-            for count, due_at in enumerate(sorted(due_times), 1)
+            ceil(count * self.load_seconds / max(due_time - now, self.load_seconds))
+            for count, due_time in enumerate(sorted(due_times), 1)
         )
         return min(most, max(needed))
 
     def servers_behind(self, versions: dict[str, int], now: float) -> list[ServerBehind]:
-        """The servers that lack an announced version, those first that have lacked one longest."""
+        """Return the servers that lack an announced version, sorted by decreasing lag."""
         behind = []
         for model, version in versions.items():
             for server in self.servers.values():
@@ -198,15 +211,15 @@
                     behind.append(ServerBehind(server.id, model, server.versions[model], lag_seconds, server.loading))
         return sorted(behind, key=lambda server: -server.lag_seconds)
 
-    # the course of a load
+    # progress of loads
 
     def load_started(self, server: RegisteredServer, now: float) -> None:
-        """A server will be ordered to load: routers send it no requests meanwhile."""
+        """Mark a server as loading: routers send it no requests until the load has ended."""
         server.loading, server.load_started_at = True, now
         self.serial += 1
 
     def load_succeeded(self, server_id: str, model: str, version: int, now: float) -> None:
-        """The server has the version now."""
+        """Record that a server has loaded a version."""
         if (server := self.servers.get(server_id)) is not None:
             if server.loading:
                 self.load_seconds += LOAD_TIME_SMOOTHING * (now - server.load_started_at - self.load_seconds)
@@ -216,7 +229,7 @@
             self.serial += 1
 
     def load_failed(self, server_id: str, model: str, now: float) -> None:
-        """A load failed: the server may be ordered again for that model later."""
+        """Record a failed load: the server may be ordered again for this model after a delay."""
         if (server := self.servers.get(server_id)) is not None:
             server.loading = False
             failures = server.failed_loads_of(model).failures + 1
--- a/rowanshift/controlplane/singleton_tasks.py
+++ b/rowanshift/controlplane/singleton_tasks.py
@@ -1,6 +1,6 @@
-"""The tasks of the lease holder: reading the endpoint list, following the prefix stores, rolling versions out.
+"""The singleton tasks, which only the lease holder runs: endpoint list, prefix stores and version rollout.
 
-All of them stop when the lease ends, and what they have learned is dropped when the primary changes.
+All of them stop when the lease expires. Their state is discarded when the primary changes.
 """
 
 from __future__ import annotations
@@ -19,14 +19,14 @@
 from rowanshift.transport.runtime import Nursery, Runtime
 from rowanshift.transport.streams import Address
 
-ROLLOUT_FRACTION = 0.85  # of ``versionMs``, in which all servers should have an announced version
+ROLLOUT_FRACTION = 0.85  # fraction of ``versionMs`` after which an announced version should be on all servers
 
 
 class SingletonTasks:
-    """The three tasks with the registry of servers that they share.
+    """The three tasks and the server registry that they share.
 
-    ``versions`` gives the announced version of each model and ``store_addresses`` the prefix stores, both as
-    committed; ``on_change`` is called when there is something new for routers.
+    ``versions`` returns the committed version of each model and ``store_addresses`` the prefix stores in the committed
+    configuration; ``on_change`` is called when there is new data for routers.
     """
 
     def __init__(
@@ -57,19 +57,19 @@
 
     @property
     def holdings(self) -> PrefixHoldings:
-        """What all prefix stores hold."""
+        """The combined holdings of all prefix stores."""
         return self.prefix_stores.holdings
 
     def start(self, nursery: Nursery) -> None:
-        """Start the tasks; they end when the nursery is cancelled."""
+        """Start the tasks; they run until the nursery is cancelled."""
         nursery.start_soon(self.endpoint_list.run)
         nursery.start_soon(self.rollout.run, nursery)
         nursery.start_soon(self.prefix_stores.run, nursery)
 
     def reset(self) -> None:
-        """Drop what was learned, as the primary has changed; the list is read anew.
+        """Discard the state of the tasks, because the primary has changed; the endpoint list is read again.
 
-        The dates of the announced versions stay: they are as true under the next primary.
+        The announcement times of versions are kept, because they do not depend on the primary.
         """
         self.registry = ServerRegistry(rollout_seconds=self.rollout_seconds, announcements=self.registry.announcements)
         self.prefix_stores.reset()
--- a/rowanshift/controlplane/state_publication.py
+++ b/rowanshift/controlplane/state_publication.py
@@ -1,4 +1,4 @@
-"""The committed control state as routers receive it: packed once for all polls, with a fingerprint of its content."""
+"""Publication of the committed control state to routers: packed once for all polls, with a content fingerprint."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 
 
 class UpdateSignal:
-    """Wakes the polls that wait for anything newer than what their routers have."""
+    """Wakes the polls that wait for data that is newer than what their routers have."""
 
     def __init__(self) -> None:
         self._event = trio.Event()
 
     def notify(self) -> None:
-        """Wake all that wait; those that wait from now on wait for the next call."""
+        """Wake all current waiters; later waiters wait for the next call."""
         self._event.set()
         self._event = trio.Event()
 
     async def wait(self) -> None:
-        """Return with the next ``notify``."""
+        """Wait for the next call of ``notify``."""
         await self._event.wait()
 
 
@@ -44,14 +44,14 @@
         self.fingerprint = 0  # 0: nothing published yet
         self.compressed_config = b""
         self.store_addresses: set[Address] = set()
-        self._published: bytes | None = None  # the packed state that all of these are made of
+        self._published: bytes | None = None  # the packed state from which the attributes above are derived
 
     def reset(self) -> None:
-        """Publish the committed state again, also where it is unchanged: the primary has changed."""
+        """Make the next refresh publish the state even if it is unchanged, because the primary has changed."""
         self._published = None
 
     def refresh(self) -> None:
-        """Publish the committed state where it is new and this machine is primary."""
+        """Publish the committed state if it is new and this machine is the primary."""
         committed = self.replica.committed_state
         if committed is self._published or not self.replica.is_primary:
             return
@@ -64,24 +64,24 @@
         self.updates.notify()
 
     def versions(self) -> dict[str, int]:
-        """The announced version of each model, as committed now."""
+        """Return the currently committed version of each model."""
         self.refresh()
         return self.state.versions
 
     def prefix_stores(self) -> set[Address]:
-        """The addresses of the prefix stores that the configuration names, as committed now."""
+        """Return the addresses of the prefix stores in the currently committed configuration."""
         self.refresh()
         return self.store_addresses
 
 
 def state_fingerprint(state: ControlState) -> int:
-    """64 bits of a hash of what routers receive of a state; never 0, which stands for no state."""
+    """Return a 64-bit hash of the parts of a state that routers receive; never 0, which means no state."""
     content = b"%d|%s|%r" % (state.revision, state.config, sorted(state.versions.items()))
     return int.from_bytes(blake2b(content, digest_size=8).digest(), "big") | 1
 
 
 def prefix_store_addresses(state: ControlState) -> set[Address]:
-    """The addresses of the prefix stores among the configuration's services."""
+    """Return the addresses of the prefix stores among the services of the configuration."""
     routing_table = parse_routing_table(state.revision, state.config, state.versions)
     addresses: set[Address] = set()
     for service in routing_table.services.values():
--- a/rowanshift/controlplane/status.py
+++ b/rowanshift/controlplane/status.py
@@ -1,6 +1,6 @@
-"""The status document of a core machine, for operators: what it knows now, which may be old.
+"""The status document of a core machine for operators; the machine's knowledge may be out of date.
 
-The document's JSON keys are the names of the fields in camel case: a field is not renamed, as operators' tools read it.
+The JSON keys of the document are the field names in camel case. Do not rename fields: operators' tools read them.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class RedundancyStatus(msgspec.Struct, rename="camel", frozen=True):
-    """What the primary sees of backups and witnesses."""
+    """The redundancy of the control state, as seen by the primary."""
 
     copies: int
     copies_wanted: int
@@ -29,11 +29,11 @@
     witnesses_wanted: int
     full: bool
     spread: bool
-    lacking_s: float  # seconds since redundancy was last full
+    lacking_s: float  # seconds since the redundancy was last full
 
 
 class ServerStatus(msgspec.Struct, rename="camel", frozen=True):
-    """A server as routers receive it."""
+    """The record of a server that is sent to routers."""
 
     id: str
     service: str
@@ -53,27 +53,27 @@
 
 
 class CoordinationStatus(msgspec.Struct, rename="camel", frozen=True, kw_only=True):
-    """The replica of the coordination state. What only its primary knows is None elsewhere."""
+    """The replica of the coordination state. Fields that only its primary knows are None on other machines."""
 
     primary: bool
     primary_hint: str
     epoch: int
     in_sync: list[str]
     amnesic: bool
-    locks: int | None  # ended holds included that nobody has followed yet
+    locks: int | None  # including released or expired locks that nobody has acquired since
     numbers: int | None
     groups: int | None
     keys: int | None
-    puts_kept: int | None  # for watches
+    puts_kept: int | None  # puts that are retained for watches
     state_bytes: int | None
     waiting_watches: int
-    calls: int  # that were answered, by this process
-    batches: int  # in which they were
+    calls: int  # calls that this process has answered
+    batches: int  # batches in which these calls were executed
     saves: int
 
 
 class ControlPlaneStatus(msgspec.Struct, rename="camel", frozen=True, kw_only=True):
-    """The document's fields in their order. Machines are IPs; what only the primary knows is None elsewhere."""
+    """The fields of the document, in order. Machines are IPs; fields that only the primary knows are None elsewhere."""
 
     name: str
     machine: str
@@ -95,14 +95,14 @@
     may_order: bool
     servers: list[ServerStatus]
     behind: list[ServerBehindStatus]
-    calls: int  # pages of the endpoint list
+    calls: int  # requested pages of the endpoint list
     orders: int
     saves: int
     save_seconds: float
-    coordination: CoordinationStatus | None = None  # where no application calls for it
+    coordination: CoordinationStatus | None = None  # None if the coordination service is disabled
 
     def as_json(self) -> dict[str, Any]:
-        """The document as it is sent: plain dictionaries and lists, with names in camel case."""
+        """Return the document as dictionaries and lists with names in camel case."""
         document: dict[str, Any] = msgspec.to_builtins(self)
         return document
 
@@ -116,10 +116,10 @@
     now: float,
     coordination: CoordinationStatus | None = None,
 ) -> ControlPlaneStatus:
-    """The status at the time ``now`` of trio's clock."""
+    """Return the status at time ``now`` of trio's clock."""
     replica = replica_runner.replica
     lease_remaining = replica_runner.lease_remaining()
-    member_ages = {ip_from_machine_id(machine): round(age, 3) for machine, age in membership.ages(now).items()}
+    member_ages = {ip_from_machine_id(machine): round(age, 3) for machine, age in membership.member_ages(now).items()}
     return ControlPlaneStatus(
         name=settings.name,
         machine=settings.ip,
@@ -141,7 +141,7 @@
         may_order=replica.singleton_tasks_from <= now and lease_remaining > 0,
         servers=server_statuses(tasks.registry),
         behind=servers_behind(tasks.registry, publication.state.versions, now),
-        calls=tasks.endpoint_list.calls,
+        calls=tasks.endpoint_list.pages_requested,
         orders=tasks.rollout.orders,
         saves=replica_runner.saves,
         save_seconds=round(replica_runner.save_seconds, 4),
@@ -150,7 +150,7 @@
 
 
 def redundancy_status(replica_runner: ReplicaRunner, now: float) -> RedundancyStatus:
-    """The redundancy as the primary sees it."""
+    """Return the redundancy as seen by the primary."""
     redundancy = replica_runner.replica.redundancy()
     return RedundancyStatus(
         redundancy.replicas,
@@ -164,7 +164,7 @@
 
 
 def server_statuses(registry: ServerRegistry) -> list[ServerStatus]:
-    """All servers of the registry."""
+    """Return the status of all servers in the registry."""
     return [
         ServerStatus(record.id, record.service, record.address, record.state, record.versions)
         for record in registry.records()
@@ -172,7 +172,7 @@
 
 
 def servers_behind(registry: ServerRegistry, versions: dict[str, int], now: float) -> list[ServerBehindStatus]:
-    """The servers that lack an announced version, those first that have lacked one longest."""
+    """Return the servers that lack an announced version, sorted by decreasing lag."""
     return [
         ServerBehindStatus(server.id, server.model, server.version, round(server.lag_seconds, 3), server.loading)
         for server in registry.servers_behind(versions, now)[:MAX_LISTED_SERVERS_BEHIND]
--- a/rowanshift/controlplane/version_rollout.py
+++ b/rowanshift/controlplane/version_rollout.py
@@ -1,7 +1,7 @@
-"""Rolls announced model versions out to the servers, as a singleton role, by orders under a fencing token.
+"""Rolls announced model versions out to the servers, with orders under a fencing token. A singleton task.
 
-Orders go out only while this machine holds the lease, and only after the lease holder before it has surely stopped.
-The fencing token is the epoch's number, which rises and is on the disks of a majority.
+Orders are sent only while this machine holds the lease, and only after the former lease holder must have stopped. The
+fencing token is the epoch number, which only increases and is stored on the disks of a majority.
 """
 
 from __future__ import annotations
@@ -18,23 +18,24 @@
 from rowanshift.transport.call_client import CallFailed
 from rowanshift.transport.runtime import Nursery, Runtime
 
-ROLLOUT_CHECK_SECONDS = 0.05  # between checks for a server to be ordered
-MAX_AWAITED_STREAMS = 2  # at a server to be loaded; more are not waited for
-DRAIN_SECONDS = 0.6  # that they are waited for; then they pause while it loads
-DRAIN_CHECK_SECONDS = 0.15  # between checks whether they have ended
-ORDER_TIMEOUT_SECONDS = 0.8  # for an answer to an order
-LEASE_MARGIN_SECONDS = 0.1  # of the lease that must be left for an order to arrive
-LOAD_TIMEOUT_SECONDS = 12.0  # that a server may take to load
-REPORT_INTERVAL_SECONDS = 0.25  # between questions whether a server has loaded
-MAX_MISSING_REPORTS = 2  # in a row, after which a load counts as failed
-LOAD_UNDER_WAY_STATUSES = (0, 202, 409)  # an order is, or may be, under way at the server: its report says
+ROLLOUT_CHECK_SECONDS = 0.05  # interval between checks for a server to be ordered
+MAX_AWAITED_STREAMS = 2  # a load does not wait for the active streams of a server that has more than these
+DRAIN_SECONDS = 0.6  # maximum wait for active streams; those that remain pause during the load
+DRAIN_CHECK_SECONDS = 0.15  # interval between checks whether the active streams have ended
+ORDER_TIMEOUT_SECONDS = 0.8  # timeout for the response to an order
+LEASE_MARGIN_SECONDS = 0.1  # minimum remaining lease time for an order to be sent
+LOAD_TIMEOUT_SECONDS = 12.0  # maximum duration of a load
+REPORT_INTERVAL_SECONDS = 0.25  # interval between requests for the report of a loading server
+MAX_MISSING_REPORTS = 2  # number of consecutive missing reports after which a load has failed
+LOAD_UNDER_WAY_STATUSES = (0, 202, 409)  # the server may be executing an order: its report tells
 
 
 class VersionRollout:
     """Orders servers to load announced versions.
 
-    ``registry`` gives the registry in use, which is replaced when the primary changes, ``versions`` the announced
-    version of each model; ``on_change`` is called when the registry has changed. ``node_name`` names the lease holder.
+    ``registry`` returns the current registry, which is replaced when the primary changes; ``versions`` returns the
+    announced version of each model; ``on_change`` is called when the registry has changed. ``node_name`` is the name of
+    this machine, which orders contain as the lease holder.
     """
 
     def __init__(
@@ -54,15 +55,15 @@
         self.registry = registry
         self.versions = versions
         self.on_change = on_change
-        self.orders = 0  # that went out
+        self.orders = 0  # number of orders sent
 
     def _may_order(self) -> bool:
-        """Whether an order may go out now and still arrive while this machine is the only lease holder."""
+        """Return whether an order sent now would arrive while this machine is the only lease holder."""
         former_holder_stopped = self.replica_runner.replica.singleton_tasks_from <= trio.current_time()
         return former_holder_stopped and self.replica_runner.lease_remaining() > LEASE_MARGIN_SECONDS
 
     async def run(self, nursery: Nursery) -> None:
-        """Order loads, each in a task of its own; runs until it is cancelled."""
+        """Order loads, each in its own task; runs until cancelled."""
         while True:
             if self._may_order():
                 registry = self.registry()
@@ -75,7 +76,7 @@
             await self.runtime.pause(ROLLOUT_CHECK_SECONDS)
 
     async def _load(self, registry: ServerRegistry, pending: PendingLoad) -> None:
-        """Bring one server to a version, or to a newer one that is announced while its requests end."""
+        """Make a server load a version, or a newer one that is announced while its streams end."""
         server, model, version = pending
         succeeded = False
         try:
@@ -84,7 +85,7 @@
             succeeded = await self._order(server, model, version)
         except CallFailed as error:
             logger.info("event=order_failed server={} why={!r}", server.id, str(error))
-        if registry is not self.registry():  # another primary's epoch has begun
+        if registry is not self.registry():  # the primary has changed since
             return
         if succeeded:
             registry.load_succeeded(server.id, model, version, trio.current_time())
@@ -94,9 +95,10 @@
         self.on_change()
 
     async def _wait_for_streams(self, server: RegisteredServer) -> None:
-        """Wait until the streams that run there have ended, as the routers send no more.
+        """Wait until the server's active streams have ended; routers send it no new requests.
 
-        Only where they are few, since requests that wait elsewhere meanwhile lose more than they do, and not for long.
+        The wait is short, and only for a few streams: it takes the server's capacity away from requests that wait on
+        other servers, which costs more than interrupting the streams.
         """
         until = trio.current_time() + DRAIN_SECONDS
         while trio.current_time() < until:
@@ -106,7 +108,7 @@
                 return
 
     async def _order(self, server: RegisteredServer, model: str, version: int) -> bool:
-        """Order a server to load a version; whether it has loaded it. Raises ``CallFailed`` where nothing was sent."""
+        """Order a server to load a version; return whether it did. Raises ``CallFailed`` if the order was not sent."""
         if not self._may_order():
             return False
         order = LoadOrder(model, version, self.node_name, self.replica_runner.replica.record.epoch)
@@ -121,9 +123,10 @@
         return await self._wait_for_load(server, model, version, is_accepted=status == 202)
 
     async def _wait_for_load(self, server: RegisteredServer, model: str, version: int, is_accepted: bool) -> bool:
-        """Ask a server for its report until it has loaded; whether it has.
+        """Request a server's report until the load has ended; return whether it succeeded.
 
-        ``is_accepted``: it has said that it will load this order; else a report without a load means that it doesn't.
+        ``is_accepted`` means that the server has accepted this order. If it is false, a report without a running load
+        means that the load has failed.
         """
         until = trio.current_time() + LOAD_TIMEOUT_SECONDS
         missing_reports = 0
@@ -132,7 +135,7 @@
             report = await self.client.report(server)
             if report is None:
                 missing_reports += 1
-                if missing_reports >= MAX_MISSING_REPORTS:  # others may load in its stead; it is tried again later
+                if missing_reports >= MAX_MISSING_REPORTS:  # frees the slot for another server; retried later
                     return False
                 continue
             missing_reports = 0
@@ -143,6 +146,6 @@
         return False
 
     def _is_load_awaited(self, server: RegisteredServer, until: float) -> bool:
-        """Whether a load may still end well: in time, under this machine's lease, at a server on the list."""
+        """Return whether a load may still succeed: in time, under the lease, and on a server in the list."""
         in_time = trio.current_time() < until
         return in_time and self.replica_runner.lease_remaining() > 0 and server.id in self.registry().servers
--- a/tests/controlplane/test_endpoint_list.py
+++ b/tests/controlplane/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""The reading of the platform's endpoint list: when it is read, and what becomes of answers that are none."""
+"""The reader of the platform's endpoint list: when it reads the list, and how it handles invalid responses."""
 
 import unittest
 from types import SimpleNamespace
@@ -20,7 +20,7 @@
 
 
 class FakeRunner:
-    """Holds the lease or doesn't."""
+    """A replica runner that holds the lease or does not."""
 
     holds_lease = True
 
@@ -29,7 +29,7 @@
 
 
 class FakePlatform:
-    """Answers with the pages that it is given, by token; None is a call that fails."""
+    """A platform API that returns the given pages by target; the call fails for a page that is None."""
 
     def __init__(self, pages: dict[bytes, bytes | None], status: int = 200) -> None:
         self.pages = pages
@@ -52,7 +52,7 @@
     return orjson.dumps({"instances": instances, "nextToken": next_token})
 
 
-class Readings(unittest.TestCase):
+class ListReads(unittest.TestCase):
     def setUp(self) -> None:
         logger.disable("rowanshift")
         self.addCleanup(logger.enable, "rowanshift")
@@ -64,7 +64,7 @@
         self.changes += 1
 
     def read(self, platform: FakePlatform, seconds: float = 0.5) -> list[str]:
-        """The ids of the servers that are known after so many seconds of readings."""
+        """Run the reader for ``seconds`` and return the ids of the registered servers."""
 
         async def main() -> None:
             reader = EndpointListReader(
@@ -72,34 +72,34 @@
             )
             with trio.move_on_after(seconds):
                 await reader.run()
-            self.assertEqual(reader.calls, len(platform.targets))
+            self.assertEqual(reader.pages_requested, len(platform.targets))
 
         with mock.patch.object(endpoint_list, "call", platform.call):
             trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
         return list(self.registry.servers)
 
-    def test_the_pages_make_one_list(self) -> None:
+    def test_all_pages_are_read_into_one_list(self) -> None:
         platform = FakePlatform({b"/instances": page("a", next_token="t"), b"/instances?pageToken=t": page("b")})
         self.assertEqual(self.read(platform), ["a", "b"])
         self.assertEqual((self.registry.serial, self.changes), (1, 1))
 
-    def test_a_list_that_is_unchanged_is_no_change(self) -> None:
+    def test_an_unchanged_list_is_not_reported_as_a_change(self) -> None:
         platform = FakePlatform({b"/instances": page("a")})
         self.read(platform, 3.5 * LIST_INTERVAL_SECONDS)
         self.assertEqual((len(platform.targets), self.changes), (4, 1))
 
-    def test_without_the_lease_nothing_is_asked(self) -> None:
+    def test_without_the_lease_the_list_is_not_requested(self) -> None:
         self.runner.holds_lease = False
         platform = FakePlatform({b"/instances": page("a")})
         self.assertEqual(self.read(platform), [])
         self.assertEqual(platform.targets, [])
 
-    def test_a_list_whose_reading_outlasted_the_lease_is_not_applied(self) -> None:
+    def test_a_list_is_not_applied_if_the_lease_expired_during_the_read(self) -> None:
         platform = FakePlatform({b"/instances": page("a")})
         platform.on_call = lambda: setattr(self.runner, "holds_lease", False)
         self.assertEqual(self.read(platform), [])
 
-    def test_the_known_list_stays_where_an_answer_is_none(self) -> None:
+    def test_an_invalid_response_keeps_the_known_list(self) -> None:
         self.read(FakePlatform({b"/instances": page("a")}))
         for body in (
             None,
@@ -118,7 +118,7 @@
         self.assertEqual(self.read(FakePlatform({b"/instances": page("b")}, status=429)), ["a"])
         self.assertEqual(self.registry.serial, 1)
 
-    def test_a_list_without_an_end_is_given_up(self) -> None:
+    def test_a_list_with_too_many_pages_is_abandoned(self) -> None:
         pages = {b"/instances": page("a", next_token="t"), b"/instances?pageToken=t": page("a", next_token="t")}
         platform = FakePlatform(pages)
         self.assertEqual(self.read(platform), [])
--- a/tests/controlplane/test_former_poll_formats.py
+++ b/tests/controlplane/test_former_poll_formats.py
@@ -1,4 +1,4 @@
-"""Polls of routers of former releases."""
+"""Polls of routers from former releases: each router gets the answer format that it can decode."""
 
 import unittest
 
@@ -28,15 +28,15 @@
 
 
 class FormerRouters(unittest.TestCase):
-    def test_each_gets_the_answer_that_it_can_read(self) -> None:
+    def test_each_router_gets_the_answer_format_that_it_can_decode(self) -> None:
         async def main(fleet: Fleet) -> list[UpdateOfFormat1]:
             await fleet.start()
-            caller = RecordClient(fleet.outside, CONTROL_UPDATE_CODEC, (fleet.primary().machine.address, INNER[0]))
-            nothing = (0, 0), 0, (0, 0), (0, 0), (0, 0), 0
+            client = RecordClient(fleet.outside, CONTROL_UPDATE_CODEC, (fleet.primary().machine.address, INNER[0]))
+            no_versions = (0, 0), 0, (0, 0), (0, 0), (0, 0), 0
             await fleet.name_version(2)
-            kinds = PollOfFormat2, PollOfFormat3, Poll
-            answers = [await caller.call(poll(1, 1, *nothing), 2.0) for poll in kinds]
-            caller.close()
+            poll_types = PollOfFormat2, PollOfFormat3, Poll
+            answers = [await client.call(poll(1, 1, *no_versions), 2.0) for poll in poll_types]
+            client.close()
             await trio.lowlevel.checkpoint()
             return answers
 
@@ -44,27 +44,31 @@
         self.assertEqual(
             [type(answer) for answer in (first, second, third)], [UpdateOfFormat1, UpdateOfFormat2, Update]
         )
-        self.assertEqual([(name.model, name.version) for name in second.announcements], [("m", 2)])
-        self.assertEqual([(name.version, name.is_dated) for name in third.announcements], [(2, True)])
+        self.assertEqual(
+            [(announcement.model, announcement.version) for announcement in second.announcements], [("m", 2)]
+        )
+        self.assertEqual(
+            [(announcement.version, announcement.is_dated) for announcement in third.announcements], [(2, True)]
+        )
 
-    def test_a_poll_of_a_former_router_is_held_while_there_is_nothing_newer(self) -> None:
+    def test_a_poll_of_a_former_router_is_held_while_there_is_nothing_new(self) -> None:
         async def main(fleet: Fleet) -> float:
             await fleet.start()
-            caller = RecordClient(fleet.outside, CONTROL_UPDATE_CODEC, (fleet.primary().machine.address, INNER[0]))
-            await trio.sleep(4.0)  # until its members have settled
-            nothing = (0, 0), 0, (0, 0), (0, 0), (0, 0), 0
-            found = await caller.call(PollOfFormat3(1, 1, *nothing), 2.0)
-            has = (
-                found.state_version,
-                found.fingerprint,
-                found.registry_version,
-                found.prefix_holdings_version,
-                found.peers_version,
+            client = RecordClient(fleet.outside, CONTROL_UPDATE_CODEC, (fleet.primary().machine.address, INNER[0]))
+            await trio.sleep(4.0)  # until the membership is known
+            no_versions = (0, 0), 0, (0, 0), (0, 0), (0, 0), 0
+            update = await client.call(PollOfFormat3(1, 1, *no_versions), 2.0)
+            known_versions = (
+                update.state_version,
+                update.fingerprint,
+                update.registry_version,
+                update.prefix_holdings_version,
+                update.peers_version,
             )
-            asked_at = fleet.now()
-            await caller.call(PollOfFormat3(1, 1, *has, 400), 2.0)
-            caller.close()
-            return fleet.now() - asked_at
+            requested_at = fleet.now()
+            await client.call(PollOfFormat3(1, 1, *known_versions, 400), 2.0)
+            client.close()
+            return fleet.now() - requested_at
 
         self.assertGreater(play(main, "held", routers=1)[0], 0.35)
 
--- a/tests/controlplane/test_inherited_versions.py
+++ b/tests/controlplane/test_inherited_versions.py
@@ -1,4 +1,4 @@
-"""Named versions that a primary takes over: when each was named, as routers tell that lived through it."""
+"""Announced versions that a primary inherits: routers report the times at which they were announced."""
 
 import unittest
 from unittest import mock
@@ -20,8 +20,8 @@
 from rowanshift.wire.control_updates import ModelVersionAnnouncement
 from rowanshift.wire.version_announcements import VersionAnnouncement
 
-CLOSE = 0.3  # seconds by which a date may differ from when the name was acknowledged
-AGE = 2.5  # seconds from a name to the trouble
+MAX_DATE_ERROR_SECONDS = 0.3  # maximum difference between a date and the acknowledgement of the announcement
+ANNOUNCEMENT_AGE_SECONDS = 2.5  # time from the announcement to the fault
 
 
 def setUpModule() -> None:
@@ -37,26 +37,26 @@
 
 
 class LateFirstLoad(unittest.TestCase):
-    """A primary that first chooses a load long after its takeover."""
+    """A primary that chooses its first load long after its takeover."""
 
     def test_an_inherited_version_is_due_since_the_takeover(self) -> None:
         registry = ServerRegistry(rollout_seconds=5.0)
-        registry.record_versions({"m": 2}, 0.0)  # named by a former primary
+        registry.record_versions({"m": 2}, 0.0)  # announced to a former primary
         registry.record_versions({"m": 2, "n": 2}, 1.0)
         registry.apply_list([server("z", "s", m=1), server("y", "s", m=2), server("a", "t", n=1)])
         self.assertEqual(registry.next_load({"m": 2, "n": 2}, 20.0)[0].id, "z")
 
 
 class DatesOfRouters(unittest.TestCase):
-    """Which dates of routers a primary applies."""
+    """The announcement times from routers that a primary applies."""
 
     def registry(self) -> ServerRegistry:
-        made = ServerRegistry(rollout_seconds=5.0)
-        made.record_versions({"m": 5}, 100.0)
-        return made
+        registry = ServerRegistry(rollout_seconds=5.0)
+        registry.record_versions({"m": 5}, 100.0)
+        return registry
 
-    def apply(self, registry: ServerRegistry, *names: ModelVersionAnnouncement) -> bool:
-        return registry.apply_announcements(names, {"m": 5}, 100.0)
+    def apply(self, registry: ServerRegistry, *announcements: ModelVersionAnnouncement) -> bool:
+        return registry.apply_announcements(announcements, {"m": 5}, 100.0)
 
     def test_a_router_dates_an_inherited_version(self) -> None:
         registry = self.registry()
@@ -65,10 +65,10 @@
         registry.record_versions({"m": 5}, 101.0)
         self.assertEqual(registry.announcements.find("m", 5), VersionAnnouncement("m", 5, 97.0))
 
-    def test_older_announcements_that_the_takeover_had_hidden_return(self) -> None:
+    def test_older_announcements_lost_in_the_takeover_are_restored(self) -> None:
         registry = self.registry()
         self.apply(registry, ModelVersionAnnouncement("m", 4, 6000), ModelVersionAnnouncement("m", 5, 3000))
-        self.assertEqual([name.version for name in registry.announcements.all()], [4, 5])
+        self.assertEqual([announcement.version for announcement in registry.announcements.all()], [4, 5])
 
     def test_versions_not_in_force_and_undated_ones_are_ignored(self) -> None:
         registry = self.registry()
@@ -77,7 +77,7 @@
         )
         self.assertFalse(self.apply(registry, ModelVersionAnnouncement("m", 5, 3000, is_dated=False)))
 
-    def test_small_differences_change_nothing(self) -> None:
+    def test_differences_within_the_tolerance_are_ignored(self) -> None:
         registry = self.registry()
         self.apply(registry, ModelVersionAnnouncement("m", 5, 3000))
         serial = registry.announcements_serial
@@ -91,18 +91,18 @@
         self.assertEqual(registry.announcements_serial, serial + 1)
 
     def test_announcements_beyond_the_limit_are_ignored(self) -> None:
-        others = [ModelVersionAnnouncement(f"m{n}", 1, 0) for n in range(MAX_ANNOUNCEMENTS_PER_POLL)]
-        self.assertFalse(self.apply(self.registry(), *others, ModelVersionAnnouncement("m", 5, 3000)))
-        self.assertTrue(self.apply(self.registry(), *others[1:], ModelVersionAnnouncement("m", 5, 3000)))
+        other_announcements = [ModelVersionAnnouncement(f"m{n}", 1, 0) for n in range(MAX_ANNOUNCEMENTS_PER_POLL)]
+        self.assertFalse(self.apply(self.registry(), *other_announcements, ModelVersionAnnouncement("m", 5, 3000)))
+        self.assertTrue(self.apply(self.registry(), *other_announcements[1:], ModelVersionAnnouncement("m", 5, 3000)))
 
 
-def named_at(fleet: Fleet) -> float:
-    """When the last version was acknowledged."""
+def announced_at(fleet: Fleet) -> float:
+    """Return the time at which the last announcement was acknowledged."""
     return max(fact.at for fact in fleet.of(VersionNamed))
 
 
-def dated_at(unit: Unit) -> float:
-    """When a program takes version 2 to have been named."""
+def known_announcement_time(unit: Unit) -> float:
+    """Return the time at which version 2 was announced, as known to a core machine or a router."""
     program = unit.program
     announcements = (
         program.tasks.registry.announcements if unit.core else program.control_cache.version_deadlines.announcements
@@ -111,46 +111,48 @@
 
 
 class Takeovers(unittest.TestCase):
-    """The date of a name outlives the primary that acknowledged it."""
+    """The announcement time of a version survives the primary that acknowledged it."""
 
-    async def name(self, fleet: Fleet) -> None:
-        """A version is named that no server loads, as no order is given."""
+    async def announce(self, fleet: Fleet) -> None:
+        """Announce a version that no server loads, because no orders are sent."""
         await fleet.start()
         await fleet.name_version(2)
-        await trio.sleep(AGE)
+        await trio.sleep(ANNOUNCEMENT_AGE_SECONDS)
 
-    def off_after(self, trouble, seed: str, routers: int = 2) -> float:
-        """Seconds between the name's acknowledgement and its date at the primary that follows a trouble."""
+    def date_error_after(self, inject_fault, seed: str, routers: int = 2) -> float:
+        """Return the error of the announcement time, in seconds, at the first primary after a fault."""
 
         async def main(fleet: Fleet) -> float:
-            await self.name(fleet)
-            former = fleet.primary()
-            await trouble(fleet, former)
-            await fleet.until(lambda: fleet.primary() not in (None, former) or (former.lives > 1 and fleet.primary()))
+            await self.announce(fleet)
+            former_primary = fleet.primary()
+            await inject_fault(fleet, former_primary)
+            await fleet.until(
+                lambda: fleet.primary() not in (None, former_primary) or (former_primary.lives > 1 and fleet.primary())
+            )
             await trio.sleep(2.0)
-            return abs(dated_at(fleet.primary()) - named_at(fleet))
+            return abs(known_announcement_time(fleet.primary()) - announced_at(fleet))
 
         with mock.patch.object(VersionRollout, "_may_order", lambda rollout: False):
             return play(main, seed, routers=routers)[0]
 
-    def test_a_date_outlives_a_killed_primary(self) -> None:
-        async def trouble(fleet: Fleet, primary: Unit) -> None:
+    def test_a_date_survives_a_killed_primary(self) -> None:
+        async def inject_fault(fleet: Fleet, primary: Unit) -> None:
             fleet.kill(primary)
 
         for seed in range(4):
-            self.assertLess(self.off_after(trouble, str(seed)), CLOSE)
+            self.assertLess(self.date_error_after(inject_fault, str(seed)), MAX_DATE_ERROR_SECONDS)
 
-    def test_a_date_outlives_a_killed_core(self) -> None:
-        async def trouble(fleet: Fleet, primary: Unit) -> None:
+    def test_a_date_survives_a_killed_core(self) -> None:
+        async def inject_fault(fleet: Fleet, primary: Unit) -> None:
             fleet.kill(*fleet.cores)
             await trio.sleep(0.5)
             fleet.back(*fleet.cores)
 
         for seed in range(4):
-            self.assertLess(self.off_after(trouble, str(seed)), CLOSE)
+            self.assertLess(self.date_error_after(inject_fault, str(seed)), MAX_DATE_ERROR_SECONDS)
 
-    def test_takeovers_in_series_do_not_add_up(self) -> None:
-        async def trouble(fleet: Fleet, primary: Unit) -> None:
+    def test_errors_do_not_accumulate_over_takeovers(self) -> None:
+        async def inject_fault(fleet: Fleet, primary: Unit) -> None:
             for _ in range(6):
                 fleet.kill(*fleet.cores)
                 await trio.sleep(0.2)
@@ -158,26 +160,28 @@
                 await fleet.until(fleet.primary)
                 await trio.sleep(1.0)
 
-        self.assertLess(self.off_after(trouble, "series"), CLOSE)
+        self.assertLess(self.date_error_after(inject_fault, "series"), MAX_DATE_ERROR_SECONDS)
 
     def test_a_router_that_starts_after_a_takeover_knows_the_date(self) -> None:
-        """It goes by the name's own date, not by a shorter time for names of which nobody knows it."""
+        """It uses the announcement time itself, not the shorter deadline for versions without a known time."""
 
         async def main(fleet: Fleet) -> float:
-            await self.name(fleet)
+            await self.announce(fleet)
             fleet.kill(fleet.primary())
             await fleet.until(fleet.primary)
             await trio.sleep(2.0)
-            started = fleet.routers[0]
-            fleet.kill(started)
-            fleet.back(started)
-            await fleet.until(lambda: started.lives > 1 and started.program and started.program.ready())
+            restarted_router = fleet.routers[0]
+            fleet.kill(restarted_router)
+            fleet.back(restarted_router)
+            await fleet.until(
+                lambda: restarted_router.lives > 1 and restarted_router.program and restarted_router.program.ready()
+            )
             await trio.sleep(1.0)
-            return abs(dated_at(started) - named_at(fleet))
+            return abs(known_announcement_time(restarted_router) - announced_at(fleet))
 
         with mock.patch.object(VersionRollout, "_may_order", lambda rollout: False):
             for seed in range(4):
-                self.assertLess(play(main, f"starts {seed}")[0], 2 * CLOSE)
+                self.assertLess(play(main, f"starts {seed}")[0], 2 * MAX_DATE_ERROR_SECONDS)
 
 
 if __name__ == "__main__":
--- a/tests/controlplane/test_poll_endpoint.py
+++ b/tests/controlplane/test_poll_endpoint.py
@@ -1,4 +1,4 @@
-"""Routers' polls at a core machine: when they are held, what an answer brings, and where a redirect leads."""
+"""Routers' polls on a core machine: how long they are held, the contents of updates, and redirects."""
 
 import unittest
 from types import SimpleNamespace
@@ -12,7 +12,7 @@
     PRIMARY_CHECK_SECONDS,
     PRIMARY_SEARCH_SECONDS,
     PollEndpoint,
-    answer_readable_by,
+    convert_answer,
 )
 from rowanshift.controlplane.registered_server import RegisteredServer
 from rowanshift.controlplane.router_membership import RouterMembership
@@ -32,12 +32,12 @@
 
 EPOCH = 7
 CONFIG = b'{"revision":3}'
-NOTHING = (0, 0), 0, (0, 0), (0, 0), (0, 0)
-CORE = (1, 2, 3)
+NO_VERSIONS = (0, 0), 0, (0, 0), (0, 0), (0, 0)
+CORE_MACHINES = (1, 2, 3)
 
 
 class FakeReplica(SimpleNamespace):
-    """The replica of machine 1, which is the primary, or has heard machine 2 as the primary, or none."""
+    """The replica of machine 1; a test makes it the primary, a backup of machine 2, or a backup without a primary."""
 
     def __init__(self) -> None:
         super().__init__(
@@ -67,23 +67,26 @@
         self.endpoint = PollEndpoint(SYSTEM_RUNTIME, runner, publication, membership, tasks, self.updates)
         self.membership = membership
 
-    def played(self, *steps: object) -> list[tuple[float, object]]:
-        """Each poll's answer with the seconds for which it was held; a step is a poll, or made of the last answer."""
+    def answers_to(self, *steps: object) -> list[tuple[float, object]]:
+        """Send polls in sequence and return each answer with the seconds for which the poll was held.
+
+        A step is a poll, or a function that creates a poll from the last answer.
+        """
 
         async def main() -> list[tuple[float, object]]:
             answers: list[tuple[float, object]] = []
             for step in steps:
                 poll = step(answers[-1][1]) if callable(step) else step
-                asked_at = trio.current_time()
+                sent_at = trio.current_time()
                 answer = await self.endpoint.answer(poll)
-                answers.append((trio.current_time() - asked_at, answer))
+                answers.append((trio.current_time() - sent_at, answer))
             return answers
 
         return trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
 def poll_of(update: Update, long_poll_ms: int = 1000) -> Poll:
-    """The poll of a router that has applied an answer."""
+    """Return the poll of a router that has applied ``update``."""
     return Poll(
         9,
         1,
@@ -98,29 +101,29 @@
 
 
 class Answers(PollCase):
-    def test_a_router_that_has_nothing_gets_all_at_once(self) -> None:
-        ((held, update),) = self.played(Poll(9, 1, *NOTHING, 1000))
+    def test_a_router_without_data_gets_everything_immediately(self) -> None:
+        ((held, update),) = self.answers_to(Poll(9, 1, *NO_VERSIONS, 1000))
         self.assertEqual(held, 0.0)
         self.assertEqual((update.state_version, update.revision, update.versions), ((EPOCH, 5), 3, {"m": 2}))
         self.assertTrue(update.has_state and update.has_server_records and update.has_announcements)
-        self.assertEqual(update.core_machines, CORE)
+        self.assertEqual(update.core_machines, CORE_MACHINES)
 
-    def test_a_poll_is_held_while_there_is_nothing_newer(self) -> None:
-        answers = self.played(Poll(9, 1, *NOTHING, 1000), poll_of, lambda update: poll_of(update, 300))
+    def test_a_poll_is_held_while_there_is_nothing_new(self) -> None:
+        answers = self.answers_to(Poll(9, 1, *NO_VERSIONS, 1000), poll_of, lambda update: poll_of(update, 300))
         self.assertAlmostEqual(answers[1][0], LONG_POLL_SECONDS)
         self.assertAlmostEqual(answers[2][0], 0.3)
         update = answers[1][1]
         self.assertFalse(update.has_state or update.has_server_records or update.has_announcements)
         self.assertEqual((update.config, update.server_records, update.announcements), (b"", (), ()))
 
-    def test_a_held_poll_is_answered_with_what_changes(self) -> None:
+    def test_a_held_poll_is_answered_with_the_changed_part(self) -> None:
         async def main() -> tuple[float, Update]:
-            first = await self.endpoint.answer(Poll(9, 1, *NOTHING, 1000))
+            first = await self.endpoint.answer(Poll(9, 1, *NO_VERSIONS, 1000))
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self.change_registry, 0.25)
-                asked_at = trio.current_time()
+                sent_at = trio.current_time()
                 second = await self.endpoint.answer(poll_of(first))
-            return trio.current_time() - asked_at, second
+            return trio.current_time() - sent_at, second
 
         held, update = trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
         self.assertAlmostEqual(held, 0.25)
@@ -132,46 +135,46 @@
         self.registry.apply_list([])
         self.updates.notify()
 
-    def test_serials_of_another_epoch_count_for_nothing(self) -> None:
+    def test_serials_of_another_epoch_are_ignored(self) -> None:
         def of_another_epoch(update: Update) -> Poll:
             self.replica.record.epoch = EPOCH + 1
             return poll_of(update)
 
-        answers = self.played(Poll(9, 1, *NOTHING, 1000), of_another_epoch)
+        answers = self.answers_to(Poll(9, 1, *NO_VERSIONS, 1000), of_another_epoch)
         held, update = answers[1]
         self.assertEqual((held, update.has_state), (0.0, False))
         self.assertTrue(update.has_server_records and update.has_announcements)
 
     def test_each_poll_counts_for_the_membership(self) -> None:
-        self.played(Poll(9, 1, *NOTHING, 1000))
+        self.answers_to(Poll(9, 1, *NO_VERSIONS, 1000))
         self.assertEqual([*self.membership.polled_at], [9])
 
 
 class Redirects(PollCase):
-    def test_a_backup_leads_to_the_primary_at_once(self) -> None:
+    def test_a_backup_redirects_to_the_primary_immediately(self) -> None:
         self.replica.is_primary, self.replica.primary_hint = False, 2
-        self.assertEqual(self.played(Poll(9, 1, *NOTHING, 1000)), [(0.0, Redirect(2, CORE))])
+        self.assertEqual(self.answers_to(Poll(9, 1, *NO_VERSIONS, 1000)), [(0.0, Redirect(2, CORE_MACHINES))])
         self.assertEqual(self.membership.polled_at, {})
 
-    def test_a_machine_that_knows_of_no_primary_waits_for_one(self) -> None:
+    def test_a_machine_that_knows_no_primary_waits_for_one(self) -> None:
         self.replica.is_primary, self.replica.primary_hint = False, 0
-        ((held, answer),) = self.played(Poll(9, 1, *NOTHING, 1000))
+        ((held, answer),) = self.answers_to(Poll(9, 1, *NO_VERSIONS, 1000))
         self.assertGreaterEqual(held, PRIMARY_SEARCH_SECONDS)
         self.assertLess(held, PRIMARY_SEARCH_SECONDS + 1.5 * PRIMARY_CHECK_SECONDS)
-        self.assertEqual(answer, Redirect(0, CORE))
+        self.assertEqual(answer, Redirect(0, CORE_MACHINES))
 
     def test_a_leaving_machine_holds_no_poll(self) -> None:
         async def main() -> tuple[float, object]:
-            first = await self.endpoint.answer(Poll(9, 1, *NOTHING, 1000))
+            first = await self.endpoint.answer(Poll(9, 1, *NO_VERSIONS, 1000))
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self.leave, 0.25)
-                asked_at = trio.current_time()
+                sent_at = trio.current_time()
                 second = await self.endpoint.answer(poll_of(first))
-            return trio.current_time() - asked_at, second
+            return trio.current_time() - sent_at, second
 
         held, answer = trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
         self.assertAlmostEqual(held, 0.25)
-        self.assertEqual(answer, Redirect(0, CORE))
+        self.assertEqual(answer, Redirect(0, CORE_MACHINES))
 
     async def leave(self, after: float) -> None:
         await trio.sleep(after)
@@ -179,18 +182,18 @@
 
 
 class Formats(PollCase):
-    def test_a_former_router_gets_the_answer_that_it_can_read(self) -> None:
-        ((_, update),) = self.played(Poll(9, 1, *NOTHING, 1000))
+    def test_a_former_router_gets_an_answer_in_its_format(self) -> None:
+        ((_, update),) = self.answers_to(Poll(9, 1, *NO_VERSIONS, 1000))
         for poll_type, answer_type in (
             (PollOfFormat2, UpdateOfFormat1),
             (PollOfFormat3, UpdateOfFormat2),
         ):
-            self.assertIs(type(answer_readable_by(poll_type(9, 1, *NOTHING, 1000), update)), answer_type)
-        self.assertIs(answer_readable_by(Poll(9, 1, *NOTHING, 1000), update), update)
+            self.assertIs(type(convert_answer(poll_type(9, 1, *NO_VERSIONS, 1000), update)), answer_type)
+        self.assertIs(convert_answer(Poll(9, 1, *NO_VERSIONS, 1000), update), update)
 
     def test_a_redirect_is_the_same_in_all_formats(self) -> None:
-        redirect = Redirect(2, CORE)
-        self.assertIs(answer_readable_by(PollOfFormat2(9, 1, *NOTHING, 1000), redirect), redirect)
+        redirect = Redirect(2, CORE_MACHINES)
+        self.assertIs(convert_answer(PollOfFormat2(9, 1, *NO_VERSIONS, 1000), redirect), redirect)
 
 
 if __name__ == "__main__":
--- a/tests/controlplane/test_state_publication.py
+++ b/tests/controlplane/test_state_publication.py
@@ -1,4 +1,4 @@
-"""The committed state as it is published to routers: when, with which fingerprint, and to whom."""
+"""Publication of the committed state to routers: conditions, fingerprint and notification."""
 
 import unittest
 import zlib
@@ -32,7 +32,7 @@
 
 
 class CountingSignal(UpdateSignal):
-    """Counts the updates that it is notified of."""
+    """An update signal that counts its notifications."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -77,13 +77,13 @@
 
 
 class Fingerprints(unittest.TestCase):
-    def test_it_stays_the_same_over_releases(self) -> None:
-        """A router that has a state of another release's primary isn't sent it again. The figures are of 34514ad."""
+    def test_the_fingerprint_is_stable_across_releases(self) -> None:
+        """A router does not receive the state again after an upgrade. The expected values are from commit 34514ad."""
         self.assertEqual(state_fingerprint(ControlState()), 0xB81420A9F10CA451)
         state = ControlState(3, b'{"revision":3}', {"m": 2, "a": 1})
         self.assertEqual(state_fingerprint(state), 0xD62BADCDF2F79C75)
 
-    def test_each_part_that_routers_receive_changes_it(self) -> None:
+    def test_each_part_that_routers_receive_changes_the_fingerprint(self) -> None:
         others = [
             replace(STATE, revision=4),
             replace(STATE, config=CONFIG + b" "),
@@ -91,16 +91,16 @@
             replace(STATE, versions={"m": 2, "n": 1}),
         ]
         self.assertEqual(len({state_fingerprint(state) for state in (STATE, *others)}), 5)
-        self.assertTrue(all(state_fingerprint(state) & 1 for state in others))  # 0 stands for no state
+        self.assertTrue(all(state_fingerprint(state) & 1 for state in others))  # 0 means no state
 
 
 class PrefixStores(unittest.TestCase):
-    def test_services_without_an_address_and_addresses_without_a_port_are_left_out(self) -> None:
+    def test_services_without_a_valid_address_are_ignored(self) -> None:
         self.assertEqual(prefix_store_addresses(STATE), {("10.0.0.9", 700)})
 
 
 class Signals(unittest.TestCase):
-    def test_each_notification_wakes_those_that_wait_then(self) -> None:
+    def test_each_notification_wakes_the_current_waiters(self) -> None:
         async def main() -> list[str]:
             signal, woken = UpdateSignal(), []
 
--- a/tests/controlplane/test_status.py
+++ b/tests/controlplane/test_status.py
@@ -1,4 +1,4 @@
-"""The status document of a core machine: the names of its fields, which operators' tools read."""
+"""The status document of a core machine: the field names that operators' tools read, and their values."""
 
 import unittest
 
@@ -45,8 +45,8 @@
 
 
 def status(**fields: object) -> ControlPlaneStatus:
-    """A primary's status with a server of each kind."""
-    given = {
+    """Return the status of a primary with one registered and one outdated server; ``fields`` override its values."""
+    defaults = {
         "name": "core-1",
         "machine": "10.0.0.1",
         "primary": True,
@@ -72,17 +72,17 @@
         "saves": 3,
         "save_seconds": 0.01,
     }
-    return ControlPlaneStatus(**(given | fields))
+    return ControlPlaneStatus(**(defaults | fields))
 
 
 class FieldNames(unittest.TestCase):
-    def test_the_document(self) -> None:
+    def test_the_names_in_the_document(self) -> None:
         self.assertEqual(list(status().as_json()), FIELDS)
 
-    def test_the_redundancy(self) -> None:
+    def test_the_names_in_the_redundancy(self) -> None:
         self.assertEqual(list(status().as_json()["redundancy"]), REDUNDANCY_FIELDS)
 
-    def test_servers_and_those_behind(self) -> None:
+    def test_servers_and_outdated_servers(self) -> None:
         document = status().as_json()
         self.assertEqual(
             document["servers"],
@@ -92,7 +92,7 @@
             document["behind"], [{"id": "i-1", "model": "m", "version": 1, "lacksForS": 0.5, "loading": False}]
         )
 
-    def test_what_only_the_primary_knows_is_null_elsewhere(self) -> None:
+    def test_values_that_only_the_primary_knows_are_null_elsewhere(self) -> None:
         document = status(primary=False, redundancy=None, revision=None, versions=None).as_json()
         self.assertEqual([document[name] for name in ("redundancy", "revision", "versions")], [None, None, None])
 
@@ -105,19 +105,19 @@
     def test_the_primary_lists_members_and_servers_and_a_backup_does_not(self) -> None:
         async def main(fleet: Fleet) -> list[ControlPlaneStatus]:
             await fleet.start()
-            await trio.sleep(4.0)  # until the members have settled
+            await trio.sleep(4.0)  # until the membership is known
             primary = fleet.primary()
-            machines = primary.program, next(unit for unit in fleet.cores if unit is not primary).program
+            programs = primary.program, next(unit for unit in fleet.cores if unit is not primary).program
             return [
                 collect_status(
-                    core.settings,
-                    core.replica_runner,
-                    core.publication,
-                    core.membership,
-                    core.tasks,
+                    program.settings,
+                    program.replica_runner,
+                    program.publication,
+                    program.membership,
+                    program.tasks,
                     trio.current_time(),
                 )
-                for core in machines
+                for program in programs
             ]
 
         primary, backup = play(main, "status", routers=2)[0]
--- a/tests/controlplane/test_version_rollout.py
+++ b/tests/controlplane/test_version_rollout.py
@@ -1,4 +1,4 @@
-"""One load of the rollout: what is waited for, when the order goes out, and when a load has failed."""
+"""A load of the version rollout: draining, conditions for sending the order, and detection of failed loads."""
 
 import unittest
 from types import SimpleNamespace
@@ -20,13 +20,13 @@
 from rowanshift.transport.call_client import CallFailed
 from rowanshift.transport.runtime import SYSTEM_RUNTIME
 
-OLD = {"models": [{"name": "m", "revision": 1}], "active": 0}
-NEW = {"models": [{"name": "m", "revision": 2}], "active": 0}
-LOADING = OLD | {"busy": True}
+OLD_VERSION_REPORT = {"models": [{"name": "m", "revision": 1}], "active": 0}
+NEW_VERSION_REPORT = {"models": [{"name": "m", "revision": 2}], "active": 0}
+LOADING_REPORT = OLD_VERSION_REPORT | {"busy": True}
 
 
 class FakeRunner:
-    """The primary of epoch 7 with a lease of so many seconds."""
+    """The replica runner of the primary of epoch 7, with ``lease`` seconds left."""
 
     lease = 1.0
 
@@ -38,7 +38,7 @@
 
 
 class FakeServer:
-    """Answers orders with a status, or fails, and reports one after the other; the last report stays."""
+    """A client for one server: returns or raises ``status`` for orders, and returns ``reports`` in turn."""
 
     def __init__(self, status: int | Exception, *reports: dict | None) -> None:
         self.status = status
@@ -77,7 +77,7 @@
         )
 
     def load(self, client: FakeServer, seconds: float = 2.0) -> RegisteredServer:
-        """The server after so many seconds of the rollout; the first load's start is time 0."""
+        """Run the rollout for ``seconds`` and return the server; ``started_at`` is the start of the first load."""
 
         async def main() -> None:
             rollout = self.rollout_with(client)
@@ -91,77 +91,84 @@
         return self.registry.servers["a"]
 
     def test_a_server_that_has_loaded_has_the_version(self) -> None:
-        server = self.load(FakeServer(200, OLD))
+        server = self.load(FakeServer(200, OLD_VERSION_REPORT))
         self.assertEqual((server.versions, server.loading), ({"m": 2}, False))
 
-    def test_an_order_bears_the_epoch_as_its_fencing_token(self) -> None:
-        client = FakeServer(200, OLD)
+    def test_an_order_contains_the_epoch_as_its_fencing_token(self) -> None:
+        client = FakeServer(200, OLD_VERSION_REPORT)
         self.load(client)
         self.assertEqual(client.orders[0][1], LoadOrder("m", 2, "core-1", 7))
         self.assertEqual(self.rollout.orders, 1)
 
-    def test_an_accepted_order_is_followed_by_reports_until_it_has_loaded(self) -> None:
-        server = self.load(FakeServer(202, OLD, LOADING, OLD, NEW))
+    def test_reports_are_requested_after_an_accepted_order_until_the_load_has_ended(self) -> None:
+        server = self.load(FakeServer(202, OLD_VERSION_REPORT, LOADING_REPORT, OLD_VERSION_REPORT, NEW_VERSION_REPORT))
         self.assertEqual(server.versions, {"m": 2})
 
-    def test_an_order_whose_answer_was_lost_has_failed_where_no_load_is_under_way(self) -> None:
+    def test_an_order_with_a_lost_response_has_failed_if_the_server_is_not_loading(self) -> None:
         for status in (0, 409):
             with self.subTest(status=status):
                 self.setUp()
-                server = self.load(FakeServer(status, OLD), 1.0)
+                server = self.load(FakeServer(status, OLD_VERSION_REPORT), 1.0)
                 self.assertEqual((server.versions, server.failed_loads["m"].failures > 0), ({"m": 1}, True))
 
-    def test_an_order_whose_answer_was_lost_is_followed_while_a_load_is_under_way(self) -> None:
-        client = FakeServer(0, OLD, LOADING, LOADING, NEW)
+    def test_reports_are_requested_after_a_lost_response_while_the_server_is_loading(self) -> None:
+        client = FakeServer(0, OLD_VERSION_REPORT, LOADING_REPORT, LOADING_REPORT, NEW_VERSION_REPORT)
         self.assertEqual(self.load(client).versions, {"m": 2})
         self.assertEqual(len(client.orders), 1)
 
-    def test_a_refused_or_unsent_order_has_failed(self) -> None:
+    def test_a_rejected_or_unsent_order_has_failed(self) -> None:
         for status in (400, 412, 421, CallFailed("refused", False)):
             with self.subTest(status=status):
                 self.setUp()
-                self.assertEqual(self.load(FakeServer(status, OLD), 0.5).failed_loads["m"].failures, 1)
+                self.assertEqual(self.load(FakeServer(status, OLD_VERSION_REPORT), 0.5).failed_loads["m"].failures, 1)
 
-    def test_a_server_that_reports_nothing_twice_has_failed(self) -> None:
-        self.assertEqual(self.load(FakeServer(202, OLD, None), 1.0).failed_loads["m"].failures, 1)
+    def test_a_load_has_failed_after_two_missing_reports(self) -> None:
+        self.assertEqual(self.load(FakeServer(202, OLD_VERSION_REPORT, None), 1.0).failed_loads["m"].failures, 1)
 
-    def test_one_missing_report_is_forgiven(self) -> None:
-        self.assertEqual(self.load(FakeServer(202, OLD, None, LOADING, None, NEW)).versions, {"m": 2})
+    def test_a_single_missing_report_is_tolerated(self) -> None:
+        self.assertEqual(
+            self.load(FakeServer(202, OLD_VERSION_REPORT, None, LOADING_REPORT, None, NEW_VERSION_REPORT)).versions,
+            {"m": 2},
+        )
 
-    def test_a_server_that_hangs_has_failed_in_time(self) -> None:
-        client = FakeServer(202, LOADING)
+    def test_a_load_has_failed_after_its_timeout(self) -> None:
+        client = FakeServer(202, LOADING_REPORT)
         self.assertEqual(self.load(client, LOAD_TIMEOUT_SECONDS - 0.5).failed_loads, {})
         self.setUp()
         self.assertEqual(self.load(client, LOAD_TIMEOUT_SECONDS + 1.0).failed_loads["m"].failures, 1)
 
     def ordered_after(self, report: dict) -> float:
-        """Seconds from the start of a load to its order, at a server with this report."""
+        """Return the seconds from the start of a load to its order, for a server with this report."""
         self.setUp()
         client = FakeServer(200, report)
         self.load(client)
         return client.orders[0][0] - self.started_at
 
-    def test_few_streams_are_waited_for_and_not_for_long(self) -> None:
-        few = self.ordered_after(OLD | {"active": MAX_AWAITED_STREAMS})
-        self.assertGreaterEqual(few, DRAIN_SECONDS)
-        for report in (OLD, OLD | {"active": MAX_AWAITED_STREAMS + 1}, OLD | {"active": 1, "queued": 3}):
+    def test_the_rollout_waits_briefly_for_few_streams(self) -> None:
+        drain_seconds = self.ordered_after(OLD_VERSION_REPORT | {"active": MAX_AWAITED_STREAMS})
+        self.assertGreaterEqual(drain_seconds, DRAIN_SECONDS)
+        for report in (
+            OLD_VERSION_REPORT,
+            OLD_VERSION_REPORT | {"active": MAX_AWAITED_STREAMS + 1},
+            OLD_VERSION_REPORT | {"active": 1, "queued": 3},
+        ):
             with self.subTest(report=report):
                 self.assertLess(self.ordered_after(report), DRAIN_SECONDS / 2)
 
-    def test_no_order_goes_out_at_the_end_of_the_lease(self) -> None:
+    def test_no_order_is_sent_at_the_end_of_the_lease(self) -> None:
         self.runner.lease = LEASE_MARGIN_SECONDS
-        client = FakeServer(200, OLD)
+        client = FakeServer(200, OLD_VERSION_REPORT)
         self.load(client)
         self.assertEqual(client.orders, [])
 
-    def test_no_order_goes_out_before_the_former_lease_holder_has_stopped(self) -> None:
+    def test_no_order_is_sent_before_the_former_lease_holder_has_stopped(self) -> None:
         self.runner.replica.singleton_tasks_from = float("inf")
-        client = FakeServer(200, OLD)
+        client = FakeServer(200, OLD_VERSION_REPORT)
         self.load(client)
         self.assertEqual(client.orders, [])
 
-    def test_a_newer_version_that_is_announced_meanwhile_is_loaded_at_once(self) -> None:
-        client = FakeServer(200, OLD | {"active": 1})
+    def test_a_newer_version_announced_during_the_drain_is_loaded(self) -> None:
+        client = FakeServer(200, OLD_VERSION_REPORT | {"active": 1})
 
         async def announce() -> None:
             await trio.sleep(DRAIN_SECONDS / 2)
@@ -178,12 +185,12 @@
         self.assertEqual([order.version for _, order in client.orders], [3])
 
     def test_a_load_that_ends_under_another_primary_changes_nothing(self) -> None:
-        client = FakeServer(202, OLD, LOADING, NEW)
-        other = ServerRegistry()
+        client = FakeServer(202, OLD_VERSION_REPORT, LOADING_REPORT, NEW_VERSION_REPORT)
+        new_registry = ServerRegistry()
 
         async def take_over() -> None:
             await trio.sleep(0.3)
-            self.registry = other
+            self.registry = new_registry
 
         async def main() -> None:
             rollout = self.rollout_with(client)
@@ -193,7 +200,7 @@
                     nursery.start_soon(rollout.run, nursery)
 
         trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
-        self.assertEqual((other.servers, other.serial), ({}, 0))
+        self.assertEqual((new_registry.servers, new_registry.serial), ({}, 0))
 
 
 if __name__ == "__main__":
