--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,35 +1,38 @@
-"""Tests that fail for a real fault which is not mended yet: those that KNOWN-RED.txt lists may fail, and are printed.
+"""Marks the tests in KNOWN-RED.txt, which fail because of known faults, as expected failures and reports them.
 
-A line is ``TEST: CAUSE; issue: TITLE``, with the test as pytest names it. One that passes again fails the run, so that
-its line goes; so does a line that names no test of a file that is run, and a fourth line.
+Each line has the form ``TEST: CAUSE; issue: TITLE``, where TEST is the node id of pytest. The run fails if a listed
+test passes, so that its line is removed; if a line contains an unknown test of a collected file; or if there are more
+than three lines.
 """
 
 from pathlib import Path
 
 import pytest
 
-LISTED = Path(__file__).parents[1] / "KNOWN-RED.txt"
-MOST_LISTED = 3
+KNOWN_RED_FILE = Path(__file__).parents[1] / "KNOWN-RED.txt"
+MAX_KNOWN_RED_TESTS = 3
 
 
 def known_red() -> dict[str, str]:
-    """The cause of each listed test."""
-    if not LISTED.exists():
+    """Return the cause by the node id of each listed test."""
+    if not KNOWN_RED_FILE.exists():
         return {}
-    rows = dict(line.split(": ", 1) for line in LISTED.read_text().splitlines() if line.strip())
-    if len(rows) > MOST_LISTED:
-        raise pytest.UsageError(f"{LISTED.name} lists {len(rows)} tests, {MOST_LISTED} at most")
-    return rows
+    causes = dict(line.split(": ", 1) for line in KNOWN_RED_FILE.read_text().splitlines() if line.strip())
+    if len(causes) > MAX_KNOWN_RED_TESTS:
+        raise pytest.UsageError(
+            f"{KNOWN_RED_FILE.name}: expected at most {MAX_KNOWN_RED_TESTS} tests, found {len(causes)}"
+        )
+    return causes
 
 
 def pytest_collection_modifyitems(session: pytest.Session, items: list[pytest.Item]) -> None:
     causes = known_red()
-    names = {item.nodeid for item in items}
-    files = {name.partition("::")[0] for name in names}
-    whole = not any("::" in argument for argument in session.config.args) and not session.config.option.keyword
+    collected_names = {item.nodeid for item in items}
+    files = {name.partition("::")[0] for name in collected_names}
+    is_full_run = not any("::" in argument for argument in session.config.args) and not session.config.option.keyword
     for name in causes:
-        if whole and name.partition("::")[0] in files and name not in names:
-            raise pytest.UsageError(f"{LISTED.name} lists {name}, which is no test")
+        if is_full_run and name.partition("::")[0] in files and name not in collected_names:
+            raise pytest.UsageError(f"{KNOWN_RED_FILE.name}: unknown test {name}")
     for item in items:
         if item.nodeid in causes:
             item.add_marker(pytest.mark.xfail(reason=causes[item.nodeid], strict=True))
--- a/tests/support/configurations.py
+++ b/tests/support/configurations.py
@@ -1,4 +1,4 @@
-"""Small configurations, and states with them."""
+"""Builds small configurations and control states for the tests."""
 
 from typing import Any
 
@@ -9,7 +9,7 @@
 
 
 def configuration_body(revision: int, **fields: Any) -> bytes:
-    """A valid configuration of one route; ``fields`` replace its own or are added."""
+    """Return a valid configuration with one route; ``fields`` are added to it or override its own fields."""
     return orjson.dumps(
         {
             "revision": revision,
@@ -21,7 +21,7 @@
 
 
 def state_after_put(state: ControlState, if_match: str | None, body: bytes) -> ControlState:
-    """The state after a configuration was put that is neither refused nor applied already."""
+    """Put a configuration that must be neither rejected nor a repeated order, and return the new state."""
     change = put_config(state, if_match, body)
     assert change is not None
     return change.state
--- a/tests/support/helpers.py
+++ b/tests/support/helpers.py
@@ -1,4 +1,4 @@
-"""Builds settings, lists and routers for the tests, and runs the command line."""
+"""Builds settings, server lists and routers of the cache proxy for tests, and runs the command line."""
 
 import signal
 from contextlib import redirect_stderr, redirect_stdout
@@ -19,7 +19,7 @@
 
 
 def settings(**changes) -> Settings:
-    plain = dict(
+    defaults = dict(
         categories=CATEGORIES,
         quotas=[30.0, 30.0],
         routers=3,
@@ -37,7 +37,7 @@
         start_share=0.2,
         warm_within=20.0,
     )
-    return Settings(**plain | changes)
+    return Settings(**defaults | changes)
 
 
 def entry(n: int | str, health: str = "live", came_up=0.0, heft=1.0, zone=0) -> Entry:
@@ -46,11 +46,11 @@
 
 
 def router(caches: int = 5, now: float = 100.0, entries: list[Entry] | None = None, seed: int = 7, **changes) -> Router:
-    made = Router(settings(**changes), seed, now)
-    rows = [entry(n) for n in range(caches)] if entries is None else entries
-    made.list_changed(now, "cached", [*rows, entry("origin")])
-    made.drain()
-    return made
+    new_router = Router(settings(**changes), seed, now)
+    entries_or_default = [entry(n) for n in range(caches)] if entries is None else entries
+    new_router.list_changed(now, "cached", [*entries_or_default, entry("origin")])
+    new_router.drain()
+    return new_router
 
 
 def take(r: Router, id: int, key: str = "k", category: int = RERUNNABLE, write: bool = False, left=2.0):
@@ -64,15 +64,15 @@
 
 
 def invoke(*arguments) -> tuple[int, str]:
-    """The exit status of the command line within this process, and what it said on both streams."""
-    said = StringIO()
-    heeded = {number: signal.getsignal(number) for number in (signal.SIGTERM, signal.SIGHUP)}
-    with redirect_stdout(said), redirect_stderr(said):
+    """Run the command line in this process; return its exit status and its output on stdout and stderr."""
+    output = StringIO()
+    former_handlers = {number: signal.getsignal(number) for number in (signal.SIGTERM, signal.SIGHUP)}
+    with redirect_stdout(output), redirect_stderr(output):
         try:
             main([str(a) for a in arguments])
         except SystemExit as end:
-            return end.code or 0, said.getvalue()
+            return end.code or 0, output.getvalue()
         finally:
-            for number, handler in heeded.items():
+            for number, handler in former_handlers.items():
                 signal.signal(number, handler)
-    raise AssertionError("the command line came back")
+    raise AssertionError("the command line returned without SystemExit")
