--- a/rowanshift/kv_index/__init__.py
+++ b/rowanshift/kv_index/__init__.py
@@ -1,1 +1,1 @@
-"""Index of prefix blocks: which stores hold which parts of prompts, and how that is passed on to routers."""
+"""Index of prefix blocks: which KV stores hold which prompt prefixes, and the updates of it for routers."""
--- a/rowanshift/kv_index/block_holder.py
+++ b/rowanshift/kv_index/block_holder.py
@@ -1,6 +1,6 @@
-"""What one server or store holds of prefix blocks, by its own list and events (``/kv-list``, ``/kv-events``). No I/O.
+"""The prefix blocks of one server or store, from its own reports (``/kv-list`` and ``/kv-events``). No I/O.
 
-Holdings are hints: a block that is not there costs a read or a fruitless fetch, and breaks nothing.
+Holdings are hints: a block that is missing after all costs a read or a failed fetch and has no other effect.
 """
 
 from collections import OrderedDict
@@ -12,37 +12,37 @@
 from rowanshift.kv_index.block_hashes import block_hash, presence_hash
 from rowanshift.kv_index.errors import MalformedHoldings
 
-MAX_HELD_BLOCKS = 100_000  # of one holder that are indexed; those reported longest ago are dropped
-UNKNOWN_BOOT_EPOCH = -1  # of a holder whose list was not read yet, or whose events were lost
+MAX_HELD_BLOCKS = 100_000  # indexed blocks per holder; the least recently reported ones are dropped
+UNKNOWN_BOOT_EPOCH = -1  # the holder's list has not been read yet, or events were lost since
 
 
 class BlockHolder(msgspec.Struct, eq=False):
-    """One server or store, and the blocks that it holds as far as it has reported them."""
+    """A server or store and the blocks that it has reported."""
 
     address: str  # IP:PORT
     boot_epoch: int = UNKNOWN_BOOT_EPOCH
-    next_event: int = 0  # the number of the first event that was not read
+    next_event: int = 0  # number of the first unread event
     blocks: OrderedDict[int, int] = msgspec.field(
         default_factory=OrderedDict
-    )  # hash to tokens, reported longest ago first
+    )  # token count by block hash, least recently reported first
 
     @property
     def has_list(self) -> bool:
-        """Whether its complete list was read, and no event after it was lost."""
+        """Whether the complete list was read and no later event was lost."""
         return self.boot_epoch >= 0
 
     def hashes(self) -> set[int]:
-        """The hashes of all that it holds and of its presence; none before its list was read."""
+        """The block hashes and the presence hash; empty until the complete list was read."""
         return {*self.blocks, presence_hash(self.address)} if self.has_list else set()
 
     def reset(self) -> None:
-        """Drops all that was reported: the complete list must be read again."""
+        """Discards everything reported, so that the complete list must be read again."""
         self.boot_epoch = UNKNOWN_BOOT_EPOCH
         self.next_event = 0
         self.blocks.clear()
 
     def apply_list(self, answer: Mapping[str, Any]) -> None:
-        """Applies its complete list, the JSON of ``/kv-list``. Raises ``MalformedHoldings``."""
+        """Applies a complete list, the JSON of ``/kv-list``. Raises ``MalformedHoldings``."""
         try:
             boot_epoch, next_event = int(answer["bootEpoch"]), int(answer["nextToken"])
             held = [
@@ -55,8 +55,11 @@
         self.blocks = OrderedDict(held[-MAX_HELD_BLOCKS:])
 
     def apply_events(self, answer: Mapping[str, Any]) -> bool:
-        """Applies what changed, the JSON of ``/kv-events``; False if events were lost, or the holder was started anew:
-        then it is reset. Raises ``MalformedHoldings``."""
+        """Applies changes, the JSON of ``/kv-events``.
+
+        If events were lost or the holder has restarted, resets this record and returns False. Raises
+        ``MalformedHoldings``.
+        """
         try:
             boot_epoch, next_event, lost = int(answer["bootEpoch"]), int(answer["nextToken"]), bool(answer["lost"])
             events = [
--- a/rowanshift/kv_index/errors.py
+++ b/rowanshift/kv_index/errors.py
@@ -2,11 +2,11 @@
 
 
 class KvIndexError(ValueError):
-    """Base class of this package's errors; the text says what was wrong."""
+    """Base class of this package's errors; the text describes the fault."""
 
 
 class MalformedHoldings(KvIndexError):
-    """An answer of a holder that is no list of blocks and no list of events.
+    """A holder's response is not a valid list of blocks or of events.
 
-    The index is as it was before. Whoever asked may read the holder's complete list again.
+    The index is unchanged; the caller may read the holder's complete list again.
     """
