--- a/rowanshift/admin/__init__.py
+++ b/rowanshift/admin/__init__.py
@@ -1,1 +1,1 @@
-"""Commands for operators: they ask a running system over HTTP, or read its files."""
+"""Commands for operators, which query a running system over HTTP or read its files."""
--- a/rowanshift/admin/client.py
+++ b/rowanshift/admin/client.py
@@ -1,7 +1,7 @@
-"""Client for the control addresses of a running system: follows redirects to the primary and retries.
+"""Client for the control addresses of a running system, with redirects to the primary and retries.
 
-Every request that it sends may be repeated: reads have no effect, and a change of the configuration names the revision
-that it builds on.
+Every request may be repeated: reads have no effect, and a change of the configuration names the revision that it is
+based on.
 """
 
 from __future__ import annotations
@@ -15,20 +15,20 @@
 import trio
 
 from rowanshift.admin.errors import NoAnswer, RequestRefused, UnusableInput
-from rowanshift.process.node_settings import NodeSettingsError, address_of
+from rowanshift.process.node_settings import NodeSettingsError, parse_address
 from rowanshift.transport.call_client import CallFailed, call
 from rowanshift.transport.http_connection import Fields, Message
 from rowanshift.transport.memory_budget import MemoryBudget
 from rowanshift.transport.runtime import SYSTEM_RUNTIME, Runtime
 from rowanshift.transport.streams import Address
 
-T = TypeVar("T")
+Result = TypeVar("Result")
 
-CALL_TIMEOUT_SECONDS = 3.5  # a change of the configuration may take the control plane 2.5
+CALL_TIMEOUT_SECONDS = 3.5  # the control plane may take 2.5 s for a change of the configuration
 CALL_TIMEOUT_SECONDS_PER_BODY_BYTE = 1e-6
 RESPONSE_MEMORY_MIB = 512
 MAX_REDIRECTS = 2
-ATTEMPT_ROUNDS = 3  # times that every address is tried
+ATTEMPT_ROUNDS = 3  # attempts per address
 ROUND_PAUSE_SECONDS = 0.3
 MAX_REASON_CHARACTERS = 400
 TRANSIENT_CLIENT_ERRORS = (408, 429)  # statuses below 500 after which the request is repeated
@@ -37,29 +37,29 @@
 
 @dataclass(frozen=True, slots=True)
 class CurrentConfiguration:
-    """The configuration in force as it was put; revision 0 and no bytes if there is none yet."""
+    """The configuration in force as it was put, or revision 0 and an empty body if there is none yet."""
 
     revision: int
     body: bytes
 
 
 def parse_control_addresses(text: str) -> list[Address]:
-    """The addresses in ``IP:PORT[,IP:PORT...]``. Raises ``UnusableInput``."""
+    """Parse ``IP:PORT[,IP:PORT...]``. Raises ``UnusableInput``."""
     try:
-        return [address_of(part.strip(), "--at") for part in text.split(",")]
+        return [parse_address(part.strip(), "--at") for part in text.split(",")]
     except NodeSettingsError as error:
         raise UnusableInput(str(error)) from error
 
 
 def error_reason(response: Message) -> str:
-    """The reason in a response that is no success, cut to ``MAX_REASON_CHARACTERS``."""
+    """The reason in an unsuccessful response, truncated to ``MAX_REASON_CHARACTERS``."""
     with suppress(ValueError, KeyError, TypeError):
         return str(orjson.loads(response.body)["error"])[:MAX_REASON_CHARACTERS]
-    return response.body.decode("latin-1")[:MAX_REASON_CHARACTERS].strip() or "no reason was given"
+    return response.body.decode("latin-1")[:MAX_REASON_CHARACTERS].strip() or "no reason given"
 
 
 class ControlClient:
-    """Sends requests to the control addresses of one system."""
+    """Sends requests to the control addresses of a system."""
 
     def __init__(self, addresses: Sequence[Address], runtime: Runtime = SYSTEM_RUNTIME) -> None:
         self.addresses = list(addresses)
@@ -69,19 +69,19 @@
     async def call(
         self, address: Address, method: bytes, target: bytes, body: bytes = b"", fields: Fields | None = None
     ) -> Message:
-        """The response of one address, or of the one that its redirects lead to. Raises ``CallFailed``."""
+        """The response of one address, after following redirects. Raises ``CallFailed``."""
         timeout_seconds = CALL_TIMEOUT_SECONDS + CALL_TIMEOUT_SECONDS_PER_BODY_BYTE * len(body)
         for _ in range(MAX_REDIRECTS + 1):
             response = await call(self.runtime, self.memory, address, method, target, body, fields, timeout_seconds)
             if response.status != 307:
                 return response
             address, target = redirect_location(response)
-        raise CallFailed(f"sent on more than {MAX_REDIRECTS} times", True)
+        raise CallFailed(f"more than {MAX_REDIRECTS} redirects", True)
 
     async def call_any(self, method: bytes, target: bytes, body: bytes = b"", fields: Fields | None = None) -> Message:
-        """The first clear response of any address, tried in order for several rounds.
+        """The first conclusive response of any address, which are tried in order for several rounds.
 
-        A server error, 408 and 429 are not clear. Raises ``NoAnswer``.
+        Server errors, 408 and 429 are not conclusive. Raises ``NoAnswer``.
         """
         reason = ""
         request_sent = False
@@ -95,7 +95,7 @@
                     request_sent = request_sent or error.sent
                     failure = str(error)
                 else:
-                    if is_clear(response):
+                    if is_conclusive(response):
                         return response
                     request_sent = True
                     failure = f"{response.status}: {error_reason(response)}"
@@ -112,24 +112,24 @@
         try:
             return CurrentConfiguration(int(orjson.loads(response.body)["revision"]), response.body)
         except (ValueError, KeyError, TypeError) as error:
-            raise NoAnswer(f"GET /config answered no configuration: {error!r}") from error
+            raise NoAnswer(f"GET /config: the response is not a configuration: {error!r}") from error
 
 
-def is_clear(response: Message) -> bool:
-    """Whether the response settles the request, so that repeating it would not change it."""
+def is_conclusive(response: Message) -> bool:
+    """Whether the response is final, so that repeating the request would not change it."""
     return response.status < 500 and response.status not in TRANSIENT_CLIENT_ERRORS
 
 
 def redirect_location(response: Message) -> tuple[Address, bytes]:
-    """The address and the target that a redirect names. Raises ``CallFailed``."""
+    """The address and the target in a redirect's ``Location``. Raises ``CallFailed``."""
     location = dict(response.fields).get(b"location", b"").removeprefix(b"http://")
     authority, slash, path = location.partition(b"/")
     try:
-        return address_of(authority.decode("latin-1"), "Location"), slash + path
+        return parse_address(authority.decode("latin-1"), "Location"), slash + path
     except NodeSettingsError as error:
         raise CallFailed(str(error), True) from error
 
 
-def run_with_client(control_addresses: str, work: Callable[[ControlClient], Awaitable[T]]) -> T:
-    """Run ``work`` to its end with a client for the addresses in ``IP:PORT[,IP:PORT...]``."""
-    return trio.run(work, ControlClient(parse_control_addresses(control_addresses)))
+def run_with_client(control_addresses: str, operation: Callable[[ControlClient], Awaitable[Result]]) -> Result:
+    """Run ``operation`` with a client for the addresses in ``IP:PORT[,IP:PORT...]`` and return its result."""
+    return trio.run(operation, ControlClient(parse_control_addresses(control_addresses)))
--- a/rowanshift/admin/configuration_change.py
+++ b/rowanshift/admin/configuration_change.py
@@ -1,4 +1,4 @@
-"""The commands ``config put`` and ``config patch``: replace the configuration, or change items of it."""
+"""The commands ``config put`` and ``config patch``: replace the configuration or change items of it."""
 
 from __future__ import annotations
 
@@ -16,20 +16,20 @@
 
 
 def put_configuration(control_addresses: str, file: Path, if_match: int | None) -> CommandOutput:
-    """Replace the configuration, which builds on the revision ``if_match`` or, if None, on the one in force."""
+    """Replace the configuration, based on the revision ``if_match`` or, if None, on the one in force."""
     return change_configuration(b"PUT", control_addresses, file, if_match)
 
 
 def patch_configuration(control_addresses: str, file: Path, if_match: int | None) -> CommandOutput:
-    """Change items of the configuration by name, on top of ``if_match`` or, if None, of the revision in force."""
+    """Change items of the configuration by name, based on ``if_match`` or, if None, on the revision in force."""
     return change_configuration(b"PATCH", control_addresses, file, if_match)
 
 
 def change_configuration(method: bytes, control_addresses: str, file: Path, if_match: int | None) -> CommandOutput:
-    """Send the document in ``file`` until a machine answers clearly.
+    """Send the document in ``file``, with retries until a response is conclusive.
 
-    It does not succeed if the revision was accepted earlier and a later one is in force. Raises ``UnusableInput``,
-    ``RequestRefused``, ``NoAnswer`` and ``ChangeOutcomeUnknown``.
+    The command fails if the revision was accepted earlier and a later one is in force by now. Raises
+    ``UnusableInput``, ``RequestRefused``, ``NoAnswer`` and ``ChangeOutcomeUnknown``.
     """
     body = read_input_file(file)
     try:
@@ -44,15 +44,16 @@
     if response.status != 200:
         raise RequestRefused(response.status, error_reason(response))
     revision, sent = orjson.loads(response.body)["revision"], document["revision"]
-    if revision != sent:  # the control plane recognized a repeat
+    if revision != sent:  # the control plane has recognized the change as a repetition
         return CommandOutput(
-            [f"revision {sent} was taken earlier, and {revision} followed: {revision} is in force"], succeeded=False
+            [f"revision {sent} was accepted earlier and then replaced: revision {revision} is in force"],
+            succeeded=False,
         )
     return CommandOutput([f"revision {revision} is in force"])
 
 
 async def send_change(client: ControlClient, method: bytes, body: bytes, if_match: int | None) -> Message:
-    """The clear response to a change. Raises ``NoAnswer``, ``ChangeOutcomeUnknown`` if the change was sent."""
+    """The conclusive response to a change. Raises ``NoAnswer``, or ``ChangeOutcomeUnknown`` if the change was sent."""
     base_revision = (await client.get_configuration()).revision if if_match is None else if_match
     fields = [(b"If-Match", b"%d" % base_revision), (b"Content-Type", b"application/json")]
     try:
--- a/rowanshift/admin/configuration_check.py
+++ b/rowanshift/admin/configuration_check.py
@@ -1,4 +1,4 @@
-"""The command ``config check``: the control plane's checks of a configuration, without a control plane."""
+"""The command ``config check``: validates a configuration as the control plane does, without a running system."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def check_configuration(file: Path) -> CommandOutput:
-    """Check a configuration as the control plane does before it puts one in force. Raises ``UnusableInput``."""
+    """Run the checks that the control plane applies to a new configuration. Raises ``UnusableInput``."""
     try:
         configuration = parse_configuration(read_input_file(file))
     except InvalidConfiguration as error:
--- a/rowanshift/admin/configuration_diff.py
+++ b/rowanshift/admin/configuration_diff.py
@@ -1,4 +1,4 @@
-"""The command ``config diff``: how a configuration differs from the one in force, without showing API keys."""
+"""The command ``config diff``: compares a configuration with the one in force, without showing API keys."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 MAX_VALUE_CHARACTERS = 60
 KEYS_FIELD = "apiKeys"
 ENGINE_FIELD = "engine"
-# Fields whose values may be printed; of any other field the output says only that it differs, as it may be a secret.
+# Fields whose values may be printed. For any other field the output only states that it differs: it may be a secret.
 PRINTABLE_FIELDS = frozenset(
     [
         "name",
@@ -63,7 +63,7 @@
 
 
 class ChangeSign(StrEnum):
-    """What became of an item, as the sign at the start of its line."""
+    """The kind of a change, as the sign at the start of its line."""
 
     REMOVED = "-"
     ADDED = "+"
@@ -72,21 +72,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """One item of the configuration that differs, with a description of each changed field."""
+    """A configuration item that differs, with a description of each changed field."""
 
     sign: ChangeSign
     item: str
     details: tuple[str, ...] = ()
 
     def __str__(self) -> str:
-        """The line that is printed."""
+        """The output line."""
         line = f"{self.sign} {self.item}"
         return f"{line}: {', '.join(self.details)}" if self.details else line
 
 
 @dataclass(frozen=True, slots=True)
 class ItemKind:
-    """A list of the configuration: its field, what an item is called, and what identifies one."""
+    """A list in the configuration: its field name, the label of its items, and the function that identifies an item."""
 
     field: str
     label: str
@@ -94,7 +94,7 @@
 
 
 def route_identity(route: JsonObject) -> str:
-    """What a route matches, which no other route does."""
+    """The hostname and path prefix, which are unique to a route."""
     return f"{route['hostname'].lower()} {route['pathPrefix']}"
 
 
@@ -109,9 +109,9 @@
 
 
 def diff_configuration(control_addresses: str, file: Path, is_patch: bool = False) -> CommandOutput:
-    """Show how the configuration in ``file``, or the result of the patch there, differs from the one in force.
+    """Compare the configuration in ``file``, or the result of the patch in it, with the one in force.
 
-    Raises ``UnusableInput`` if the result could not be put in force.
+    Raises ``UnusableInput`` if the resulting configuration is invalid.
     """
     body = read_input_file(file)
     try:
@@ -129,7 +129,7 @@
 
 
 def differences(before: JsonObject, after: JsonObject) -> Iterator[Difference]:
-    """Each route, service and tenant that is added, removed or changed, and the limits if they are."""
+    """Each route, service and tenant that was added, removed or changed, and the limits if they differ."""
     yield from item_differences(ROUTES, before, after)
     yield from item_differences(SERVICES, before, after)
     if (before.get(TENANTS.field) is None) != (after.get(TENANTS.field) is None):
@@ -142,7 +142,7 @@
 
 
 def item_differences(kind: ItemKind, before: JsonObject, after: JsonObject) -> Iterator[Difference]:
-    """The differences between two lists: what is removed, then what is added, then what is changed."""
+    """The differences between two lists: removed items, then added ones, then changed ones."""
     old = {kind.identity(item): item for item in before.get(kind.field) or ()}
     new = {kind.identity(item): item for item in after.get(kind.field) or ()}
     for name in old:
@@ -157,7 +157,7 @@
 
 
 def field_changes(old: JsonObject, new: JsonObject) -> Iterator[str]:
-    """A description of each field that differs; keys are only counted."""
+    """A description of each field that differs; API keys are only counted."""
     old, new = flatten_engine(old), flatten_engine(new)
     for name in dict.fromkeys((*old, *new)):
         before, after = old.get(name), new.get(name)
@@ -172,21 +172,21 @@
 
 
 def key_changes(before: set[str], after: set[str]) -> Iterator[str]:
-    """How many API keys are added and removed, if any."""
+    """The numbers of API keys that were added and removed, if any."""
     if before != after:
         yield f"{len(after - before)} keys added, {len(before - after)} removed"
 
 
 def flatten_engine(item: JsonObject) -> JsonObject:
-    """The object with the fields of its ``engine`` as ``engine.NAME``."""
+    """The object with the fields of its ``engine`` renamed to ``engine.NAME``."""
     flat = {name: value for name, value in item.items() if name != ENGINE_FIELD}
     engine = item.get(ENGINE_FIELD) or {}
     return flat | {f"{ENGINE_FIELD}.{name}": value for name, value in engine.items()}
 
 
 def format_value(value: Any) -> str:
-    """A field's value as JSON, a traffic split as ``[SERVICE:WEIGHT, ...]``, cut to ``MAX_VALUE_CHARACTERS``."""
-    if isinstance(value, list):  # the one list among printable fields is the traffic split
+    """A field's value as JSON, or a traffic split as ``[SERVICE:WEIGHT, ...]``; at most ``MAX_VALUE_CHARACTERS``."""
+    if isinstance(value, list):  # the traffic split is the only list among the printable fields
         parts = ", ".join(f"{part.get('backend')}:{part.get('weight')}" for part in value)
         return f"[{parts[:MAX_VALUE_CHARACTERS]}]"
     return "absent" if value is None else orjson.dumps(value).decode()[:MAX_VALUE_CHARACTERS]
--- a/rowanshift/admin/configuration_get.py
+++ b/rowanshift/admin/configuration_get.py
@@ -1,4 +1,4 @@
-"""The command ``config get``: the configuration in force."""
+"""The command ``config get``: prints or saves the configuration in force."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from rowanshift.admin.errors import NoAnswer, UnusableInput
 from rowanshift.admin.output import CommandOutput
 
-OWNER_ONLY = 0o600  # permissions of a file with API keys
+PRIVATE_FILE_MODE = 0o600  # the file contains API keys
 
 
 def get_configuration(control_addresses: str, output: Path | None) -> CommandOutput:
     """Print the configuration in force as it was put, or write it to a file that only its owner can read.
 
-    This is the only output that has API keys. Raises ``NoAnswer`` if there is no configuration yet.
+    No other command outputs API keys. Raises ``NoAnswer`` if there is no configuration yet.
     """
     current = run_with_client(control_addresses, ControlClient.get_configuration)
     if current.revision == NO_CONFIGURATION_REVISION:
@@ -24,13 +24,15 @@
         return CommandOutput([current.body.decode("utf-8", "replace")])
     write_private_file(output, current.body)
     size = len(current.body)
-    return CommandOutput([f"revision {current.revision}, {size} bytes, is in {output}; it holds API keys"])
+    return CommandOutput(
+        [f"revision {current.revision} ({size} bytes) was written to {output}; the file contains API keys"]
+    )
 
 
 def write_private_file(path: Path, content: bytes) -> None:
-    """Write a file; a new one can be read by its owner alone. Raises ``UnusableInput``."""
+    """Write a file; if it is new, only its owner can read it. Raises ``UnusableInput``."""
     try:
-        descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, OWNER_ONLY)
+        descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, PRIVATE_FILE_MODE)
         with open(descriptor, "wb") as file:
             file.write(content)
     except OSError as error:
--- a/rowanshift/admin/coordination_status.py
+++ b/rowanshift/admin/coordination_status.py
@@ -1,4 +1,4 @@
-"""The command ``coordination``: the replicas of the coordination state, and what its primary holds."""
+"""The command ``coordination``: the replicas of the coordination state and the contents of its primary."""
 
 from __future__ import annotations
 
@@ -10,36 +10,46 @@
 
 
 def coordination_status(control_addresses: str) -> CommandOutput:
-    """Show each machine's part in coordination. It fails where no machine is the primary of it."""
+    """Show each machine's coordination replica. The command fails if no machine is the primary."""
     reports = run_with_client(control_addresses, fetch_reports)
     lines = format_table(HEADER, [_row(report) for report in reports])
-    primaries = [found for report in reports if (found := _coordination(report)) is not None and found.primary]
+    primaries = [
+        replica for report in reports if (replica := _coordination_report(report)) is not None and replica.primary
+    ]
     if not primaries:
         return CommandOutput([*lines, "no machine is primary of the coordination state"], succeeded=False)
-    newest = max(primaries, key=lambda found: found.epoch)
-    return CommandOutput([*lines, _content(newest)])
+    newest = max(primaries, key=lambda replica: replica.epoch)
+    return CommandOutput([*lines, _describe_contents(newest)])
 
 
-def _coordination(report: MachineReport) -> CoordinationReport | None:
+def _coordination_report(report: MachineReport) -> CoordinationReport | None:
     return None if report.status is None else report.status.coordination
 
 
 def _row(report: MachineReport) -> tuple[object, ...]:
-    found = _coordination(report)
-    if found is None:
-        why = report.error or "no application calls here"
-        return (report.machine, why, *[NO_VALUE] * (len(HEADER) - 2))
-    calls_a_batch = f"{found.calls / found.batches:.1f}" if found.batches else NO_VALUE
-    return report.machine, _role(found), found.epoch, found.waiting_watches, found.calls, calls_a_batch, found.saves
+    replica = _coordination_report(report)
+    if replica is None:
+        reason = report.error or "no application calls here"
+        return (report.machine, reason, *[NO_VALUE] * (len(HEADER) - 2))
+    calls_a_batch = f"{replica.calls / replica.batches:.1f}" if replica.batches else NO_VALUE
+    return (
+        report.machine,
+        _role(replica),
+        replica.epoch,
+        replica.waiting_watches,
+        replica.calls,
+        calls_a_batch,
+        replica.saves,
+    )
 
 
-def _role(found: CoordinationReport) -> str:
-    if found.primary:
+def _role(replica: CoordinationReport) -> str:
+    if replica.primary:
         return "primary"
-    return "amnesic" if found.amnesic else "replica"
+    return "amnesic" if replica.amnesic else "replica"
 
 
-def _content(primary: CoordinationReport) -> str:
+def _describe_contents(primary: CoordinationReport) -> str:
     return (
         f"{primary.locks} locks, {primary.numbers} names of numbers, {primary.keys} keys in {primary.groups} groups, "
         f"{primary.puts_kept} puts kept, {primary.state_bytes} bytes; in sync: {', '.join(primary.in_sync)}"
--- a/rowanshift/admin/core_status.py
+++ b/rowanshift/admin/core_status.py
@@ -1,4 +1,4 @@
-"""Status documents of all core machines: which machines there are is discovered from the documents themselves."""
+"""Fetches the status documents of all core machines, which are discovered from the documents themselves."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class ListedServer(msgspec.Struct, rename="camel", frozen=True):
-    """A model server as the document lists it: ``state`` holds the ``SERVER_...`` flags."""
+    """A model server in a status document; ``state`` contains the ``SERVER_...`` flags."""
 
     id: str
     state: int
@@ -26,14 +26,14 @@
 
 
 class LaggingServer(msgspec.Struct, rename="camel", frozen=True):
-    """A model server that has lacked an announced version for ``lacks_for_s`` seconds."""
+    """A model server that has been without an announced version for ``lacks_for_s`` seconds."""
 
     id: str
     lacks_for_s: int | float
 
 
 class CoordinationReport(msgspec.Struct, rename="camel", frozen=True, kw_only=True):
-    """A machine's replica of the coordination state; what only its primary knows is None elsewhere."""
+    """A machine's replica of the coordination state; fields that only the primary knows are None elsewhere."""
 
     primary: bool
     epoch: int
@@ -52,10 +52,10 @@
 
 
 class CoreStatus(msgspec.Struct, rename="camel", frozen=True, kw_only=True):
-    """The fields of a core machine's status document that commands use; machines are IPs.
+    """The fields of a core machine's status document that commands use; machines are identified by IP.
 
-    Numbers of seconds keep the type that they have in the document, as they are printed unchanged. Fields with a
-    default are absent from the documents of earlier releases.
+    Durations keep their JSON type, as they are printed unchanged. Fields with a default are missing in the documents
+    of earlier releases.
     """
 
     name: str
@@ -85,9 +85,10 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineReport:
-    """The answer of one core machine: its document as it came and as a record, or no status and the document's error.
+    """The report of one core machine.
 
-    ``document`` is what ``status --json`` prints.
+    ``document`` is the status document as received, which ``status --json`` prints, and ``status`` is the same
+    decoded. Without a usable document ``status`` is None and ``document`` contains the error.
     """
 
     machine: str
@@ -96,17 +97,17 @@
 
     @property
     def error(self) -> str:
-        """Why there is no status, empty if there is one."""
+        """The reason why there is no status, empty if there is one."""
         return str(self.document.get("error", "")) if self.status is None else ""
 
 
 def failed_report(machine: str, error: Exception) -> MachineReport:
-    """The report on a machine that gave no usable document."""
+    """The report on a machine without a usable status document."""
     return MachineReport(machine, {"machine": machine, "error": str(error) or repr(error)})
 
 
 async def fetch_report(client: ControlClient, address: Address) -> MachineReport:
-    """The report on the machine at one control address; a failure is a report as well."""
+    """The report on the machine at a control address; a failure results in a report with the error."""
     try:
         response = await client.call(address, b"GET", b"/status")
         if response.status != 200:
@@ -119,11 +120,11 @@
 
 
 async def fetch_reports(client: ControlClient) -> list[MachineReport]:
-    """The reports on all core machines, in the order of their IPs.
+    """The reports on all core machines, sorted by IP.
 
-    Machines that a document names are asked as well, until no new one is named.
+    Machines that are named in a document are queried as well, until no document names a new one.
     """
-    answered: dict[str, MachineReport] = {}  # by the machine's own IP, which may not be the one that was asked
+    answered: dict[str, MachineReport] = {}  # keyed by the machine's own IP, which may differ from the queried address
     failed: dict[str, MachineReport] = {}
     requested: set[Address] = set()
     pending = set(client.addresses)
@@ -137,7 +138,7 @@
                 failed[report.machine] = report
                 return
             answered[report.machine] = report
-            control_port = address[1]  # the same on every core machine
+            control_port = address[1]  # the same on all core machines
             discovered.update((ip, control_port) for ip in named_machines(report.status))
 
         async with trio.open_nursery() as nursery:
@@ -148,14 +149,14 @@
 
 
 def named_machines(status: CoreStatus) -> Iterator[str]:
-    """The IPs of the core machines that a status names; some are named more than once."""
+    """The IPs of the core machines in a status, with duplicates."""
     yield from status.witnesses
     yield from status.in_sync
     yield from status.known
 
 
 def ip_sort_key(ip: str) -> tuple[int, str]:
-    """Sorts IPv4 addresses by number, and other names before them."""
+    """A sort key that orders IPv4 addresses numerically, after all other names."""
     try:
         return machine_id_from_ip(ip), ip
     except ValueError:
@@ -163,7 +164,7 @@
 
 
 def primary_status(reports: Sequence[MachineReport]) -> CoreStatus:
-    """The status of the primary, of the highest epoch if two believe that they are. Raises ``NoAnswer``."""
+    """The status of the primary, with the highest epoch if two machines claim the role. Raises ``NoAnswer``."""
     primaries = [report.status for report in reports if report.status is not None and report.status.primary]
     if not primaries:
         raise NoAnswer("no machine that answered is primary")
--- a/rowanshift/admin/data_folder_check.py
+++ b/rowanshift/admin/data_folder_check.py
@@ -1,4 +1,4 @@
-"""The command ``controlplane check DIR``: what a core machine's data folder contains; nothing is changed."""
+"""The command ``controlplane check DIR``: describes a core machine's data directory without changing it."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 
 
 def check_data_folder(folder: Path) -> CommandOutput:
-    """Describe the store in a folder, or in the folder within it where a core machine keeps its store.
+    """Describe the store in a directory, or in the subdirectory where a core machine keeps its store.
 
-    It succeeds if the store can be used and nothing in it is damaged. Raises ``UnusableInput`` if there is none.
+    The command succeeds if the store is usable and undamaged. Raises ``UnusableInput`` if there is no store.
     """
     if not (folder / DATA_FILE).is_file() and (folder / STORE_DIRECTORY / DATA_FILE).is_file():
         folder = folder / STORE_DIRECTORY
@@ -31,19 +31,19 @@
 
 
 def describe_record(record: bytes) -> str:
-    """Lines about the newest record of a store. Raises ``DamagedRecord`` if it can't be read."""
+    """Describe the newest record of a store, a line per item. Raises ``DamagedRecord`` if it can't be decoded."""
     try:
         durable = decode_durable_state(record)
         if not isinstance(durable, DurableState):
             raise MalformedRecord(f"{type(durable).__name__} where a DurableState belongs")
         control_state = unpack(durable.state)
     except (MalformedRecord, BadControlState) as error:
-        raise DamagedRecord(f"the record can't be read: {error}") from error
+        raise DamagedRecord(f"the record can't be decoded: {error}") from error
     return "\n".join(describe_durable_state(durable, control_state))
 
 
 def describe_durable_state(durable: DurableState, control_state: ControlState) -> list[str]:
-    """Lines about the promised and accepted epochs, the configuration and the announced versions."""
+    """Describe the promised and accepted epochs, the configuration and the announced versions."""
     accepted = durable.accepted
     lost = "; has lost its disk and not recovered yet" if durable.amnesic else ""
     primary = ip_from_machine_id(accepted.primary) if accepted.primary else "none"
@@ -63,5 +63,5 @@
 
 
 def format_machines(machine_ids: Iterable[int]) -> str:
-    """The IPs of machines, with commas between."""
+    """The IPs of machines, separated by commas."""
     return ", ".join(map(ip_from_machine_id, machine_ids)) or "none"
--- a/rowanshift/admin/input_files.py
+++ b/rowanshift/admin/input_files.py
@@ -1,4 +1,4 @@
-"""Reading the files that operators name on the command line."""
+"""Reads the files named on the command line."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def read_input_file(file: Path) -> bytes:
-    """The bytes of a file. Raises ``UnusableInput``."""
+    """The contents of a file. Raises ``UnusableInput``."""
     try:
         return file.read_bytes()
     except OSError as error:
--- a/rowanshift/admin/members.py
+++ b/rowanshift/admin/members.py
@@ -8,7 +8,7 @@
 
 
 def members(control_addresses: str) -> CommandOutput:
-    """Show the routers that hold a lease, and the seconds since the primary last heard of each."""
+    """Show the routers that hold a lease, and the seconds since the primary last received a message from each."""
     status = primary_status(run_with_client(control_addresses, fetch_reports))
     ages = status.member_age_s
     rows = [(ip, f"{ages[ip]:.1f}") for ip in sorted(ages, key=ip_sort_key)]
--- a/rowanshift/admin/settings_check.py
+++ b/rowanshift/admin/settings_check.py
@@ -1,4 +1,4 @@
-"""The command ``check --boot FILE``: reads the settings file of a process as the process does at its start."""
+"""The command ``check --boot FILE``: validates a settings file as a process does when it starts."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Role:
-    """The role of a class of machines, and the listen addresses that it needs."""
+    """The role of a machine class and the listen addresses that it requires."""
 
     name: str
     listen_addresses: tuple[str, ...]
@@ -24,7 +24,10 @@
 
 
 def check_settings(file: Path) -> CommandOutput:
-    """Check a settings file and describe it, with warnings about what it promises. Raises ``UnusableInput``."""
+    """Validate and describe a settings file, with warnings if it promises more than can be kept.
+
+    Raises ``UnusableInput``.
+    """
     try:
         settings = load_node_settings(file)
         role = role_of(settings)
@@ -41,7 +44,7 @@
 
 
 def role_of(settings: NodeSettings) -> Role:
-    """The role of the settings' machine class. Raises ``NodeSettingsError``."""
+    """The role for the machine class in the settings. Raises ``NodeSettingsError``."""
     machine_class = settings.file.machine_class
     if machine_class not in ROLES_BY_MACHINE_CLASS:
         expected = ", ".join(ROLES_BY_MACHINE_CLASS)
@@ -50,7 +53,7 @@
 
 
 def check_ipv4_addresses(settings: NodeSettings) -> None:
-    """Raise ``NodeSettingsError`` if a machine's address is no IPv4 address."""
+    """Raise ``NodeSettingsError`` unless all machine addresses are IPv4 addresses."""
     ips_by_field = {"ip": settings.ip} | {f"seedNodes[{n}]": seed[0] for n, seed in enumerate(settings.seeds)}
     for field, ip in ips_by_field.items():
         parts = ip.split(".")
@@ -59,7 +62,7 @@
 
 
 def describe_process(settings: NodeSettings, role: Role) -> list[str]:
-    """Lines about the process's addresses, its seeds and the faults that may happen at once."""
+    """Describe the process's addresses, its seeds and the simultaneous failures to tolerate."""
     listens = ", ".join(f"{name} {format_address(address)}" for name, address in settings.listen.items())
     seeds = ", ".join(map(format_address, settings.seeds)) or "none"
     tolerance = settings.file.fault_tolerance
@@ -76,7 +79,7 @@
 
 
 def describe_storage(settings: NodeSettings) -> str:
-    """A line about a core machine's data folder, its first start and the platform's list."""
+    """Describe a core machine's data directory, its bootstrap setting and the address of the platform's list."""
     data = settings.data_directory or "nowhere: what it holds ends with the process"
     first_start = "a first start" if settings.file.bootstrap else "no first start"
     endpoint_list = format_address(settings.cloud_api_address) if settings.cloud_api_address else "no address"
--- a/rowanshift/admin/singleton_tasks.py
+++ b/rowanshift/admin/singleton_tasks.py
@@ -1,4 +1,4 @@
-"""The command ``duties``: the singleton tasks of the primary, and how far announced versions are rolled out."""
+"""The command ``duties``: the singleton tasks of the primary and the rollout of announced versions."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def singleton_tasks(control_addresses: str) -> CommandOutput:
-    """Show which machine reads the platform's list and orders loads, and which servers lack an announced version."""
+    """Show which machine reads the platform's list and orders loads, and the rollout of each announced version."""
     status = primary_status(run_with_client(control_addresses, fetch_reports))
     lines = task_table(status)
     lines.append(lease_line(status))
@@ -26,7 +26,7 @@
 
 
 def task_table(status: CoreStatus) -> list[str]:
-    """A line for each singleton task."""
+    """A table with a row per singleton task."""
     rows = [
         ("reads the list", status.machine if status.reads_list else NO_MACHINE, f"{status.calls} calls"),
         ("orders", status.machine if status.may_order else NO_MACHINE, f"{status.orders} orders"),
@@ -35,13 +35,13 @@
 
 
 def lease_line(status: CoreStatus) -> str:
-    """The fencing token (the epoch), the rest of the lease in seconds, and the size of the list."""
+    """Describe the fencing token (the epoch), the remaining lease time and the size of the list."""
     listed = f"{len(status.servers)} servers listed" if status.list_read else "the list was not read yet"
     return f"fence {status.epoch}; the lease holds for {status.lease_s} s; {listed}"
 
 
 def rollout_line(model: str, version: int, servers: list[ListedServer]) -> str:
-    """How many of the servers with the model have the version, and which have an earlier one."""
+    """Describe how many servers with the model have the version, and which have an earlier one."""
     serving = [server for server in servers if model in server.versions]
     behind = [server for server in serving if server.versions[model] < version]
     line = f"{model} version {version}: {len(serving) - len(behind)} of {len(serving)} servers"
@@ -51,13 +51,13 @@
 
 
 def describe_server_behind(server: ListedServer, model: str) -> str:
-    """A server with the version that it has."""
+    """A server's id and the version that it has."""
     draining = ", draining" if server.state & SERVER_DRAINING else ""
     return f"{server.id} ({server.versions[model]}{draining})"
 
 
 def longest_lag_lines(status: CoreStatus) -> Iterator[str]:
-    """The server that has lacked an announced version longest, if there is one; the document lists it first."""
+    """A line about the server that has been behind longest, which the document lists first, if there is one."""
     if status.behind:
         longest = status.behind[0]
         yield f"longest behind: {longest.id}, for {longest.lacks_for_s} s"
--- a/rowanshift/admin/status.py
+++ b/rowanshift/admin/status.py
@@ -16,9 +16,9 @@
 
 
 def status(control_addresses: str, as_json: bool) -> CommandOutput:
-    """Show the status of every core machine, as a table or as the documents themselves.
+    """Show the status of every core machine, as a table or as JSON documents.
 
-    It succeeds if one machine is primary.
+    The command succeeds if a machine is primary.
     """
     reports = run_with_client(control_addresses, fetch_reports)
     has_primary = any(report.status is not None and report.status.primary for report in reports)
@@ -32,7 +32,7 @@
 
 
 def table_row(report: MachineReport) -> Sequence[object]:
-    """The cells of one machine, under ``HEADER``."""
+    """The cells of one machine, in the order of ``HEADER``."""
     status = report.status
     if status is None:
         unknown = [NO_VALUE] * (len(HEADER) - 4)
@@ -52,7 +52,7 @@
 
 
 def replica_role(status: CoreStatus) -> str:
-    """The machine's role in the epoch that it knows."""
+    """The machine's role in the latest epoch known to it."""
     if status.primary:
         return "primary"
     if status.machine in status.in_sync:
@@ -61,5 +61,5 @@
 
 
 def mean_save_milliseconds(status: CoreStatus) -> float:
-    """The mean time of a write to the machine's disk; 0 if there was none."""
+    """The mean duration of a write to the machine's disk; 0 if there was none."""
     return MILLISECONDS_PER_SECOND * status.save_seconds / status.saves if status.saves else 0.0
--- a/rowanshift/process/__init__.py
+++ b/rowanshift/process/__init__.py
@@ -1,1 +1,1 @@
-"""What each process of the system starts with: its settings file, its log, and the error that ended it."""
+"""Common to all processes of the system: the settings file, logging, and the error reported at exit."""
--- a/rowanshift/process/error_groups.py
+++ b/rowanshift/process/error_groups.py
@@ -1,8 +1,8 @@
-"""The error behind an exception group, for the line that tells why a process ended."""
+"""Finds the error to report when a process ends with an exception group."""
 
 
 def first_of(group: BaseException) -> BaseException:
-    """The first error within groups of groups, or the error itself."""
+    """The first leaf error of nested exception groups; an error that is no group is returned itself."""
     error = group
     while isinstance(error, BaseExceptionGroup):
         error = error.exceptions[0]
--- a/rowanshift/process/log_rate_limit.py
+++ b/rowanshift/process/log_rate_limit.py
@@ -1,4 +1,4 @@
-"""A rate limit on log lines, so that a flood of events does not become a flood of lines."""
+"""Rate limit for log lines, so that a burst of events does not flood the log."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 if TYPE_CHECKING:
     from loguru import Record
 
-BURST_LINES = 20  # of one place in the code
-LINES_PER_SECOND = 5.0  # of one place, beyond a burst
-INFO_LEVEL = 20  # loguru's number of that level
+BURST_LINES = 20  # per call site
+LINES_PER_SECOND = 5.0  # sustained rate per call site
+INFO_LEVEL = 20  # loguru's severity number
 
 
 @dataclass(slots=True)
-class Allowance:
-    """The lines that one place in the code may still log, and how many were suppressed since its last line."""
+class TokenBucket:
+    """The token bucket of a call site, and the number of lines suppressed since its last line."""
 
     lines: float
     updated_at: float
@@ -25,31 +25,31 @@
 
 
 class LogRateLimit:
-    """A filter for loguru with a token bucket for each place in the code.
+    """A loguru filter with a token bucket per call site.
 
-    The next line that passes says how many were suppressed before it. Lines below INFO have no limit: whoever asks for
-    them wants each. ``clock`` gives seconds of a steady clock.
+    The next line that passes states how many were suppressed before it. Lines below INFO are not limited: they are
+    enabled for debugging, where each line matters. ``clock`` returns monotonic seconds.
     """
 
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
         self.clock = clock
-        self.allowances: dict[tuple[str | None, int], Allowance] = {}  # by module and line
+        self.buckets: dict[tuple[str | None, int], TokenBucket] = {}  # keyed by (module, line number)
 
     def __call__(self, record: Record) -> bool:
-        """Whether to log a line; its message may get the count of suppressed ones."""
+        """Whether to log a line; appends the number of suppressed lines to its message, if there are any."""
         if record["level"].no < INFO_LEVEL:
             return True
         now = self.clock()
-        place = record["name"], record["line"]
-        allowance = self.allowances.setdefault(place, Allowance(BURST_LINES, now))
-        refill = LINES_PER_SECOND * (now - allowance.updated_at)
-        allowance.lines = min(BURST_LINES, allowance.lines + refill)
-        allowance.updated_at = now
-        if allowance.lines < 1:
-            allowance.suppressed += 1
+        call_site = record["name"], record["line"]
+        bucket = self.buckets.setdefault(call_site, TokenBucket(BURST_LINES, now))
+        refill = LINES_PER_SECOND * (now - bucket.updated_at)
+        bucket.lines = min(BURST_LINES, bucket.lines + refill)
+        bucket.updated_at = now
+        if bucket.lines < 1:
+            bucket.suppressed += 1
             return False
-        allowance.lines -= 1
-        if allowance.suppressed:
-            record["message"] += f" ({allowance.suppressed} more like it were left out)"
-            allowance.suppressed = 0
+        bucket.lines -= 1
+        if bucket.suppressed:
+            record["message"] += f" ({bucket.suppressed} more like it suppressed)"
+            bucket.suppressed = 0
         return True
--- a/rowanshift/process/logs.py
+++ b/rowanshift/process/logs.py
@@ -1,4 +1,4 @@
-"""The log of a process of the system: one line of key=value pairs for each event, on standard error."""
+"""Logging of the system's processes: one line of key=value pairs per event, on standard error."""
 
 import sys
 
@@ -8,7 +8,7 @@
 
 
 def log_to_stderr(level: str) -> None:
-    """Log to standard error from this level on, limited by rate."""
+    """Log lines of this level and above to standard error, with a rate limit."""
     logger.remove()
     logger.add(
         sys.stderr,
--- a/rowanshift/process/node_settings.py
+++ b/rowanshift/process/node_settings.py
@@ -1,6 +1,6 @@
-"""The settings file of a process of the system: its form, how it is read, and what is checked.
+"""The settings file of a process of the system: its schema, reading and validation.
 
-Fields that are not known are ignored. Every error names the field and the reason.
+Unknown fields are ignored. Every error names the field and the reason.
 """
 
 from collections.abc import Mapping
@@ -11,11 +11,11 @@
 
 Address = tuple[str, int]
 MAX_FILE_BYTES = 1 << 20
-COORDINATION_CONTRACT = "coord"  # applications call for locks, numbers and keys
+COORDINATION_CONTRACT = "coord"  # enables the service for locks, numbers and keys
 
 
 class NodeSettingsError(ValueError):
-    """A settings file that can't be used; the text names the place and the reason."""
+    """The settings are unusable; the text names the field or file and the reason."""
 
     def __init__(self, place: str, reason: str) -> None:
         super().__init__(f"{place}: {reason}")
@@ -23,14 +23,14 @@
 
 
 class ProcessLimits(msgspec.Struct, rename="camel", frozen=True):
-    """What the process may use: memory in MiB, open file descriptors."""
+    """Resource limits of the process: memory in MiB and open file descriptors."""
 
     memory_mb: float = 256
     max_fds: int = 1024
 
 
 class FaultTolerance(msgspec.Struct, rename="camel", frozen=True):
-    """What may be lost at once: counts of machines, zones and regions."""
+    """How many machines, zones and regions may fail at the same time."""
 
     machines: int = 0
     zones: int = 0
@@ -38,7 +38,10 @@
 
 
 class RuleBounds(msgspec.Struct, rename="camel", frozen=True):
-    """The bounds of the operators' rules. A field's name tells its unit, s or ms; the rest have none."""
+    """Bounds on the system's behaviour, set by the operators.
+
+    A suffix ``_s`` or ``_ms`` is the unit; other fields have no unit.
+    """
 
     contact_ms: float = 3000
     drain_ms: float = 3000
@@ -49,20 +52,20 @@
     retry_budget_slack: float = 10
     lease_ms: float = 3000
     version_ms: float = 8000
-    version_all_ms: float = 0  # for all requests together; 0: no such bound
+    version_all_ms: float = 0  # bound for all requests together; 0 disables it
     revoke_strict: bool = False
     revoke_ms: float = 5000
     address_reuse_s: float = 2
-    history_s: float = 20  # for which a watch may ask for puts after a revision that it was given
+    history_s: float = 20  # how long a watch can continue after a revision that it has received
 
     @property
     def revocation_seconds(self) -> float | None:
-        """Seconds for which any machine may use a revoked key; ``None`` where that has no bound."""
+        """How long any machine may keep accepting a revoked key; ``None`` if that is unbounded."""
         return self.revoke_ms / 1000 if self.revoke_strict else None
 
 
 class CloudApiSettings(msgspec.Struct, rename="camel", frozen=True):
-    """The platform's API: its address, calls a second of all core machines together, and how old its list may be."""
+    """The platform's API: its address, the call rate of all core machines together, and its list's maximum lag."""
 
     address: str
     rate_per_s: float = 1.0
@@ -70,7 +73,7 @@
 
 
 class NodeSettingsFile(msgspec.Struct, rename="camel", frozen=True):
-    """The file as it is written, field by field."""
+    """The schema of the settings file."""
 
     node_name: str
     machine_class: str
@@ -80,7 +83,7 @@
     internal_ports: tuple[int, int]
     seed_nodes: list[str]
     bootstrap: bool = False
-    quorum_member: bool = True  # whether it is one of the machines that `fault_tolerance` speaks of
+    quorum_member: bool = True  # whether the machine counts for ``fault_tolerance``
     region: str = ""
     zones: dict[str, str] = {}
     data_dir: str | None = None
@@ -88,45 +91,45 @@
     limits: ProcessLimits = ProcessLimits()
     fault_tolerance: FaultTolerance = FaultTolerance()
     bounds: RuleBounds = RuleBounds()
-    contracts: tuple[str, ...] = ()  # the parts of the operators' rules that are in force
+    contracts: tuple[str, ...] = ()  # the enabled parts of the operators' rules
     cloud_api: CloudApiSettings | None = None
 
 
 class NodeSettings:
-    """The settings of one process, checked. Addresses are pairs of an IP and a port."""
+    """The validated settings of one process. Addresses are pairs of an IP and a port."""
 
     def __init__(self, file: NodeSettingsFile, path: Path | None = None) -> None:
         self.path, self.file = path, file
         self.name, self.ip, self.zone, self.region = file.node_name, file.ip, file.zone, file.region
         self.bounds, self.limits = file.bounds, file.limits
         self.listen: Mapping[str, Address] = {
-            name: address_of(text, f"listenAddresses.{name}") for name, text in file.listen_addresses.items()
+            name: parse_address(text, f"listenAddresses.{name}") for name, text in file.listen_addresses.items()
         }
         self.internal_address: Address = (file.ip, file.internal_ports[0])
-        self.seeds = [address_of(text, f"seedNodes[{i}]") for i, text in enumerate(file.seed_nodes)]
+        self.seeds = [parse_address(text, f"seedNodes[{index}]") for index, text in enumerate(file.seed_nodes)]
         self.cloud_api_address = (
-            None if file.cloud_api is None else address_of(file.cloud_api.address, "cloudApi.address")
+            None if file.cloud_api is None else parse_address(file.cloud_api.address, "cloudApi.address")
         )
         self.data_directory = Path(file.data_dir) if file.data_dir else None
 
     def required_address(self, name: str) -> Address:
-        """Return a listen address that this role needs; ``NodeSettingsError`` if the file has none."""
+        """A listen address that the process's role requires. Raises ``NodeSettingsError`` if it is missing."""
         if name not in self.listen:
-            raise NodeSettingsError(f"listenAddresses.{name}", "missing, and this role needs it")
+            raise NodeSettingsError(f"listenAddresses.{name}", "missing, but required by this role")
         return self.listen[name]
 
 
-def address_of(text: str, place: str) -> Address:
-    """Parse IP:PORT; ``NodeSettingsError`` at ``place`` if it is something else."""
-    host, colon, port = text.rpartition(":")
-    plain = port.isascii() and port.isdigit() and len(port) <= 5
-    if not colon or not host or not plain or not 0 < int(port) < 65536:
+def parse_address(text: str, place: str) -> Address:
+    """Parse IP:PORT. Raises ``NodeSettingsError`` with ``place`` if the text has another form."""
+    host, separator, port = text.rpartition(":")
+    is_port_number = port.isascii() and port.isdigit() and len(port) <= 5
+    if not separator or not host or not is_port_number or not 0 < int(port) < 65536:
         raise NodeSettingsError(place, f"IP:PORT expected, not {text[:64]!r}")
     return host, int(port)
 
 
 def load_node_settings(path: str | Path | None) -> NodeSettings:
-    """Read and check the file; ``NodeSettingsError`` if it can't be used."""
+    """Read and validate the file. Raises ``NodeSettingsError``."""
     if not path:
         raise NodeSettingsError("ROWANSHIFT_BOOT", "names no settings file")
     try:
@@ -134,19 +137,21 @@
     except OSError as error:
         raise NodeSettingsError(str(path), error.strerror or "can't be read") from error
     if len(data) > MAX_FILE_BYTES:
-        raise NodeSettingsError(str(path), f"over {MAX_FILE_BYTES} bytes")
+        raise NodeSettingsError(str(path), f"at most {MAX_FILE_BYTES} bytes expected, not {len(data)}")
     return node_settings_of(data, path)
 
 
 def node_settings_of(data: bytes | dict[str, Any], path: str | Path = "settings") -> NodeSettings:
-    """Check settings that were read; ``path`` stands in errors and is where a reload looks."""
+    """Validate settings; ``path`` is named in errors and read again by a reload. Raises ``NodeSettingsError``."""
     try:
         decoded = msgspec.json.decode(data) if isinstance(data, bytes) else data
         file = msgspec.convert(decoded, NodeSettingsFile)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
         raise NodeSettingsError(str(path), str(error)) from error
     if not 0 < file.internal_ports[0] <= file.internal_ports[1] < 65536:
-        raise NodeSettingsError("internalPorts", "two rising ports expected")
+        raise NodeSettingsError(
+            "internalPorts", f"two ports from 1 to 65535 in ascending order expected, not {file.internal_ports}"
+        )
     if file.fault_tolerance.machines < 0:
-        raise NodeSettingsError("faultTolerance.machines", "0 or more expected")
+        raise NodeSettingsError("faultTolerance.machines", f"0 or more expected, not {file.fault_tolerance.machines}")
     return NodeSettings(file, Path(path))
--- a/tests/admin/test_admin_client.py
+++ b/tests/admin/test_admin_client.py
@@ -1,4 +1,4 @@
-"""The client for control addresses: redirects, retries, unclear and malformed responses, unusable addresses."""
+"""The client for control addresses: redirects, retries, inconclusive and malformed responses, invalid addresses."""
 
 import os
 import unittest
@@ -18,10 +18,10 @@
 
 
 class ScriptedAddress(unittest.TestCase):
-    """One control address that answers as its script says."""
+    """A control address with scripted responses."""
 
     def serve_script(self, *answers: Response | int):
-        """The port, and the calls that came; a number stands for a 307 to the same address."""
+        """Start the address and return the list of received calls; 307 stands for a redirect to the same address."""
         script = list(answers)
         calls = []
 
@@ -54,38 +54,38 @@
         path.write_bytes(orjson.dumps(cluster.CONFIG | {"revision": 9}))
         return invoke("config", "put", path, "--at", self.at, *more)
 
-    def test_two_redirects_are_followed_and_no_third(self) -> None:
+    def test_two_redirects_are_followed_but_not_a_third(self) -> None:
         calls = self.serve_script(307, 307, Response(200, b'{"revision":9}'))
         self.assertEqual(self.put("--if-match", 8), (0, "revision 9 is in force\n"))
         self.assertEqual(calls, [(b"PUT", b"8")] * 3)
         calls = self.serve_script(307)
         code, output = self.put("--if-match", 8)
         self.assertEqual((code, len(calls)), (1, 3 * ATTEMPT_ROUNDS))
-        self.assertIn("sent on more than 2 times", output)
+        self.assertIn("more than 2 redirects", output)
 
-    def test_an_unclear_response_is_retried_and_reported(self) -> None:
-        unclear = Response(503, b'{"error":"not on enough disks in time"}')
-        self.serve_script(unclear, unclear, Response(200, b'{"revision":9}'))
+    def test_an_inconclusive_response_is_retried_and_reported(self) -> None:
+        inconclusive = Response(503, b'{"error":"not on enough disks in time"}')
+        self.serve_script(inconclusive, inconclusive, Response(200, b'{"revision":9}'))
         self.assertEqual(self.put("--if-match", 8)[0], 0)
-        self.serve_script(unclear)
+        self.serve_script(inconclusive)
         code, output = self.put("--if-match", 8)
         self.assertEqual(code, 1)
-        self.assertIn("503: not on enough disks in time; it may or may not be in force", output)
+        self.assertIn("503: not on enough disks in time; the change may or may not be in force", output)
 
-    def test_the_first_configuration_builds_on_none(self) -> None:
+    def test_the_first_configuration_is_based_on_revision_0(self) -> None:
         calls = self.serve_script(Response(404, b'{"error":"no configuration yet"}'), Response(200, b'{"revision":9}'))
         self.assertEqual(self.put()[0], 0)
         self.assertEqual(calls, [(b"GET", None), (b"PUT", b"0")])
         self.serve_script(Response(404, b'{"error":"no configuration yet"}'))
         self.assertEqual(invoke("config", "get", "--at", self.at), (1, "rowanshift: no configuration yet\n"))
 
-    def test_a_change_that_was_never_sent_is_not_unclear(self) -> None:
+    def test_the_outcome_of_a_change_that_was_never_sent_is_known(self) -> None:
         self.at = f"{unused_network()}1:8500"
         code, output = self.put("--if-match", 8)
         self.assertEqual(code, 1)
         self.assertNotIn("may or may not", output)
 
-    def test_answers_that_make_no_sense(self) -> None:
+    def test_malformed_responses(self) -> None:
         for body in (b"", b"[]", b"\xff", b'{"revision":"x"}'):
             self.serve_script(Response(200, body))
             code, output = self.put()
@@ -95,7 +95,7 @@
 
 
 class Addresses(unittest.TestCase):
-    def test_an_address_that_is_missing_or_unusable(self) -> None:
+    def test_missing_and_invalid_addresses(self) -> None:
         with mock.patch.dict(os.environ, ROWANSHIFT_CONTROL=""):
             for command in (("status",), ("members",), ("duties",), ("config", "get"), ("config", "put", "x")):
                 code, output = invoke(*command)
--- a/tests/admin/test_configuration_commands.py
+++ b/tests/admin/test_configuration_commands.py
@@ -10,33 +10,33 @@
 
 
 class Changes(SmallSystemCase):
-    def test_a_configuration_put_on_the_current_one_and_read_back(self) -> None:
+    def test_a_configuration_is_put_and_read_back(self) -> None:
         config = self.next_configuration()
         path = self.write("put.json", config)
-        for control in self.controls:  # whoever is asked: a 307 is followed, and a repeat is known
+        for control in self.controls:  # any machine: redirects are followed, and repetitions are recognized
             code, output = self.invoke("config", "put", path, at=control)
             self.assertEqual((code, output), (0, f"revision {config['revision']} is in force\n"))
         code, output = self.invoke("config", "get")
         self.assertEqual((code, orjson.loads(output)), (0, config))
-        kept = self.folder / "kept.json"
-        code, output = self.invoke("config", "get", "-o", kept)
-        self.assertEqual((code, kept.read_bytes()), (0, path.read_bytes()))
-        self.assertEqual(kept.stat().st_mode & 0o777, 0o600)
+        saved = self.folder / "kept.json"
+        code, output = self.invoke("config", "get", "-o", saved)
+        self.assertEqual((code, saved.read_bytes()), (0, path.read_bytes()))
+        self.assertEqual(saved.stat().st_mode & 0o777, 0o600)
         self.assertIn(f"revision {config['revision']}", output)
         self.assertNotIn(cluster.KEY, output)
         later = self.write("later.json", self.next_configuration(routes=[]))
         self.assertEqual(self.invoke("config", "put", later)[0], 0)
-        code, output = self.invoke("config", "put", path)  # an old one again is no way back
+        code, output = self.invoke("config", "put", path)  # repeating an earlier put does not revert to it
         self.assertEqual(code, 1)
-        self.assertIn(f"revision {config['revision']} was taken earlier", output)
+        self.assertIn(f"revision {config['revision']} was accepted earlier", output)
 
-    def test_a_put_that_is_refused_prints_the_control_planes_reason(self) -> None:
+    def test_a_rejected_put_prints_the_control_planes_reason(self) -> None:
         self.put(self.write("a.json", self.next_configuration()))
         current = self.revision()
         path = self.write("b.json", self.next_configuration(limits={}))
         code, output = self.invoke("config", "put", path, "--if-match", current - 1)
-        why = f"412: If-Match '{current - 1}', while revision {current} is current"
-        self.assertEqual((code, output), (1, f"rowanshift: {why}\n"))
+        reason = f"412: If-Match '{current - 1}', while revision {current} is current"
+        self.assertEqual((code, output), (1, f"rowanshift: {reason}\n"))
         path = self.write("b.json", self.next_configuration(revision=current, limits={}))
         code, output = self.invoke("config", "put", path)
         self.assertEqual((code, output[:23]), (1, "rowanshift: 400: revisi"))
@@ -44,21 +44,21 @@
         path = self.write("b.json", self.next_configuration())
         self.assertEqual(self.invoke("config", "put", path, "--if-match", current)[0], 0)
 
-    def test_items_that_are_patched(self) -> None:
+    def test_a_patch_is_compared_and_applied(self) -> None:
         self.put(self.write("base.json", self.next_configuration()))
         base = self.revision()
         added = {"name": "extra", "hostname": "extra.example", "pathPrefix": "/", "backend": "chat", "timeoutMs": 9}
         path = self.write("patch.json", {"revision": base + 1, "upsert": {"routes": [added]}})
         expected = (0, f"revision {base} -> {base + 1}\n+ route extra.example /\n")
         self.assertEqual(self.invoke("config", "diff", "--patch", path), expected)
-        for control in self.controls:  # a repeat is known, whoever gets it
+        for control in self.controls:  # any machine recognizes a repetition
             self.assertEqual(
                 self.invoke("config", "patch", path, at=control), (0, f"revision {base + 1} is in force\n")
             )
         output = self.invoke("config", "get")[1]
         self.assertEqual(orjson.loads(output)["routes"][-1], added)
 
-    def test_a_patch_that_can_not_be_used(self) -> None:
+    def test_invalid_patches_are_rejected(self) -> None:
         self.put(self.write("base.json", self.next_configuration()))
         base = self.revision()
         path = self.write("patch.json", {"revision": base + 1, "upsert": {"limits": []}})
@@ -68,8 +68,8 @@
         self.assertEqual((code, f"{path}: upsert.limits" in output), (2, True))
         path = self.write("patch.json", {"revision": base + 1})
         code, output = self.invoke("config", "patch", path, "--if-match", base - 1)
-        why = f"412: If-Match '{base - 1}', while revision {base} is current"
-        self.assertEqual((code, output), (1, f"rowanshift: {why}\n"))
+        reason = f"412: If-Match '{base - 1}', while revision {base} is current"
+        self.assertEqual((code, output), (1, f"rowanshift: {reason}\n"))
         self.assertEqual(self.revision(), base)
 
 
--- a/tests/admin/test_configuration_diff.py
+++ b/tests/admin/test_configuration_diff.py
@@ -1,4 +1,4 @@
-"""The command ``config diff``: what it names, and that it shows no API key."""
+"""The command ``config diff``: the reported differences, which never contain API keys."""
 
 import unittest
 
@@ -12,7 +12,7 @@
 
 
 class RunningSystem(SmallSystemCase):
-    def test_how_a_configuration_differs_from_the_one_in_force(self) -> None:
+    def test_differences_from_the_configuration_in_force(self) -> None:
         self.put(self.write("base.json", self.next_configuration()))
         revision = self.revision()
         same = self.write("same.json", self.next_configuration())
@@ -25,7 +25,7 @@
 
 
 class Differences(unittest.TestCase):
-    def test_differences_name_everything_and_no_key(self) -> None:
+    def test_all_differences_are_reported_without_api_keys(self) -> None:
         route = cluster.CONFIG["routes"][0]
         service = cluster.CONFIG["backends"][0]
         after = cluster.CONFIG | {
--- a/tests/admin/test_coordination_status_command.py
+++ b/tests/admin/test_coordination_status_command.py
@@ -1,4 +1,4 @@
-"""The command ``coordination`` over reports that machines may give."""
+"""The command ``coordination``, with given machine reports."""
 
 import unittest
 from unittest import mock
@@ -13,7 +13,7 @@
 
 
 def replica(**fields: object) -> CoordinationReport:
-    given = {
+    defaults = {
         "primary": False,
         "epoch": 7,
         "in_sync": ["10.0.0.1", "10.0.0.2"],
@@ -29,7 +29,7 @@
         "batches": 0,
         "saves": 3,
     }
-    return CoordinationReport(**given | fields)
+    return CoordinationReport(**defaults | fields)
 
 
 class Command(unittest.TestCase):
@@ -48,12 +48,12 @@
         content = "2 locks, 1 names of numbers, 4 keys in 3 groups, 5 puts kept, 600 bytes"
         self.assertEqual(output.lines[-1], f"{content}; in sync: 10.0.0.1, 10.0.0.2")
 
-    def test_without_a_primary_it_fails(self) -> None:
+    def test_the_command_fails_without_a_primary(self) -> None:
         output = self.output(report("10.0.0.1", replica()), failed_report("10.0.0.2", OSError("refused")))
         self.assertFalse(output.succeeded)
         self.assertIn("refused", output.lines[2])
 
-    def test_where_no_application_calls(self) -> None:
+    def test_a_machine_without_the_coordination_service(self) -> None:
         output = self.output(report("10.0.0.1", None))
         self.assertFalse(output.succeeded)
         self.assertIn("no application calls here", output.lines[1])
--- a/tests/admin/test_members_command.py
+++ b/tests/admin/test_members_command.py
@@ -5,7 +5,7 @@
 
 
 class Members(SmallSystemCase):
-    def test_routers_that_hold_a_lease(self) -> None:
+    def test_routers_with_a_lease_are_listed(self) -> None:
         self.wait_in_system(
             lambda: all(
                 router.control_cache.member_count == 2
--- a/tests/admin/test_status_command.py
+++ b/tests/admin/test_status_command.py
@@ -1,12 +1,12 @@
-"""The command ``status`` and, where no machine answers, the others that ask a running system."""
+"""The command ``status``, and the other commands for a running system if no machine answers."""
 
 from rowanshift.emulation import cluster
 from tests.support.small_system import SmallSystemCase
 
 
 class Status(SmallSystemCase):
-    def test_machines_are_discovered_from_any_one(self) -> None:
-        def roles() -> list[int]:  # one that missed the last epoch's record hears of it by the next beat
+    def test_all_machines_are_discovered_from_any_machine(self) -> None:
+        def roles() -> list[int]:  # a machine that missed the latest epoch learns it from the next heartbeat
             rows = self.statuses()
             return [sum(row["primary"] for row in rows), len({row["epoch"] for row in rows})]
 
@@ -24,7 +24,7 @@
         self.assertEqual((len(row["inSync"]), len(row["witnesses"])), (2, 3))
         self.assertEqual(row["primaryHint"], row["machine"])
 
-    def test_a_machine_without_an_answer_is_listed_and_the_others_are_asked(self) -> None:
+    def test_an_unreachable_machine_is_listed_and_the_others_are_queried(self) -> None:
         unreachable = f"{self.system.net}99:{cluster.CONTROL}"
         code, output = self.invoke("status", at=f"{unreachable},{self.controls[0]}")
         self.assertEqual(code, 0, output)
--- a/tests/process/test_process_end.py
+++ b/tests/process/test_process_end.py
@@ -1,7 +1,7 @@
-"""How a process of either role ends at SIGTERM: real processes, started as ``deploy/system.toml`` does, on loopback.
+"""Shutdown of both roles at SIGTERM: real processes on loopback, started as in ``deploy/system.toml``.
 
-It ends with exit code 0 and without a traceback, whatever it is doing. Before it has set its handlers up, the system
-ends it (-15): nothing was taken in yet.
+A process exits with code 0 and without a traceback, whatever it is doing. Before it has installed its signal handlers,
+the operating system ends it with -15, when it has not accepted any work yet.
 """
 
 import os
@@ -25,67 +25,67 @@
 from rowanshift.transport.streams import Address
 
 ROOT = Path(__file__).parents[2]
-WITHIN = 15.0  # seconds for anything that is waited for
-LOOK = 0.01  # seconds between looks
-BETWEEN = 0.0005  # seconds between signals that go on to the end
-APART = 0.1  # seconds between signals, all within the leave
-GRACE_S = 2  # of the settings here, so that an end takes little time
-ROUTER = 14  # last number of the address of the router that is a process of its own
-EARLY_STEPS = (0.0, 0.1)  # seconds from a start to the SIGTERM, while imports surely run
-LATE_STEPS = (0.2, 0.3, 0.4, 0.5)  # the same, when handlers may be there
-BEFORE_HANDLERS = -signal.SIGTERM
-STREAMS, STREAM_TOKENS = 4, 4000  # a server's slots; each is longer than the grace
-
-
-def net() -> str:
-    """Addresses that no other run uses."""
+TIMEOUT_SECONDS = 15.0  # for each wait
+POLL_SECONDS = 0.01
+REPEATED_SIGNAL_SECONDS = 0.0005  # interval between signals that are repeated until the process ends
+SIGNAL_INTERVAL_SECONDS = 0.1  # short enough for all signals to arrive during the shutdown
+GRACE_SECONDS = 2  # short, so that a shutdown takes little time
+ROUTER = 14  # last byte of the address of the router under test
+EARLY_SIGNAL_SECONDS = (0.0, 0.1)  # from the start to SIGTERM, while modules are certainly being imported
+LATE_SIGNAL_SECONDS = (0.2, 0.3, 0.4, 0.5)  # likewise, when the handlers may be installed
+EXIT_WITHOUT_HANDLERS = -signal.SIGTERM
+STREAMS, STREAM_TOKENS = 4, 4000  # as many as a server has slots; each lasts longer than the grace period
+
+
+def random_network() -> str:
+    """The first three bytes of random loopback addresses, to avoid conflicts with other runs."""
     return f"127.{random.randrange(16, 250)}.{random.randrange(1, 250)}."
 
 
 @dataclass(slots=True)
 class Process:
-    """A running process of a role; its log is in a file."""
+    """A running process of a role, which logs to a file."""
 
-    running: subprocess.Popen
+    popen: subprocess.Popen
     log: Path
 
-    def said(self) -> str:
+    def log_text(self) -> str:
         return self.log.read_text()
 
     def handles_sigterm(self) -> bool:
-        """Whether it has a handler of its own."""
-        return heeds(self.running.pid, signal.SIGTERM)
+        """Whether the process has installed a handler for SIGTERM."""
+        return heeds(self.popen.pid, signal.SIGTERM)
 
-    def until(self, so: Callable[[], bool]) -> None:
-        ends = time.monotonic() + WITHIN
-        while not so():
-            assert self.running.poll() is None and time.monotonic() < ends, self.said()
-            time.sleep(LOOK)
+    def wait_until(self, condition: Callable[[], bool]) -> None:
+        deadline = time.monotonic() + TIMEOUT_SECONDS
+        while not condition():
+            assert self.popen.poll() is None and time.monotonic() < deadline, self.log_text()
+            time.sleep(POLL_SECONDS)
 
-    def until_started(self) -> None:
-        self.until(lambda: "event=started" in self.said())
+    def wait_until_started(self) -> None:
+        self.wait_until(lambda: "event=started" in self.log_text())
 
-    def end(self) -> str:
-        """How it ended: its exit code, and what is wrong with its log."""
+    def result(self) -> str:
+        """Wait for the end; returns the exit code and the last error if the log contains a traceback."""
         try:
-            code = self.running.wait(WITHIN)
+            code = self.popen.wait(TIMEOUT_SECONDS)
         except subprocess.TimeoutExpired:
-            self.running.kill()
-            self.running.wait()
-            return "it did not end"
-        if "Traceback" not in self.said():
+            self.popen.kill()
+            self.popen.wait()
+            return "no exit within the timeout"
+        if "Traceback" not in self.log_text():
             return f"exit code {code}"
-        errors = [line.strip(" |") for line in self.said().splitlines() if "Error" in line and "event=" not in line]
-        return f"exit code {code} with a traceback: {errors[-1] if errors else self.said()}"
+        errors = [line.strip(" |") for line in self.log_text().splitlines() if "Error" in line and "event=" not in line]
+        return f"exit code {code} with a traceback: {errors[-1] if errors else self.log_text()}"
 
 
 class Machine:
-    """One machine's settings, and processes that are started on it."""
+    """The settings of one machine, with which its process is started."""
 
-    def __init__(self, folder: Path, core: bool, seed: str = "") -> None:
-        """``seed``: IP of the core machine that a router asks; its own, where nobody answers, if empty."""
-        self.folder, self.core = folder, core
-        self.ip = f"{net()}1"
+    def __init__(self, folder: Path, is_core: bool, seed: str = "") -> None:
+        """``seed`` is the IP of a router's core machine; if it is empty, the router's own IP, where nothing listens."""
+        self.folder, self.is_core = folder, is_core
+        self.ip = f"{random_network()}1"
         folder.mkdir()
         front = {"frontend": f"{self.ip}:{cluster.FRONT}", "readiness": f"{self.ip}:{cluster.READINESS}"}
         control = {"controlPlane": f"{self.ip}:{cluster.CONTROL}"}
@@ -94,30 +94,30 @@
             orjson.dumps(
                 {
                     "nodeName": "one",
-                    "machineClass": "core" if core else "edge",
+                    "machineClass": "core" if is_core else "edge",
                     "ip": self.ip,
                     "zone": "z1",
-                    "listenAddresses": control if core else front,
+                    "listenAddresses": control if is_core else front,
                     "internalPorts": cluster.INNER,
                     "seedNodes": [f"{seed or self.ip}:{cluster.CONTROL}"],
-                    "bootstrap": core,
-                    "dataDir": str(folder / "data") if core else None,
-                    "bounds": {"graceS": GRACE_S},
+                    "bootstrap": is_core,
+                    "dataDir": str(folder / "data") if is_core else None,
+                    "bounds": {"graceS": GRACE_SECONDS},
                 }
             )
         )
 
     def ports(self) -> list[Address]:
-        """Where it takes connections."""
-        numbers = (cluster.CONTROL, cluster.INNER[0]) if self.core else (cluster.FRONT, cluster.READINESS)
+        """The addresses on which the process accepts connections."""
+        numbers = (cluster.CONTROL, cluster.INNER[0]) if self.is_core else (cluster.FRONT, cluster.READINESS)
         return [(self.ip, number) for number in numbers]
 
     def start(self) -> Process:
-        return start("controlplane" if self.core else "dataplane", self.settings, self.folder / "log")
+        return start("controlplane" if self.is_core else "dataplane", self.settings, self.folder / "log")
 
 
 def start(role: str, settings: Path, log: Path) -> Process:
-    """A process of a role. Those of one test share what Python compiles, so that later ones start soon."""
+    """Start a process of a role. The processes of a test share compiled modules, so that later ones start faster."""
     environment = os.environ | {"PYTHONPYCACHEPREFIX": str(log.parent.parent / "compiled")}
     environment.pop("PYTHONDONTWRITEBYTECODE", None)
     with log.open("wb") as file:
@@ -125,75 +125,75 @@
         return Process(subprocess.Popen(command, cwd=ROOT, stdout=file, stderr=file, env=environment), log)
 
 
-# cases ------------------------------------------------------
+# cases
 
 
-def without_traffic(machine: Machine) -> str:
+def sigterm_without_traffic(machine: Machine) -> str:
     process = machine.start()
     try:
-        process.until_started()
-        process.running.send_signal(signal.SIGTERM)
-        return process.end()
+        process.wait_until_started()
+        process.popen.send_signal(signal.SIGTERM)
+        return process.result()
     finally:
-        process.running.kill()
+        process.popen.kill()
 
 
-def signalled_to_its_end(machine: Machine) -> str:
-    """SIGTERM and SIGHUP without a pause, until the process is gone."""
+def signals_until_the_end(machine: Machine) -> str:
+    """Send SIGTERM and SIGHUP repeatedly until the process ends."""
     process = machine.start()
     try:
-        process.until_started()
-        ends = time.monotonic() + WITHIN
-        while process.running.poll() is None and time.monotonic() < ends:
-            process.running.send_signal(signal.SIGTERM)
-            process.running.send_signal(signal.SIGHUP)
-            time.sleep(BETWEEN)
-        return process.end()
+        process.wait_until_started()
+        deadline = time.monotonic() + TIMEOUT_SECONDS
+        while process.popen.poll() is None and time.monotonic() < deadline:
+            process.popen.send_signal(signal.SIGTERM)
+            process.popen.send_signal(signal.SIGHUP)
+            time.sleep(REPEATED_SIGNAL_SECONDS)
+        return process.result()
     finally:
-        process.running.kill()
+        process.popen.kill()
 
 
-def with_callers(machine: Machine, later: Sequence[signal.Signals]) -> str:
-    """SIGTERM while connections are idle, half a request has come, and nobody reads; then more signals."""
+def sigterm_with_callers(machine: Machine, further_signals: Sequence[signal.Signals]) -> str:
+    """SIGTERM with an idle connection, a partial request and an unread response; then more signals."""
     process = machine.start()
     callers: list[socket.socket] = []
     try:
-        process.until_started()
+        process.wait_until_started()
         for port in machine.ports():
             for sent in (b"", b"GET /status HTT", b"GET /status HTTP/1.1\r\nHost: a\r\n\r\n"):
-                callers.append(socket.create_connection(port, WITHIN))
+                callers.append(socket.create_connection(port, TIMEOUT_SECONDS))
                 callers[-1].sendall(sent)
-        process.running.send_signal(signal.SIGTERM)
-        for number in later:
-            time.sleep(APART)
-            process.running.send_signal(number)
-        return process.end()
+        process.popen.send_signal(signal.SIGTERM)
+        for number in further_signals:
+            time.sleep(SIGNAL_INTERVAL_SECONDS)
+            process.popen.send_signal(number)
+        return process.result()
     finally:
-        process.running.kill()
+        process.popen.kill()
         for caller in callers:
             caller.close()
 
 
-def with_a_router(folder: Path) -> str:
-    """SIGTERM to a core machine while a router's poll is held, and an operator's change is under way."""
-    machine = Machine(folder, core=True)
+def sigterm_with_a_router(folder: Path) -> str:
+    """SIGTERM to a core machine during a router's long poll and an operator's configuration change."""
+    machine = Machine(folder, is_core=True)
     process = machine.start()
-    router = Machine(folder / "router", core=False, seed=machine.ip).start()
+    router = Machine(folder / "router", is_core=False, seed=machine.ip).start()
     try:
-        process.until_started()
-        process.until(lambda: put_config(machine.ports()[0], 1).startswith(b"HTTP/1.1 200"))
-        process.until(lambda: "event=configuration_applied" in router.said())
-        with socket.create_connection(machine.ports()[0], WITHIN) as operator:
-            operator.sendall(config_call(2))
-            process.running.send_signal(signal.SIGTERM)
-            return process.end()
+        process.wait_until_started()
+        process.wait_until(lambda: put_config(machine.ports()[0], 1).startswith(b"HTTP/1.1 200"))
+        process.wait_until(lambda: "event=configuration_applied" in router.log_text())
+        with socket.create_connection(machine.ports()[0], TIMEOUT_SECONDS) as operator:
+            operator.sendall(encode_config_put(2))
+            process.popen.send_signal(signal.SIGTERM)
+            return process.result()
     finally:
-        process.running.kill()
-        router.running.kill()
-        router.running.wait()
+        process.popen.kill()
+        router.popen.kill()
+        router.popen.wait()
 
 
-def config_call(revision: int) -> bytes:
+def encode_config_put(revision: int) -> bytes:
     body = orjson.dumps(cluster.CONFIG | {"revision": revision})
     return b"PUT /config HTTP/1.1\r\nHost: a\r\nIf-Match: %d\r\nContent-Length: %d\r\n\r\n%s" % (
         revision - 1,
@@ -203,84 +203,84 @@
 
 
 def put_config(control: Address, revision: int) -> bytes:
-    """The beginning of the answer; empty if there was none."""
+    """The beginning of the response; empty if there was none."""
     try:
-        with socket.create_connection(control, WITHIN) as operator:
-            operator.sendall(config_call(revision))
+        with socket.create_connection(control, TIMEOUT_SECONDS) as operator:
+            operator.sendall(encode_config_put(revision))
             return operator.recv(64)
     except OSError:
         return b""
 
 
-def after(machine: Machine, seconds: float) -> str:
-    """SIGTERM so long after the start."""
+def sigterm_after(machine: Machine, seconds: float) -> str:
+    """SIGTERM this many seconds after the start."""
     process = machine.start()
     try:
         time.sleep(seconds)
-        process.running.send_signal(signal.SIGTERM)
-        return process.end()
+        process.popen.send_signal(signal.SIGTERM)
+        return process.result()
     finally:
-        process.running.kill()
+        process.popen.kill()
 
 
-def at_handlers(machine: Machine) -> str:
-    """SIGTERM as soon as there is a handler for it."""
+def sigterm_at_handlers(machine: Machine) -> str:
+    """SIGTERM as soon as its handler is installed."""
     process = machine.start()
     try:
-        process.until(process.handles_sigterm)
-        process.running.send_signal(signal.SIGTERM)
-        return process.end()
+        process.wait_until(process.handles_sigterm)
+        process.popen.send_signal(signal.SIGTERM)
+        return process.result()
     finally:
-        process.running.kill()
+        process.popen.kill()
 
 
-def ends_of(folder: Path, core: bool) -> dict[str, str]:
-    """How a role ends in each case without streams."""
-    made = iter(range(100))
+def shutdown_results(folder: Path, is_core: bool) -> dict[str, str]:
+    """The result of each case without streams, by the case's description."""
+    folder_numbers = iter(range(100))
 
     def machine() -> Machine:
-        return Machine(folder / f"{next(made)}", core)
+        return Machine(folder / f"{next(folder_numbers)}", is_core)
 
     return {
-        "without traffic": without_traffic(machine()),
-        "with callers, SIGHUP and a second SIGTERM": with_callers(
+        "without traffic": sigterm_without_traffic(machine()),
+        "with callers, SIGHUP and a second SIGTERM": sigterm_with_callers(
             machine(), (signal.SIGHUP, signal.SIGTERM, signal.SIGHUP)
         ),
-        "at its handlers": at_handlers(machine()),
-        "signalled to its end": signalled_to_its_end(machine()),
+        "at its handlers": sigterm_at_handlers(machine()),
+        "signalled to its end": signals_until_the_end(machine()),
     }
 
 
-def under_streams(folder: Path) -> tuple[str, int]:
-    """How a router ends in the middle of streams that are longer than its grace, and how many it had begun."""
+def sigterm_during_streams(folder: Path) -> tuple[str, int]:
+    """The result of SIGTERM during streams that outlast the grace period, and the number of streams."""
 
     async def main() -> tuple[str, int]:
-        system = cluster.SmallSystem(folder, net())
+        system = cluster.SmallSystem(folder, random_network())
         settings = system.settings("edge", ROUTER)
-        settings.write_bytes(orjson.dumps(orjson.loads(settings.read_bytes()) | {"bounds": {"graceS": GRACE_S}}))
+        settings.write_bytes(orjson.dumps(orjson.loads(settings.read_bytes()) | {"bounds": {"graceS": GRACE_SECONDS}}))
         front, process = (f"{system.net}{ROUTER}", cluster.FRONT), None
         async with trio.open_nursery() as nursery:
             nursery.start_soon(system.run)
             try:
-                with trio.fail_after(WITHIN):
+                with trio.fail_after(TIMEOUT_SECONDS):
                     process = start("dataplane", settings, folder / "log")
                     await system.primary()
                     assert await system.operator.put_config(cluster.CONFIG, 0) == 200
                     while not is_ready((front[0], cluster.READINESS)):
-                        await trio.sleep(10 * LOOK)
+                        await trio.sleep(10 * POLL_SECONDS)
                     patrons = [
                         Patron(system.host, f"p{n}", trio.current_time, [], [front], random.Random(n))
                         for n in range(STREAMS)
                     ]
                     for patron in patrons:
-                        nursery.start_soon(patron.ask, streamed())
+                        nursery.start_soon(patron.ask, streaming_work())
                     while sum(bool(patron.tries and patron.tries[0].pieces) for patron in patrons) < STREAMS:
-                        await trio.sleep(LOOK)
-                process.running.send_signal(signal.SIGTERM)
-                return await trio.to_thread.run_sync(process.end), len(patrons)
+                        await trio.sleep(POLL_SECONDS)
+                process.popen.send_signal(signal.SIGTERM)
+                return await trio.to_thread.run_sync(process.result), len(patrons)
             finally:
                 if process is not None:
-                    process.running.kill()
+                    process.popen.kill()
                 nursery.cancel_scope.cancel()
 
     return trio.run(main)
@@ -288,14 +288,14 @@
 
 def is_ready(address: Address) -> bool:
     try:
-        with socket.create_connection(address, WITHIN) as caller:
+        with socket.create_connection(address, TIMEOUT_SECONDS) as caller:
             caller.sendall(b"GET /readiness HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n")
             return caller.recv(64).startswith(b"HTTP/1.1 200")
     except OSError:
         return False
 
 
-def streamed() -> Work:
+def streaming_work() -> Work:
     return Work(
         cluster.HOST,
         f"{cluster.PREFIX}x",
@@ -303,46 +303,46 @@
         (("a1", 40), ("b2", 10)),
         out=STREAM_TOKENS,
         key=cluster.KEY,
-        within=WITHIN,
+        within=TIMEOUT_SECONDS,
     )
 
 
-def steps(folder: Path, core: bool, seconds: Sequence[float]) -> list[str]:
-    """How it ends after each of these times; wrong ones only."""
-    found = []
-    for at in seconds:
-        end = after(Machine(folder / f"{at}", core), at)
-        if end not in ("exit code 0", f"exit code {BEFORE_HANDLERS}"):
-            found.append(f"SIGTERM {at} s after its start: {end}")
-    return found
+def unexpected_results(folder: Path, is_core: bool, seconds: Sequence[float]) -> list[str]:
+    """Send SIGTERM after each of these times; returns the unexpected results."""
+    results = []
+    for delay in seconds:
+        result = sigterm_after(Machine(folder / f"{delay}", is_core), delay)
+        if result not in ("exit code 0", f"exit code {EXIT_WITHOUT_HANDLERS}"):
+            results.append(f"SIGTERM {delay} s after the start: {result}")
+    return results
 
 
 class TestRouter:
-    def test_its_end_is_regular(self, tmp_path: Path) -> None:
-        found = ends_of(tmp_path, core=False)
+    def test_shutdown_is_clean(self, tmp_path: Path) -> None:
+        results = shutdown_results(tmp_path, is_core=False)
         (tmp_path / "streams").mkdir()
-        found["under streams"], begun = under_streams(tmp_path / "streams")
-        assert begun == STREAMS
-        wrong = [f"{case}: {end}" for case, end in found.items() if end != "exit code 0"]
-        wrong += steps(tmp_path, False, LATE_STEPS)
-        assert not wrong, "\n" + "\n".join(wrong)
+        results["under streams"], started = sigterm_during_streams(tmp_path / "streams")
+        assert started == STREAMS
+        unexpected = [f"{case}: {result}" for case, result in results.items() if result != "exit code 0"]
+        unexpected += unexpected_results(tmp_path, False, LATE_SIGNAL_SECONDS)
+        assert not unexpected, "\n" + "\n".join(unexpected)
 
-    def test_a_sigterm_while_imports_run_leaves_no_traceback(self, tmp_path: Path) -> None:
-        assert steps(tmp_path, False, EARLY_STEPS) == []
+    def test_a_sigterm_during_imports_leaves_no_traceback(self, tmp_path: Path) -> None:
+        assert unexpected_results(tmp_path, False, EARLY_SIGNAL_SECONDS) == []
 
 
 class TestCoreMachine:
-    def test_its_end_is_regular(self, tmp_path: Path) -> None:
-        found = ends_of(tmp_path, core=True)
-        found["with a router"] = with_a_router(tmp_path / "with-a-router")
-        wrong = [f"{case}: {end}" for case, end in found.items() if end != "exit code 0"]
-        assert not wrong, "\n" + "\n".join(wrong)
+    def test_shutdown_is_clean(self, tmp_path: Path) -> None:
+        results = shutdown_results(tmp_path, is_core=True)
+        results["with a router"] = sigterm_with_a_router(tmp_path / "with-a-router")
+        unexpected = [f"{case}: {result}" for case, result in results.items() if result != "exit code 0"]
+        assert not unexpected, "\n" + "\n".join(unexpected)
 
-    def test_a_sigterm_during_its_start_leaves_no_traceback(self, tmp_path: Path) -> None:
-        assert steps(tmp_path, True, EARLY_STEPS + LATE_STEPS) == []
+    def test_a_sigterm_during_the_start_leaves_no_traceback(self, tmp_path: Path) -> None:
+        assert unexpected_results(tmp_path, True, EARLY_SIGNAL_SECONDS + LATE_SIGNAL_SECONDS) == []
 
 
-AS_IT_ENDS = """
+CODE_WITH_EXIT_HANDLER = """
 import atexit, signal, sys
 from rowanshift import cli
 atexit.register(lambda: print(signal.getsignal(signal.SIGTERM).name))
@@ -351,7 +351,9 @@
 
 
 @pytest.mark.parametrize("role", ["dataplane", "controlplane"])
-def test_no_signal_ends_an_interpreter_that_ends(role: str) -> None:
-    """It takes back every handler but that which ignores, so that a second SIGTERM would end it with -15."""
-    ended = subprocess.run([sys.executable, "-c", AS_IT_ENDS, role], cwd=ROOT, capture_output=True, text=True)
+def test_a_sigterm_does_not_kill_an_interpreter_that_is_exiting(role: str) -> None:
+    """At exit the interpreter resets all handlers but SIG_IGN, so that a second SIGTERM would end it with -15."""
+    ended = subprocess.run(
+        [sys.executable, "-c", CODE_WITH_EXIT_HANDLER, role], cwd=ROOT, capture_output=True, text=True
+    )
     assert (ended.returncode, ended.stdout) == (2, "SIG_IGN\n")
