--- a/rowanshift/__init__.py
+++ b/rowanshift/__init__.py
@@ -1,3 +1,3 @@
-"""rowanshift: spreads keys over cache servers before a slow origin."""
+"""rowanshift: HTTP routers for model servers and caches, with a replicated control plane."""
 
 __version__ = "0.2.0"
--- a/rowanshift/__main__.py
+++ b/rowanshift/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m rowanshift``."""
+"""Runs the command line: ``python -m rowanshift``."""
 
 from rowanshift.cli import main
 
--- a/rowanshift/cli/__init__.py
+++ b/rowanshift/cli/__init__.py
@@ -1,6 +1,6 @@
 """The command line: parses the arguments and runs one command.
 
-What a command needs is imported when it runs, so that each command starts with as few modules as possible.
+Each command imports its modules when it runs, so that it loads as few as possible at start-up.
 """
 
 import errno
@@ -15,14 +15,14 @@
 
 
 def main(argv: list[str] | None = None) -> NoReturn:
-    """Run the command that the arguments name and exit with its status.
+    """Run the command given by the arguments and exit with its status.
 
-    The status is 2 for arguments or input that can't be used, 130 after an interrupt, and 1 if the reader of the
-    output has closed it.
+    The status is 2 for invalid arguments or unusable input, 130 after an interrupt, and 1 if the reader of the output
+    has closed the pipe.
     """
     parser = build_parser()
     arguments = parser.parse_args(argv)
-    if "run" not in arguments:  # no command
+    if "run" not in arguments:  # no command was given
         parser.print_help(sys.stderr)
         raise SystemExit(EXIT_UNUSABLE_INPUT)
     try:
@@ -33,7 +33,7 @@
     except OSError as error:
         if error.errno != errno.EPIPE:
             raise
-        # what is still buffered must not fail when the interpreter flushes it at its end
+        # buffered output must not cause an error when the interpreter flushes it at exit
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
         raise SystemExit(EXIT_OUTPUT_CLOSED) from None
     raise SystemExit(status)
--- a/rowanshift/cli/admin_commands.py
+++ b/rowanshift/cli/admin_commands.py
@@ -1,4 +1,4 @@
-"""The commands that ask a running system or read its files: they call ``rowanshift.admin`` and print its output."""
+"""Commands that query a running system or read its files, by calling ``rowanshift.admin`` and printing its output."""
 
 import argparse
 from collections.abc import Callable
@@ -11,7 +11,7 @@
 
 
 def print_output(command: Callable[..., "CommandOutput"], *parameters: object) -> int:
-    """Run a command and print its lines. Returns its exit status, and exits with that of an ``AdminError``."""
+    """Run a command, print its lines and return its exit status; exits with the status of an ``AdminError``."""
     from rowanshift.admin.errors import AdminError
 
     try:
@@ -25,13 +25,13 @@
 def control_addresses(arguments: argparse.Namespace) -> str:
     """The value of ``--at``. Exits with status 2 if it is missing."""
     if arguments.at is None:
-        usage_error(arguments, "--at IP:PORT is missing, and ROWANSHIFT_CONTROL names none")
+        usage_error(arguments, "--at IP:PORT is missing, and ROWANSHIFT_CONTROL is not set")
     addresses: str = arguments.at
     return addresses
 
 
 def status(arguments: argparse.Namespace) -> int:
-    """Ask each core machine of a running system how it stands."""
+    """Show the status of each core machine of a running system."""
     addresses = control_addresses(arguments)
     from rowanshift.admin.status import status
 
@@ -47,7 +47,7 @@
 
 
 def coordination(arguments: argparse.Namespace) -> int:
-    """Say who is primary of the locks, numbers and keys of applications, and how many there are."""
+    """Show the replicas of the applications' locks, numbers and keys, and how many there are."""
     addresses = control_addresses(arguments)
     from rowanshift.admin.coordination_status import coordination_status
 
@@ -55,7 +55,7 @@
 
 
 def duties(arguments: argparse.Namespace) -> int:
-    """Say who reads the platform's list and who orders, and which servers are behind a named version."""
+    """Show which machine reads the platform's list and orders loads, and which servers lack an announced version."""
     addresses = control_addresses(arguments)
     from rowanshift.admin.singleton_tasks import singleton_tasks
 
@@ -63,12 +63,12 @@
 
 
 def config(arguments: argparse.Namespace) -> NoReturn:
-    """Get, put, compare or check the configuration of a whole system."""
-    usage_error(arguments, "one of get, put, diff, check is missing")
+    """Read, replace, patch, compare or check the configuration of a whole system."""
+    usage_error(arguments, "a subcommand is missing: get, put, patch, diff or check expected")
 
 
 def config_get(arguments: argparse.Namespace) -> int:
-    """Print the configuration in force; it holds API keys."""
+    """Print the configuration in force, including its API keys."""
     addresses = control_addresses(arguments)
     from rowanshift.admin.configuration_get import get_configuration
 
@@ -76,7 +76,7 @@
 
 
 def config_put(arguments: argparse.Namespace) -> int:
-    """Put a configuration in force."""
+    """Replace the configuration in force."""
     addresses = control_addresses(arguments)
     from rowanshift.admin.configuration_change import put_configuration
 
@@ -84,7 +84,7 @@
 
 
 def config_patch(arguments: argparse.Namespace) -> int:
-    """Add, replace or remove items of the configuration by their names: revision, upsert and remove, as JSON."""
+    """Add, replace or remove items of the configuration by name, with a patch of revision, upsert and remove."""
     addresses = control_addresses(arguments)
     from rowanshift.admin.configuration_change import patch_configuration
 
@@ -92,7 +92,7 @@
 
 
 def config_diff(arguments: argparse.Namespace) -> int:
-    """Say how a configuration differs from the one in force."""
+    """Show how a configuration differs from the one in force."""
     addresses = control_addresses(arguments)
     from rowanshift.admin.configuration_diff import diff_configuration
 
@@ -100,21 +100,21 @@
 
 
 def config_check(arguments: argparse.Namespace) -> int:
-    """Check a configuration as the control plane would, without one."""
+    """Check a configuration as the control plane does, without a running system."""
     from rowanshift.admin.configuration_check import check_configuration
 
     return print_output(check_configuration, arguments.file)
 
 
 def data_folder_check(arguments: argparse.Namespace) -> int:
-    """Say what a core machine's disk holds; change nothing."""
+    """Describe the contents of a core machine's data directory without changing it."""
     from rowanshift.admin.data_folder_check import check_data_folder
 
     return print_output(check_data_folder, arguments.folder)
 
 
 def settings_check(arguments: argparse.Namespace) -> int:
-    """Read the settings of a process, and say what is in them."""
+    """Check the settings of a process and describe them."""
     from rowanshift.admin.settings_check import check_settings
 
     return print_output(check_settings, arguments.boot)
--- a/rowanshift/cli/exits.py
+++ b/rowanshift/cli/exits.py
@@ -1,11 +1,11 @@
-"""Exit statuses of the command line, and ending with a message."""
+"""Exit statuses of the command line, and functions that exit with a message."""
 
 import argparse
 import sys
 from typing import NoReturn
 
 EXIT_FAILED = 1
-EXIT_UNUSABLE_INPUT = 2  # the status that argparse uses for a wrong option
+EXIT_UNUSABLE_INPUT = 2  # the status that argparse uses for invalid options
 EXIT_INTERRUPTED = 130
 
 
--- a/rowanshift/cli/parser.py
+++ b/rowanshift/cli/parser.py
@@ -1,4 +1,4 @@
-"""The parser of the command line: every command with its options. A command's docstring is its help text."""
+"""The argument parser, with the options of every command. The docstring of a command's function is its help text."""
 
 import argparse
 import os
@@ -14,7 +14,7 @@
 Command = Callable[[argparse.Namespace], int | None]
 
 ROLES: dict[str, Command] = {"dataplane": services.dataplane, "controlplane": services.controlplane}
-FORMER_ROLES: dict[str, Command] = {  # aliases for one release: the names of the roles until 0.2
+FORMER_ROLES: dict[str, Command] = {  # aliases with the role names before 0.2, kept for one release
     "counter": services.dataplane,
     "ledger": services.controlplane,
 }
@@ -23,14 +23,14 @@
 
 
 def integer_within(minimum: int, maximum: int | None = None) -> Callable[[str], int]:
-    """A type for argparse: an integer within bounds, or of ``minimum`` or more."""
+    """An argparse type for an integer from ``minimum`` to ``maximum``, or without an upper bound."""
 
     def parse(text: str) -> int:
         value = int(text)
         if maximum is None and value < minimum:
-            raise argparse.ArgumentTypeError(f"{value} is not {minimum} or more")
+            raise argparse.ArgumentTypeError(f"{minimum} or more expected, not {value}")
         if maximum is not None and not minimum <= value <= maximum:
-            raise argparse.ArgumentTypeError(f"{value} is not within {minimum} and {maximum}")
+            raise argparse.ArgumentTypeError(f"{minimum} to {maximum} expected, not {value}")
         return value
 
     parse.__name__ = "whole number"  # argparse names the type in its errors
@@ -38,9 +38,14 @@
 
 
 def build_parser() -> argparse.ArgumentParser:
-    """The parser of all commands: ``run`` of what it returns is the command, ``parser`` the command's own parser."""
+    """The parser of all commands.
+
+    It sets ``run`` to the function of the command and ``parser`` to the command's own parser.
+    """
     parser = argparse.ArgumentParser(
-        prog="rowanshift", description="Spreads keys over cache servers before a slow origin.", allow_abbrev=False
+        prog="rowanshift",
+        description="HTTP routers for model servers and caches, with a replicated control plane.",
+        allow_abbrev=False,
     )
     commands = parser.add_subparsers(title="commands", metavar="COMMAND")
     add_roles(commands)
@@ -56,43 +61,45 @@
 
 
 def add_command(commands: "Subparsers", name: str, command: Command) -> argparse.ArgumentParser:
-    """Add a command; returns its parser."""
+    """Add a command and return its parser."""
     parser = commands.add_parser(name, help=command.__doc__, description=command.__doc__, allow_abbrev=False)
     parser.set_defaults(run=command, parser=parser)
     return parser
 
 
 def add_roles(commands: "Subparsers") -> None:
-    """Add the roles, and below the control plane's the check of its data folder."""
+    """Add the roles; ``controlplane`` has a subcommand that checks its data directory."""
     for name, command in (ROLES | FORMER_ROLES).items():
         parser = add_command(commands, name, command)
         parser.set_defaults(role=name)
-        add_file_option(parser, "--boot", variable="ROWANSHIFT_BOOT", description="the process's settings, as JSON")
+        add_file_option(
+            parser, "--boot", variable="ROWANSHIFT_BOOT", description="the settings of the process, as JSON"
+        )
         add_level_option(parser)
         if command is services.controlplane:
             subcommands = parser.add_subparsers(title="commands", metavar="[COMMAND]")
             check = add_command(subcommands, "check", admin_commands.data_folder_check)
-            check.add_argument("folder", type=Path, metavar="DIR", help="its data directory")
+            check.add_argument("folder", type=Path, metavar="DIR", help="the data directory")
 
 
 def add_system_queries(commands: "Subparsers") -> None:
     """Add the commands that show the state of a running system."""
     status = add_command(commands, "status", admin_commands.status)
     add_control_addresses_option(status)
-    status.add_argument("--json", action="store_true", help="all that they say, as JSON")
+    status.add_argument("--json", action="store_true", help="print the complete status documents as JSON")
     add_control_addresses_option(add_command(commands, "members", admin_commands.members))
     add_control_addresses_option(add_command(commands, "duties", admin_commands.duties))
     add_control_addresses_option(add_command(commands, "coordination", admin_commands.coordination))
 
 
 def add_configuration_commands(commands: "Subparsers") -> None:
-    """Add ``config`` and the commands below it."""
+    """Add ``config`` and its subcommands."""
     subcommands = add_command(commands, "config", admin_commands.config).add_subparsers(
         title="commands", metavar="COMMAND"
     )
     get = add_command(subcommands, "get", admin_commands.config_get)
     add_control_addresses_option(get)
-    get.add_argument("--output", "-o", type=Path, metavar="FILE", help="where it goes instead")
+    get.add_argument("--output", "-o", type=Path, metavar="FILE", help="write the configuration to this file")
     for name, change in (("put", admin_commands.config_put), ("patch", admin_commands.config_patch)):
         parser = add_command(subcommands, name, change)
         add_control_addresses_option(parser)
@@ -101,37 +108,41 @@
             "--if-match",
             type=integer_within(0),
             metavar="N",
-            help="the revision that it builds on; the current one if not given",
+            help="the revision that the change is based on; the current one if not given",
         )
     diff = add_command(subcommands, "diff", admin_commands.config_diff)
     add_control_addresses_option(diff)
     add_configuration_argument(diff)
-    diff.add_argument("--patch", action="store_true", help="FILE is a patch: say what it would change")
+    diff.add_argument("--patch", action="store_true", help="FILE is a patch: show what it would change")
     add_configuration_argument(add_command(subcommands, "check", admin_commands.config_check))
 
 
 def add_cache_proxy_commands(commands: "Subparsers") -> None:
-    """Add the router for caches and the check of its configuration."""
+    """Add the cache proxy and the check of its configuration."""
     serve = add_command(commands, "serve", services.serve)
     check = add_command(commands, "check", tools.check)
     for parser in (serve, check):
         add_file_option(parser, "--config", "-c", variable="BALANCER_CONFIG", description="the configuration, as JSON")
     add_level_option(serve)
     check.add_argument(
-        "--boot", type=Path, metavar="FILE", help="the settings of a process of the whole system instead, as JSON"
+        "--boot", type=Path, metavar="FILE", help="check the settings of a process of the whole system instead, as JSON"
     )
 
 
 def add_migrate(commands: "Subparsers") -> None:
-    """Add the migration of a configuration of the old shape."""
+    """Add the conversion of configurations of the old format."""
     parser = add_command(commands, "migrate", tools.migrate)
-    parser.add_argument("old", type=Path, help="the configuration of the old shape, as JSON")
-    parser.add_argument("--output", "-o", type=Path, metavar="FILE", required=True, help="where its counterpart goes")
-    parser.add_argument("--dry-run", action="store_true", help="change nothing; say what would be")
-    parser.add_argument("--listen", metavar="ADDRESS", help="where the client's own router listens")
-    parser.add_argument("--routers", type=integer_within(1), metavar="N", help="how many routers there will be")
-    parser.add_argument("--ordinal", type=integer_within(0), metavar="N", help="this router's number among them")
-    parser.add_argument("--zone", action="append", default=[], help="a location of the new shape; repeat it")
+    parser.add_argument("old", type=Path, help="the configuration of the old format, as JSON")
+    parser.add_argument(
+        "--output", "-o", type=Path, metavar="FILE", required=True, help="where to write the converted configuration"
+    )
+    parser.add_argument("--dry-run", action="store_true", help="write nothing; show what would be written")
+    parser.add_argument("--listen", metavar="ADDRESS", help="the listen address of the client's own router")
+    parser.add_argument(
+        "--routers", type=integer_within(1), metavar="N", help="the number of routers after the migration"
+    )
+    parser.add_argument("--ordinal", type=integer_within(0), metavar="N", help="the number of this router, from 0")
+    parser.add_argument("--zone", action="append", default=[], help="a zone of the new configuration; may be repeated")
 
 
 def add_demo(commands: "Subparsers") -> None:
@@ -144,16 +155,16 @@
         metavar="FILE",
         help="the configuration for --router; examples/config.json if not given",
     )
-    parser.add_argument("--stay", action=argparse.BooleanOptionalAction, default=True, help="go on until Ctrl-C")
+    parser.add_argument("--stay", action=argparse.BooleanOptionalAction, default=True, help="keep running until Ctrl-C")
     parser.add_argument(
         "--router",
         action=argparse.BooleanOptionalAction,
-        help="a router for caches between its stand-ins; with --no-router the stand-ins alone",
+        help="run the cache proxy between emulated servers and clients; with --no-router, the emulation alone",
     )
 
 
 def add_measurements(commands: "Subparsers") -> None:
-    """Add the commands that run real processes: what each role costs, and whether the system survives faults."""
+    """Add the commands that run real processes: capacity measurements and fault-injection tests."""
     from rowanshift.capacity import options as capacity_options
     from rowanshift.soak import options as soak_options
 
@@ -164,28 +175,40 @@
 def add_simulate(commands: "Subparsers") -> None:
     """Add the simulation of fleets on a virtual clock."""
     parser = add_command(commands, "simulate", tools.simulate)
-    parser.add_argument("file", type=Path, nargs="?", help="a scenario as TOML")
-    parser.add_argument("--seeds", default="", help="N, or FIRST:LAST without the last")
-    parser.add_argument("--seed", type=integer_within(0), metavar="N", help="one seed, with its troubles and figures")
-    parser.add_argument("--core", action="store_true", help="seeds are of the control side's worst days")
+    parser.add_argument("file", type=Path, nargs="?", help="a scenario, as TOML")
+    parser.add_argument("--seeds", default="", help="N seeds, or FIRST:LAST with LAST excluded")
+    parser.add_argument(
+        "--seed", type=integer_within(0), metavar="N", help="run one seed and show its faults and figures"
+    )
+    parser.add_argument("--core", action="store_true", help="run the seeds as fault scenarios of the control plane")
     parser.add_argument(
         "--applications",
         type=integer_within(0, MAX_APPLICATIONS),
         metavar="N",
         default=0,
-        help="with --core: so many callers for locks, for numbers and for keys",
+        help="with --core: the number of clients each for locks, for numbers and for keys",
     )
-    parser.add_argument("--size", default="small", help="small or grown; %(default)s if not given")
     parser.add_argument(
-        "--workers", type=integer_within(1, MAX_SIMULATION_WORKERS), metavar="N", default=1, help="processes"
+        "--size", default="small", help="the size of the fleet, small or grown; %(default)s if not given"
     )
-    parser.add_argument("--events", type=Path, metavar="FILE", help="write all facts there, as JSON lines")
-    parser.add_argument("--shrink", type=Path, metavar="FILE", help="cut what fails down, and write it there")
-    parser.add_argument("--json", action="store_true", help="results as JSON")
+    parser.add_argument(
+        "--workers",
+        type=integer_within(1, MAX_SIMULATION_WORKERS),
+        metavar="N",
+        default=1,
+        help="the number of processes",
+    )
+    parser.add_argument(
+        "--events", type=Path, metavar="FILE", help="write all recorded events to this file, as JSON lines"
+    )
+    parser.add_argument(
+        "--shrink", type=Path, metavar="FILE", help="reduce a failing scenario and write it to this file"
+    )
+    parser.add_argument("--json", action="store_true", help="print the results as JSON")
 
 
 def add_file_option(parser: argparse.ArgumentParser, *flags: str, variable: str, description: str) -> None:
-    """Add a file that an option names, or else a variable of the environment."""
+    """Add an option for a file, whose default is taken from an environment variable."""
     parser.add_argument(
         *flags,
         type=Path,
@@ -196,20 +219,22 @@
 
 
 def add_level_option(parser: argparse.ArgumentParser) -> None:
-    """Add the lowest level of log lines."""
-    parser.add_argument("--level", type=str.upper, default="INFO", help="what to log; %(default)s if not given")
+    """Add the option for the minimum log level."""
+    parser.add_argument(
+        "--level", type=str.upper, default="INFO", help="the minimum log level; %(default)s if not given"
+    )
 
 
 def add_control_addresses_option(parser: argparse.ArgumentParser) -> None:
-    """Add the control addresses of a running system."""
+    """Add the option for the control addresses of a running system."""
     parser.add_argument(
         "--at",
         metavar="IP:PORT",
         default=os.environ.get("ROWANSHIFT_CONTROL") or None,
-        help="the control address of a core machine, or several with commas between [environment: ROWANSHIFT_CONTROL]",
+        help="the control address of a core machine, or several separated by commas [environment: ROWANSHIFT_CONTROL]",
     )
 
 
 def add_configuration_argument(parser: argparse.ArgumentParser) -> None:
-    """Add the file with a configuration or a patch."""
+    """Add the argument for a file with a configuration or a patch."""
     parser.add_argument("file", type=Path, metavar="FILE", help="a configuration, as JSON")
--- a/rowanshift/cli/services.py
+++ b/rowanshift/cli/services.py
@@ -1,4 +1,4 @@
-"""The commands that run a service until SIGTERM: the roles of a running system, and the router for caches."""
+"""The commands that run a service until SIGTERM: the roles of a running system, and the cache proxy."""
 
 import argparse
 import os
@@ -15,12 +15,12 @@
 
 
 def exit_at_once(number: int, frame: object) -> NoReturn:
-    """End the process with status 0 at a signal; no handler of a module that is being imported can prevent it."""
+    """Signal handler that ends the process with status 0, whatever module is being imported."""
     os._exit(0)
 
 
 def handle_signals_early() -> None:
-    """Let SIGTERM end the process with status 0, and ignore SIGHUP, until the service has handlers of its own."""
+    """Exit with status 0 on SIGTERM and ignore SIGHUP until the service installs its own handlers."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     signal.signal(signal.SIGTERM, exit_at_once)
 
@@ -28,26 +28,26 @@
 def ignore_sigterm_at_exit() -> None:
     """Ignore SIGTERM once the service has ended.
 
-    The interpreter removes every handler as it exits except an ignored signal: a further SIGTERM would otherwise end
-    the process with status -15.
+    At exit the interpreter resets all signal handlers except for ignored signals, so that a further SIGTERM would
+    otherwise end the process with status -15.
     """
     signal.signal(signal.SIGTERM, signal.SIG_IGN)
 
 
 def dataplane(arguments: argparse.Namespace) -> int | None:
-    """Run a router of the data plane: the role of the edge machines."""
+    """Run a router of the data plane, the role of edge machines."""
     return run_role("dataplane", arguments)
 
 
 def controlplane(arguments: argparse.Namespace) -> int | None:
-    """Run a replica of the control plane: the role of the core machines."""
+    """Run a replica of the control plane, the role of core machines."""
     return run_role("controlplane", arguments)
 
 
 def run_role(name: str, arguments: argparse.Namespace) -> int | None:
     """Run the service of the package ``name`` and return its exit status.
 
-    Signals are handled before the settings are read and anything else is imported.
+    Signal handlers are installed before the settings are read and other modules are imported.
     """
     handle_signals_early()
 
@@ -66,11 +66,11 @@
 
 
 def load_cache_proxy_config(arguments: argparse.Namespace) -> "Config":
-    """The configuration that ``--config`` names. Exits with status 2 if there is none or it can't be used."""
+    """Load the file given by ``--config``. Exits with status 2 if the option is missing or the file is unusable."""
     from rowanshift.cacheproxy.config import ConfigError, load
 
     if arguments.config is None:
-        usage_error(arguments, "--config FILE is missing, and BALANCER_CONFIG names none")
+        usage_error(arguments, "--config FILE is missing, and BALANCER_CONFIG is not set")
     try:
         return load(arguments.config)
     except ConfigError as error:
@@ -78,7 +78,7 @@
 
 
 def log_to_stderr(level: str) -> None:
-    """Log to the standard error output alone. Exits with status 2 if there is no such level."""
+    """Log to standard error only. Exits with status 2 if the level does not exist."""
     from loguru import logger
 
     from rowanshift.process.log_rate_limit import LogRateLimit
@@ -93,12 +93,12 @@
             diagnose=False,
             filter=LogRateLimit(),
         )
-    except ValueError as error:  # no such level
+    except ValueError as error:  # unknown level
         fail(error, EXIT_UNUSABLE_INPUT)
 
 
 def serve(arguments: argparse.Namespace) -> int:
-    """Run a router until SIGTERM; SIGHUP has it read its configuration again."""
+    """Run the cache proxy until SIGTERM; SIGHUP reloads its configuration."""
     handle_signals_early()
 
     import trio
@@ -108,7 +108,7 @@
 
     config = load_cache_proxy_config(arguments)
     log_to_stderr(arguments.level)
-    errors: list[BaseException] = []  # SystemExit within except* is shown as a group by Python 3.11.2
+    errors: list[BaseException] = []  # Python 3.11.2 reports a SystemExit raised within except* as a group
     file: Path = arguments.config
     try:
         trio.run(Service(config, file).run)
--- a/rowanshift/cli/tools.py
+++ b/rowanshift/cli/tools.py
@@ -1,4 +1,4 @@
-"""The commands that neither run a role nor ask a running system: checks, demos, simulations and measurements."""
+"""Commands that work without a running system: checks, migration, demos, simulations and measurements."""
 
 import argparse
 from pathlib import Path
@@ -12,15 +12,15 @@
 
 
 def check(arguments: argparse.Namespace) -> int:
-    """Read a configuration, or the settings of a process of the whole system, and say what is in it."""
+    """Check and describe a cache proxy's configuration, or the settings of a process of the whole system."""
     if arguments.boot is not None:
         return settings_check(arguments)
     config = load_cache_proxy_config(arguments)
-    calls_on = f"; calls on {config.control[0]}:{config.control[1]}" if config.control else ""
+    control_text = f"; calls on {config.control[0]}:{config.control[1]}" if config.control else ""
     print(
         f"{config.name}: listens on {config.listen[0]}:{config.listen[1]}; {len(config.names.categories)} categories, "
         f"{len(config.names.tenants)} tenants, {len(config.known.get('instances', ()))} servers known, "
-        f"{config.settings.routers} routers{calls_on}"
+        f"{config.settings.routers} routers{control_text}"
     )
     return 0
 
@@ -32,7 +32,7 @@
 
 
 def migrate(arguments: argparse.Namespace) -> int:
-    """Write the counterpart of a pool's configuration where each client has a router of its own."""
+    """Convert the configuration of a router pool to one with a router per client."""
     from rowanshift.cacheproxy.migrate import Wanted, migrate
 
     wanted = Wanted(arguments.listen, arguments.routers, arguments.ordinal, tuple(arguments.zone))
@@ -40,7 +40,7 @@
 
 
 def demo(arguments: argparse.Namespace) -> int:
-    """Run a small whole system, or a router for caches, between stand-ins on loopback and show requests."""
+    """Run a small system, or the cache proxy, between emulated servers and clients on loopback and show requests."""
     if arguments.router is None and arguments.config is None:
         from rowanshift.emulation import cluster
 
@@ -51,14 +51,14 @@
 
 
 def capacity(arguments: argparse.Namespace) -> int:
-    """Measure what each role costs in growing steps on loopback, and what that reaches at the stated size."""
+    """Measure the cost of each role on loopback in increasing steps, and what that means at the stated size."""
     from rowanshift.capacity.command import capacity
 
     return capacity(arguments)
 
 
 def soak(arguments: argparse.Namespace) -> int:
-    """Play real processes of the whole system on loopback under drawn troubles, and check what was recorded."""
+    """Run real processes of the whole system on loopback under random faults, and check the recorded events."""
     from rowanshift.soak import command
     from rowanshift.soak.plan import BadPlan
 
@@ -69,7 +69,7 @@
 
 
 def simulate(arguments: argparse.Namespace) -> int:
-    """Play fleets with their troubles on a virtual clock and check the rules after every step."""
+    """Simulate fleets with faults on a virtual clock and check the rules after every step."""
     from rowanshift.simulation.command import UsageError, simulate
 
     try:
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line: what each command takes, says and ends with, and that it starts with little."""
+"""The command line: options, messages and exit statuses of the commands, and the modules loaded at start-up."""
 
 import os
 import subprocess
@@ -49,13 +49,15 @@
     "controlplane": "controlplane",
     "counter": "dataplane",
     "ledger": "controlplane",
-}  # the package that serves each role, former names of roles among them
+}  # package of each role, including the former role names
 LARGE = ("asyncio", "httptools", "loguru", "lmdb", "msgspec", "orjson", "rich", "serde", "trio")
 
 
 def without(*names: str):
-    """The environment without these variables, for a while."""
-    return mock.patch.dict(os.environ, {k: v for k, v in os.environ.items() if k not in names}, clear=True)
+    """A context manager that removes these environment variables."""
+    return mock.patch.dict(
+        os.environ, {name: value for name, value in os.environ.items() if name not in names}, clear=True
+    )
 
 
 def run(*command: str, cwd: Path = ROOT, **environment: str) -> subprocess.CompletedProcess:
@@ -70,37 +72,37 @@
 
 
 class Help(unittest.TestCase):
-    def test_each_command_tells_its_options(self) -> None:
+    def test_help_lists_the_options_of_each_command(self) -> None:
         for command, options in OPTIONS.items():
             with self.subTest(command):
-                status, said = invoke(command, "--help")
+                status, output = invoke(command, "--help")
                 self.assertEqual(status, 0)
                 for option in options:
-                    self.assertIn(option, said)
+                    self.assertIn(option, output)
 
-    def test_all_commands_are_named(self) -> None:
-        status, said = invoke("--help")
+    def test_help_lists_all_commands(self) -> None:
+        status, output = invoke("--help")
         self.assertEqual(status, 0)
         for command in OPTIONS:
-            self.assertRegex(said, rf"(?m)^ +{command}\s+\S")
+            self.assertRegex(output, rf"(?m)^ +{command}\s+\S")
 
-    def test_no_command_is_no_success(self) -> None:
+    def test_without_a_command_the_help_is_printed_with_status_2(self) -> None:
         self.assertEqual(invoke(), (2, invoke("--help")[1]))
 
 
 class Unusable(unittest.TestCase):
-    def test_options(self) -> None:
-        for line, says in (
+    def test_invalid_options(self) -> None:
+        for arguments, message in (
             ("fly", "invalid choice: 'fly'"),
             ("version now", "unrecognized arguments: now"),
             (f"check --conf {EXAMPLE}", "unrecognized arguments: --conf"),
             ("migrate", "required: old, --output/-o"),
-            ("migrate old.json -o new.json --routers 0", "--routers: 0 is not 1 or more"),
-            ("migrate old.json -o new.json --ordinal -1", "--ordinal: -1 is not 0 or more"),
+            ("migrate old.json -o new.json --routers 0", "--routers: 1 or more expected, not 0"),
+            ("migrate old.json -o new.json --ordinal -1", "--ordinal: 0 or more expected, not -1"),
             ("migrate old.json -o new.json --routers x", "--routers: invalid whole number value: 'x'"),
             ("simulate", "give a file, --seed or --seeds"),
             ("simulate file.toml --seed 1", "give a file, --seed or --seeds"),
-            ("simulate --seed -1", "--seed: -1 is not 0 or more"),
+            ("simulate --seed -1", "--seed: 0 or more expected, not -1"),
             ("simulate --seeds x", "--seeds takes N or FIRST:LAST, not 'x'"),
             ("simulate --seeds 3:3", "--seeds takes 1 to 1,000,000 seeds from 0 up"),
             ("simulate --seeds 1:3 --shrink x", "--events and --shrink go with one seed or file"),
@@ -109,19 +111,19 @@
             ("simulate --core --seed 1 --shrink x", "--shrink and --size don't go with"),
             ("simulate --core --seed 1 --size grown", "--shrink and --size don't go with"),
             ("simulate --seed 1 --size vast", "--size is 'vast', not one of small, grown"),
-            ("simulate --seed 1 --workers 257", "--workers: 257 is not within 1 and 256"),
+            ("simulate --seed 1 --workers 257", "--workers: 1 to 256 expected, not 257"),
         ):
-            with self.subTest(line):
-                status, said = invoke(*line.split())
+            with self.subTest(arguments):
+                status, output = invoke(*arguments.split())
                 self.assertEqual(status, 2)
-                self.assertIn(says, said)
-                self.assertTrue(said.startswith("usage: rowanshift"))
+                self.assertIn(message, output)
+                self.assertTrue(output.startswith("usage: rowanshift"))
 
-    def test_files(self) -> None:
+    def test_unusable_files(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             empty = Path(folder) / "empty.json"
             empty.write_text("{}")
-            gone = Path(folder) / "gone"
+            missing = Path(folder) / "gone"
             for command in (
                 ("serve", "-c"),
                 ("check", "--config"),
@@ -133,34 +135,34 @@
                 ("counter", "--boot"),
                 ("ledger", "--boot"),
             ):
-                for path in (gone, empty):
+                for path in (missing, empty):
                     with self.subTest(command, path=path.name):
-                        status, said = invoke(*command, path)
-                        self.assertEqual((status, said[:12], said.count("\n")), (2, "rowanshift: ", 1), said)
-                        if path is gone:
-                            self.assertEqual(said, f"rowanshift: {gone}: No such file or directory\n")
+                        status, output = invoke(*command, path)
+                        self.assertEqual((status, output[:12], output.count("\n")), (2, "rowanshift: ", 1), output)
+                        if path is missing:
+                            self.assertEqual(output, f"rowanshift: {missing}: No such file or directory\n")
 
-    def test_level(self) -> None:
+    def test_an_unknown_log_level(self) -> None:
         self.assertEqual(
             invoke("serve", "-c", EXAMPLE, "--level", "nope"), (2, "rowanshift: Level 'NOPE' does not exist\n")
         )
 
-    def test_facts_that_can_not_be_written(self) -> None:
-        status, said = invoke("simulate", "--seed", 1, "--events", "/no/such/folder")
-        self.assertEqual((status, said), (2, "rowanshift: /no/such/folder: No such file or directory\n"))
+    def test_an_events_file_that_can_not_be_written(self) -> None:
+        status, output = invoke("simulate", "--seed", 1, "--events", "/no/such/folder")
+        self.assertEqual((status, output), (2, "rowanshift: /no/such/folder: No such file or directory\n"))
 
 
 class Environment(unittest.TestCase):
-    def test_a_configuration_of_the_environment_and_an_option_that_goes_before_it(self) -> None:
+    def test_an_option_takes_precedence_over_the_environment(self) -> None:
         with mock.patch.dict(os.environ, BALANCER_CONFIG=str(EXAMPLE)):
-            status, said = invoke("check")
-            self.assertEqual((status, said[:31]), (0, "demo: listens on 127.0.0.1:8080"))
+            status, output = invoke("check")
+            self.assertEqual((status, output[:31]), (0, "demo: listens on 127.0.0.1:8080"))
             self.assertEqual(invoke("check", "-c", "/none")[0], 2)
         with mock.patch.dict(os.environ, BALANCER_CONFIG="/none"):
             for command in ("serve", "check"):
                 self.assertEqual(invoke(command), (2, "rowanshift: /none: No such file or directory\n"))
 
-    def test_none_or_an_empty_one(self) -> None:
+    def test_missing_and_empty_variables(self) -> None:
         for environment in ({}, {"BALANCER_CONFIG": "", "ROWANSHIFT_BOOT": ""}):
             with without("BALANCER_CONFIG", "ROWANSHIFT_BOOT"), mock.patch.dict(os.environ, environment):
                 for command, variable in (
@@ -172,15 +174,15 @@
                     ("ledger", "ROWANSHIFT_BOOT"),
                 ):
                     with self.subTest(command, environment=environment):
-                        status, said = invoke(command)
+                        status, output = invoke(command)
                         self.assertEqual(status, 2)
-                        self.assertIn(variable, said)
+                        self.assertIn(variable, output)
 
 
 class Roles(unittest.TestCase):
-    """The services stand in here: what is tried is how they are called, and what becomes of what they say."""
+    """How a role calls its service, and what it does with the outcome; the services are mocks."""
 
-    def called(self, role: str, outcome, *arguments, **environment):
+    def call_role(self, role: str, outcome, *arguments, **environment):
         service = SimpleNamespace(run=mock.Mock(side_effect=[outcome]))
         with (
             without("ROWANSHIFT_BOOT"),
@@ -190,20 +192,21 @@
         ):
             return invoke(role, *arguments), service.run.mock_calls
 
-    def test_a_service_gets_what_the_file_says_and_its_status_is_the_end(self) -> None:
+    def test_a_service_is_called_with_the_settings_and_its_status_is_the_exit_status(self) -> None:
         for role, module in MODULES.items():
             former = role if role != module else ""
             for outcome, status in ((None, 0), (0, 0), (1, 1), (3, 3)):
                 with self.subTest(role, outcome=outcome):
                     self.assertEqual(
-                        self.called(role, outcome, "--boot", "a", "--level", "debug"),
+                        self.call_role(role, outcome, "--boot", "a", "--level", "debug"),
                         ((status, ""), [mock.call("boot of a", "DEBUG", former)]),
                     )
             self.assertEqual(
-                self.called(role, None, ROWANSHIFT_BOOT="b"), ((0, ""), [mock.call("boot of b", "INFO", former)])
+                self.call_role(role, None, ROWANSHIFT_BOOT="b"), ((0, ""), [mock.call("boot of b", "INFO", former)])
             )
             self.assertEqual(
-                self.called(role, None, "--boot", "a", ROWANSHIFT_BOOT="b")[1], [mock.call("boot of a", "INFO", former)]
+                self.call_role(role, None, "--boot", "a", ROWANSHIFT_BOOT="b")[1],
+                [mock.call("boot of a", "INFO", former)],
             )
 
     def test_the_role_controlplane_starts_without_a_subcommand(self) -> None:
@@ -215,15 +218,15 @@
             self.assertEqual(invoke("controlplane", "--boot", "a"), (0, ""))
         self.assertEqual(service.run.mock_calls, [mock.call("boot", "INFO", "")])
 
-    def test_a_setting_that_the_service_can_not_use(self) -> None:
+    def test_a_setting_that_the_service_rejects(self) -> None:
         self.assertEqual(
-            self.called("controlplane", node_settings.NodeSettingsError("dataDir", "missing"))[0],
+            self.call_role("controlplane", node_settings.NodeSettingsError("dataDir", "missing"))[0],
             (2, "rowanshift: dataDir: missing\n"),
         )
 
 
 class EarlySignals(unittest.TestCase):
-    """Signals that come while a role is being imported, and after it has ended."""
+    """Signals that arrive while a role is being imported or after it has ended."""
 
     CODE = """
 import os, signal, sys
@@ -237,25 +240,25 @@
 cli.main([sys.argv[2]])
 """
 
-    def test_sigterm_ends_it_well_and_sighup_does_nothing(self) -> None:
+    def test_sigterm_exits_with_status_0_and_sighup_is_ignored(self) -> None:
         for role in ("dataplane", "controlplane"):
             for number, status in (("SIGTERM", 0), ("SIGHUP", 7)):
                 with self.subTest(role, signal=number):
-                    done = run("-c", self.CODE, number, role)
-                    self.assertEqual((done.returncode, done.stderr), (status, ""))
+                    completed = run("-c", self.CODE, number, role)
+                    self.assertEqual((completed.returncode, completed.stderr), (status, ""))
 
-    def test_sigterm_before_the_router_for_caches_has_its_configuration(self) -> None:
+    def test_signals_before_the_cache_proxy_has_its_configuration(self) -> None:
         code = self.CODE.replace(
             "cli.main([sys.argv[2]])", "services.load_cache_proxy_config = import_module\ncli.main(['serve'])"
         )
         for number, status in (("SIGTERM", 0), ("SIGHUP", 7)):
             with self.subTest(number):
-                done = run("-c", code, number)
-                self.assertEqual((done.returncode, done.stderr), (status, ""))
+                completed = run("-c", code, number)
+                self.assertEqual((completed.returncode, completed.stderr), (status, ""))
 
 
 class Ends(unittest.TestCase):
-    def test_a_reader_that_goes_and_an_interrupt(self) -> None:
+    def test_a_closed_output_pipe_and_an_interrupt(self) -> None:
         with subprocess.Popen(
             [sys.executable, "-m", "rowanshift", "version"],
             cwd=ROOT,
@@ -270,8 +273,8 @@
 
 
 class Program(unittest.TestCase):
-    def test_imports_of_a_start(self) -> None:
-        """The command line alone needs the standard library's part; a router none of the other commands."""
+    def test_modules_imported_at_start_up(self) -> None:
+        """Parsing imports only the standard library, and the cache proxy imports no other command's modules."""
         code = "import sys; from rowanshift.cli import main\ntry: main()\nexcept SystemExit: pass\nprint(*sys.modules)"
         loaded = run("-c", code, "version").stdout.split()
         self.assertEqual([name for name in LARGE if name in loaded], [])
@@ -297,14 +300,14 @@
             [],
         )
 
-    def test_beside_the_package_from_any_folder(self) -> None:
+    def test_the_script_runs_from_any_directory(self) -> None:
         for options, cwd in (((), ROOT), ((), Path("/")), (("-P",), Path("/"))):
-            done = run(*options, str(ROOT / "rowanshift.py"), "version", cwd=cwd)
-            self.assertEqual((done.returncode, done.stdout, done.stderr), (0, f"{__version__}\n", ""))
+            completed = run(*options, str(ROOT / "rowanshift.py"), "version", cwd=cwd)
+            self.assertEqual((completed.returncode, completed.stdout, completed.stderr), (0, f"{__version__}\n", ""))
         found = run("-c", "import rowanshift; print(rowanshift.__file__)").stdout.strip()
         self.assertEqual(found, str(ROOT / "rowanshift" / "__init__.py"))
 
-    def test_what_the_build_put_beside_it_goes_before_what_is_installed(self) -> None:
+    def test_bundled_dependencies_take_precedence_over_installed_ones(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             root, deps = Path(folder).resolve(), Path(folder).resolve() / "target" / "deps"
             deps.mkdir(parents=True)
@@ -316,18 +319,18 @@
                 "import sys\nimport trio\ndef main(): print(*sys.path[:2], trio.__file__, sep='\\n')\n"
             )
             (deps / "trio.py").write_text("")
-            said = run(str(root / "here.py")).stdout.split()
-            self.assertEqual(said, [str(root), str(deps), str(deps / "trio.py")])
-            done = run(str(root / "rowanshift.py"), "version")  # a link: the tree is where the file is
-            self.assertEqual((done.returncode, done.stdout), (0, f"{__version__}\n"), done.stderr)
+            output = run(str(root / "here.py")).stdout.split()
+            self.assertEqual(output, [str(root), str(deps), str(deps / "trio.py")])
+            completed = run(str(root / "rowanshift.py"), "version")  # a symbolic link: the package is beside its target
+            self.assertEqual((completed.returncode, completed.stdout), (0, f"{__version__}\n"), completed.stderr)
 
-    def test_roles_as_deployed(self) -> None:
+    def test_the_deployed_role_commands(self) -> None:
         system = tomllib.loads((ROOT / "deploy" / "system.toml").read_text())
-        for role, told in system["roles"].items():
-            _, *command = told["run"].split()
-            done = run(*command, ROWANSHIFT_BOOT="/nonexistent")
+        for role, settings in system["roles"].items():
+            _, *command = settings["run"].split()
+            completed = run(*command, ROWANSHIFT_BOOT="/nonexistent")
             self.assertEqual(
-                (done.returncode, done.stdout, done.stderr),
+                (completed.returncode, completed.stdout, completed.stderr),
                 (2, "", "rowanshift: /nonexistent: No such file or directory\n"),
                 role,
             )
