--- a/rowanshift/controlplane/coordination_api.py
+++ b/rowanshift/controlplane/coordination_api.py
@@ -130,9 +130,9 @@
         case LockTaken(token):
             return Response(200, b'{"fenceToken":%d}' % token)
         case LockHeld():
-            return Response(409, error_body("the lock may be held by another holder"))
+            return Response(409, error_body("another may hold the lock"))
         case LockLost():
-            return Response(409, error_body("the lock is no longer held under this token"))
+            return Response(409, error_body("the lock is lost"))
         case NumberGiven(value):
             return Response(200, b'{"value":%d}' % value)
         case KeyPut(revision):
@@ -146,7 +146,7 @@
         case Events():
             return Response(200, events_body(answer))
         case HistoryDropped():
-            return Response(410, error_body("the history no longer covers all puts after this revision"))
+            return Response(410, error_body("puts after this revision are no longer kept"))
         case LimitReached(reason):
             return Response(429, error_body(reason), RETRY_LATER)
     return Response(200, b"{}")
