--- a/rowanshift/cacheproxy/adapter/__main__.py
+++ b/rowanshift/cacheproxy/adapter/__main__.py
@@ -1,4 +1,4 @@
-"""Reads batches on standard input and answers each on standard output."""
+"""Reads batches of events from standard input and writes the reply to each to standard output."""
 
 import sys
 
--- a/rowanshift/cacheproxy/adapter/wire.py
+++ b/rowanshift/cacheproxy/adapter/wire.py
@@ -1,4 +1,4 @@
-"""The bench's wire: events to calls of ``Router``, and its ``Results`` back. It decides nothing."""
+"""The protocol of the external test bench: translates its events to calls of ``Router``, and ``Results`` to replies."""
 
 from base64 import b64decode, b64encode
 from collections.abc import Callable
@@ -10,15 +10,15 @@
 from rowanshift.cacheproxy.model import Entry, Results
 from rowanshift.cacheproxy.settings import SettingsError, settings_of
 
-WRITE = 4  # bit of state_bits
+WRITE_BIT = 4  # in the state bits of an order
 
 
 class WireError(Exception):
-    """Input that can't be followed; the text says what was wrong and where."""
+    """Invalid input; the message says what was wrong and where."""
 
 
 class Instance:
-    """One router's life after another, under one number."""
+    """A router under one name, over all its restarts."""
 
     def __init__(self, name: str, banks: dict[int, list[Entry]]) -> None:
         self.name, self.banks = name, banks
@@ -45,62 +45,66 @@
     def order(
         self,
         now: float,
-        corr: int,
-        grade: int,
-        billing: int | None,
+        work_item: int,
+        category: int,
+        customer: int | None,
         key: str | None,
-        expires: int,
+        left_us: int,
         _cost: Any = None,
         _size: Any = None,
-        bits: int | None = 0,
+        state_bits: int | None = 0,
         *_: Any,
     ) -> None:
-        self.router.take(now, corr, grade, billing or 0, key, expires / 1e6, bool((bits or 0) & WRITE))
+        self.router.take(
+            now, work_item, category, customer or 0, key, left_us / 1e6, bool((state_bits or 0) & WRITE_BIT)
+        )
 
     def result(
         self,
         now: float,
-        corr: int,
-        copy: int,
+        work_item: int,
+        number: int,
         server: str,
         verdict: int,
-        spent: int,
+        spent_us: int,
         final: bool,
         remark: int | None = None,
         *_: Any,
     ) -> None:
-        self.router.answered(now, corr, copy, server, verdict, spent / 1e6, bool(final), remark)
+        self.router.answered(now, work_item, number, server, verdict, spent_us / 1e6, bool(final), remark)
 
     def timer(self, now: float, *_: Any) -> None:
         self.router.woken(now)
 
     def directory_update(self, now: float, bank: int | None, scope: str, *_: Any) -> None:
         if scope != "failed" and bank not in self.banks:
-            raise WireError(f"directory_update: no page has bank {bank!r}")
+            raise WireError(f"directory_update: no page was received for bank {bank!r}")
         self.router.list_changed(now, scope, [] if scope == "failed" else self.banks[bank])
 
     def heard(self, now: float, author: int, payload: str, *_: Any) -> None:
         self.router.heard(now, author, b64decode(payload))
 
-    def streaming(self, now: float, corr: int, *_: Any) -> None:
-        self.router.streaming(now, corr)
+    def streaming(self, now: float, work_item: int, *_: Any) -> None:
+        self.router.streaming(now, work_item)
 
-    def cancelled_by_client(self, now: float, corr: int, *_: Any) -> None:
-        self.router.abandoned(now, corr)
+    def cancelled_by_client(self, now: float, work_item: int, *_: Any) -> None:
+        self.router.abandoned(now, work_item)
 
     def probe_done(self, now: float, *_: Any) -> None:
-        """Nothing is probed."""
+        """Ignored: the router sends no probes."""
 
     def down(self, now: float, *_: Any) -> None:
         self.router = None
 
 
 def encode(results: Results) -> list[list[Any]]:
-    out: list[list[Any]] = [["try", wi, round(at * 1e6), server] for wi, at, server in results.hand_offs]
-    out += [["withdraw", wi, number] for wi, number in results.withdrawals]
+    out: list[list[Any]] = [
+        ["try", work_item, round(timeout * 1e6), server] for work_item, timeout, server in results.hand_offs
+    ]
+    out += [["withdraw", work_item, number] for work_item, number in results.withdrawals]
     out += [
-        [answer.value, wi, round(back * 1e6)] if answer.value == "bounce" else [answer.value, wi]
-        for wi, answer, back in results.answers
+        [answer.value, work_item, round(delay * 1e6)] if answer.value == "bounce" else [answer.value, work_item]
+        for work_item, answer, delay in results.answers
     ]
     out += [
         ["notify", "*" if peer is None else peer, b64encode(payload).decode()] for peer, payload in results.messages
@@ -110,12 +114,14 @@
     if results.subscribe:
         out.append(["stream_changes", True])
     if results.wake is not None:
-        out.append(["wake_at", "w", 1 + int(results.wake * 1e6)])  # an early wake would find nothing due
+        out.append(
+            ["wake_at", "w", 1 + int(results.wake * 1e6)]
+        )  # rounded up: at an early wake-up no timer would be due
     return out
 
 
 class Wire:
-    """All instances of this process and the pages they share."""
+    """All router instances of this process, and the server lists (pages) that they share."""
 
     def __init__(self) -> None:
         self.banks: dict[int, list[Entry]] = {}
@@ -145,19 +151,19 @@
                 instance = self.instances[name] = Instance(name, self.banks)
             calls = instance.calls
             for item in part["items"]:
-                what = item[0]
-                if what == "page":
+                event = item[0]
+                if event == "page":
                     self.page(*item[1:])
                     continue
-                call = calls.get(what)
+                call = calls.get(event)
                 if call is None:
-                    raise WireError(f"{name}: unknown event {what!r}")
-                if instance.router is None and what != "start":
-                    raise WireError(f"{name}: {what} before its start")
+                    raise WireError(f"{name}: unknown event {event!r}")
+                if instance.router is None and event != "start":
+                    raise WireError(f"{name}: {event} event before start")
                 try:
                     call(now, *item[1:])
                 except (TypeError, ValueError, LookupError, AttributeError) as error:
-                    raise WireError(f"{name}: {what} can't be followed: {error!r}") from error
+                    raise WireError(f"{name}: invalid {event} event: {error!r}") from error
             if instance.router is not None and (results := instance.router.drain()):
                 parts.append({"i": name, "output": encode(results)})
         return {"parts": parts}
--- a/rowanshift/cacheproxy/settings.py
+++ b/rowanshift/cacheproxy/settings.py
@@ -1,10 +1,10 @@
-"""The settings object that every front is given, to the ``Settings`` that the module reads."""
+"""Converts the settings object of a configuration to the ``Settings`` of the decision module."""
 
 from typing import Any
 
 from rowanshift.cacheproxy.model import Category, Semantics, Settings
 
-NEW: dict[str, bool | float] = {  # settings that files of the old shape lack, and what stands for them
+NEW: dict[str, bool | float] = {  # defaults of settings that configurations of the old format lack
     "limits.cancelling": True,
     "objective_mix.slow_end": 0.0,
     "objective_mix.miss_share": 0.0,
@@ -12,15 +12,15 @@
 
 
 class SettingsError(ValueError):
-    """A settings object that can't be used; the text says why, and names a setting by its whole path."""
+    """An invalid settings object; the message gives the reason and the full path of the setting."""
 
 
-def optional(data: dict[str, Any], path: str, most: float = 1.0) -> Any:
-    """A setting that older files lack: true or false, or a number from 0 to ``most``, as its default is."""
+def optional_setting(data: dict[str, Any], path: str, maximum: float = 1.0) -> Any:
+    """A setting with a default: a boolean or a number from 0 to ``maximum``, depending on the default's type."""
     default, value = NEW[path], data
     for name in path.split("."):
         if value is not None and not isinstance(value, dict):
-            raise SettingsError(f"{path}: {name} stands in what is no object")
+            raise SettingsError(f"{path}: the parent of {name} is not an object")
         value = (value or {}).get(name)
     if value is None:
         return default
@@ -28,19 +28,19 @@
         if not isinstance(value, bool):
             raise SettingsError(f"{path}: true or false expected, not {value!r}")
         return value
-    if isinstance(value, bool) or not isinstance(value, int | float) or not 0 <= value <= most:
-        raise SettingsError(f"{path}: a number from 0 to {most:g} expected, not {value!r}")
+    if isinstance(value, bool) or not isinstance(value, int | float) or not 0 <= value <= maximum:
+        raise SettingsError(f"{path}: a number from 0 to {maximum:g} expected, not {value!r}")
     return float(value)
 
 
 def settings_of(data: dict[str, Any]) -> Settings:
-    """The settings that the module reads, in seconds."""
+    """The settings of the decision module, with times in seconds."""
     try:
         limits, rules, domain = data["limits"], data["guarantees"], data.get("domain") or {}
-        slow_end = optional(data, "objective_mix.slow_end")
-        miss_share = optional(data, "objective_mix.miss_share")
-        if slow_end and not miss_share:  # work would never be held at all
-            raise SettingsError("objective_mix.miss_share: over 0 expected beside objective_mix.slow_end")
+        slow_end = optional_setting(data, "objective_mix.slow_end")
+        miss_share = optional_setting(data, "objective_mix.miss_share")
+        if slow_end and not miss_share:  # the longest hold would be 0
+            raise SettingsError("objective_mix.miss_share: must be over 0 if objective_mix.slow_end is set")
         return Settings(
             categories=[
                 Category(
@@ -67,7 +67,7 @@
             overload_for=rules["overload_for_us"] / 1e6,
             start_share=rules["start_capacity"],
             warm_within=max(rules["warm_within_us"], 1) / 1e6,
-            cancelling=optional(data, "limits.cancelling"),
+            cancelling=optional_setting(data, "limits.cancelling"),
             slow_end=slow_end,
             miss_share=miss_share,
         )
