--- a/rowanshift/placement/__init__.py
+++ b/rowanshift/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Placement of keys on servers, shared by both programs: consistent hashing, hot keys and their shadows. No I/O."""
+"""Placement of keys on servers, for both programs: consistent hashing, hot keys and their shadows. No I/O."""
--- a/rowanshift/placement/hash_ring.py
+++ b/rowanshift/placement/hash_ring.py
@@ -1,25 +1,25 @@
-"""Consistent hashing with virtual nodes: which owners a key goes to, in order. No I/O."""
+"""Consistent hashing with virtual nodes: the owners of a key, in order of preference. No I/O."""
 
 from bisect import bisect_left, bisect_right
 from collections.abc import Callable, Mapping
 from hashlib import blake2b
 from typing import Generic, TypeVar
 
-MAX_CACHED_WALKS = 20000  # positions whose successors are kept; all are dropped beyond it
+MAX_CACHED_WALKS = 20000  # positions whose successors are cached; the cache is cleared when it exceeds this
 
 Owner = TypeVar("Owner")  # hashable
 
 
 def stable_hash(text: str) -> int:
-    """A hash of 64 bits that every process shares."""
+    """A 64-bit hash that is the same in every process."""
     return int.from_bytes(blake2b(text.encode(), digest_size=8).digest(), "big")
 
 
 class HashRing(Generic[Owner]):
-    """A ring of the points (virtual nodes) of owners.
+    """A hash ring on which each owner has a number of points (virtual nodes).
 
-    A key's position on it is the first 32 bits of its stable hash. ``name_of`` gives the text from which an owner's
-    points are hashed.
+    A key's position is the high 32 bits of its stable hash. ``name_of`` returns the text from which an
+    owner's points are hashed.
     """
 
     def __init__(self, name_of: Callable[[Owner], str] = str) -> None:
@@ -27,12 +27,12 @@
         self.points_by_owner: dict[Owner, tuple[int, ...]] = {}
         self.sorted_points: list[int] = []
         self.owner_by_point: dict[int, Owner] = {}
-        self._successors: dict[int, list[Owner]] = {}  # by position, as far as they were asked for
+        self._successors: dict[int, list[Owner]] = {}  # by position; as many as were requested so far
 
     def set_point_counts(self, counts: Mapping[Owner, int]) -> None:
-        """Set how many points each owner has; owners that are not named have none.
+        """Set how many points each owner has; owners that are not in ``counts`` have none.
 
-        Only what changes is hashed: hashing every point anew would take much processor time.
+        Only points of changed owners are hashed, as hashing all points takes much processor time.
         """
         for owner in [owner for owner, points in self.points_by_owner.items() if len(points) != counts.get(owner, 0)]:
             self._remove(owner)
@@ -54,7 +54,7 @@
         self.sorted_points += points
 
     def successors(self, position: int, length: int) -> list[Owner]:
-        """The first distinct owners from a position on, at most ``length``; the first is the key's home."""
+        """The first ``length`` distinct owners clockwise from a position; the first one is the key's home."""
         found = self._successors.get(position)
         if found is None or len(found) < min(length, len(self.points_by_owner)):
             if len(self._successors) > MAX_CACHED_WALKS:
--- a/rowanshift/placement/shadows.py
+++ b/rowanshift/placement/shadows.py
@@ -1,7 +1,7 @@
-"""Where a request for a model server goes. No I/O, no clock: times are passed in, in seconds.
+"""Selection of the model server for a request. No I/O, no clock: times are passed in, in seconds.
 
-It goes to the ring home of its prompt's prefix, to one of the home's leased shadows while the prefix is hot, or to the
-next server on the ring while the home is unavailable or has far more open requests than the mean.
+A request goes to the ring home of its prompt's prefix, to a leased shadow of the home while the prefix is hot,
+or to the next server on the ring while the home is unavailable or has far more open requests than the mean.
 """
 
 import random
@@ -12,44 +12,44 @@
 from rowanshift.placement.hot_keys import HotKeyTracker
 
 VIRTUAL_NODES_PER_SERVER = 128
-MAX_SUCCESSORS = 8  # servers considered for a prefix, shadows aside
-SILENCE_SECONDS = 0.8  # without a byte from a server that has requests, after which no more go there
-INITIAL_BACKOFF_SECONDS = 0.25  # after a failed dial; doubled with each
+MAX_SUCCESSORS = 8  # servers considered for a prefix, in addition to its shadows
+SILENCE_SECONDS = 0.8  # a server with open requests that sent no byte for longer gets no new ones
+INITIAL_BACKOFF_SECONDS = 0.25  # after a failed connection attempt; doubled after each further one
 MAX_BACKOFF_SECONDS = 4.0
 MAX_BACKOFF_DOUBLINGS = 8
-MAX_ALTERNATIVES = 2  # servers compared with the one that was selected
-LOAD_THRESHOLD_TOKENS = 1500  # still to be read, up to which a server is not compared with others
-MOVE_COST_FRACTION = 0.3  # what a token that is moved to a server costs of one that it reads
-OVERLOAD_FACTOR = 2.0  # times the mean of open requests ...
-OVERLOAD_SLACK_REQUESTS = 3.0  # ... and so many more, from which on a server is passed over
+MAX_ALTERNATIVES = 2  # servers compared with the selected one
+LOAD_THRESHOLD_TOKENS = 1500  # pending prompt tokens up to which a server is not compared with others
+MOVE_COST_FRACTION = 0.3  # cost of transferring a token's cache entry, relative to computing the token
+OVERLOAD_FACTOR = 2.0  # a server is overloaded from this multiple of the mean of open requests ...
+OVERLOAD_SLACK_REQUESTS = 3.0  # ... plus this number of requests
 
 
 class Server(Protocol):
-    """What placement knows of a server."""
+    """The state of a server that placement reads."""
 
     id: str
-    versions: dict[str, int]  # of the weights of each model
+    versions: dict[str, int]  # version of the weights, by model
     listed: bool
     draining: bool
     loading: bool
-    open_requests: int  # of this router
+    open_requests: int  # sent by this router
     last_received_at: float
     backed_off_until: float
-    failed_dials: int  # in a row
+    failed_dials: int  # consecutive
 
 
 ServerT = TypeVar("ServerT", bound=Server)
 
 
 def accepts_requests(server: Server, now: float) -> bool:
-    """Whether a new request may go to a server, its load aside."""
+    """Whether a new request may go to a server, regardless of its load."""
     if not server.listed or server.draining or server.loading or now < server.backed_off_until:
         return False
     return not (server.open_requests and now - server.last_received_at > SILENCE_SECONDS)
 
 
 def back_off(server: Server, now: float) -> None:
-    """Send nothing there for a while: a dial failed, or the server isn't there any more."""
+    """Exclude a server for a while: a connection attempt failed, or the server no longer exists."""
     server.failed_dials += 1
     doublings = min(server.failed_dials - 1, MAX_BACKOFF_DOUBLINGS)
     until = now + min(MAX_BACKOFF_SECONDS, INITIAL_BACKOFF_SECONDS * 2**doublings)
@@ -59,10 +59,10 @@
 def least_loaded(
     selected: ServerT, alternatives: Sequence[ServerT], tokens_to_read: dict[str, int], shared_tokens: int
 ) -> ServerT:
-    """The selected server, or an alternative that has clearly less to read where the selected one has much.
+    """The selected server, or an alternative with clearly less load if the selected one is heavily loaded.
 
-    ``tokens_to_read`` is the load of the servers, by id, as far as it is known. An alternative lacks the
-    ``shared_tokens`` of the prompt and has them moved there.
+    ``tokens_to_read`` is the known load of servers, in pending prompt tokens by server id. An alternative lacks
+    the ``shared_tokens`` of the prompt, which are transferred to it.
     """
     if tokens_to_read.get(selected.id, 0) <= LOAD_THRESHOLD_TOKENS:
         return selected
@@ -78,14 +78,14 @@
 
 
 class ServerPool(Generic[ServerT]):
-    """The available servers of a service, their hash ring, and which prefixes are hot there."""
+    """The available servers of a service, their hash ring and the service's hot prefixes."""
 
     def __init__(self, random_source: random.Random) -> None:
         self.random_source = random_source
         self.hot_keys = HotKeyTracker(0.0)
         self.ring: HashRing[ServerT] = HashRing(lambda server: server.id)
         self.servers: list[ServerT] = []
-        self.replica_by_position: dict[int, ServerT] = {}  # that is kept for a hot prefix
+        self.replica_by_position: dict[int, ServerT] = {}  # current choice for each hot prefix
 
     def set_servers(self, servers: list[ServerT]) -> None:
         """Set the available servers."""
@@ -96,13 +96,13 @@
         }
 
     def record_access(self, position: int, now: float) -> None:
-        """Count one more request for a prefix at this router."""
+        """Count one request for a prefix at this router."""
         self.hot_keys.record_access(position)
         if self.hot_keys.is_epoch_due(now):
             self.hot_keys.end_epoch(now, len(self.servers))
 
     def select(self, position: int, now: float, model: str, version: int, excluded: Container[str]) -> ServerT | None:
-        """The server for a prefix, of those with that version of the model or a newer one; None if there is none."""
+        """The server for a prefix, among those with at least this version of the model; None if none has it."""
 
         def is_eligible(server: ServerT) -> bool:
             if server.id in excluded or not accepts_requests(server, now):
@@ -122,25 +122,25 @@
         return next((server for server in candidates if server.open_requests < limit), candidates[0])
 
     def _open_requests_limit(self) -> float:
-        """The open requests from which on a server is passed over."""
+        """The number of open requests from which on a server is skipped."""
         mean = sum(server.open_requests for server in self.servers) / len(self.servers)
         return OVERLOAD_FACTOR * mean + OVERLOAD_SLACK_REQUESTS
 
     def alternatives(
         self, position: int, now: float, model: str, selected: ServerT, excluded: Container[str]
     ) -> list[ServerT]:
-        """The next servers on the ring that could serve as well as the selected one."""
+        """The next servers on the ring that have at least the selected server's version of the model."""
         version = selected.versions.get(model, 0)
-        able = [
+        capable = [
             server
             for server in self.ring.successors(position, MAX_SUCCESSORS)
             if server.id not in excluded and server.versions.get(model, 0) >= version
         ]
-        available = [server for server in able if server is not selected and accepts_requests(server, now)]
+        available = [server for server in capable if server is not selected and accepts_requests(server, now)]
         return available[:MAX_ALTERNATIVES]
 
     def _replica(self, position: int, replicas: list[ServerT], limit: float) -> ServerT:
-        """One replica drawn at random and kept, until it has open requests up to the limit."""
+        """A randomly chosen replica, kept until its open requests reach the limit."""
         kept = self.replica_by_position.get(position)
         if kept is None or kept not in replicas:
             kept = replicas[int(self.random_source.random() * len(replicas))]
@@ -150,5 +150,5 @@
         return kept
 
     def home(self, position: int) -> ServerT | None:
-        """The first server of a prefix on the ring, None if there is none."""
+        """The first server for a prefix on the ring; None if the ring is empty."""
         return next(iter(self.ring.successors(position, 1)), None)
