--- a/rowanshift/dataplane/load_index.py
+++ b/rowanshift/dataplane/load_index.py
@@ -1,8 +1,8 @@
-"""The load index: how many tokens are pending at each server, over all routers, exchanged by datagram.
+"""The load index: the number of pending tokens at each server, over all routers, exchanged by datagram.
 
-Each server's load has one owner among the routers (``ownership``), which counts it (``server_loads``). Routers report
-to the owner the requests that they send and how these ended, and query it before they choose a server. The loads are
-hints: a datagram that is lost, late or forged makes a choice worse and breaks nothing.
+Each server's load has one owner among the routers (``ownership``), which keeps the count (``server_loads``). Routers
+report the requests that they send, and how these ended, to the owner, and query it before they select a server. The
+loads are hints: a lost, late or forged datagram makes a selection worse but never incorrect.
 """
 
 from collections.abc import Sequence
@@ -30,15 +30,15 @@
 from rowanshift.transport.streams import Address, Port
 from rowanshift.wire.machine_ids import ip_from_machine_id
 
-QUERY_TIMEOUT_SECONDS = 0.006  # for the responses; then the choice is made by those that came
-RECEIVE_RETRY_SECONDS = 0.05  # after a datagram could not be received
-MAX_NUMBER = 0x7FFF_FFFF  # of queries and requests, which are numbered in a circle
-CACHED_OWNERS = 4096  # server ids whose owner is remembered until the peers change
-CACHED_HASHES = 16384  # server ids whose hash is remembered
+QUERY_TIMEOUT_SECONDS = 0.006  # after which a server is selected by the responses received so far
+RECEIVE_RETRY_SECONDS = 0.05  # delay after an error while receiving
+MAX_NUMBER = 0x7FFF_FFFF  # of queries and requests; their numbers wrap around
+CACHED_OWNERS = 4096  # server ids whose owner is cached until the peers change
+CACHED_HASHES = 16384  # server ids whose hash is cached
 
 
 class ReportedRequest(NamedTuple):
-    """A request that was reported as sent; its end is reported with it."""
+    """Identifies a request that was reported as sent, to report its end."""
 
     server: str  # the server's id
     number: int
@@ -46,18 +46,18 @@
 
 @dataclass(slots=True)
 class Query:
-    """A query to the owners of some servers, by the hashes of the servers' ids."""
+    """An open query to the owners of some servers, which are identified by the hashes of their ids."""
 
-    tokens: dict[int, int]  # pending, as far as known
+    tokens: dict[int, int]  # pending tokens, by server, received so far
     awaited: set[int]  # servers whose owner has not responded yet
-    answered: trio.Event  # nothing is awaited any more
+    answered: trio.Event  # set when all owners have responded
 
 
 class LoadIndex:
-    """One router's part in the load index: it reports and queries, and owns the loads of some servers."""
+    """One router's part of the load index: it reports and queries loads, and owns the loads of some servers."""
 
     def __init__(self, runtime: Runtime, address: Address, machine: int) -> None:
-        """``address`` is this router's, with the port that all routers use; ``machine`` is its machine id."""
+        """``address`` is this router's address, with the port that all routers use; ``machine`` is its machine id."""
         self.runtime, self.address, self.machine = runtime, address, machine
         self.port: Port | None = None  # open while ``run`` runs
         self.server_loads = ServerLoads()
@@ -66,10 +66,10 @@
         self.queries: dict[int, Query] = {}  # open ones, by number
         self.owner_of = lru_cache(CACHED_OWNERS)(lambda server: owner_of(server, self.peers))
         self.server_hash = lru_cache(CACHED_HASHES)(stable_hash)
-        self.incomplete_queries = 0  # some owner did not respond in time
+        self.incomplete_queries = 0  # queries to which some owner did not respond in time
 
     def set_peers(self, peers: tuple[int, ...]) -> None:
-        """Set the machine ids of all routers; if this one is not among them, it shares nothing."""
+        """Set the machine ids of all routers; if this one is not among them, it neither reports nor queries."""
         if peers != self.peers:
             self.peers = peers if self.machine in peers else ()
             self.owner_of.cache_clear()
@@ -79,7 +79,7 @@
         self.port = self.runtime.port(self.address)
         while True:
             try:
-                payload, sender = await self.port.receive(DATAGRAM_BYTES + 1)  # one more shows that it is too long
+                payload, sender = await self.port.receive(DATAGRAM_BYTES + 1)  # one more, to detect longer datagrams
             except OSError as error:
                 logger.info("event=datagram_failed why={!r}", error)
                 await self.runtime.pause(RECEIVE_RETRY_SECONDS)
@@ -95,7 +95,7 @@
                 self._apply(datagram, sender)
 
     async def query(self, servers: Sequence[str]) -> dict[str, int]:
-        """The pending tokens of these servers, by id, as far as they are known in ``QUERY_TIMEOUT_SECONDS``.
+        """The pending tokens of these servers, by id, as far as they are known within ``QUERY_TIMEOUT_SECONDS``.
 
         The first server is the one that the request would be sent to.
         """
@@ -121,11 +121,11 @@
             finally:
                 del self.queries[number]
                 self.incomplete_queries += bool(awaited)
-        # A response may be about a server that was not asked for.
+        # A response may be about a server that was not queried.
         return {server_by_hash[key]: tokens for key, tokens in pending_tokens.items() if key in server_by_hash}
 
     async def report_sent(self, server: str, tokens: int) -> ReportedRequest:
-        """Report a request that is being sent to a server; the result is for ``report_end``."""
+        """Report a request that is being sent to a server; pass the result to ``report_end``."""
         number = self._next_number()
         if self.peers and self.port is not None:
             owner = self._remote_owner(server)
@@ -137,9 +137,9 @@
         return ReportedRequest(server, number)
 
     async def report_end(self, request: ReportedRequest, end_kind: DatagramKind) -> None:
-        """Report how a request ended, in one of the ``REQUEST_END_KINDS``; only the first report counts.
+        """Report how a request ended, as one of ``REQUEST_END_KINDS``; only the first report has an effect.
 
-        Cancelling the caller does not stop the report: without it the request would count until it expires.
+        Cancelling the caller does not stop the report: without it the request would be counted until it expires.
         """
         if self.port is None:
             return
@@ -151,7 +151,7 @@
                 await self._send(owner, end_kind, request.number, self.server_hash(request.server), 0)
 
     def _apply(self, datagram: LoadDatagram, sender: Address) -> None:
-        """Apply a datagram that gets no response."""
+        """Process a datagram that needs no response."""
         kind, number, server, tokens = datagram
         if kind == DatagramKind.REQUEST_SENT:
             self.server_loads.add(sender, number, server, tokens, trio.current_time())
@@ -164,12 +164,12 @@
                 query.answered.set()
 
     async def _send(self, to: Address, kind: DatagramKind, number: int, server: int, tokens: int) -> None:
-        assert self.port is not None, "datagrams are sent only while run() has the port"
+        assert self.port is not None, "datagrams are sent only while run() has opened the port"
         with suppress(OSError):
             await self.port.send(encode_datagram(kind, number, server, tokens), to)
 
     def _remote_owner(self, server: str) -> Address | None:
-        """The address of the router that owns a server's load; ``None`` if it is this router, or there is none."""
+        """The address of the router that owns a server's load; ``None`` if that is this router or there is none."""
         owner = self.owner_of(server)
         if owner is None or owner == self.machine:
             return None
--- a/rowanshift/dataplane/ownership.py
+++ b/rowanshift/dataplane/ownership.py
@@ -1,6 +1,6 @@
-"""Which live router owns a key, by rendezvous hashing.
+"""Ownership of keys by live routers, by rendezvous hashing.
 
-A router that joins or leaves changes the owner of its own keys alone. No I/O.
+When a router joins or leaves, only the owners of its own keys change. No I/O.
 """
 
 from collections.abc import Iterable
@@ -9,5 +9,5 @@
 
 
 def owner_of(key: str, members: Iterable[int]) -> int | None:
-    """The machine id, of those given, that owns a key; ``None`` if no member is given."""
+    """The member, by machine id, that owns a key; ``None`` if there are no members."""
     return max(members, default=None, key=lambda member: stable_hash(f"{key}|{member}"))
--- a/rowanshift/dataplane/request_admission.py
+++ b/rowanshift/dataplane/request_admission.py
@@ -1,4 +1,4 @@
-"""Admission of requests: by route, tenant key and time left, and while the router drains. No I/O."""
+"""Admission of requests: by route, tenant key and remaining time, and while the router drains. No I/O."""
 
 from dataclasses import dataclass
 
@@ -23,18 +23,18 @@
     """The route and the tenant of an admitted request."""
 
     route: Route
-    tenant: Tenant | None  # None: a public route, or no tenants are configured
+    tenant: Tenant | None  # None: the route is public, or no tenants are configured
 
 
 class RequestAdmission:
-    """Decides whether a request may be forwarded, by the configuration in force at each call."""
+    """Decides whether a request may be forwarded, by the configuration that is current at each call."""
 
     def __init__(self, state: ControlState, drain: Drain) -> None:
         self.state = state
         self.drain = drain
 
     def admit(self, request: Request) -> Admission:
-        """The route and tenant of a request; ``Refusal`` if it has none."""
+        """The route and tenant of a request; raises ``Refusal`` if it has no route or no valid key."""
         routing_table = self.state.routing_table
         if not routing_table.revision:
             raise Refusal(503, "no configuration yet", NO_CONFIGURATION_RETRY_AFTER_SECONDS)
@@ -52,12 +52,12 @@
         return Admission(route, tenant)
 
     def require_time_left(self, forwarded: ForwardedRequest, now: float) -> None:
-        """``Refusal`` if there is no time for a further attempt."""
+        """Raise ``Refusal`` if there is no time for a further attempt."""
         if forwarded.deadline - now < MIN_ATTEMPT_SECONDS:
             raise Refusal(504, "its time was up") if forwarded.may_have_run else forwarded.last_refusal
 
     def require_not_draining(self, forwarded: ForwardedRequest, now: float) -> None:
-        """``Refusal`` if the router drains and is not sure to finish the request in time."""
+        """Raise ``Refusal`` if the router drains and is not expected to finish the request in time."""
         if self.may_send(forwarded, now):
             return
         if forwarded.may_have_run:
@@ -65,7 +65,7 @@
         raise Refusal(503, DRAINING_REASON, RETRY_AFTER_SECONDS)
 
     def may_send(self, forwarded: ForwardedRequest, now: float) -> bool:
-        """Whether a draining router may still make an attempt; a response that has started goes on."""
+        """Whether a draining router may still send the request; a started response is always continued."""
         if forwarded.writer.started:
             return True
         return self.drain.may_send(now, forwarded.request.received_at, forwarded.deadline, forwarded.request_kind)
--- a/rowanshift/dataplane/retry_budget.py
+++ b/rowanshift/dataplane/retry_budget.py
@@ -1,18 +1,19 @@
-"""Retry budget: how many retries one router may send, so that all routers together keep a limit. No I/O, no clock.
+"""Retry budget: bounds the retries of each router so that all routers together keep a limit. No I/O, no clock.
 
-The limit holds for each service and each window of time, summed over all routers: retries may be at most ``ratio`` x
-requests + ``slack``. Requests are those of the window itself, of the window before it or of the one half a window
-before it, whichever are most.
+The limit holds for each service and each time window, summed over all routers: at most ``ratio`` x requests +
+``slack`` retries. The number of requests is the largest of those of the window itself, of the window before it and of
+the window that begins half a window earlier.
 
-Each router counts alone. Its share of the ratio follows its own requests in the window that ends now; two windows may
-cover the same requests, so a router spends only ``SPENDABLE_FRACTION`` of its share, which keeps the sum whenever the
-requests came. The slack is divided by the number of routers; a router that doesn't know the number yet gets none.
+Routers do not coordinate. A router's part of the ratio is based on its own requests in the window that ends now. Two
+windows may cover the same requests, so a router spends only ``SPENDABLE_FRACTION`` of its part; this keeps the limit
+however the requests are distributed over time. The slack is divided by the number of routers; a router that doesn't
+know the number yet gets none.
 """
 
 from collections import deque
 from dataclasses import dataclass
 
-SPENDABLE_FRACTION = 0.5  # of its share of the limit that a router spends
+SPENDABLE_FRACTION = 0.5  # fraction of its part of the limit that a router spends
 BUCKET_SECONDS = 0.5
 
 
@@ -25,13 +26,13 @@
 
 
 class BucketCounter:
-    """Counts events in a sliding window of time, by buckets of ``BUCKET_SECONDS``."""
+    """Counts events in a sliding time window, in buckets of ``BUCKET_SECONDS``."""
 
     def __init__(self) -> None:
         self._buckets: deque[_Bucket] = deque()  # the oldest first
 
     def __len__(self) -> int:
-        """Buckets in memory."""
+        """The number of buckets in memory."""
         return len(self._buckets)
 
     def add(self, now: float) -> None:
@@ -43,7 +44,7 @@
             self._buckets.append(_Bucket(index, 1.0))
 
     def total(self, now: float, window_seconds: float) -> float:
-        """Events of the window that ends at ``now``; buckets that begin before the window are dropped for good."""
+        """The number of events in the window that ends at ``now``; buckets that begin before the window are removed."""
         first = (now - window_seconds) / BUCKET_SECONDS
         while self._buckets and self._buckets[0].index < first:
             self._buckets.popleft()
@@ -54,7 +55,7 @@
     """The retry budget of one service at one router.
 
     ``ratio``: retries per request, over all routers; 0 allows none beyond the slack.
-    ``slack``: retries in a window beyond the ratio, over all routers, so that a quiet service may retry at all.
+    ``slack``: additional retries per window, over all routers, so that a service with few requests can retry at all.
     ``window_seconds``: the length of the window.
     """
 
@@ -62,7 +63,7 @@
         self.ratio = ratio
         self.slack = slack
         self.window_seconds = window_seconds
-        self.router_count = 0  # routers that share the slack; 0: not known, which gives no slack
+        self.router_count = 0  # routers that share the slack; 0: unknown, no slack is available
         self.requests = BucketCounter()
         self.retries = BucketCounter()
 
@@ -71,9 +72,10 @@
         self.requests.add(now)
 
     def try_withdraw(self, now: float) -> bool:
-        """Whether one more retry may be sent at ``now``, in seconds; it is counted if so."""
+        """Whether one more retry may be sent at ``now``, in seconds; if so, it is counted."""
         requests = self.requests.total(now, self.window_seconds)
-        # a bucket may begin before the window: retries are counted a bucket longer, never shorter
+        # Buckets that begin before the window are not counted. Retries are counted one bucket longer, so that none
+        # is left out.
         retries = self.retries.total(now, self.window_seconds + BUCKET_SECONDS)
         slack_share = self.slack / self.router_count if self.router_count else 0.0
         if retries + 1 > SPENDABLE_FRACTION * (self.ratio * requests + slack_share):
--- a/rowanshift/dataplane/retry_decision.py
+++ b/rowanshift/dataplane/retry_decision.py
@@ -9,11 +9,11 @@
 from enum import Enum
 from http import HTTPStatus
 
-NOT_EXECUTED_STATUSES = frozenset([408, 421, 429, 503])  # they promise that a request has not run and never will
+NOT_EXECUTED_STATUSES = frozenset([408, 421, 429, 503])  # statuses that guarantee that the request is never executed
 
 
 class RequestIdempotency(Enum):
-    """What a second execution of a request may do."""
+    """Whether a request may be executed a second time, and whether its response is a stream."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non-idempotent"
@@ -68,8 +68,8 @@
 class Decision:
     """What follows from the outcome of one exchange."""
 
-    retry: bool  # another server may be tried
-    client_response: ClientResponse  # if it is not
+    retry: bool  # the request may be sent to another server
+    client_response: ClientResponse  # without a further attempt
     may_have_run: bool  # the server may have executed the request
     keep_connection: bool  # the connection to the server goes back to the pool
 
@@ -168,11 +168,11 @@
 
 @dataclass(slots=True)
 class RequestProgress:
-    """How far the attempts of one request have come together."""
+    """The combined progress of all attempts of one request."""
 
-    may_have_run: bool = False  # at any server
+    may_have_run: bool = False  # some server may have executed the request
     response_started: bool = False  # a part of a response was relayed to the client
-    event_relayed: bool = False  # and that part holds an event with an id
+    event_relayed: bool = False  # that part contains an event with an id
     servers_left: int = 0  # further servers that the route allows
 
     def outcome_of_status(self, status: int, not_executed: bool) -> ExchangeOutcome:
--- a/rowanshift/dataplane/server_health.py
+++ b/rowanshift/dataplane/server_health.py
@@ -1,40 +1,40 @@
-"""Passive health checks: which servers fail their requests, by what all routers report. No I/O, no clock.
+"""Passive health checks: detects failing servers from the reports of all routers. No I/O, no clock.
 
-One router sends too few requests to notice a silent server before it has lost some of its own there. The owner of the
-server's load (``load_index``) receives the reports of all routers. A request counts as a success once its first bytes
-came, and as a failure if it failed, or if it is overdue and the server has answered nothing since it was sent. Both
-counts decay, so that a server that gets no requests any more becomes healthy by itself; until then one probe request
-is let through each ``PROBE_INTERVAL_SECONDS``.
+One router sends too few requests to detect a silent server before several of its requests have failed there. So the
+owner of the server's load (``load_index``) receives the reports of all routers. A request counts as a success when its
+first bytes are received. It counts as a failure if it failed, or if it is overdue and the server has sent no response
+since the request was sent. Both counts decay, so that a server that gets no requests becomes healthy again; until then
+one probe request is sent to it every ``PROBE_INTERVAL_SECONDS``.
 
-All times and durations are in seconds. The time in which first bytes are due is learnt from long prompts.
+All times and durations are in seconds. The time in which first bytes are due is learned from long prompts.
 """
 
 from dataclasses import dataclass
 
-FIRST_BYTES_GRACE_SECONDS = 0.4  # for the first bytes of a response, however short the prompt is
-OVERDUE_PACE_FACTOR = 4.0  # times the usual time a token that a request may take beyond the grace
+FIRST_BYTES_GRACE_SECONDS = 0.4  # time for the first bytes of a response to a prompt of any length
+OVERDUE_PACE_FACTOR = 4.0  # multiple of the mean time per prompt token that is allowed in addition
 INITIAL_SECONDS_PER_TOKEN = 20e-6  # until a response has been measured
 PACE_SMOOTHING_FRACTION = 0.05  # weight of a new measurement in the moving average
-MIN_MEASURED_PROMPT_TOKENS = 1000  # in shorter prompts fixed costs hide the time a token
-COUNT_HALF_LIFE_SECONDS = 1.0  # in which the counts of a server decay by half
-MIN_FAILED_REQUESTS = 1.5  # decayed count; fewer failures say nothing about a server
-FAILING_FRACTION = 0.3  # of a server's requests; it is failing if more of them failed
-PROBE_INTERVAL_SECONDS = 0.5  # between requests that are let through to a failing server
-MAX_TRACKED_SERVERS = 4096  # beyond which the one least recently reported is forgotten
+MIN_MEASURED_PROMPT_TOKENS = 1000  # for shorter prompts, fixed costs dominate the time per token
+COUNT_HALF_LIFE_SECONDS = 1.0  # of the counts of a server
+MIN_FAILED_REQUESTS = 1.5  # decayed count; with fewer failures a server is not failing
+FAILING_FRACTION = 0.3  # a server is failing if more than this fraction of its requests failed
+PROBE_INTERVAL_SECONDS = 0.5  # between probe requests to a failing server
+MAX_TRACKED_SERVERS = 4096  # beyond this, the least recently reported server is removed
 
 
 @dataclass(slots=True)
 class ServerHealth:
-    """Requests of one server that succeeded and failed, decayed to the time ``updated_at``."""
+    """Counts of a server's successful and failed requests, decayed to the time ``updated_at``."""
 
     updated_at: float
     succeeded: float = 0.0
     failed: float = 0.0
-    last_response_at: float = float("-inf")  # the first bytes of any response
+    last_response_at: float = float("-inf")  # first bytes of the latest response
     last_probe_at: float = float("-inf")
 
     def decay(self, now: float) -> None:
-        """Decay both counts to now."""
+        """Decay both counts to ``now``."""
         remaining = 0.5 ** (max(0.0, now - self.updated_at) / COUNT_HALF_LIFE_SECONDS)
         self.succeeded *= remaining
         self.failed *= remaining
@@ -42,23 +42,23 @@
 
     @property
     def is_failing(self) -> bool:
-        """Whether enough requests failed, and too large a fraction of all."""
+        """Whether at least ``MIN_FAILED_REQUESTS`` failed, and more than ``FAILING_FRACTION`` of all requests."""
         return self.failed >= MIN_FAILED_REQUESTS and self.failed > FAILING_FRACTION * (self.succeeded + self.failed)
 
 
 class ServerHealthTracker:
-    """The health of each server, by the hash of its id."""
+    """The health of each server, by the hash of the server's id."""
 
     def __init__(self) -> None:
         self.servers: dict[int, ServerHealth] = {}  # the least recently reported first
         self.seconds_per_token = INITIAL_SECONDS_PER_TOKEN
 
     def first_bytes_due_seconds(self, tokens: int) -> float:
-        """Seconds in which the first bytes of a response to a prompt with so many tokens are due."""
+        """The time in which the first bytes of a response to a prompt with ``tokens`` tokens are due."""
         return FIRST_BYTES_GRACE_SECONDS + OVERDUE_PACE_FACTOR * self.seconds_per_token * tokens
 
     def record_success(self, server: int, tokens: int, seconds: float, now: float) -> None:
-        """The first bytes of the response to a prompt with so many tokens came in time, after ``seconds``."""
+        """Record first bytes that came in time: ``seconds`` after the request with a prompt of ``tokens`` tokens."""
         if tokens >= MIN_MEASURED_PROMPT_TOKENS:
             self.seconds_per_token += PACE_SMOOTHING_FRACTION * (seconds / tokens - self.seconds_per_token)
         health = self._updated(server, now)
@@ -66,13 +66,13 @@
         health.last_response_at = now
 
     def record_failure(self, server: int, now: float) -> None:
-        """A request failed at the server."""
+        """Record that a request failed at the server."""
         self._updated(server, now).failed += 1
 
     def record_overdue(self, server: int, sent_at: float, now: float) -> bool:
-        """A request that was sent at ``sent_at`` is overdue; returns whether that counted as a failure.
+        """Record that a request sent at ``sent_at`` is overdue; return whether it counts as a failure.
 
-        A server that has answered other requests since then is slow and not silent: that is no failure.
+        It is no failure if the server has responded to other requests since then: it is slow, not silent.
         """
         health = self._updated(server, now)
         is_silent = health.last_response_at < sent_at
@@ -81,13 +81,13 @@
         return is_silent
 
     def record_late_response(self, server: int, now: float) -> None:
-        """The first bytes of an overdue response came."""
+        """Record that the first bytes of an overdue response were received."""
         self._updated(server, now).last_response_at = now
 
     def should_avoid(self, server: int, now: float, may_probe: bool) -> bool:
         """Whether requests should go to other servers.
 
-        ``may_probe``: the asking router would send its request there; if a probe is due, that request is the probe.
+        ``may_probe``: the calling router would send its request to this server; if a probe is due, that request is it.
         """
         health = self.servers.get(server)
         if health is None:
@@ -101,7 +101,7 @@
         return True
 
     def _updated(self, server: int, now: float) -> ServerHealth:
-        """The health of a server, decayed to now, as the most recently reported."""
+        """The health of a server, decayed to ``now`` and marked as the most recently reported."""
         health = self.servers.pop(server, None) or ServerHealth(now)
         while len(self.servers) >= MAX_TRACKED_SERVERS:
             del self.servers[next(iter(self.servers))]
--- a/rowanshift/dataplane/version_deadlines.py
+++ b/rowanshift/dataplane/version_deadlines.py
@@ -1,6 +1,6 @@
-"""Until when a router may use servers with older weights than those announced. No I/O.
+"""Until when a router may use servers with older weights than the announced ones. No I/O.
 
-Times are those of the router's steady clock, in seconds.
+Times are those of the router's monotonic clock, in seconds.
 """
 
 from collections.abc import Iterable, Mapping
@@ -11,35 +11,35 @@
 from rowanshift.wire.control_updates import ModelVersionAnnouncement
 from rowanshift.wire.version_announcements import VersionAnnouncement, VersionAnnouncements, age_ms
 
-VERSION_LEAD_SECONDS = 2.0  # before its deadline, from when only an announced version is used
-OVERDUE_LEAD_SECONDS = 1.0  # before its deadline, from when requests must not begin on older weights
-MIN_OLD_WEIGHTS_SECONDS = 0.5  # after an announcement in which older weights may be used, however short the bound
-ANNOUNCEMENT_RETENTION_FACTOR = 2  # times the bound, for which an announcement is known after a newer one
-STARTUP_OLD_WEIGHTS_FRACTION = 0.5  # of ``contactMs``, in which a router that starts uses older weights
+VERSION_LEAD_SECONDS = 2.0  # time before its deadline from which on only the announced version is used
+OVERDUE_LEAD_SECONDS = 1.0  # time before its deadline from which on requests must not begin on older weights
+MIN_OLD_WEIGHTS_SECONDS = 0.5  # time after an announcement for which older weights may be used with any bound
+ANNOUNCEMENT_RETENTION_FACTOR = 2  # multiple of the bound for which a superseded announcement is kept
+STARTUP_OLD_WEIGHTS_FRACTION = 0.5  # fraction of ``contactMs`` for which a starting router uses older weights
 
 
 class VersionDeadlines:
-    """The announcements that a router has heard of, and what follows for requests."""
+    """The version announcements that a router knows, and the versions that requests require because of them."""
 
     def __init__(self, bounds: RuleBounds) -> None:
         self.bounds = bounds
-        # each with its time or one before it: by these the router decides
+        # With the time of announcement or an earlier one; the router's decisions are based on these.
         self.announcements = VersionAnnouncements()
-        # each with its time or one after it, where that is known: these are reported to primaries to come
+        # With the time of announcement or a later one, if that is known; these are reported to future primaries.
         self.dated_announcements = VersionAnnouncements()
 
     @property
     def old_weights_seconds(self) -> float:
-        """For how long after an announcement servers with older weights may be used."""
+        """How long after an announcement servers with older weights may be used."""
         return max(MIN_OLD_WEIGHTS_SECONDS, self.bounds.version_ms / 1000 - VERSION_LEAD_SECONDS)
 
     def required_version(self, model: str, now: float) -> int:
-        """The least version of its weights that a server must have: the newest whose deadline has come near."""
+        """The lowest version of the model's weights that a server must have: the newest one whose deadline is near."""
         return self.announcements.required_version(model, now - self.old_weights_seconds)
 
     def seconds_overdue(self, model: str, version: int, now: float) -> float | None:
-        """Seconds since the first announcement that weights of ``version`` lack, if so many that a request which begins
-        on them now is near the bound or over it; else ``None``."""
+        """Seconds since the first announcement of a version newer than ``version``, if a request that begins on these
+        weights now is near the bound or over it; else ``None``."""
         since = self.announcements.missing_since(model, version)
         if since is None or now - since < self.bounds.version_ms / 1000 - OVERDUE_LEAD_SECONDS:
             return None
@@ -54,11 +54,12 @@
         known_versions: Mapping[str, int],
         is_starting: bool,
     ) -> None:
-        """Records an update to a poll that was sent at ``asked_at``.
+        """Record the update that answered a poll sent at ``asked_at``.
 
-        ``versions`` is the newest version of each model. One that has no announcement counts as announced when the poll
-        was sent. Where no machine knows the time, and such times add up, a router that starts uses older weights only
-        for a part of the time in which it is not yet in touch. ``known_versions`` are not logged again.
+        ``versions`` has the newest version of each model. A version without an announcement counts as announced when
+        the poll was sent. If no machine knows the time of announcement, each restart would begin the allowed time
+        anew. So if there is a bound on the sum (``version_all_ms``), a starting router uses older weights only for a
+        fraction of ``contactMs``. ``known_versions`` are not logged again.
         """
         received = {(announcement.model, announcement.version): announcement for announcement in announcements}
         undated = [
@@ -83,8 +84,8 @@
         self.announcements.discard_superseded_before(self._retained_since(asked_at))
 
     def record_dates(self, announcements: Iterable[ModelVersionAnnouncement], received_at: float) -> None:
-        """Records the dates to be reported to primaries to come, counted from when the update was received: a date that
-        is passed on again and again doesn't move to earlier times by that."""
+        """Record the times of announcement to be reported to future primaries. They are computed from when the update
+        was received, so that a time that is passed on repeatedly never moves to an earlier one."""
         self.dated_announcements.record_all(
             VersionAnnouncement(announcement.model, announcement.version, received_at - announcement.age_ms / 1000)
             for announcement in announcements
@@ -93,7 +94,7 @@
         self.dated_announcements.discard_superseded_before(self._retained_since(received_at))
 
     def dates_to_report(self, now: float) -> tuple[ModelVersionAnnouncement, ...]:
-        """The announcements whose dates this router knows, as a poll carries them."""
+        """The announcements whose times this router knows, in the form that a poll carries."""
         return tuple(
             ModelVersionAnnouncement(announcement.model, announcement.version, age_ms(now - announcement.announced_at))
             for announcement in self.dated_announcements.all()
--- a/tests/dataplane/test_drain_order_of_events.py
+++ b/tests/dataplane/test_drain_order_of_events.py
@@ -1,5 +1,5 @@
-"""Orders of events around SIGTERM in which a request could end wrongly, each played at one frontend in the virtual
-network. Times are seconds from the SIGTERM on."""
+"""Orders of events around SIGTERM in which a request could get a wrong response, each simulated at one frontend in
+the virtual network. Times are in seconds since SIGTERM."""
 
 import unittest
 from collections.abc import Awaitable, Callable
@@ -30,10 +30,10 @@
 )
 
 GRACE = 8.0
-GIVEN_UP_AT = GRACE - END_RESERVE_SECONDS
-LASTS = 5.5  # seconds that requests of the kind of these tests took lately
-WITHIN = 7.9  # seconds that a client waits, longer than the router stays
-NO_TOKENS = request_kind("s", 0)  # the kind of each request of the rig
+WORK_ENDS_AT = GRACE - END_RESERVE_SECONDS
+RECENT_DURATION = 5.5  # seconds that recent requests of the same kind took
+WITHIN = 7.9  # the timeout of a client in seconds, longer than the router runs
+NO_TOKENS = request_kind("s", 0)  # the kind of all requests of the rig
 
 
 def setUpModule():
@@ -44,8 +44,8 @@
     logger.enable("rowanshift")
 
 
-async def leave(rig: Rig) -> None:
-    """What the service does from SIGTERM on; the end of the play is the end of the process."""
+async def shut_down(rig: Rig) -> None:
+    """Run the shutdown of the service from SIGTERM on; the process exits when the simulation ends."""
     service = SimpleNamespace(drain=rig.front.drain, shutdown_requested_at=trio.current_time())
     await DataPlaneService._shut_down(service, rig.front, rig.front.descriptors)
 
@@ -53,24 +53,24 @@
 def until_its_end(
     clients: Callable[[Rig], Awaitable[None]], *behaviours: Behaviour, longest: float = 0.0
 ) -> RequestOutcomes:
-    """The outcomes at a router that gets SIGTERM as ``clients`` start."""
+    """The request outcomes of a router that gets SIGTERM when ``clients`` start."""
 
     async def main(rig: Rig) -> RequestOutcomes:
         rig.behaviours += behaviours
         if longest:
             rig.front.drain.durations.record(NO_TOKENS, longest, trio.current_time())
         rig.nursery.start_soon(clients, rig)
-        await leave(rig)
+        await shut_down(rig)
         return rig.front.outcomes
 
     return play(main, servers=2)
 
 
 class Silence(unittest.TestCase):
-    """A server's silence is no reason to end an answer sooner."""
+    """A silent server does not make a draining router abandon a request early."""
 
-    def got(self, longest: float) -> Got:
-        """What the client of a repeatable request gets that a server answers after a silence, before the end."""
+    def response(self, longest: float) -> Got:
+        """The response to a repeatable request that a server answers late, but before the router exits."""
         answers: list[Got] = []
 
         async def clients(rig: Rig) -> None:
@@ -80,15 +80,15 @@
         until_its_end(clients, Behaviour(wait=4.0), longest=longest)
         return answers[0]
 
-    def test_a_silent_server_is_waited_for_where_no_other_may_be_asked(self) -> None:
-        for longest in (0.0, LASTS):
+    def test_a_silent_server_is_waited_for_if_no_other_server_may_be_used(self) -> None:
+        for longest in (0.0, RECENT_DURATION):
             with self.subTest(longest=longest):
-                self.assertEqual(self.got(longest).status, 200)
+                self.assertEqual(self.response(longest).status, 200)
 
 
-class LastAnswers(unittest.TestCase):
-    def test_a_request_read_at_the_very_end_is_refused_at_once(self) -> None:
-        """Its route is not known, and what is known could not be confirmed before the process ends."""
+class LastResponses(unittest.TestCase):
+    def test_a_request_read_just_before_the_exit_is_refused_at_once(self) -> None:
+        """Its route is unknown, and the control state can't be confirmed before the process exits."""
         for path in ("idempotent", "nowhere"):
 
             async def clients(rig: Rig, path: str = path) -> None:
@@ -97,7 +97,7 @@
                 data = request_bytes(path, "r1", within=WITHIN)
                 client = Client(rig)
                 await client.send(data[:-1])
-                await trio.sleep(GIVEN_UP_AT + 0.1)
+                await trio.sleep(WORK_ENDS_AT + 0.1)
                 await client.send(data[-1:])
 
             with self.subTest(path=path):
@@ -105,31 +105,31 @@
                 self.assertEqual(outcomes.violation_count(), 0, outcomes.summary())
                 self.assertIn("leaving_refusal=1", outcomes.summary())
 
-    def test_all_are_answered_where_giving_up_takes_long(self) -> None:
-        """A slow processor takes longer for the ends of all requests than the time set aside for last answers."""
+    def test_all_requests_are_answered_if_abandoning_them_takes_long(self) -> None:
+        """A slow processor takes longer to end all requests than the time reserved for last responses."""
         requests, seconds_each = 40, 0.01
-        true = UpstreamPool.close
+        original_close = UpstreamPool.close
 
         async def clients(rig: Rig) -> None:
             rig.front.forwarder.loads = rig.front.forwarder.attempts.loads = SlowLoads()
 
             def close(*given: object) -> None:
                 rig.clock.time += seconds_each
-                true(*given)
+                original_close(*given)
 
             rig.nursery.start_soon(patch_close, close)
             for number in range(requests):
                 await Client(rig).send(request_bytes("stream", f"r{number}", within=WITHIN))
 
         async def patch_close(close: Callable[..., None]) -> None:
-            await trio.sleep(GIVEN_UP_AT - 0.1)
+            await trio.sleep(WORK_ENDS_AT - 0.1)
             UpstreamPool.close = close
 
-        with mock.patch.object(UpstreamPool, "close", true):
+        with mock.patch.object(UpstreamPool, "close", original_close):
             outcomes = until_its_end(clients, *[Behaviour(cut=0, then=Then.SILENCE)] * requests)
         self.assertEqual(outcomes.violation_count() + outcomes.excused, 0, outcomes.summary())
 
-    def test_how_long_the_process_stays_for_them(self) -> None:
+    def test_how_long_the_process_stays_for_last_responses(self) -> None:
         drain = Drain(GRACE)
         drain.begin(100.0)
         clients_read_until, last = 107.55, 100.0 + GRACE - EXIT_RESERVE_SECONDS
@@ -146,7 +146,7 @@
 
 
 class SlowLoads(NoLoads):
-    """Tells of each end in a datagram, as a router does, which takes a turn of the loop and cannot be cancelled."""
+    """Reports each end as a router does: it yields to the event loop once and can't be cancelled."""
 
     async def report_end(self, request: ReportedRequest, end_kind: DatagramKind) -> None:
         with trio.CancelScope(shield=True):
@@ -154,24 +154,24 @@
 
 
 class SlowClient(unittest.TestCase):
-    def ending(self, within: float) -> RequestOutcomes:
-        """The ending of a request, sent 4 s after the SIGTERM, whose client takes a part of a long answer only."""
+    def run_slow_client(self, within: float) -> RequestOutcomes:
+        """The outcomes with a request, sent 4 s after SIGTERM, whose client reads only a part of a long response."""
 
         async def clients(rig: Rig) -> None:
-            await Client(rig).send(request_bytes("stream", "open", within=WITHIN))  # without it the router would end
+            await Client(rig).send(request_bytes("stream", "open", within=WITHIN))  # keeps the router running
             await trio.sleep(4.0)
             await Client(rig).send(request_bytes("stream", "r1", within=within))
 
         async def main(rig: Rig) -> RequestOutcomes:
             rig.behaviours += [Behaviour(cut=0, then=Then.SILENCE), Behaviour(answer=long_stream)]
             rig.nursery.start_soon(clients, rig)
-            await leave(rig)
+            await shut_down(rig)
             return rig.front.outcomes
 
         return play(main, servers=2, window=1 << 12)
 
-    def test_a_cut_after_its_time_is_up_is_none_of_the_router(self) -> None:
-        outcomes = self.ending(within=3.0)
+    def test_a_cut_after_the_deadline_does_not_count_as_cut_by_the_router(self) -> None:
+        outcomes = self.run_slow_client(within=3.0)
         self.assertEqual(outcomes.violation_count(), 0, outcomes.summary())
         self.assertIn("leaving_time_up=1", outcomes.summary())
 
@@ -181,9 +181,9 @@
     return head(asked, 200, b"Content-Type: text/event-stream", b"Transfer-Encoding: chunked") + events + chunk(b"")
 
 
-class ShortGrace(unittest.TestCase):
-    def test_nothing_is_given_up_before_the_last_sixth(self) -> None:
-        """A cut is excused from there on only."""
+class ShortGracePeriod(unittest.TestCase):
+    def test_no_request_is_abandoned_before_the_last_sixth(self) -> None:
+        """A request that is cut off is excused only in the last sixth of the grace period."""
         for grace in (1.0, 2.0, 3.0, 4.0, 5.0, GRACE, 30.0):
             with self.subTest(grace=grace):
                 drain = Drain(grace)
--- a/tests/dataplane/test_load_index.py
+++ b/tests/dataplane/test_load_index.py
@@ -1,4 +1,4 @@
-"""The load index of several routers over the virtual network."""
+"""The load index of several routers, over the simulated network."""
 
 import random
 import unittest
@@ -35,13 +35,13 @@
     logger.enable("rowanshift")
 
 
-class Shared(unittest.TestCase):
+class LoadIndexTest(unittest.TestCase):
     def run_all(self, main, count=3, **paths):
-        """Runs ``main(network, loads)`` with so many routers, each on its machine."""
+        """Run ``main(network, loads)`` with ``count`` routers, each on its own machine."""
         clock = VirtualClock()
         network = Network(clock, "t", Paths(**PLAIN | paths))
 
-        async def all_of():
+        async def run_routers():
             machines = [network.machine(f"c{n}", n) for n in range(count)]
             loads = [
                 LoadIndex(machine, (machine.address, PORT), machine_id_from_ip(machine.address)) for machine in machines
@@ -56,30 +56,32 @@
             return result
 
         with Determined("t"):
-            return trio.run(all_of, clock=clock)
+            return trio.run(run_routers, clock=clock)
 
     def owned_by(self, one, loads):
-        """The servers whose loads that router owns."""
+        """The servers whose loads the router ``one`` owns."""
         return [server for server in SERVERS if owner_of(server, one.peers or loads[0].peers) == one.machine]
 
-    def test_several_routers_agree(self):
+    def test_all_routers_get_the_same_loads(self):
         async def main(network, loads):
-            told, random_source, expected = [], random.Random(1), dict.fromkeys(SERVERS, 0)
+            reported, random_source, expected = [], random.Random(1), dict.fromkeys(SERVERS, 0)
             for one in loads:
                 for server in SERVERS:
                     tokens = random_source.randrange(1, 5000)
-                    told.append((one, await one.report_sent(server, tokens), tokens))
+                    reported.append((one, await one.report_sent(server, tokens), tokens))
                     expected[server] += tokens
             await trio.sleep(0.1)
             self.assertEqual([await one.query(SERVERS) for one in loads], [expected] * len(loads))
-            for one, call, tokens in told[::2]:
-                await one.report_end(call, DatagramKind.FIRST_BYTES_RECEIVED)
-                await one.report_end(call, DatagramKind.FIRST_BYTES_RECEIVED)
-                expected[call[0]] -= tokens
+            for one, request, tokens in reported[::2]:
+                await one.report_end(request, DatagramKind.FIRST_BYTES_RECEIVED)
+                await one.report_end(request, DatagramKind.FIRST_BYTES_RECEIVED)
+                expected[request[0]] -= tokens
             await trio.sleep(0.1)
             self.assertEqual([await one.query(SERVERS) for one in loads], [expected] * len(loads))
             await trio.sleep(PENDING_REQUEST_TTL_SECONDS + 0.1)
-            self.assertIn(AVOIDED_SERVER_TOKENS, (await loads[0].query(SERVERS)).values())  # some were overdue
+            self.assertIn(
+                AVOIDED_SERVER_TOKENS, (await loads[0].query(SERVERS)).values()
+            )  # expired requests count as failures
             await trio.sleep(4 * COUNT_HALF_LIFE_SECONDS)
             nothing = dict.fromkeys(SERVERS, 0)
             self.assertEqual([await one.query(SERVERS) for one in loads], [nothing] * len(loads))
@@ -87,16 +89,16 @@
 
         self.run_all(main)
 
-    def test_a_dead_owner_costs_at_most_the_wait(self):
+    def test_a_dead_owner_delays_a_query_by_its_timeout_at_most(self):
         async def main(network, loads):
             dead = loads[1]
             dead.runtime.kill()
             for how in ("refused", "away"):
                 dead.runtime.away = how == "away"
-                at = trio.current_time()
+                started_at = trio.current_time()
                 found = await loads[0].query(SERVERS)
-                took = trio.current_time() - at
-                self.assertLessEqual(took, QUERY_TIMEOUT_SECONDS + 1e-6)
+                duration = trio.current_time() - started_at
+                self.assertLessEqual(duration, QUERY_TIMEOUT_SECONDS + 1e-6)
                 self.assertEqual(set(found), set(SERVERS) - set(self.owned_by(dead, loads)))
             self.assertEqual((loads[0].incomplete_queries, loads[0].queries), (2, {}))
             await loads[0].report_end(
@@ -105,17 +107,17 @@
 
         self.run_all(main)
 
-    def test_no_wait_for_what_is_owned_here(self):
+    def test_a_query_of_a_load_owned_by_the_router_itself_does_not_wait(self):
         async def main(network, loads):
             server = self.owned_by(loads[0], loads)[0]
             await loads[0].report_sent(server, 5)
-            at = trio.current_time()
+            started_at = trio.current_time()
             self.assertEqual(await loads[0].query([server]), {server: 5})
-            self.assertEqual(trio.current_time(), at)
+            self.assertEqual(trio.current_time(), started_at)
 
         self.run_all(main)
 
-    def test_an_answer_that_comes_too_late_is_dropped(self):
+    def test_a_late_response_is_dropped(self):
         async def main(network, loads):
             found = await loads[0].query(SERVERS)
             self.assertEqual(set(found), set(self.owned_by(loads[0], loads)))
@@ -124,7 +126,7 @@
 
         self.run_all(main, across=0.02)
 
-    def test_one_who_gives_up_leaves_nothing_behind(self):
+    def test_a_cancelled_query_is_removed(self):
         async def main(network, loads):
             loads[1].runtime.kill()
             with trio.move_on_after(QUERY_TIMEOUT_SECONDS / 2):
@@ -133,7 +135,7 @@
 
         self.run_all(main)
 
-    def test_a_router_that_is_no_member_shares_nothing(self):
+    def test_a_router_that_is_not_a_member_neither_reports_nor_queries(self):
         async def main(network, loads):
             loads[0].set_peers(tuple(one.machine for one in loads[1:]))
             self.assertEqual(await loads[0].query(SERVERS), {})
@@ -143,7 +145,7 @@
 
         self.run_all(main)
 
-    def test_a_member_that_goes_moves_only_its_keys(self):
+    def test_when_a_member_leaves_only_its_loads_change_owner(self):
         async def main(network, loads):
             for server in SERVERS:
                 await loads[0].report_sent(server, 5)
@@ -157,27 +159,27 @@
 
         self.run_all(main)
 
-    def test_foreign_datagrams_change_nothing(self):
+    def test_invalid_and_unexpected_datagrams_have_no_effect(self):
         async def main(network, loads):
             await loads[0].report_sent(self.owned_by(loads[0], loads)[0], 5)
             stranger = network.machine("stranger", 9)
             stranger.running = True
             port, to, random_source = stranger.port((stranger.address, PORT)), loads[0].address, random.Random(2)
             server_hash = stable_hash(SERVERS[0])
-            good = encode_datagram(DatagramKind.REQUEST_SENT, 1, server_hash, 100)
-            wrong = [
+            valid = encode_datagram(DatagramKind.REQUEST_SENT, 1, server_hash, 100)
+            ignored = [
                 b"",
-                good[:-1],
-                good + b"\0",
-                b"RS" + good[2:],
-                good[:2] + bytes([FORMAT + 1]) + good[3:],
-                good[:3] + b"\x09" + good[4:],
+                valid[:-1],
+                valid + b"\0",
+                b"RS" + valid[2:],
+                valid[:2] + bytes([FORMAT + 1]) + valid[3:],
+                valid[:3] + b"\x09" + valid[4:],
                 encode_datagram(DatagramKind.QUERY_RESPONSE, 1, server_hash, 100),
                 encode_datagram(DatagramKind.FIRST_BYTES_RECEIVED, 1, server_hash, 0),
             ]
-            wrong += [random_source.randbytes(random_source.randrange(40)) for _ in range(1000)]
+            ignored += [random_source.randbytes(random_source.randrange(40)) for _ in range(1000)]
             before = dict(loads[0].server_loads.tokens)
-            for payload in wrong:
+            for payload in ignored:
                 await port.send(payload, to)
                 await trio.sleep(0.0001)
             await trio.sleep(0.1)
@@ -190,7 +192,7 @@
 
         self.run_all(main)
 
-    def test_an_answer_of_another_server_is_not_taken(self):
+    def test_a_response_about_another_server_or_query_is_ignored(self):
         async def main(network, loads):
             server = self.owned_by(loads[1], loads)[0]
             loads[1].runtime.kill()
@@ -202,14 +204,14 @@
 
                 nursery.start_soon(ask)
                 await trio.sleep(QUERY_TIMEOUT_SECONDS / 4)
-                (call,) = loads[0].queries
-                await loads[2]._send(loads[0].address, DatagramKind.QUERY_RESPONSE, call, stable_hash("i-foreign"), 9)
-                await loads[2]._send(loads[0].address, DatagramKind.QUERY_RESPONSE, call + 1, stable_hash(server), 9)
+                (number,) = loads[0].queries
+                await loads[2]._send(loads[0].address, DatagramKind.QUERY_RESPONSE, number, stable_hash("i-foreign"), 9)
+                await loads[2]._send(loads[0].address, DatagramKind.QUERY_RESPONSE, number + 1, stable_hash(server), 9)
             self.assertEqual(found, [{}])
 
         self.run_all(main)
 
-    def test_more_tokens_than_a_datagram_holds(self):
+    def test_token_counts_are_capped_at_the_maximum_of_a_datagram(self):
         async def main(network, loads):
             server = self.owned_by(loads[1], loads)[0]
             await loads[0].report_sent(server, 10**30)
@@ -220,7 +222,7 @@
 
         self.run_all(main)
 
-    def test_on_bad_paths_answers_are_right_or_missing(self):
+    def test_on_an_unreliable_network_responses_are_correct_or_missing(self):
         async def main(network, loads):
             for server in SERVERS:
                 await loads[0].report_sent(server, 5)
@@ -232,7 +234,7 @@
 
         self.run_all(main, lost=0.2, doubled=0.2, late=0.1, jitter=0.5)
 
-    def test_addresses_and_machines(self):
+    def test_machine_ids_convert_back_to_addresses(self):
         for ip in ("0.0.0.0", "10.0.0.1", "127.1.0.3", "255.255.255.255"):
             self.assertEqual(ip_from_machine_id(machine_id_from_ip(ip)), ip)
 
--- a/tests/dataplane/test_revocation.py
+++ b/tests/dataplane/test_revocation.py
@@ -1,4 +1,4 @@
-"""How long a key that was taken away may still be used, on any machine, in touch with the core or not."""
+"""How long a revoked key may still be used, at any router, connected to the core or not."""
 
 import dataclasses
 import unittest
@@ -17,7 +17,7 @@
 from rowanshift.simulation.fleet_machines import Unit
 from rowanshift.simulation.fleet_settings import HOST, KEYS
 
-REVOKE = 2.0  # seconds for which a key may still be used
+REVOKE = 2.0  # seconds for which a revoked key may still be used
 KEY = KEYS["t1"][0]
 
 
@@ -29,34 +29,34 @@
     logger.enable("rowanshift")
 
 
-class Known(unittest.TestCase):
-    def test_by_the_age_of_what_is_known_as_the_request_came(self) -> None:
+class KeyAdmission(unittest.TestCase):
+    def test_admission_depends_on_the_age_of_the_state_when_the_request_arrived(self) -> None:
         freshness = Freshness(0.0, 1.5, 5.0)
         self.assertFalse(freshness.may_admit_key(0.0))
         freshness.confirm(10.0)
         self.assertEqual([freshness.may_admit_key(at) for at in (9.0, 15.0, 15.01)], [True, True, False])
 
-    def test_a_doubt_takes_nothing_from_what_was_known(self) -> None:
+    def test_stale_state_does_not_shorten_the_admission_by_key(self) -> None:
         freshness = Freshness(0.0, 1.5, 5.0)
         freshness.confirm(10.0)
         freshness.mark_stale(14.0)
         self.assertEqual([freshness.may_admit_key(at) for at in (15.0, 15.01)], [True, False])
 
-    def test_without_a_bound(self) -> None:
+    def test_without_a_bound_keys_are_admitted_at_any_age(self) -> None:
         self.assertTrue(Freshness(0.0, 1.5).may_admit_key(1e9))
 
-    def test_the_settings(self) -> None:
+    def test_settings_of_the_bound(self) -> None:
         self.assertIsNone(RuleBounds(revoke_ms=4000).revocation_seconds)
         self.assertEqual(RuleBounds(revoke_strict=True, revoke_ms=4000).revocation_seconds, 4.0)
 
 
 class AllKeyed(unittest.TestCase):
-    """Whether a router that may not go by keys has anything left to serve."""
+    """Whether a router that may not admit keys has no route left that it can serve."""
 
     def requires_keys(self, config: dict) -> bool:
         return parse_routing_table(1, orjson.dumps(config), {}).requires_keys
 
-    def test_of_routes_and_tenants(self) -> None:
+    def test_keys_are_required_unless_a_route_is_public_or_there_are_no_tenants(self) -> None:
         config = config_of(1)
         self.assertTrue(self.requires_keys(config))
         config["routes"][0]["public"] = True
@@ -65,7 +65,7 @@
 
 
 class Rule(unittest.TestCase):
-    """The check itself, on facts made by hand."""
+    """The rule that detects late use of a revoked key, on constructed facts."""
 
     def facts(self, sent_at: float, keys_after: dict, public: bool = False) -> list:
         routes = [route | {"public": public} for route in routes_of()]
@@ -75,32 +75,32 @@
             ConfigAnswered(0.1, "c1", 0, 1, 200),
             ConfigSent(1.0, "c2", 1, 2, after),
             ConfigAnswered(1.1, "c2", 1, 2, 200),
-            *self.run_of(sent_at),
+            *self.request_facts(sent_at),
         ]
 
-    def run_of(self, sent_at: float) -> list:
+    def request_facts(self, sent_at: float) -> list:
         asked = {"front": ("f", 1), "key": KEY, "host": HOST, "target": ONCE + "x"}
         asked |= {"id": "r", "call": "c"}
         began = {"id": "r", "instance": "i", "service": "llm", "host": HOST, "target": ONCE + "x"}
-        return [filled(Asked, sent_at, asked), filled(Began, sent_at + 0.5, began)]
+        return [fact_with_defaults(Asked, sent_at, asked), fact_with_defaults(Began, sent_at + 0.5, began)]
 
-    def broken(self, *given: object, **more: object) -> int:
-        return len(revoked(self.facts(*given, **more), REVOKE))
+    def violations(self, *args: object, **kwargs: object) -> int:
+        return len(revoked(self.facts(*args, **kwargs), REVOKE))
 
-    def test_by_when_the_request_was_sent(self) -> None:
+    def test_the_time_of_sending_decides(self) -> None:
         without = {"t1": KEYS["t1"][1:]}
-        self.assertEqual([self.broken(at, without) for at in (1.0, 3.05, 3.2)], [0, 0, 1])
+        self.assertEqual([self.violations(at, without) for at in (1.0, 3.05, 3.2)], [0, 0, 1])
 
-    def test_a_key_that_is_held_and_a_public_route(self) -> None:
-        self.assertEqual(self.broken(9.0, KEYS), 0)
-        self.assertEqual(self.broken(9.0, {}, public=True), 0)
+    def test_a_valid_key_and_a_public_route_are_no_violation(self) -> None:
+        self.assertEqual(self.violations(9.0, KEYS), 0)
+        self.assertEqual(self.violations(9.0, {}, public=True), 0)
 
-    def test_no_bound(self) -> None:
+    def test_without_a_bound_there_is_no_violation(self) -> None:
         self.assertEqual(revoked(self.facts(9.0, {}), None), [])
 
 
-def filled(kind: type, at: float, given: dict) -> object:
-    """A fact with what is given, and empty values of their types for the rest."""
+def fact_with_defaults(kind: type, at: float, given: dict) -> object:
+    """A fact with the given fields, and empty values for its other required fields."""
     empty = {"str": "", "int": 0, "float": 0.0, "bool": False}
     rest = {
         field.name: empty.get(str(field.type), empty.get(getattr(field.type, "__name__", ""), ""))
@@ -111,20 +111,20 @@
 
 
 class OnAFleet(unittest.TestCase):
-    """Revocations while machines are cut off, stand still, or hear in one direction only."""
+    """Revocations while machines are partitioned, suspended, or partitioned in one direction only."""
 
-    async def revoked_while(self, fleet: Fleet, trouble: str, victims: int, ways: str = "both") -> None:
-        """A key is taken away while so many routers, and at times the primary, are out of touch for 6 s."""
+    async def revoke_during_fault(self, fleet: Fleet, fault: str, victims: int, ways: str = "both") -> None:
+        """Revoke a key while ``victims`` routers, and in one case the primary, are partitioned or suspended for 6 s."""
         await fleet.start()
         for prefix in (ONCE, RESUMED, REPEATED):
             fleet.client(f"c{prefix.strip('/')}", prefix, KEY, pause=0.05)
         fleet.client("other", ONCE, KEYS["t3"][0], pause=0.1)
         await trio.sleep(1.0)
         units: list[Unit] = [*fleet.routers[:victims]]
-        if trouble == "cut with the primary":
+        if fault == "cut with the primary":
             units.append(fleet.primary())
         for unit in units:
-            if trouble == "freeze":
+            if fault == "freeze":
                 fleet.freeze(unit)
             else:
                 fleet.cut(unit, fleet.cores, ways)
@@ -135,42 +135,42 @@
         assert await fleet.put(config_of(2, keys)) == 200
         await trio.sleep(6.0)
         for unit in units:
-            if trouble == "freeze":
+            if fault == "freeze":
                 fleet.thaw(unit)
             else:
                 fleet.join(unit, fleet.cores, ways)
         await trio.sleep(3.0)
 
-    def played(self, trouble: str, victims: int, ways: str = "both", seed: int = 0) -> Fleet:
+    def simulated(self, fault: str, victims: int, ways: str = "both", seed: int = 0) -> Fleet:
         async def main(fleet: Fleet) -> None:
-            await self.revoked_while(fleet, trouble, victims, ways)
+            await self.revoke_during_fault(fleet, fault, victims, ways)
 
         return play(main, str(seed), routers=3, revoke=REVOKE)[1]
 
-    def assert_kept(self, trouble: str, victims: int, ways: str = "both") -> None:
+    def assert_no_breaches(self, fault: str, victims: int, ways: str = "both") -> None:
         for seed in range(3):
             with self.subTest(seed=seed):
-                fleet = self.played(trouble, victims, ways, seed)
+                fleet = self.simulated(fault, victims, ways, seed)
                 self.assertEqual(fleet.breaches(), [])
                 self.assertGreater(fleet.served(names=["other"]), 0.9)
 
     def test_a_router_is_cut_off(self) -> None:
-        self.assert_kept("cut", 1)
+        self.assert_no_breaches("cut", 1)
 
-    def test_two_of_three_are_cut_off(self) -> None:
-        self.assert_kept("cut", 2)
+    def test_two_of_three_routers_are_cut_off(self) -> None:
+        self.assert_no_breaches("cut", 2)
 
     def test_the_primary_is_cut_off_with_a_router(self) -> None:
-        self.assert_kept("cut with the primary", 1)
+        self.assert_no_breaches("cut with the primary", 1)
 
-    def test_cut_in_one_direction(self) -> None:
+    def test_a_router_is_cut_off_in_one_direction(self) -> None:
         for ways in ("in", "out"):
-            self.assert_kept("cut", 1, ways)
+            self.assert_no_breaches("cut", 1, ways)
 
-    def test_a_router_stands_still_and_goes_on(self) -> None:
-        self.assert_kept("freeze", 1)
+    def test_a_router_is_suspended_and_resumed(self) -> None:
+        self.assert_no_breaches("freeze", 1)
 
-    def test_a_router_that_can_not_know_says_503_and_is_not_ready(self) -> None:
+    def test_a_router_that_can_not_confirm_its_state_answers_503_and_is_not_ready(self) -> None:
         async def main(fleet: Fleet) -> tuple[bool, bool, bool]:
             await fleet.start()
             unit = fleet.routers[0]
@@ -192,11 +192,11 @@
         self.assertEqual([fact.status for fact in first], [503])
         self.assertIn(200, {fact.status for fact in fleet.of(Answered)})
 
-    def test_a_router_that_goes_by_old_keys_is_found(self) -> None:
-        with mock.patch.object(Freshness, "may_admit_key", lambda freshness, came_at: True):
-            for trouble, victims in (("cut", 1), ("cut with the primary", 1)):
-                rules = {breach.rule for breach in self.played(trouble, victims).breaches()}
-                self.assertIn("CONFIG", rules, trouble)
+    def test_a_router_that_admits_revoked_keys_is_detected(self) -> None:
+        with mock.patch.object(Freshness, "may_admit_key", lambda freshness, arrived_at: True):
+            for fault, victims in (("cut", 1), ("cut with the primary", 1)):
+                rules = {breach.rule for breach in self.simulated(fault, victims).breaches()}
+                self.assertIn("CONFIG", rules, fault)
 
 
 if __name__ == "__main__":
--- a/tests/dataplane/test_server_health.py
+++ b/tests/dataplane/test_server_health.py
@@ -1,4 +1,4 @@
-"""Passive health checks of model servers, by themselves and on a virtual fleet."""
+"""Passive health checks of model servers, separately and on a simulated fleet."""
 
 import unittest
 
@@ -31,40 +31,42 @@
     def setUp(self) -> None:
         self.health = ServerHealthTracker()
 
-    def record(self, good: int, bad: int, now: float = 0.0) -> None:
-        for _ in range(good):
+    def record(self, succeeded: int, failed: int, now: float = 0.0) -> None:
+        for _ in range(succeeded):
             self.health.record_success(7, 1, 0.01, now)
-        for _ in range(bad):
+        for _ in range(failed):
             self.health.record_failure(7, now)
 
     def test_an_unknown_server_is_healthy(self) -> None:
         self.assertFalse(self.health.should_avoid(7, 0.0, may_probe=False))
 
     def test_failing_fraction(self) -> None:
-        for good, bad, avoided in ((0, 1, False), (0, 2, True), (7, 3, False), (6, 3, True), (100, 20, False)):
-            with self.subTest(good=good, bad=bad):
+        for succeeded, failed, avoided in ((0, 1, False), (0, 2, True), (7, 3, False), (6, 3, True), (100, 20, False)):
+            with self.subTest(succeeded=succeeded, failed=failed):
                 self.setUp()
-                self.record(good, bad)
+                self.record(succeeded, failed)
                 self.assertEqual(self.health.should_avoid(7, 0.0, may_probe=False), avoided)
-                self.assertEqual(bad >= MIN_FAILED_REQUESTS and bad > FAILING_FRACTION * (good + bad), avoided)
+                self.assertEqual(
+                    failed >= MIN_FAILED_REQUESTS and failed > FAILING_FRACTION * (succeeded + failed), avoided
+                )
 
     def test_both_counts_decay(self) -> None:
         self.record(0, 3)
         self.assertTrue(self.health.should_avoid(7, 0.9 * COUNT_HALF_LIFE_SECONDS, may_probe=False))
         self.assertFalse(self.health.should_avoid(7, 1.1 * COUNT_HALF_LIFE_SECONDS, may_probe=False))
 
-    def test_probes(self) -> None:
+    def test_probes_are_sent_at_the_interval(self) -> None:
         self.record(0, 9)
-        asked = [0.0, 0.1, PROBE_INTERVAL_SECONDS - 0.01, PROBE_INTERVAL_SECONDS + 0.01]
-        self.assertEqual([self.health.should_avoid(7, at, may_probe=True) for at in asked], [False, True, True, False])
+        times = [0.0, 0.1, PROBE_INTERVAL_SECONDS - 0.01, PROBE_INTERVAL_SECONDS + 0.01]
+        self.assertEqual([self.health.should_avoid(7, at, may_probe=True) for at in times], [False, True, True, False])
 
-    def test_probes_that_end_well_end_it(self) -> None:
+    def test_a_server_is_healthy_after_successful_probes(self) -> None:
         self.record(0, 4)
         for n in range(5):
             self.health.record_success(7, 1, 0.01, 0.3 * n)
         self.assertFalse(self.health.should_avoid(7, 1.5, may_probe=False))
 
-    def test_silence_counts_and_slowness_does_not(self) -> None:
+    def test_silence_counts_as_failure_and_slowness_does_not(self) -> None:
         self.assertTrue(self.health.record_overdue(7, 0.0, 1.0))
         self.health.record_success(7, 1, 0.1, 1.5)
         self.assertFalse(self.health.record_overdue(7, 1.2, 2.0))
@@ -72,7 +74,7 @@
         self.health.record_late_response(7, 2.3)
         self.assertFalse(self.health.record_overdue(7, 2.2, 2.9))
 
-    def test_what_is_due_is_learnt_from_long_prompts(self) -> None:
+    def test_the_due_time_of_first_bytes_is_learned_from_long_prompts(self) -> None:
         before = self.health.first_bytes_due_seconds(MIN_MEASURED_PROMPT_TOKENS)
         for _ in range(200):
             self.health.record_success(7, MIN_MEASURED_PROMPT_TOKENS - 1, 9.0, 0.0)
@@ -93,10 +95,10 @@
 
 
 class OnAFleet(unittest.TestCase):
-    """Two of six model servers answer nothing for some seconds, and each of twenty routers sees few requests."""
+    """Two of six model servers send no responses for 4 s, and each of twenty routers has only few requests."""
 
     def failing_servers(self, seed: str) -> int:
-        """How many servers their owners have found failing after four seconds."""
+        """The number of servers that their owners consider failing after four seconds."""
 
         async def main(fleet: Fleet) -> None:
             await fleet.start()
@@ -112,7 +114,7 @@
         owners = [unit.program.loads.server_loads.health for unit in fleet.routers]
         return sum(health.is_failing for tracker in owners for health in tracker.servers.values())
 
-    def test_their_owners_find_them_failing(self) -> None:
+    def test_the_owners_detect_both_failing_servers(self) -> None:
         self.assertEqual([self.failing_servers(seed) for seed in "ab"], [2, 2])
 
 
--- a/tests/dataplane/test_tenant_quotas.py
+++ b/tests/dataplane/test_tenant_quotas.py
@@ -1,5 +1,7 @@
-"""Two deployments set limits for each tenant, ``ratePerS`` and ``burst``, counted over all routers together. Nothing
-reads them: of a tenant that may have 1 request a second, 906 were run in six seconds, and none was answered 429.
+"""The limits of a tenant, ``ratePerS`` and ``burst``, which hold over all routers together.
+
+Two deployments set them, but the routers do not read them: of a tenant with a limit of 1 request per second, 906
+requests were executed in six seconds, and none was answered with 429.
 """
 
 import unittest
@@ -11,8 +13,8 @@
 from rowanshift.simulation.fleet_settings import KEYS, REPEATED
 
 SECONDS = 6.0
-RATE, BURST = 1.0, 0.0  # of the tenant: requests a second
-OVERSHOOT, SLACK = 1.1, 20.0  # as the operators' rule has it
+RATE, BURST = 1.0, 0.0  # of the tenant: requests per second, requests
+OVERSHOOT, SLACK = 1.1, 20.0  # tolerances of the operators' rule
 CLIENTS, PAUSE_SECONDS = 6, 0.02
 
 
