--- a/rowanshift/cacheproxy/decision/router.py
+++ b/rowanshift/cacheproxy/decision/router.py
@@ -34,9 +34,7 @@
         self.order, self.wake_at = count(), 0.0
         self.timers: list[tuple[float, int, str, Item | None, int]] = []
         self.max_hold = MAX_HOLD if not settings.slow_end else min(MAX_HOLD, 5 * settings.miss_share)
-        self.list_delay = min(
-            0.9 * settings.ask_within, 0.03 * settings.routers
-        )  # spread of requests; one list serves all
+        self.list_delay = min(0.9 * settings.ask_within, 0.03 * settings.routers)  # one list serves all
         if settings.ask:  # not all at once when routers start together
             self.at(now + self.list_delay * self.random.draw(), "ask")
 
@@ -78,7 +76,7 @@
         self._record_outcome(cache, verdict, spent)
         if (item := self.items.get(id)) is not None:
             item.open_attempts -= 1
-            item.generation += 1
+            item.version += 1
             if final:
                 self._end(item, verdict == Verdict.FINISHED)
             else:
@@ -89,7 +87,7 @@
     def streaming(self, now: float, id: int) -> None:
         self.now = now
         if (item := self.items.get(id)) is not None:
-            item.is_streaming, item.generation = True, item.generation + 1
+            item.is_streaming, item.version = True, item.version + 1
 
     def spent(self, now: float, id: int) -> None:
         """The work item's body can't be sent again in full: its open hand-off is the last."""
@@ -112,7 +110,7 @@
         self.now, tally = now, Tally.unpack(payload, len(self.asked))
         if tally is not None and tally.total:
             self._apply_tally(tally)
-        elif tally is not None:  # else it is of another version
+        elif tally is not None:  # otherwise the message is invalid
             self.tally.add(tally)
             self._schedule_total()
 
@@ -181,16 +179,16 @@
     def woken(self, now: float) -> None:
         self.now = now
         while self.timers and self.timers[0][0] <= now:
-            _, _, event, item, generation = heappop(self.timers)
+            _, _, event, item, version = heappop(self.timers)
             if event == "ask":
                 self.results.subscribe = True
             elif event == "tell":
                 self._broadcast_total()
-            elif item.generation == generation and item.id in self.items:
+            elif item.version == version and item.id in self.items:
                 {"hold": self.give_up, "again": self._retry_missed, "late": self._withdraw_late}[event](item)
 
     def at(self, when: float, event: str, item: Item | None = None) -> None:
-        heappush(self.timers, (when, next(self.order), event, item, item.generation if item else 0))
+        heappush(self.timers, (when, next(self.order), event, item, item.version if item else 0))
 
     # hot keys ---------------------------------------------
 
@@ -276,7 +274,7 @@
 
     def _hold(self, item: Item, cache: Cache) -> None:
         """Hold a work item until the cache answers; if nothing is in flight there, for a random delay."""
-        item.generation += 1
+        item.version += 1
         since = item.held_since = item.held_since or self.now
         slow = cache.limit < min(1.0, SLOW_FRACTION * self.fleet.limit / max(1, len(self.ready)))
         if slow and cache is not self.origin:  # on its own: shedding load would not help it
@@ -284,7 +282,7 @@
         else:
             self.held.setdefault(item.id, since)
         if cache.inflight:
-            heappush(cache.held, ((item.excess, -item.category.credit), next(self.order), item, item.generation))
+            heappush(cache.held, ((item.excess, -item.category.credit), next(self.order), item, item.version))
         else:
             self.at(self.now + (0.05 + 0.1 * self.random.draw()) * item.category.due, "again", item)
         self.at(min(since + self.max_hold * item.category.due, item.expiry - 0.01), "hold", item)
@@ -292,8 +290,8 @@
     def _release(self, cache: Cache) -> None:
         """Hand off held work items while the cache, or the origin, has capacity."""
         while cache.held and cache.silent_until <= self.now and self._room(cache):
-            *_, item, generation = heappop(cache.held)
-            if item.generation == generation and item.id in self.items:
+            *_, item, version = heappop(cache.held)
+            if item.version == version and item.id in self.items:
                 if cache is self.origin:
                     self._use_origin(item)
                 elif cache is not self.fleet and self._accepts(cache, item) and self._cold_room(cache):
@@ -305,8 +303,8 @@
 
     def _forward_held(self, cache: Cache) -> None:
         held, cache.held = cache.held, []
-        for *_, item, generation in sorted(held, key=lambda entry: entry[:2]):
-            if item.generation == generation and item.id in self.items:
+        for *_, item, version in sorted(held, key=lambda entry: entry[:2]):
+            if item.version == version and item.id in self.items:
                 self._forward(item)
 
     def _origin_has_room(self) -> bool:
@@ -326,7 +324,7 @@
     # hand-off ---------------------------------------------
 
     def _hand_off(self, item: Item, cache: Cache) -> None:
-        item.generation, item.held_since = item.generation + 1, 0.0
+        item.version, item.held_since = item.version + 1, 0.0
         self.held.pop(item.id, None)
         item.attempts.append((cache, self.now))
         item.open_attempts += 1
@@ -377,7 +375,7 @@
     def _end(self, item: Item, finished: bool) -> None:
         del self.items[item.id]
         self.held.pop(item.id, None)
-        item.generation += 1
+        item.version += 1
         # a cache with a limit under 0.5 is known to be slow: the limit of all caches does not follow it
         if item.attempts and not item.missed and not item.write and item.attempts[0][0].limit >= 0.5:
             late = not finished or item.withdrawn or self.now - item.attempts[0][1] > 0.6 * item.category.due
--- a/rowanshift/cacheproxy/decision/shares.py
+++ b/rowanshift/cacheproxy/decision/shares.py
@@ -24,7 +24,7 @@
         self.adapted_at, self.extra = now, 1.0  # extra: fraction of the work over quota that is admitted
 
     def _admits(self, item: Item, customer: int) -> bool:
-        """Whether to admit a work item. Excess is drawn at random, as one router's part of a quota may be tiny."""
+        """Whether to admit a work item. Excess is drawn at random, as one router's part may be tiny."""
         if customer < len(self.asked):
             self.tally.asked[customer] += 1
             item.excess = self.random.draw() * self.asked[customer] >= self.settings.quotas[customer] > 0
@@ -36,13 +36,13 @@
     def _adapt_admission(self, ticks: float) -> None:
         """Shed work over quota while held work waits long, at this router or on average over all."""
         self.adapted_at, before = self.now, self.extra
-        waited = max(self._oldest_wait(), self.waited)
-        if waited > 0.15 * self.due:
-            self.extra = max(0.01, before * 0.6 ** min(ticks, waited / ADMISSION_SECONDS))
+        wait = max(self._oldest_wait(), self.waited)
+        if wait > 0.15 * self.due:
+            self.extra = max(0.01, before * 0.6 ** min(ticks, wait / ADMISSION_SECONDS))
         else:
             self.extra = min(1.0, before * 1.03**ticks)
         if (before < 1) != (self.extra < 1):
-            self.results.log.append(f"shedding {'on' if self.extra < 1 else 'off'}: oldest wait {waited:.3f} s")
+            self.results.log.append(f"shedding {'on' if self.extra < 1 else 'off'}: oldest wait {wait:.3f} s")
 
     def _exchange_tallies(self) -> None:
         """Send the tally to the aggregator, another router each second, which broadcasts the sum to all."""
--- a/rowanshift/cacheproxy/model.py
+++ b/rowanshift/cacheproxy/model.py
@@ -171,7 +171,7 @@
     ran_since: float | None = None  # time of the first hand-off that a server may have executed
     ran_group: int | None = None  # the group of servers that deduplicate it
     missed: list[Cache] = field(default_factory=list)
-    generation: int = 0  # incremented to invalidate the timers that were set for it
+    version: int = 0  # incremented to invalidate the timers that were set for it
     is_streaming: bool = False
     withdrawn: bool = False  # from a cache that was late, to be sent to the origin
     connection_refused: bool = False  # in at least one hand-off
--- a/rowanshift/placement/hash_ring.py
+++ b/rowanshift/placement/hash_ring.py
@@ -18,8 +18,7 @@
 class HashRing(Generic[Owner]):
     """A hash ring on which each owner has a number of points (virtual nodes).
 
-    A key's position is the high 32 bits of its stable hash. ``name_of`` returns the text from which an
-    owner's points are hashed.
+    A key's position is the high 32 bits of its stable hash. Points are hashed from ``name_of`` the owner.
     """
 
     def __init__(self, name_of: Callable[[Owner], str] = str) -> None:
--- a/rowanshift/placement/hot_keys.py
+++ b/rowanshift/placement/hot_keys.py
@@ -58,7 +58,7 @@
         return now >= self.epoch_ends_at and self.samples >= MIN_SAMPLES
 
     def end_epoch(self, now: float, servers: int) -> list[tuple[int, float]]:
-        """End an epoch with this number of available servers; return new hot keys and their fractions of samples."""
+        """End an epoch with this number of available servers; return new hot keys with their sample shares."""
         self.epoch_ends_at = now + EPOCH_SECONDS
         servers = max(1, servers)
         became_hot = []
--- a/rowanshift/placement/shadows.py
+++ b/rowanshift/placement/shadows.py
@@ -1,7 +1,7 @@
 """Selection of the model server for a request. No I/O, no clock: times are passed in, in seconds.
 
-A request goes to the ring home of its prompt's prefix, to a leased shadow of the home while the prefix is hot,
-or to the next server on the ring while the home is unavailable or has far more open requests than the mean.
+A request goes to the ring home of its prompt's prefix, to a shadow of the home while the prefix is hot, or to
+the next server on the ring while the home is unavailable or has far more open requests than the mean.
 """
 
 import random
@@ -61,8 +61,7 @@
 ) -> ServerT:
     """The selected server, or an alternative with clearly less load if the selected one is heavily loaded.
 
-    ``tokens_to_read`` is the known load of servers, in pending prompt tokens by server id. An alternative lacks
-    the ``shared_tokens`` of the prompt, which are transferred to it.
+    ``tokens_to_read``: known pending tokens by server id. ``shared_tokens`` would be moved to an alternative.
     """
     if tokens_to_read.get(selected.id, 0) <= LOAD_THRESHOLD_TOKENS:
         return selected
@@ -102,7 +101,7 @@
             self.hot_keys.end_epoch(now, len(self.servers))
 
     def select(self, position: int, now: float, model: str, version: int, excluded: Container[str]) -> ServerT | None:
-        """The server for a prefix, among those with at least this version of the model; None if none has it."""
+        """The server for a prefix, with at least this version of the model; None if there is none."""
 
         def is_eligible(server: ServerT) -> bool:
             if server.id in excluded or not accepts_requests(server, now):
