--- a/rowanshift/cacheproxy/decision/router.py
+++ b/rowanshift/cacheproxy/decision/router.py
@@ -201,7 +201,7 @@
     def _end_epoch(self) -> None:
         span = self.now - self.hot_keys.epoch_ends_at + EPOCH_SECONDS
         for key, part in self.hot_keys.end_epoch(self.now, len(self.ready)):
-            self.results.log.append(f"key {key:08x} became hot: {part:.2f} of samples")
+            self.results.log.append(f"hot {key:08x}: {part:.2f} of samples")
         if self.heft and self.finished:  # the weight grows with the number of responses
             measured = self.finished / span / self.heft
             self.warm_rate += min(0.4, self.finished / 32) * (measured - self.warm_rate)
--- a/rowanshift/cacheproxy/decision/shares.py
+++ b/rowanshift/cacheproxy/decision/shares.py
@@ -42,7 +42,7 @@
         else:
             self.extra = min(1.0, before * 1.03**ticks)
         if (before < 1) != (self.extra < 1):
-            self.results.log.append(f"shedding {'on' if self.extra < 1 else 'off'}: oldest wait {wait:.3f} s")
+            self.results.log.append(f"shares {'on' if self.extra < 1 else 'off'}: oldest held {wait:.3f} s")
 
     def _exchange_tallies(self) -> None:
         """Send the tally to the aggregator, another router each second, which broadcasts the sum to all."""
