--- a/rowanshift/dataplane/frontend.py
+++ b/rowanshift/dataplane/frontend.py
@@ -190,7 +190,7 @@
     async def serve(self, stream: Stream) -> None:
         """Handle one request after another on a connection, then close it."""
         connection = Connection(
-            stream, httptools.HttpRequestParser, self.memory, largest=self.state.routing_table.max_body_bytes
+            stream, httptools.HttpRequestParser, self.memory, body_limit_bytes=self.state.routing_table.max_body_bytes
         )
         client = ClientConnection(connection)
         try:
@@ -219,7 +219,7 @@
 
     async def _next_message(self, client: ClientConnection) -> Message | None:
         connection, routing_table = client.http, self.state.routing_table
-        connection.largest = routing_table.max_body_bytes
+        connection.body_limit_bytes = routing_table.max_body_bytes
         until, began = trio.current_time() + routing_table.idle_timeout, 0.0
         while True:
             if (message := connection.next()) is not None:
--- a/rowanshift/dataplane/response_stream.py
+++ b/rowanshift/dataplane/response_stream.py
@@ -42,7 +42,7 @@
     head = b"" if writer.started else writer.head(response, length)
     rest = writer.frame(pending) if pending else b""
     await writer.send(head + rest + (LAST_CHUNK if writer.chunked else b""))
-    writer.connection.resets = False
+    writer.connection.reset_on_close = False
 
 
 def end_of_events(data: bytes) -> int:
--- a/rowanshift/dataplane/response_writer.py
+++ b/rowanshift/dataplane/response_writer.py
@@ -66,7 +66,7 @@
             lines.append(b"Content-Length: %d" % length)
         elif self.is_http_1_0:
             self.keep_alive = False
-            self.connection.resets = True  # a body that breaks off must not look complete
+            self.connection.reset_on_close = True  # a body that breaks off must not look complete
         else:
             self.chunked = True
             lines.append(b"Transfer-Encoding: chunked")
--- a/rowanshift/dataplane/upstream.py
+++ b/rowanshift/dataplane/upstream.py
@@ -119,7 +119,10 @@
     def _new_connection(self, endpoint: Endpoint) -> ServerConnection:
         stream = self.runtime.stream()
         parser = httptools.HttpResponseParser
-        return ServerConnection(endpoint, Connection(stream, parser, self.memory, streams=True, largest=MAX_BODY_BYTES))
+        return ServerConnection(
+            endpoint,
+            Connection(stream, parser, self.memory, stream_success_bodies=True, body_limit_bytes=MAX_BODY_BYTES),
+        )
 
     async def _connect_socket(self, connection: ServerConnection, deadline: float) -> tuple[int, bool]:
         """The error number of the attempt, and whether the connection is up; neither after the timeout."""
@@ -233,7 +236,7 @@
                 break
             if not open_for_more:
                 raise ExchangeFailed(ExchangeFailure.BROKEN, "it ended without an answer")
-            if http.more:
+            if http.read_filled_buffer:
                 continue
             now = trio.current_time()
             self._check_abandoned(now, deadline, abandon)
--- a/rowanshift/transport/buffer.py
+++ b/rowanshift/transport/buffer.py
@@ -1,4 +1,4 @@
-"""A ring buffer of bytes: one a direction a connection."""
+"""A ring buffer of bytes: one per direction of a connection."""
 
 RING_CAPACITY_BYTES = 32 * 1024
 MAX_SPARE_BUFFERS = 16
@@ -12,7 +12,7 @@
     """
 
     __slots__ = ("capacity", "size", "start", "view")
-    spare: list[memoryview] = []  # noqa: RUF012 - the pool, which all rings share
+    spare: list[memoryview] = []  # noqa: RUF012 - the pool is shared by all rings
 
     def __init__(self, capacity: int = RING_CAPACITY_BYTES) -> None:
         self.view: memoryview | None = None
--- a/rowanshift/transport/call_client.py
+++ b/rowanshift/transport/call_client.py
@@ -1,4 +1,7 @@
-"""Short HTTP/1.1 calls of other machines, servers and the platform: each on its own connection, or in turn."""
+"""Short HTTP/1.1 calls to other machines, model servers and the platform.
+
+``call`` opens a connection for each call; ``PersistentCaller`` makes one call after another on one connection.
+"""
 
 import errno
 
@@ -16,7 +19,7 @@
 class CallFailed(Exception):
     """A call got no complete response.
 
-    ``sent`` says whether all of the call was written, so that it may have had its effect.
+    ``sent`` says whether the request was written completely, so that the call may have taken effect.
     """
 
     def __init__(self, reason: str, sent: bool) -> None:
@@ -25,7 +28,7 @@
 
 
 class PersistentCaller:
-    """Makes one call after another on one connection to one address, which is dialled anew once it has ended."""
+    """Makes one call after another on one connection to one address, and reconnects once that has been closed."""
 
     def __init__(self, runtime: Runtime, memory: MemoryBudget, address: Address) -> None:
         self.runtime, self.memory, self.address = runtime, memory, address
@@ -48,18 +51,18 @@
                 message = await read_response(connection)
         except (OSError, MalformedMessage, trio.ClosedResourceError) as error:
             self.close()
-            raise CallFailed(str(error) or "closed", sent) from error
+            raise CallFailed(str(error) or "connection closed", sent) from error
         finally:
             if message is None or not message.keep:
                 self.close()
             elif self.connection is not None:
                 self._keep_if_clean(self.connection)
         if message is None:
-            raise CallFailed(f"no answer within {timeout_seconds} s", sent)
+            raise CallFailed(f"no response within {timeout_seconds} s", sent)
         return message
 
     async def _connect(self) -> Connection:
-        """The connection, a new one if there is none or the other side has sent something or closed it."""
+        """The open connection, or a new one if there is none, or the peer has closed it or sent unrequested bytes."""
         if self.connection is None or self.connection.stream.readable():
             self.close()
             self.connection = Connection(self.runtime.stream(), httptools.HttpResponseParser, self.memory)
@@ -83,7 +86,7 @@
 def encode_call(
     address: Address, method: bytes, target: bytes, body: bytes, fields: Fields | None, keep_alive: bool
 ) -> bytes:
-    """Return a call's bytes on the wire."""
+    """Encode a request."""
     lines = [
         b"%s %s HTTP/1.1" % (method, target),
         b"Host: %s:%d" % (address[0].encode(), address[1]),
@@ -100,11 +103,11 @@
     """The next complete response. Raises ``OSError`` if the connection ends before it."""
     while True:
         await connection.stream.wait_readable()
-        message, going = connection.read_on()
+        message, open_for_more = connection.read_on()
         if message is not None:
             return message
-        if not going:
-            raise ConnectionAbortedError("it ended without an answer")
+        if not open_for_more:
+            raise ConnectionAbortedError("the peer closed the connection before a complete response")
 
 
 async def call(
@@ -131,9 +134,11 @@
             sent = True
             message = await read_response(connection)
     except (OSError, MalformedMessage, trio.ClosedResourceError) as error:
-        raise CallFailed(str(error) or errno.errorcode.get(getattr(error, "errno", 0) or 0, "closed"), sent) from error
+        raise CallFailed(
+            str(error) or errno.errorcode.get(getattr(error, "errno", 0) or 0, "connection closed"), sent
+        ) from error
     finally:
         connection.close()
     if message is None:
-        raise CallFailed(f"no answer within {timeout_seconds} s", sent)
+        raise CallFailed(f"no response within {timeout_seconds} s", sent)
     return message
--- a/rowanshift/transport/call_server.py
+++ b/rowanshift/transport/call_server.py
@@ -1,4 +1,4 @@
-"""A server of short HTTP/1.1 calls, with one handler object a resource, and how each call ended."""
+"""A server of short HTTP/1.1 calls with one handler object per resource; counts the outcome of each call."""
 
 from collections import Counter
 from collections.abc import Awaitable, Callable, Mapping
@@ -16,21 +16,21 @@
 from rowanshift.transport.runtime import Nursery
 from rowanshift.transport.streams import Listener, Stream, send_all
 
-MAX_CALLERS = 256  # connections at once; more are closed
-CALL_TIMEOUT_SECONDS = 10.0  # for a whole request to come, and for an answer to be taken
-IDLE_TIMEOUT_SECONDS = 15.0  # that a caller's connection may stand idle
-SHUTDOWN_CHECK_SECONDS = 0.01  # between looks at the calls that are open while the server shuts down
-LAST_WRITES_SECONDS = 0.1  # in which the answers to calls that are abandoned go out
+MAX_CALLERS = 256  # open connections; further ones are closed if none is idle
+CALL_TIMEOUT_SECONDS = 10.0  # for reading a complete request, and for writing its response
+IDLE_TIMEOUT_SECONDS = 15.0  # that a connection may be idle
+SHUTDOWN_CHECK_SECONDS = 0.01  # between checks for open calls during a shutdown
+LAST_WRITES_SECONDS = 0.1  # for writing the responses to calls that a shutdown has cancelled
 ACCEPT_ERROR_PAUSE_SECONDS = 0.02
-LOGGED_BYTES = 80  # of a target that is unknown
+LOGGED_BYTES = 80  # of an unknown target
 
 
 class CallOutcome(Enum):
     """How a call that was read ended."""
 
-    ANSWERED = "answered"  # its answer was handed to the system whole
-    CALLER_LEFT = "caller_left"  # or took nothing of its answer for too long
-    CUT = "cut"  # none of those: it was read and not answered
+    ANSWERED = "answered"  # the complete response was written to the socket
+    CALLER_LEFT = "caller_left"  # the caller disconnected, or did not read its response in time
+    CUT = "cut"  # the call was read and got no response for another reason
 
 
 @dataclass(slots=True, frozen=True)
@@ -38,8 +38,8 @@
     """A call that was read and not answered. Times are trio's, in seconds."""
 
     target: str
-    came_at: float
-    at: float
+    came_at: float  # when it was read
+    at: float  # when it ended
 
 
 def _ignore(cut: CutCall) -> None:
@@ -48,17 +48,17 @@
 
 @dataclass(slots=True, eq=False)
 class CallOutcomes:
-    """Counts the calls that were read and how they ended; ``watch`` is told of each that was cut."""
+    """Counts the calls that were read and their outcomes; ``watch`` is called with each that was cut."""
 
     read: int = 0
     ended: Counter[CallOutcome] = field(default_factory=Counter)
     watch: Callable[[CutCall], None] = _ignore
 
-    def opened(self) -> None:
-        """A call was read whole."""
+    def record_read(self) -> None:
+        """A complete call was read."""
         self.read += 1
 
-    def closed(self, outcome: CallOutcome, target: str, came_at: float, now: float) -> None:
+    def record_end(self, outcome: CallOutcome, target: str, came_at: float, now: float) -> None:
         """A call that was read has ended."""
         self.ended[outcome] += 1
         if outcome is CallOutcome.CUT:
@@ -67,108 +67,110 @@
 
     @property
     def not_answered(self) -> int:
-        """Calls that were read, and neither answered nor given up by their callers."""
+        """Calls that were read and have not been answered, without those whose callers left."""
         return self.read - self.ended[CallOutcome.ANSWERED] - self.ended[CallOutcome.CALLER_LEFT]
 
 
 class Resource(Protocol):
-    """What answers the calls of one path."""
+    """Handles the calls of one path."""
 
     async def call(self, message: Message) -> Response:
-        """Return the answer to one call."""
+        """Return the response to one call."""
 
 
 class CallServer:
-    """Serves resources by their path: the whole of it, or its first segment with the slash after it."""
+    """Serves resources by path. A key is a complete path, or its first segment with the slash after it."""
 
     def __init__(
         self,
         resources: Mapping[bytes, Resource],
         memory: MemoryBudget,
-        largest: int = 1 << 16,
+        body_limit_bytes: int = 1 << 16,
         outcomes: CallOutcomes | None = None,
     ) -> None:
-        self.resources, self.memory, self.largest = resources, memory, largest
+        self.resources, self.memory, self.body_limit_bytes = resources, memory, body_limit_bytes
         self.outcomes = outcomes or CallOutcomes()
         self.shutting_down = False
-        self.accepting = trio.CancelScope()
-        self.connections: dict[Connection, None] = {}  # of callers, the oldest first
-        self.answering: dict[Connection, trio.CancelScope] = {}  # of these, those whose call was read
+        self.accept_scope = trio.CancelScope()
+        self.connections: dict[Connection, None] = {}  # the oldest first
+        self.calls_in_progress: dict[Connection, trio.CancelScope] = {}  # scopes that cancel a call
 
     @property
-    def open(self) -> int:
-        """How many callers are connected."""
+    def connection_count(self) -> int:
+        """The number of open connections."""
         return len(self.connections)
 
     async def serve(self, listener: Listener, nursery: Nursery, pause: Callable[[float], Awaitable[None]]) -> None:
-        """Answer calls until ``shut_down``; then the listener is closed, once what it holds has been taken in."""
-        with self.accepting:
+        """Answer calls until ``shut_down``; then accept the connections that are waiting and close the listener."""
+        with self.accept_scope:
             while True:
                 await listener.wait()
                 if not self._accept(listener, nursery):
                     await pause(ACCEPT_ERROR_PAUSE_SECONDS)
-        while self._accept(listener, nursery, last=True):
+        while self._accept(listener, nursery, is_last=True):
             pass
         listener.close()
 
-    def _accept(self, listener: Listener, nursery: Nursery, last: bool = False) -> bool:
-        """Take in a connection that waits; False after an error, and where none waits if it is the ``last`` time."""
+    def _accept(self, listener: Listener, nursery: Nursery, is_last: bool = False) -> bool:
+        """Accept a waiting connection; False after an error, or if none is waiting and ``is_last`` is set."""
         try:
             stream = listener.accept()
         except BlockingIOError:
-            return not last
+            return not is_last
         except OSError as error:
             logger.warning("event=accept_failed error={!r}", error)
             return False
-        if self.open >= MAX_CALLERS and not self._close_idle(1):
+        if self.connection_count >= MAX_CALLERS and not self._close_idle(1):
             stream.close()
             return True
-        connection = Connection(stream, httptools.HttpRequestParser, self.memory, largest=self.largest)
+        connection = Connection(
+            stream, httptools.HttpRequestParser, self.memory, body_limit_bytes=self.body_limit_bytes
+        )
         self.connections[connection] = None
-        nursery.start_soon(self._caller, stream, connection)
+        nursery.start_soon(self._serve_connection, stream, connection)
         return True
 
-    async def shut_down(self, within: float, pause: Callable[[float], Awaitable[None]]) -> None:
-        """Take no more connections, refuse calls that are read from now on, and answer those that were read before.
+    async def shut_down(self, timeout_seconds: float, pause: Callable[[float], Awaitable[None]]) -> None:
+        """Stop accepting connections, refuse calls read from now on, and finish those that were read before.
 
-        What is not answered within so many seconds is given up: its caller is told that it may be in force.
+        A call that is not answered within the timeout is cancelled; its response says that it may have taken effect.
         """
         self.shutting_down = True
-        self.accepting.cancel()
-        until = trio.current_time() + within
+        self.accept_scope.cancel()
+        until = trio.current_time() + timeout_seconds
         while trio.current_time() < until:
             await pause(SHUTDOWN_CHECK_SECONDS)
-            self._close_idle(self.open)
-            if not self.open:
+            self._close_idle(self.connection_count)
+            if not self.connection_count:
                 return
-        for scope in self.answering.values():
+        for scope in self.calls_in_progress.values():
             scope.cancel()
         await pause(LAST_WRITES_SECONDS)
 
-    def _close_idle(self, most: int) -> bool:
-        """Close the oldest connections on which nothing has come, so many at most; whether there was one."""
-        idle = [connection for connection in self.connections if self._idle(connection)][:most]
+    def _close_idle(self, limit: int) -> bool:
+        """Close up to ``limit`` idle connections, the oldest first; whether there was one."""
+        idle = [connection for connection in self.connections if self._is_idle(connection)][:limit]
         for connection in idle:
             del self.connections[connection]
             connection.close()
         return bool(idle)
 
-    def _idle(self, connection: Connection) -> bool:
-        """Whether no call that was read waits for its answer there, and no byte of another has come."""
-        if connection in self.answering or connection.closed():
+    def _is_idle(self, connection: Connection) -> bool:
+        """Whether the connection has no call in progress, and no byte of another call has arrived."""
+        if connection in self.calls_in_progress or connection.closed():
             return False
         return connection.clean() and not connection.stream.readable()
 
-    async def _caller(self, stream: Stream, connection: Connection) -> None:
+    async def _serve_connection(self, stream: Stream, connection: Connection) -> None:
         try:
             keep = True
             while keep:
-                message = await self._request(connection)
+                message = await self._read_call(connection)
                 if message is None:
                     return
-                self.answering[connection] = trio.CancelScope()
+                self.calls_in_progress[connection] = trio.CancelScope()
                 keep = await self._serve_call(connection, message) and message.keep
-                self.answering.pop(connection, None)
+                self.calls_in_progress.pop(connection, None)
         except MalformedMessage as error:
             with trio.move_on_after(1.0):
                 await send_all(stream, Response(error.status, error_body(str(error))).encode(False))
@@ -178,10 +180,10 @@
             logger.exception("event=call_failed")
         finally:
             self.connections.pop(connection, None)
-            self.answering.pop(connection, None)
+            self.calls_in_progress.pop(connection, None)
             connection.close()
 
-    async def _request(self, connection: Connection) -> Message | None:
+    async def _read_call(self, connection: Connection) -> Message | None:
         until = trio.current_time() + IDLE_TIMEOUT_SECONDS
         while not connection.closed():
             if (message := connection.next()) is not None:
@@ -192,42 +194,42 @@
                 await connection.stream.wait_readable()
             if scope.cancelled_caught or not connection.receive():
                 return None
-        return None  # it made room for another, or the server leaves
+        return None  # closed to make room for another connection, or by the shutdown
 
-    async def _answer_in_time(self, connection: Connection, message: Message) -> Response:
-        """The answer to a call; 503 or 504 where the server leaves."""
+    async def _answer_or_refuse(self, connection: Connection, message: Message) -> Response:
+        """The response to a call; 503 or 504 during a shutdown."""
         if self.shutting_down:
             message.keep = False
-            return unavailable("this machine ends, and took nothing of the call")
-        with self.answering[connection] as scope:
-            answer = await self._answer(message)
+            return unavailable("shutting down; the call was not executed")
+        with self.calls_in_progress[connection] as scope:
+            response = await self._dispatch(message)
         if scope.cancelled_caught:
-            # no 503, which promises that nothing was done
-            answer = Response(504, error_body("this machine ends: what was asked for may or may not be in force"))
+            # not 503, which promises that the call was not executed
+            response = Response(504, error_body("shutting down; the call may or may not have taken effect"))
         message.keep = message.keep and not self.shutting_down
-        return answer
+        return response
 
     async def _serve_call(self, connection: Connection, message: Message) -> bool:
-        """Answers one call that was read; whether its caller took the answer."""
+        """Answer one call that was read; whether the response was written completely."""
         came_at, outcome = trio.current_time(), CallOutcome.CUT
-        self.outcomes.opened()
+        self.outcomes.record_read()
         try:
-            answer = await self._answer_in_time(connection, message)
+            response = await self._answer_or_refuse(connection, message)
             connection.release()
             try:
                 with trio.move_on_after(CALL_TIMEOUT_SECONDS) as scope:
-                    await send_all(connection.stream, answer.encode(message.keep))
+                    await send_all(connection.stream, response.encode(message.keep))
             except (OSError, trio.ClosedResourceError):
                 outcome = CallOutcome.CALLER_LEFT
                 raise
             outcome = CallOutcome.CALLER_LEFT if scope.cancelled_caught else CallOutcome.ANSWERED
             return not scope.cancelled_caught
-        finally:  # also when it is cancelled
+        finally:  # also after a cancellation
             if outcome is CallOutcome.CUT and has_disconnected(connection):
                 outcome = CallOutcome.CALLER_LEFT
-            self.outcomes.closed(outcome, message.target.decode("latin-1"), came_at, trio.current_time())
+            self.outcomes.record_end(outcome, message.target.decode("latin-1"), came_at, trio.current_time())
 
-    async def _answer(self, message: Message) -> Response:
+    async def _dispatch(self, message: Message) -> Response:
         path = message.target.split(b"?", 1)[0]
         resource = self.resources.get(path) or self.resources.get(path[: path.find(b"/", 1) + 1])
         if resource is None:
--- a/rowanshift/transport/descriptor_budget.py
+++ b/rowanshift/transport/descriptor_budget.py
@@ -4,14 +4,14 @@
 
 import trio
 
-RESERVED_DESCRIPTORS = 24  # standard streams, the event loop, the listener, discovery, peers, and some to spare
+RESERVED_DESCRIPTORS = 24  # standard streams, event loop, listener, discovery, peers, and a margin
 MIN_CONNECTIONS = 8
-MAX_CLIENT_FRACTION = 0.7  # of all connections: without servers nothing could be answered
-RETRY_SECONDS = 0.1  # a client that waits looks again after this time: a connection may have become idle
+MAX_CLIENT_FRACTION = 0.7  # of all connections; the rest is for servers, without which no request is served
+RETRY_SECONDS = 0.1  # between attempts to accept a client: meanwhile a connection may have become idle
 
 
 def no_connection_to_close() -> bool:
-    """The default of the budget's ways to close a connection."""
+    """The default callback, which has no connection to close."""
     return False
 
 
@@ -36,7 +36,7 @@
         self.released = trio.Event()
 
     def divide(self, processes: int) -> None:
-        """Keep this process's part of a limit that so many processes have together; closes what exceeds it."""
+        """Reduce the limit to the share of one of ``processes`` processes; closes connections that exceed it."""
         self.limit = max(MIN_CONNECTIONS, self.descriptors // processes - RESERVED_DESCRIPTORS - self.reserved)
         while self.clients + self.servers > self.limit and self._close_one():
             pass
@@ -50,20 +50,20 @@
         return self.clients + self.servers >= self.limit and not self._close_one()
 
     def _clients_exhausted(self) -> bool:
-        """Whether clients have their part of the limit and there was no client's connection to close."""
+        """Whether clients use their part of the limit and there was no client connection to close."""
         if self.clients < MAX_CLIENT_FRACTION * self.limit:
             return False
         return not (self.close_silent_client() or self.close_idle_client())
 
     def try_acquire_server(self) -> bool:
-        """Count a connection to a server, if there may be one more; returns whether it is counted."""
+        """Count a connection to a server if the limit allows one more; returns whether it was counted."""
         if self._is_exhausted():
             return False
         self.servers += 1
         return True
 
     async def acquire_client(self) -> None:
-        """Wait until a client's connection may be accepted, and count it."""
+        """Wait until a client connection may be accepted, and count it."""
         while self._clients_exhausted() or self._is_exhausted():
             self.released = trio.Event()
             with trio.move_on_after(RETRY_SECONDS):
@@ -71,18 +71,18 @@
         self.clients += 1
 
     def try_acquire_client(self) -> bool:
-        """Count a client's connection, if one may be accepted at once; returns whether it is counted."""
+        """Count a client connection if one may be accepted now; returns whether it was counted."""
         if self._clients_exhausted() or self._is_exhausted():
             return False
         self.clients += 1
         return True
 
     def release_client(self) -> None:
-        """A client's connection is closed."""
+        """A client connection was closed."""
         self.clients -= 1
         self.released.set()
 
     def release_server(self) -> None:
-        """A server's connection is closed."""
+        """A server connection was closed."""
         self.servers -= 1
         self.released.set()
--- a/rowanshift/transport/flow.py
+++ b/rowanshift/transport/flow.py
@@ -1,6 +1,6 @@
-"""A body while it passes through the process: a bounded buffer between one source and one sink.
+"""A streamed message body: a bounded buffer between one source and one sink.
 
-It knows nothing of HTTP but how a piece of a body is framed, and nothing of who the source and the sink are.
+Of HTTP it knows only chunked framing; it does not depend on what the source and the sink are.
 """
 
 from collections import deque
@@ -9,15 +9,15 @@
 
 from rowanshift.transport.memory_budget import MemoryBudget
 
-HIGH_WATER_BYTES = 256 * 1024  # buffered, at which the source waits
-LOW_WATER_BYTES = 64 * 1024  # buffered, at which it reads on
-SCARCE_HIGH_WATER_BYTES = 32 * 1024  # in place of the former while memory for bodies is scarce: one read
-SCARCE_MEMORY_FRACTION = 0.25  # of the memory for bodies: with less available it is scarce
+HIGH_WATER_BYTES = 256 * 1024  # buffered bytes at which the source pauses
+LOW_WATER_BYTES = 64 * 1024  # buffered bytes at which it resumes
+SCARCE_HIGH_WATER_BYTES = 32 * 1024  # the high-water mark while memory for bodies is scarce; the size of one read
+SCARCE_MEMORY_FRACTION = 0.25  # of the memory for bodies; it is scarce while less is available
 LAST_CHUNK = b"0\r\n\r\n"
 
 
 class Flow:
-    """The pieces of one body. Its source and its sink are one task each, and each may wait for the other.
+    """The pieces of one body, passed from a source task to a sink task with backpressure.
 
     The source puts pieces and ends or aborts the flow; the sink pops them or cancels it. ``buffered`` counts the bytes
     of ``pieces``, ``size`` all bytes that were put.
@@ -36,7 +36,7 @@
     # for the source
 
     def put(self, piece: bytes) -> None:
-        """Append what was read already; ``is_full`` says when to read no more."""
+        """Append bytes that were read; check ``is_full`` before the next read."""
         if self.cancelled:
             return
         self.pieces.append(piece)
@@ -51,7 +51,7 @@
         self._wake()
 
     def abort(self) -> None:
-        """The source failed: what is buffered may be sent, but the body is not complete."""
+        """The source failed: buffered pieces may still be sent, but the body is incomplete."""
         if not self.ended:
             self.aborted = True
             self._wake()
@@ -62,7 +62,7 @@
         return self.buffered >= (SCARCE_HIGH_WATER_BYTES if scarce else HIGH_WATER_BYTES) and not self.cancelled
 
     async def wait_until_writable(self) -> None:
-        """Wait until the source may read on."""
+        """Wait until the source may read more."""
         if self.is_full():
             while (self.buffered > LOW_WATER_BYTES and not self.cancelled) or self.is_full():
                 await self._wait()
@@ -91,7 +91,7 @@
         return self.ended and not self.pieces
 
     def cancel(self) -> None:
-        """The sink needs no more: drop what is buffered, and what will be put."""
+        """The sink needs no more: discard buffered pieces and all later ones."""
         self.cancelled = True
         self.pieces.clear()
         self.memory.release(self.buffered)
@@ -108,5 +108,5 @@
 
 
 def framed(piece: bytes, chunked: bool) -> bytes:
-    """A piece as it is sent, as a chunk of HTTP/1.1 if ``chunked``."""
+    """Return a piece as it is sent: as an HTTP/1.1 chunk if ``chunked``, else unchanged."""
     return b"%x\r\n%s\r\n" % (len(piece), piece) if chunked else piece
--- a/rowanshift/transport/http_response.py
+++ b/rowanshift/transport/http_response.py
@@ -1,4 +1,4 @@
-"""Short HTTP/1.1 answers whose whole body is known when they are sent."""
+"""Short HTTP/1.1 responses with a body of known length."""
 
 from dataclasses import dataclass, field
 from http import HTTPStatus
@@ -6,7 +6,7 @@
 from rowanshift.transport.http_connection import Fields
 
 REASONS = {status.value: status.phrase.encode() for status in HTTPStatus}
-RETRY_AFTER_SECONDS = b"0.3"  # after which a caller that is refused may ask another machine
+RETRY_AFTER_SECONDS = b"0.3"  # after which a refused caller may try another machine
 
 
 @dataclass(slots=True, frozen=True)
@@ -18,7 +18,7 @@
     fields: Fields = field(default_factory=list)
 
     def encode(self, keep_alive: bool) -> bytes:
-        """Return the bytes on the wire; without ``keep_alive`` they announce the connection's end."""
+        """Encode the response; without ``keep_alive`` it has the header ``Connection: close``."""
         lines = [b"HTTP/1.1 %d %s" % (self.status, REASONS.get(self.status, b""))]
         lines += [b"%s: %s" % pair for pair in self.fields]
         if self.body:
@@ -30,11 +30,13 @@
 
 
 def unavailable(reason: str) -> Response:
-    """Return 503 with the time after which to ask again."""
+    """Return a 503 with a Retry-After header."""
     return Response(503, error_body(reason), [(b"Retry-After", RETRY_AFTER_SECONDS)])
 
 
 def error_body(reason: str) -> bytes:
-    """Return the JSON body that tells an error's reason."""
-    escaped = "".join(c if c.isprintable() and c not in '"\\' else f"\\u{ord(c) & 0xFFFF:04x}" for c in reason)
+    """Return the JSON body of an error response."""
+    escaped = "".join(
+        char if char.isprintable() and char not in '"\\' else f"\\u{ord(char) & 0xFFFF:04x}" for char in reason
+    )
     return b'{"error":"%s"}' % escaped.encode()
--- a/rowanshift/transport/memory_budget.py
+++ b/rowanshift/transport/memory_budget.py
@@ -1,17 +1,17 @@
 """Budget of the memory for bodies of requests and responses, over all connections of a process."""
 
 MIB = 2**20
-PROCESS_BYTES = 48 * MIB  # the program itself, with as many connections as it may have
+PROCESS_BYTES = 48 * MIB  # used by the program itself, with the maximum number of connections
 MIN_CAPACITY_BYTES = 4 * MIB
-LARGEST_RESPONSES = 8  # so many of the largest responses have room at once
+LARGEST_RESPONSES = 8  # responses of the maximum size that fit into the budget at once
 
 
 class MemoryBudget:
-    """Bytes of bodies that are on their way; half of what the process's limit leaves beside the program.
+    """Bytes of bodies in transit: half of the process's memory limit less ``PROCESS_BYTES``.
 
-    ``capacity`` and ``available`` are bytes; ``available`` is negative after more was acquired than there was.
-    ``largest_response`` is the longest response that may be read as one message. ``minimum_available`` is the lowest
-    value that ``available`` ever had.
+    ``capacity`` and ``available`` are bytes; ``available`` is negative after more was acquired than was available.
+    ``largest_response`` is the maximum size of a response that is buffered completely. ``minimum_available`` is the
+    lowest value that ``available`` has had.
     """
 
     def __init__(self, limit_mib: float) -> None:
@@ -21,9 +21,9 @@
         self.minimum_available = self.available
 
     def divide(self, processes: int) -> None:
-        """Keep this process's part of a limit that so many processes have together.
+        """Reduce the budget to the share of one of ``processes`` processes.
 
-        What is acquired already stays acquired until it is released.
+        Bytes that are acquired already stay acquired until they are released.
         """
         body_bytes = int(self.limit_mib * MIB - processes * PROCESS_BYTES) // 2
         capacity = max(MIN_CAPACITY_BYTES, body_bytes // processes)
@@ -40,7 +40,7 @@
         return True
 
     def acquire(self, size: int) -> None:
-        """Acquire ``size`` bytes that have been read already, available or not; the reader then reads no more."""
+        """Acquire ``size`` bytes that have been read already, even if not available; the reader then pauses."""
         self.available -= size
         self.minimum_available = min(self.minimum_available, self.available)
 
--- a/rowanshift/transport/record_links.py
+++ b/rowanshift/transport/record_links.py
@@ -1,4 +1,4 @@
-"""Connections that carry records between the processes of one system."""
+"""Connections that carry encoded records between the processes of the system."""
 
 from collections import deque
 from collections.abc import Callable
@@ -14,14 +14,14 @@
 from rowanshift.wire.errors import MalformedRecord
 
 CONNECT_TIMEOUT_SECONDS = 0.4
-SENDER_CONNECT_TIMEOUT_SECONDS = 0.25  # a machine that has just got power back does not answer the first dial
+SENDER_CONNECT_TIMEOUT_SECONDS = 0.25  # a machine that was just powered on does not answer the first attempt
 RECONNECT_PAUSE_SECONDS = 0.1
 MAX_QUEUED_RECORDS = 64  # for one machine; the oldest is dropped
 WRITE_TIMEOUT_SECONDS = 1.5
 
 
 class ConnectionFailed(Exception):
-    """A record could not be exchanged; it may have arrived, so that only what may be repeated is sent again."""
+    """A record could not be exchanged. It may have arrived, so only idempotent records may be sent again."""
 
 
 class RecordReader:
@@ -33,17 +33,17 @@
         self.ready: deque[Frame] = deque()
 
     async def next(self) -> tuple[int, Any]:
-        """The call's number and the record. Raises ``MalformedRecord``, and ``ConnectionFailed`` at the end."""
+        """The call's number and the record. Raises ``MalformedRecord``, or ``ConnectionFailed`` if the peer closes."""
         while not self.ready:
             if not await receive(self.stream, self.ring):
-                raise ConnectionFailed("the other side ended")
+                raise ConnectionFailed("the peer closed the connection")
             self.ready.extend(self.frame_decoder.feed(self.ring.read()))
         kind, number, body = self.ready.popleft()
         return number, self.codec.unpack(kind, body)
 
 
 class RecordClient:
-    """Calls one address, one call at a time on one connection, which is dialled anew after a failure."""
+    """Calls one address, one call at a time on one connection, and reconnects after a failure."""
 
     def __init__(self, runtime: Runtime, codec: Codec, address: Address) -> None:
         self.runtime, self.codec, self.address = runtime, codec, address
@@ -51,7 +51,7 @@
         self.number = 0
 
     async def call(self, record: Any, timeout_seconds: float) -> Any:
-        """The response to a record. Raises ``ConnectionFailed`` if there is none in time."""
+        """The response to a record. Raises ``ConnectionFailed`` if there is none within the timeout."""
         self.number = (self.number + 1) & 0xFFFFFFFF  # 32 bits in a frame
         response, is_complete = None, False
         try:
@@ -72,7 +72,7 @@
             if not is_complete:
                 self.close()
         if not is_complete:
-            raise ConnectionFailed(f"no answer within {timeout_seconds} s")
+            raise ConnectionFailed(f"no response within {timeout_seconds} s")
         return response
 
     def close(self) -> None:
@@ -83,10 +83,10 @@
 
 
 class RecordSender:
-    """Sends records one way to one machine; while it can't be reached the newest ``max_queued`` are kept.
+    """Sends records one way to one machine; while it can't be reached, the newest ``max_queued`` records are queued.
 
-    ``is_alive`` says whether the connection is worth keeping: whether the machine was heard since it was opened, or
-    not long ago. A write may take ``write_timeout_seconds``. ``hello`` is the first record of each connection.
+    ``is_alive`` says whether the connection is worth keeping: whether the machine was heard from since it was opened,
+    or recently. A write may take ``write_timeout_seconds``. ``hello`` is the first record of each connection.
     """
 
     def __init__(
@@ -103,7 +103,7 @@
         self.is_alive, self.write_timeout_seconds = is_alive, write_timeout_seconds
         self.queue: deque[Any] = deque(maxlen=max_queued)
         self.wake = trio.Event()
-        self.opened_at = 0.0  # trio's time at which the connection was up
+        self.opened_at = 0.0  # trio's time at which the connection was established
         self.stopped = False
 
     def put(self, record: Any) -> None:
@@ -112,12 +112,12 @@
         self.wake.set()
 
     def stop(self) -> None:
-        """Let ``run`` end, without sending what is queued."""
+        """Make ``run`` return without sending the queued records."""
         self.stopped = True
         self.wake.set()
 
     async def run(self) -> None:
-        """Connect once there is a record, send what is queued, and connect again after a failure."""
+        """Connect once there is a record, send the queue, and reconnect after a failure."""
         while not self.stopped:
             await self.wake.wait()
             stream = None
@@ -130,7 +130,7 @@
                 await self._send_queue(stream)
             except (OSError, trio.TooSlowError, trio.ClosedResourceError) as error:
                 logger.debug("event=link_failed to={} error={!r}", self.address[0], error)
-                self.queue.clear()  # the protocol repeats what is still needed
+                self.queue.clear()  # the protocol retransmits records that are still needed
             finally:
                 if stream is not None:
                     stream.close()
--- a/rowanshift/transport/runtime.py
+++ b/rowanshift/transport/runtime.py
@@ -1,6 +1,6 @@
-"""The machine that a process runs on: sockets, signals, time, threads, and files that two processes of one proxy share.
+"""The machine that a process runs on: sockets, signals, time, threads, and files shared by processes of one proxy.
 
-Everything above asks a ``Runtime`` for these, so that the same code runs on the operating system
+All other code gets these from a ``Runtime``, so that the same code runs on the operating system
 (``SystemRuntime``) and in the virtual network (``rowanshift/simulation/machine.py``).
 """
 
@@ -23,12 +23,12 @@
 from rowanshift.transport.sockets import Socket, SocketListener, SocketPort, bound
 from rowanshift.transport.streams import Address, Listener, Port, Stream
 
-PEER = Struct("iII")  # pid, uid and gid of the other process, in Linux's order
-MOST_PASSED = 4  # sockets in one message
+PEER = Struct("iII")  # pid, uid and gid of the peer process, as in Linux's struct ucred
+MOST_PASSED = 4  # sockets passed in one message
 
 
 class Nursery(Protocol):
-    """What is used of ``trio.Nursery``."""
+    """The part of ``trio.Nursery`` that is used."""
 
     cancel_scope: trio.CancelScope
 
@@ -38,11 +38,11 @@
 class Runtime(Protocol):
     """The machine that a process runs on."""
 
-    def wall(self) -> float: ...  # Unix seconds, by its own clock
+    def wall(self) -> float: ...  # Unix time in seconds, by this machine's clock
 
-    def cpu(self) -> float: ...  # seconds that this process has computed for
+    def cpu(self) -> float: ...  # CPU seconds used by this process
 
-    def stream(self) -> Stream: ...  # not connected yet; OSError if no descriptor is left
+    def stream(self) -> Stream: ...  # an unconnected stream; raises OSError if no descriptor is available
 
     def listen(self, address: Address, backlog: int, shared: bool = False) -> Listener: ...
 
@@ -54,29 +54,29 @@
 
     def pause(self, seconds: float) -> Awaitable[None]: ...  # sleeps
 
-    def in_thread(self, work: Callable[[], Any]) -> Awaitable[Any]: ...  # what blocks on a disk
+    def in_thread(self, work: Callable[[], Any]) -> Awaitable[Any]: ...  # runs blocking work, such as disk I/O
 
-    def descriptors(self, allowed: int) -> int: ...  # what a process may hold of those that it is allowed
+    def descriptors(self, allowed: int) -> int: ...  # the process's descriptor limit, at most ``allowed``
 
-    def settled(self) -> None: ...  # the start is over
+    def settled(self) -> None: ...  # called once the start is complete
 
-    # what two processes of one router share; names are plain file names
+    # State shared by the processes of one proxy. Names are plain file names.
 
-    def kept(self, name: str) -> bytes | None: ...  # a small file
+    def kept(self, name: str) -> bytes | None: ...  # the contents of a small file; None if there is none
 
-    def keep(self, name: str, data: bytes) -> None: ...  # writes it whole or not at all
+    def keep(self, name: str, data: bytes) -> None: ...  # replaces that file atomically
 
-    def dial_fellow(self, name: str) -> Stream | None: ...  # none waits there
+    def dial_fellow(self, name: str) -> Stream | None: ...  # connects to the serving process; None if there is none
 
-    def await_fellows(self, name: str) -> Listener | None: ...  # from now on they find this process
+    def await_fellows(self, name: str) -> Listener | None: ...  # makes this process the one that others connect to
 
-    def pass_on(self, stream: Stream, data: bytes, things: Sequence[Listener | Port]) -> None: ...
+    def pass_on(self, stream: Stream, data: bytes, sockets: Sequence[Listener | Port]) -> None: ...  # to the peer
 
-    def take_over(self, stream: Stream) -> tuple[bytes, list[Listener | Port]]: ...
+    def take_over(self, stream: Stream) -> tuple[bytes, list[Listener | Port]]: ...  # receives what ``pass_on`` sent
 
 
 class SystemRuntime:
-    """The machine as it is."""
+    """The operating system of this machine."""
 
     def wall(self) -> float:
         return time.time()
@@ -116,12 +116,12 @@
 
     def settled(self) -> None:
         gc.collect()
-        gc.freeze()  # what has been loaded stays
+        gc.freeze()  # objects created during the start live on; later collections need not scan them
 
     @staticmethod
     def _folder() -> Path:
         if not (folder := os.environ.get("TMPDIR")):
-            raise OSError(errno.ENOENT, "$TMPDIR is not set")
+            raise OSError(errno.ENOENT, "the environment variable TMPDIR is not set")
         return Path(folder)
 
     def kept(self, name: str) -> bytes | None:
@@ -132,25 +132,25 @@
 
     def keep(self, name: str, data: bytes) -> None:
         path = self._folder() / name
-        made = path.with_name(f"{name}.{os.getpid()}")
+        temporary_path = path.with_name(f"{name}.{os.getpid()}")
         try:
-            made.write_bytes(data)
-            made.replace(path)
+            temporary_path.write_bytes(data)
+            temporary_path.replace(path)
         except OSError:
             with suppress(OSError):
-                made.unlink()
+                temporary_path.unlink()
             raise
 
     def dial_fellow(self, name: str) -> Stream | None:
         sock = Socket(socket.AF_UNIX, socket.SOCK_STREAM)
         try:
             sock.setblocking(False)
-            with short(self._folder()) as folder:
+            with short_path(self._folder()) as folder:
                 sock.connect(f"{folder}/{name}.sock")
-            *_, owner, _ = PEER.unpack(sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, PEER.size))
-            if owner != os.geteuid():
-                raise PermissionError(errno.EPERM, "the process that serves is another user's")
-        except (FileNotFoundError, ConnectionRefusedError):  # none yet, or it is gone
+            *_, peer_uid, _ = PEER.unpack(sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, PEER.size))
+            if peer_uid != os.geteuid():
+                raise PermissionError(errno.EPERM, "the serving process belongs to another user")
+        except (FileNotFoundError, ConnectionRefusedError):  # no process is serving yet, or it has ended
             sock.close()
             return None
         except OSError:
@@ -162,36 +162,36 @@
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         try:
             sock.setblocking(False)
-            with short(self._folder()) as folder:
-                made = f"{folder}/{name}.{os.getpid()}.sock"
+            with short_path(self._folder()) as folder:
+                temporary_path = f"{folder}/{name}.{os.getpid()}.sock"
                 with suppress(FileNotFoundError):
-                    os.unlink(made)
-                sock.bind(made)
-                os.chmod(made, 0o600)
+                    os.unlink(temporary_path)
+                sock.bind(temporary_path)
+                os.chmod(temporary_path, 0o600)
                 sock.listen(4)
-                os.replace(made, f"{folder}/{name}.sock")
+                os.replace(temporary_path, f"{folder}/{name}.sock")
         except OSError:
             sock.close()
             raise
         return SocketListener(sock)
 
-    def pass_on(self, stream: Stream, data: bytes, things: Sequence[Listener | Port]) -> None:
-        socket.send_fds(stream, [data], [thing.sock.fileno() for thing in things])
+    def pass_on(self, stream: Stream, data: bytes, sockets: Sequence[Listener | Port]) -> None:
+        socket.send_fds(stream, [data], [wrapper.sock.fileno() for wrapper in sockets])
 
     def take_over(self, stream: Stream) -> tuple[bytes, list[Listener | Port]]:
-        data, numbers, _, _ = socket.recv_fds(stream, 4096, MOST_PASSED)
-        socks = [socket.socket(fileno=number) for number in numbers]
+        data, file_descriptors, _, _ = socket.recv_fds(stream, 4096, MOST_PASSED)
+        socks = [socket.socket(fileno=descriptor) for descriptor in file_descriptors]
         return data, [SocketPort(sock) if sock.type == socket.SOCK_DGRAM else SocketListener(sock) for sock in socks]
 
 
 @contextmanager
-def short(folder: Path) -> Iterator[str]:
+def short_path(folder: Path) -> Iterator[str]:
     """A path to the folder that fits into the address of a Unix socket, which holds 108 bytes."""
-    number = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
+    descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
     try:
-        yield f"/proc/self/fd/{number}"
+        yield f"/proc/self/fd/{descriptor}"
     finally:
-        os.close(number)
+        os.close(descriptor)
 
 
 SYSTEM_RUNTIME = SystemRuntime()
--- a/rowanshift/transport/signals.py
+++ b/rowanshift/transport/signals.py
@@ -1,4 +1,4 @@
-"""Signals of a process with the time at which each was handled, however late the loop takes it up."""
+"""Process signals with the time at which each was handled, even if the event loop processes it later."""
 
 import signal
 from collections.abc import AsyncIterator, Iterator, Sequence
@@ -18,7 +18,7 @@
 
 
 class SignalReceiver:
-    """Handles signals for as long as they are asked for; of each number one waits at most, the first."""
+    """An async iterator over received signals; of each number at most one is pending, the first."""
 
     def __init__(self) -> None:
         self.pending: dict[int, ReceivedSignal] = {}  # by number, in the order in which they came
@@ -27,7 +27,7 @@
         self.waiting = trio.lowlevel.ParkingLot()
 
     def handle(self, number: int, frame: FrameType | None) -> None:
-        """Note the signal; the interpreter calls this between two instructions of the main thread."""
+        """Record a signal; the interpreter calls this between two bytecode instructions of the main thread."""
         self.pending.setdefault(number, ReceivedSignal(number, self.clock.current_time()))
         self.token.run_sync_soon(self.waiting.unpark_all, idempotent=True)
 
@@ -35,7 +35,7 @@
         return self
 
     async def __anext__(self) -> ReceivedSignal:
-        """The next one, once there is one."""
+        """Wait for the next signal."""
         while not self.pending:
             await self.waiting.park()
         return self.pending.pop(next(iter(self.pending)))
@@ -43,11 +43,11 @@
 
 @contextmanager
 def received_signals(numbers: Sequence[int]) -> Iterator[AsyncIterator[ReceivedSignal]]:
-    """Handle these signals within the block; afterwards their former handlers are back."""
+    """Handle these signals within the block; afterwards the previous handlers are restored."""
     receiver = SignalReceiver()
-    former = {number: signal.signal(number, receiver.handle) for number in numbers}
+    previous_handlers = {number: signal.signal(number, receiver.handle) for number in numbers}
     try:
         yield receiver
     finally:
-        for number, handler in former.items():
+        for number, handler in previous_handlers.items():
             signal.signal(number, handler)
--- a/rowanshift/transport/sockets.py
+++ b/rowanshift/transport/sockets.py
@@ -1,4 +1,4 @@
-"""Streams, listeners and datagram ports on real sockets; a stream is the socket itself: bytes move at no extra cost."""
+"""Streams, listeners and datagram ports on real sockets. A stream is the socket itself, without a wrapper's cost."""
 
 import select
 import socket
@@ -10,8 +10,8 @@
 
 from rowanshift.transport.streams import Address, Stream
 
-RESET_AT_CLOSE = Struct("ii").pack(1, 0)  # lingers for 0 s
-LAST_DATA_RECEIVED = Struct("52xI")  # in Linux's tcp_info, milliseconds
+RESET_AT_CLOSE = Struct("ii").pack(1, 0)  # SO_LINGER of 0 s: close sends a reset
+LAST_DATA_RECEIVED = Struct("52xI")  # tcpi_last_data_recv in Linux's tcp_info, in milliseconds
 
 
 class Socket(socket.socket):
@@ -21,10 +21,10 @@
 
     @classmethod
     def of(cls, sock: socket.socket) -> "Socket":
-        """Takes a socket over; the one given is left without a descriptor."""
-        made = cls(sock.family, sock.type, sock.proto, sock.detach())
-        made.setblocking(False)
-        return made
+        """Wrap a socket; the original object is detached from its descriptor."""
+        adopted = cls(sock.family, sock.type, sock.proto, sock.detach())
+        adopted.setblocking(False)
+        return adopted
 
     def dialled(self) -> int:
         return self.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
@@ -36,13 +36,13 @@
         return trio.lowlevel.wait_writable(self)
 
     def readable(self) -> bool:
-        """Whether bytes, or the other side's end, have come in and were not read yet."""
+        """Whether bytes or the peer's end of sending have arrived and were not read yet."""
         poll = select.poll()
         poll.register(self, select.POLLIN)
         return bool(poll.poll(0))
 
     def age(self) -> float:
-        """Seconds since the last bytes came in, which a router that stood still reads late."""
+        """Seconds since the last bytes arrived; a process that was stalled reads them late."""
         if not hasattr(socket, "TCP_INFO"):
             return 0.0
         info = self.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, LAST_DATA_RECEIVED.size)
@@ -74,7 +74,7 @@
 
     def accept(self) -> Stream:
         stream = Socket.of(self.sock.accept()[0])
-        with suppress(OSError):  # it broke off already, which its first read tells
+        with suppress(OSError):  # the peer has reset the connection already; the first read reports it
             stream.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         return stream
 
--- a/rowanshift/transport/streams.py
+++ b/rowanshift/transport/streams.py
@@ -1,8 +1,8 @@
-"""Streams, listeners and datagram ports as everything above uses them, and the waits on them.
+"""Interfaces of streams, listeners and datagram ports, and helpers that wait on them.
 
-A ``Stream`` never blocks: ``send`` and ``recv_into`` do what can be done at once and raise ``BlockingIOError``
-otherwise; the waits say when to try again. Real sockets are in ``sockets.py``, those of the virtual network in
-``rowanshift/simulation``.
+A ``Stream`` never blocks: ``send`` and ``recv_into`` transfer what they can at once and raise ``BlockingIOError`` if
+that is nothing; the ``wait_`` methods wait until a retry may succeed. Real sockets are in ``sockets.py``, those of the
+virtual network in ``rowanshift/simulation``.
 """
 
 import errno
@@ -21,19 +21,19 @@
     """One end of a connection. It does not block; every call may raise ``OSError``."""
 
     def connect_ex(self, address: Address, /) -> int:
-        """Start to connect: 0, ``EINPROGRESS`` or the number of the error."""
+        """Start to connect; returns 0, ``EINPROGRESS`` or another error number."""
         ...
 
     def dialled(self) -> int:
-        """0 or the number of the error, once a connection in progress became writable."""
+        """The result of a connection in progress, once it is writable: 0 or an error number."""
         ...
 
     def send(self, data: bytes | memoryview, /) -> int:
-        """The number of bytes that were sent."""
+        """Send bytes; returns their number."""
         ...
 
     def recv_into(self, space: memoryview, /) -> int:
-        """The number of bytes that were received; 0 if the other side has ended its sending."""
+        """Receive bytes; returns their number, 0 if the peer has ended its sending."""
         ...
 
     def wait_readable(self) -> Awaitable[None]:
@@ -45,7 +45,7 @@
         ...
 
     def readable(self) -> bool:
-        """Whether bytes, or the other side's end, have arrived and were not read yet."""
+        """Whether bytes or the peer's end of sending have arrived and were not read yet."""
         ...
 
     def age(self) -> float:
@@ -53,7 +53,7 @@
         ...
 
     def end(self) -> None:
-        """End sending; the other side reads the end after what was sent."""
+        """End sending; the peer reads the end after the bytes that were sent."""
         ...
 
     def close(self) -> None:
@@ -61,7 +61,7 @@
         ...
 
     def reset(self) -> None:
-        """Close it so that the other side sees an error, and no regular end."""
+        """Close the connection with a reset, so that the peer sees an error instead of a regular end."""
         ...
 
     def closed(self) -> bool:
@@ -103,16 +103,16 @@
 
 async def connect(stream: Stream, address: Address) -> None:
     """Connect a stream. Raises ``OSError``; the caller limits the time."""
-    failed = stream.connect_ex(address)
-    if failed == errno.EINPROGRESS:
+    error_number = stream.connect_ex(address)
+    if error_number == errno.EINPROGRESS:
         await stream.wait_writable()
-        failed = stream.dialled()
-    if failed:
-        raise OSError(failed, errno.errorcode.get(failed, str(failed)))
+        error_number = stream.dialled()
+    if error_number:
+        raise OSError(error_number, errno.errorcode.get(error_number, str(error_number)))
 
 
 async def accepted(listener: Listener, pause: Callable[[float], Awaitable[None]] = trio.sleep) -> Stream:
-    """Wait for the next connection; after an error of one ``accept`` it tries again."""
+    """Wait for the next connection; retries after an ``accept`` that failed."""
     while True:
         await listener.wait()
         try:
@@ -125,16 +125,16 @@
 
 async def send_all(stream: Stream, data: bytes) -> None:
     """Send all bytes. Raises ``OSError``; the caller limits the time."""
-    left = memoryview(data)
-    while left:
+    remaining = memoryview(data)
+    while remaining:
         try:
-            left = left[stream.send(left) :]
+            remaining = remaining[stream.send(remaining) :]
         except BlockingIOError:
             await stream.wait_writable()
 
 
 async def receive(stream: Stream, ring: RingBuffer) -> int:
-    """Wait for bytes and append them to the ring; returns their number, 0 at the other side's end."""
+    """Wait for bytes and append them to the ring; returns their number, 0 if the peer has ended its sending."""
     while True:
         await stream.wait_readable()
         try:
--- a/tests/dataplane/test_exchange_faults.py
+++ b/tests/dataplane/test_exchange_faults.py
@@ -85,7 +85,7 @@
 
         def pump(connection: Connection) -> bool:
             whole = true(connection)
-            if whole and not connection.requests and connection.stream.room == 0:
+            if whole and not connection.reads_requests and connection.stream.room == 0:
                 raise OSError("planted")
             return whole
 
@@ -172,7 +172,7 @@
 
         def head(writer: ResponseWriter, *given: Any) -> bytes:
             made = true(writer, *given)
-            writer.connection.resets = False
+            writer.connection.reset_on_close = False
             return made
 
         patch = mock.patch.object(ResponseWriter, "head", head)
--- a/tests/dataplane/test_request_outcomes.py
+++ b/tests/dataplane/test_request_outcomes.py
@@ -411,9 +411,9 @@
         endings, told = CallOutcomes(), []
         endings.watch = told.append
         for ending in CallOutcome:
-            endings.opened()
-            endings.closed(ending, "/config", 1.0, 2.0)
-        endings.opened()
+            endings.record_read()
+            endings.record_end(ending, "/config", 1.0, 2.0)
+        endings.record_read()
         self.assertEqual((endings.read, endings.not_answered, told), (4, 2, [CutCall("/config", 1.0, 2.0)]))
 
 
--- a/tests/transport/test_call_exchanges.py
+++ b/tests/transport/test_call_exchanges.py
@@ -1,5 +1,5 @@
-"""Calls between processes and to the platform, servers and stores: an answer that comes after its call was given up
-never answers the next call, at every byte boundary."""
+"""Calls between processes and to the platform, servers and stores: a response that arrives after its call timed out is
+never taken as the response to the next call. Tested at every byte boundary."""
 
 import unittest
 import unittest.mock
@@ -22,7 +22,7 @@
 from rowanshift.wire.control_updates import CONTROL_UPDATE_CODEC, Redirect
 
 PORT = 80
-WITHIN = 0.05  # seconds that a call waits
+TIMEOUT_SECONDS = 0.05  # of a call
 BODY = b"{}"
 
 
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True)
 class Delayed:
-    """An answer that stops after ``cut`` bytes, and goes on, with the surplus behind it, after ``pause`` seconds."""
+    """A response that stops after ``cut`` bytes; the rest and ``surplus`` follow after ``pause`` seconds."""
 
     cut: int
     pause: float
@@ -44,21 +44,23 @@
     then_reset: bool = False
 
 
-def http_answer(asked: bytes) -> bytes:
-    """Names the target of the call, after its number."""
-    return Response(200, asked.split(b" ")[1]).encode(True)
+def http_answer(request: bytes) -> bytes:
+    """A response whose body is the target of the call, which contains the call's number."""
+    return Response(200, request.split(b" ")[1]).encode(True)
 
 
-def record_answer(asked: bytes) -> bytes:
-    """The record back, under the number of its call."""
-    return asked
+def record_answer(request: bytes) -> bytes:
+    """The same record, with the number of its call."""
+    return request
 
 
 class Peer:
-    """The other side: answers each call on each connection, the first of them as it is told."""
+    """A peer that answers each call on each connection; ``delayed`` says how the first ones are answered."""
 
-    def __init__(self, nursery: trio.Nursery, network: Network, whole: Callable[[bytes], bool], answer: Any) -> None:
-        self.nursery, self.whole, self.answer = nursery, whole, answer
+    def __init__(
+        self, nursery: trio.Nursery, network: Network, is_complete: Callable[[bytes], bool], answer: Any
+    ) -> None:
+        self.nursery, self.is_complete, self.answer = nursery, is_complete, answer
         self.machine, self.caller_machine = network.machine("peer"), network.machine("caller")
         self.machine.running = self.caller_machine.running = True
         self.delayed: list[Delayed] = []
@@ -79,19 +81,19 @@
         try:
             while True:
                 data = b""
-                while not self.whole(data):
+                while not self.is_complete(data):
                     await stream.wait_readable()
                     space = bytearray(4096)
-                    if not (n := stream.recv_into(memoryview(space))):
+                    if not (count := stream.recv_into(memoryview(space))):
                         return
-                    data += bytes(space[:n])
+                    data += bytes(space[:count])
                 answer = self.answer(data)
-                told = self.delayed.pop(0) if self.delayed else Delayed(len(answer), 0.0)
-                await send_all(stream, answer[: told.cut])
-                await trio.sleep(told.pause)
-                if told.then_reset:
+                delayed = self.delayed.pop(0) if self.delayed else Delayed(len(answer), 0.0)
+                await send_all(stream, answer[: delayed.cut])
+                await trio.sleep(delayed.pause)
+                if delayed.then_reset:
                     return stream.drop(True)
-                await send_all(stream, answer[told.cut :] + told.surplus)
+                await send_all(stream, answer[delayed.cut :] + delayed.surplus)
         except (OSError, trio.ClosedResourceError):
             pass
         finally:
@@ -99,20 +101,20 @@
                 stream.close()
 
 
-def http_whole(data: bytes) -> bool:
+def http_request_is_complete(data: bytes) -> bool:
     return data.endswith(b"\r\n\r\n")
 
 
-def record_whole(data: bytes) -> bool:
+def record_is_complete(data: bytes) -> bool:
     return len(data) >= FRAME_HEADER.size and len(data) >= FRAME_HEADER.size + FRAME_HEADER.unpack_from(data)[-1]
 
 
-def play(whole: Any, answer: Any, main: Callable[[Peer], Awaitable[Any]]) -> Any:
+def play(is_complete: Any, answer: Any, main: Callable[[Peer], Awaitable[Any]]) -> Any:
     clock = VirtualClock()
 
     async def run() -> Any:
         async with trio.open_nursery() as nursery:
-            peer = Peer(nursery, Network(clock, "calls", Paths(jitter=0.0, partial=0.0)), whole, answer)
+            peer = Peer(nursery, Network(clock, "calls", Paths(jitter=0.0, partial=0.0)), is_complete, answer)
             nursery.start_soon(peer.run)
             await trio.sleep(0.01)
             got = await main(peer)
@@ -123,41 +125,48 @@
         return trio.run(run, clock=clock)
 
 
-PAUSES = (WITHIN - 0.002, WITHIN - 0.001, WITHIN - 0.0004, WITHIN, WITHIN + 0.0004, WITHIN + 0.01)
+PAUSE_SECONDS = (
+    TIMEOUT_SECONDS - 0.002,
+    TIMEOUT_SECONDS - 0.001,
+    TIMEOUT_SECONDS - 0.0004,
+    TIMEOUT_SECONDS,
+    TIMEOUT_SECONDS + 0.0004,
+    TIMEOUT_SECONDS + 0.01,
+)
 
 
-class Lines(unittest.TestCase):
+class PersistentCalls(unittest.TestCase):
     """``PersistentCaller``: one call after another on one connection."""
 
-    async def told(self, line: PersistentCaller, target: bytes) -> str:
+    async def result(self, caller: PersistentCaller, target: bytes) -> str:
         try:
-            message = await line.call(b"GET", target, timeout_seconds=WITHIN)
+            message = await caller.call(b"GET", target, timeout_seconds=TIMEOUT_SECONDS)
         except CallFailed as failure:
             return f"failed, sent {failure.sent}"
         return "own" if message.body == target else f"another's: {message.body!r}"
 
     def sweep(self, *delayed: Delayed, rest: float = 0.0) -> list[tuple[str, ...]]:
-        """What three calls in a row got, for each way in which the first is answered."""
+        """The results of three consecutive calls, for each way in which the first is answered."""
 
         async def main(peer: Peer) -> list[tuple[str, ...]]:
-            made = []
+            results = []
             for n, each in enumerate(delayed):
-                line = PersistentCaller(peer.caller_machine, MemoryBudget(64), peer.address)
+                caller = PersistentCaller(peer.caller_machine, MemoryBudget(64), peer.address)
                 peer.delayed[:] = [each]
                 got = []
                 for m in range(3):
-                    got.append(await self.told(line, b"/%d/%d" % (n, m)))
+                    got.append(await self.result(caller, b"/%d/%d" % (n, m)))
                     await trio.sleep(rest)
-                made.append(tuple(got))
-                line.close()
-            return made
+                results.append(tuple(got))
+                caller.close()
+            return results
 
-        return play(http_whole, http_answer, main)
+        return play(http_request_is_complete, http_answer, main)
 
     SIZE = len(http_answer(b"GET /0/0 HTTP/1.1"))
 
-    def test_an_answer_that_comes_late_after_each_byte(self) -> None:
-        for pause in PAUSES:
+    def test_a_response_delayed_after_each_byte(self) -> None:
+        for pause in PAUSE_SECONDS:
             for rest in (0.0, 0.003, 0.02):
                 for got in self.sweep(*(Delayed(cut, pause) for cut in range(self.SIZE)), rest=rest):
                     self.assertIn(got[0], ("own", "failed, sent True"))
@@ -167,30 +176,35 @@
         broken = [Delayed(cut, 0.001, then_reset=True) for cut in range(self.SIZE)]
         self.assertEqual(set(self.sweep(*broken, rest=0.01)), {("failed, sent True", "own", "own")})
 
-    def test_surplus_bytes_behind_an_answer(self) -> None:
+    def test_surplus_bytes_after_a_response(self) -> None:
         surplus = http_answer(b"GET /another HTTP/1.1")
-        made = self.sweep(*(Delayed(self.SIZE - 1, 0.001, surplus[:k]) for k in range(1, len(surplus) + 1)))
-        self.assertEqual(set(made), {("own", "own", "own")})
+        results = self.sweep(*(Delayed(self.SIZE - 1, 0.001, surplus[:k]) for k in range(1, len(surplus) + 1)))
+        self.assertEqual(set(results), {("own", "own", "own")})
 
-    def test_surplus_bytes_that_come_before_the_next_call(self) -> None:
+    def test_surplus_bytes_before_the_next_call(self) -> None:
         surplus = http_answer(b"GET /another HTTP/1.1")
         delayed = [Delayed(self.SIZE + 9, pause, surplus) for pause in (0.001, 0.002, 0.004)]
         self.assertEqual(set(self.sweep(*delayed, rest=0.01)), {("own", "own", "own")})
 
 
 class Calls(unittest.TestCase):
-    """``call``: each on a connection of its own."""
+    """``call``: each call on its own connection."""
 
-    def test_an_answer_that_comes_late_after_each_byte(self) -> None:
+    def test_a_response_delayed_after_each_byte(self) -> None:
         async def main(peer: Peer) -> list[str]:
             wrong, memory = [], MemoryBudget(64)
-            for pause in PAUSES:
-                for cut in range(Lines.SIZE):
+            for pause in PAUSE_SECONDS:
+                for cut in range(PersistentCalls.SIZE):
                     peer.delayed[:] = [Delayed(cut, pause)]
                     for target in (b"/0/0", b"/0/1"):
                         try:
                             got = await call(
-                                peer.caller_machine, memory, peer.address, b"GET", target, timeout_seconds=WITHIN
+                                peer.caller_machine,
+                                memory,
+                                peer.address,
+                                b"GET",
+                                target,
+                                timeout_seconds=TIMEOUT_SECONDS,
                             )
                             if got.body != target:
                                 wrong.append(f"{cut} {pause}: {got}")
@@ -199,48 +213,48 @@
                                 wrong.append(f"{cut} {pause}: the second failed")
             return wrong
 
-        self.assertEqual(play(http_whole, http_answer, main), [])
+        self.assertEqual(play(http_request_is_complete, http_answer, main), [])
 
 
 class Records(unittest.TestCase):
-    """``RecordClient``: records between processes, each answered under its number."""
+    """``RecordClient``: records between processes, each answered with its number."""
 
     SIZE = len(CONTROL_UPDATE_CODEC.pack(Redirect(1, ()), 1))
 
     def sweep(self, *delayed: Delayed, rest: float = 0.0) -> list[tuple[str, ...]]:
         async def main(peer: Peer) -> list[tuple[str, ...]]:
-            made, caller = [], RecordClient(peer.caller_machine, CONTROL_UPDATE_CODEC, peer.address)
+            results, caller = [], RecordClient(peer.caller_machine, CONTROL_UPDATE_CODEC, peer.address)
             for n, each in enumerate(delayed):
                 peer.delayed[:] = [each]
                 got = []
                 for m in range(3):
                     record = Redirect(n * 10 + m, ())
                     try:
-                        answer = await caller.call(record, WITHIN)
+                        answer = await caller.call(record, TIMEOUT_SECONDS)
                         got.append("own" if answer == record else f"another's: {answer}")
                     except ConnectionFailed:
                         got.append("failed")
                     await trio.sleep(rest)
-                made.append(tuple(got))
-            return made
+                results.append(tuple(got))
+            return results
 
-        return play(record_whole, record_answer, main)
+        return play(record_is_complete, record_answer, main)
 
-    def test_an_answer_that_comes_late_after_each_byte(self) -> None:
-        for pause in PAUSES:
+    def test_a_response_delayed_after_each_byte(self) -> None:
+        for pause in PAUSE_SECONDS:
             for rest in (0.0, 0.003, 0.02):
                 for got in self.sweep(*(Delayed(cut, pause) for cut in range(self.SIZE)), rest=rest):
                     self.assertIn(got[0], ("own", "failed"))
                     self.assertEqual(got[1:], ("own", "own"), (pause, rest))
 
-    def test_a_surplus_answer_is_known_by_its_number(self) -> None:
+    def test_a_surplus_response_is_recognized_by_its_number(self) -> None:
         for number in (0, 1, 2, 77):
             surplus = CONTROL_UPDATE_CODEC.pack(Redirect(999, ()), number)
             for got in self.sweep(*(Delayed(self.SIZE, 0.001, surplus) for _ in range(3)), rest=0.01)[1:]:
                 self.assertEqual(got, ("own", "own", "own"), number)
 
-    def test_a_part_of_a_surplus_answer(self) -> None:
-        """The next call fails or gets its own answer: it never gets another's."""
+    def test_a_part_of_a_surplus_response(self) -> None:
+        """The next call fails or gets its own response, never that of another call."""
         surplus = CONTROL_UPDATE_CODEC.pack(Redirect(999, ()), 77)
         for rest in (0.0, 0.01):
             for got in self.sweep(*(Delayed(self.SIZE, 0.001, surplus[:k]) for k in range(1, len(surplus))), rest=rest):
@@ -248,39 +262,39 @@
                 self.assertEqual(got[2], "own")
 
 
-class Planted(unittest.TestCase):
-    """Faults that the tests above find."""
+class InjectedFaults(unittest.TestCase):
+    """Injected faults that the tests above must find."""
 
-    def finds(self, case: type[unittest.TestCase], test: str, patch: Any) -> None:
+    def assert_found(self, case: type[unittest.TestCase], test: str, patch: Any) -> None:
         with patch:
             result = unittest.TestResult()
             case(test).run(result)
-        self.assertTrue(result.failures or result.errors, "nothing was found")
+        self.assertTrue(result.failures or result.errors, "the test did not find the fault")
 
-    def test_a_line_keeps_its_connection_after_a_call_was_given_up(self) -> None:
-        true = PersistentCaller.close
+    def test_a_connection_is_kept_after_a_call_timed_out(self) -> None:
+        original = PersistentCaller.close
 
-        def close(line: PersistentCaller) -> None:
-            if line.connection is None or line.connection.stream.readable():
-                true(line)
+        def close(caller: PersistentCaller) -> None:
+            if caller.connection is None or caller.connection.stream.readable():
+                original(caller)
 
         patch = unittest.mock.patch.object(PersistentCaller, "close", close)
-        self.finds(Lines, "test_an_answer_that_comes_late_after_each_byte", patch)
+        self.assert_found(PersistentCalls, "test_a_response_delayed_after_each_byte", patch)
 
-    def test_a_line_keeps_a_connection_with_surplus_bytes(self) -> None:
+    def test_a_connection_with_surplus_bytes_is_kept(self) -> None:
         patch = unittest.mock.patch.object(Connection, "clean", lambda connection: True)
-        self.finds(Lines, "test_surplus_bytes_behind_an_answer", patch)
+        self.assert_found(PersistentCalls, "test_surplus_bytes_after_a_response", patch)
 
-    def test_the_number_of_a_record_is_not_compared(self) -> None:
-        true = RecordClient.call
+    def test_the_number_of_a_response_is_not_compared(self) -> None:
+        original = RecordClient.call
 
         async def call(caller: RecordClient, record: Any, timeout_seconds: float) -> Any:
             caller.number = -1 if caller.reader is None else caller.number
-            caller.number = 0 if caller.number < 0 else caller.number - 1  # all calls bear one number
-            return await true(caller, record, timeout_seconds)
+            caller.number = 0 if caller.number < 0 else caller.number - 1  # all calls get the same number
+            return await original(caller, record, timeout_seconds)
 
         patch = unittest.mock.patch.object(RecordClient, "call", call)
-        self.finds(Records, "test_a_surplus_answer_is_known_by_its_number", patch)
+        self.assert_found(Records, "test_a_surplus_response_is_recognized_by_its_number", patch)
 
 
 if __name__ == "__main__":
--- a/tests/transport/test_call_server_shutdown.py
+++ b/tests/transport/test_call_server_shutdown.py
@@ -1,4 +1,4 @@
-"""A call server that shuts down answers what it has read, and refuses what comes."""
+"""A call server that shuts down answers the calls it has read and refuses new ones."""
 
 import unittest
 from collections.abc import Awaitable, Callable
@@ -28,7 +28,7 @@
 
 
 class SlowResource:
-    """A resource that answers after so many seconds; ``begun`` is set by its first call."""
+    """A resource that responds after ``seconds``; ``begun`` is set by its first call."""
 
     def __init__(self, seconds: float) -> None:
         self.seconds = seconds
@@ -50,7 +50,7 @@
             self.fleet, self.machine = fleet, fleet.standing("called", 0)
             self.resource = SlowResource(seconds)
             self.server = CallServer({b"/slow": self.resource}, fleet.memory, 1 << 20)
-            self.at = (self.machine.address, PORT)
+            self.address = (self.machine.address, PORT)
             self.ended = trio.Event()
             fleet.nursery.start_soon(self.serve, fleet.nursery)
             await trio.sleep(0.1)
@@ -59,56 +59,58 @@
         play(run)
 
     async def serve(self, nursery: trio.Nursery) -> None:
-        await self.server.serve(self.machine.listen(self.at, 64), nursery, trio.sleep)
+        await self.server.serve(self.machine.listen(self.address, 64), nursery, trio.sleep)
         self.ended.set()
 
-    async def ask(self, answers: list[int | str]) -> None:
+    async def ask(self, results: list[int | str]) -> None:
         try:
-            answer = await call(self.fleet.outside, self.fleet.memory, self.at, b"GET", b"/slow", timeout_seconds=10.0)
-            answers.append(answer.status)
+            answer = await call(
+                self.fleet.outside, self.fleet.memory, self.address, b"GET", b"/slow", timeout_seconds=10.0
+            )
+            results.append(answer.status)
         except CallFailed as error:
-            answers.append(str(error))
+            results.append(str(error))
 
-    async def shut_down(self, within: float) -> float:
-        """Shut the server down; the seconds that this took."""
+    async def shut_down(self, timeout_seconds: float) -> float:
+        """Shut the server down; returns the seconds that this took."""
         started = trio.current_time()
-        await self.server.shut_down(within, trio.sleep)
+        await self.server.shut_down(timeout_seconds, trio.sleep)
         return trio.current_time() - started
 
 
 class CallServerShutdown(ServerCase):
-    def test_what_was_read_is_answered_before_the_server_ends(self) -> None:
+    def test_calls_that_were_read_are_answered_before_the_server_ends(self) -> None:
         async def main() -> None:
-            answers: list[int | str] = []
-            self.fleet.nursery.start_soon(self.ask, answers)
+            results: list[int | str] = []
+            self.fleet.nursery.start_soon(self.ask, results)
             await self.resource.begun.wait()
-            took = await self.shut_down(2.0)
+            elapsed = await self.shut_down(2.0)
             await trio.sleep(0.1)
-            self.assertEqual(answers, [200])
-            self.assertTrue(0.9 < took < 1.2, took)
+            self.assertEqual(results, [200])
+            self.assertTrue(0.9 < elapsed < 1.2, elapsed)
 
         self.play(main, 1.0)
 
-    def test_a_call_that_is_not_answered_in_time_is_told_that_its_outcome_is_unknown(self) -> None:
+    def test_a_call_that_is_not_answered_in_time_gets_a_504(self) -> None:
         async def main() -> None:
-            answers: list[int | str] = []
-            self.fleet.nursery.start_soon(self.ask, answers)
+            results: list[int | str] = []
+            self.fleet.nursery.start_soon(self.ask, results)
             await self.resource.begun.wait()
-            took = await self.shut_down(0.5)
+            elapsed = await self.shut_down(0.5)
             await trio.sleep(0.1)
-            self.assertEqual(answers, [504])  # a 503 would promise that nothing was done
-            self.assertLess(took, 0.5 + 2 * call_server.LAST_WRITES_SECONDS)
+            self.assertEqual(results, [504])  # a 503 would promise that the call was not executed
+            self.assertLess(elapsed, 0.5 + 2 * call_server.LAST_WRITES_SECONDS)
 
         self.play(main, 30.0)
 
-    def test_a_call_that_comes_meanwhile_is_refused_at_once_and_not_begun(self) -> None:
+    def test_a_call_read_during_the_shutdown_is_refused_and_not_executed(self) -> None:
         async def main() -> None:
-            answers: list[int | str] = []
-            self.fleet.nursery.start_soon(self.ask, answers)
+            results: list[int | str] = []
+            self.fleet.nursery.start_soon(self.ask, results)
             await self.resource.begun.wait()
             stream = self.fleet.outside.stream()
-            await connect(stream, self.at)
-            await send_all(stream, b"GET /slow HTTP/1.1\r\nHost: a\r\n")  # not whole yet
+            await connect(stream, self.address)
+            await send_all(stream, b"GET /slow HTTP/1.1\r\nHost: a\r\n")  # incomplete so far
             await trio.sleep(0.1)
             self.fleet.nursery.start_soon(self.shut_down, 2.0)
             await trio.sleep(0.1)
@@ -120,39 +122,39 @@
             self.assertIn(b"Retry-After: 0.3\r\n", response)
             self.assertIn(b"Connection: close\r\n", response)
             await trio.sleep(1.0)
-            self.assertEqual((answers, self.resource.calls), ([200], 1))
+            self.assertEqual((results, self.resource.calls), ([200], 1))
 
         self.play(main, 1.0)
 
-    def test_connections_that_wait_to_be_accepted_are_taken_in_and_the_listener_is_closed(self) -> None:
+    def test_connections_in_the_backlog_are_accepted_and_the_listener_is_closed(self) -> None:
         async def main() -> None:
-            answers: list[int | str] = []
+            results: list[int | str] = []
             for _ in range(3):
-                self.fleet.nursery.start_soon(self.ask, answers)
+                self.fleet.nursery.start_soon(self.ask, results)
             self.machine.stand_still()
             await trio.sleep(0.2)
-            self.server.accepting.cancel()
+            self.server.accept_scope.cancel()
             self.server.shutting_down = True
             self.machine.go_on()
             await trio.sleep(1.0)
-            self.assertEqual(answers, [503] * 3)
+            self.assertEqual(results, [503] * 3)
             self.assertTrue(self.ended.is_set())
-            await self.ask(answers)
-            self.assertNotIn(answers[-1], (200, 503))  # nobody listens
+            await self.ask(results)
+            self.assertNotIn(results[-1], (200, 503))  # the listener is closed
 
         self.play(main, 0.1)
 
-    def test_idle_connections_delay_nothing(self) -> None:
+    def test_idle_connections_do_not_delay_the_shutdown(self) -> None:
         async def main() -> None:
             stream = self.fleet.outside.stream()
-            await connect(stream, self.at)
+            await connect(stream, self.address)
             await trio.sleep(0.1)
             self.assertLess(await self.shut_down(5.0), IDLE_SHUTDOWN_SECONDS)
-            self.assertEqual(self.server.open, 0)
+            self.assertEqual(self.server.connection_count, 0)
 
         self.play(main, 0.1)
 
-    def test_a_connection_that_is_closed_before_its_task_begins_is_no_failure(self) -> None:
+    def test_a_connection_closed_before_its_task_starts_is_not_logged(self) -> None:
         async def main() -> None:
             logged: list[str] = []
             sink = logger.add(logged.append, format="{message}")
@@ -165,8 +167,8 @@
                     await connect(stream, listener.sock.getsockname())
                     nursery.start_soon(server.serve, listener, nursery, trio.sleep)
                     await listener.wait()
-                    server.accepting.cancel()
-                    while not server.open:
+                    server.accept_scope.cancel()
+                    while not server.connection_count:
                         await trio.lowlevel.checkpoint()
                     server._close_idle(1)
                 stream.close()
@@ -177,15 +179,15 @@
 
         self.play(main, 0.1)
 
-    def test_an_idle_connection_makes_room_for_a_call(self) -> None:
+    def test_an_idle_connection_is_closed_for_a_new_call(self) -> None:
         async def main() -> None:
             for _ in range(call_server.MAX_CALLERS):
-                await connect(self.fleet.outside.stream(), self.at)
+                await connect(self.fleet.outside.stream(), self.address)
             await trio.sleep(0.1)
-            self.assertEqual(self.server.open, call_server.MAX_CALLERS)
-            answers: list[int | str] = []
-            await self.ask(answers)
-            self.assertEqual(answers, [200])
+            self.assertEqual(self.server.connection_count, call_server.MAX_CALLERS)
+            results: list[int | str] = []
+            await self.ask(results)
+            self.assertEqual(results, [200])
 
         self.play(main, 0.1)
 
