--- a/rowanshift/dataplane/__init__.py
+++ b/rowanshift/dataplane/__init__.py
@@ -1,1 +1,1 @@
-"""The data plane: takes requests, sends each to a server and passes its stream on."""
+"""The data plane: accepts requests, forwards each to a model server and relays the response."""
--- a/rowanshift/dataplane/control_cache.py
+++ b/rowanshift/dataplane/control_cache.py
@@ -1,7 +1,7 @@
 """A router's copy of the control state: configuration, endpoints, versions, prefix cache holdings, members.
 
-Updates of the primary are applied in the order of (epoch, sequence), which never goes back. ``Freshness`` tracks how
-recent the copy is; requests wait, briefly, where it may be too old for a decision.
+Updates from the primary are applied in the order of (epoch, sequence); older ones are ignored. ``Freshness`` tracks how
+recent the copy is; a request waits briefly if it may be too old for a decision.
 """
 
 import random
@@ -20,15 +20,15 @@
 from rowanshift.process.node_settings import RuleBounds
 from rowanshift.wire.control_updates import SERVER_DRAINING, SERVER_LOADING, PartVersion, ServerRecord, Update
 
-FRESHNESS_WAIT_SECONDS = 0.6  # that a request waits while the copy may be old
-STARTUP_WAIT_SECONDS = 2.5  # that a request waits at most for a first configuration
-STARTUP_WAIT_FRACTION = 0.5  # of the time that its client has left, for the same
-REFUSAL_AGE_FRACTION = 0.75  # of ``configApplyMs``: the age of the copy up to which a client is refused by it
+FRESHNESS_WAIT_SECONDS = 0.6  # that a request waits while the copy may be stale
+STARTUP_WAIT_SECONDS = 2.5  # that a request waits at most for the first configuration
+STARTUP_WAIT_FRACTION = 0.5  # of the client's remaining time, that a request waits for the first configuration
+REFUSAL_AGE_FRACTION = 0.75  # of ``configApplyMs``: the maximum age of the copy at which clients are refused
 NO_VERSION: PartVersion = (0, 0)
 
 
 class ControlCache:
-    """What the frontend decides by. Its parts are public and change with each update."""
+    """The control state that request decisions are based on. Its public parts change with each update."""
 
     def __init__(
         self,
@@ -37,53 +37,56 @@
         on_endpoint_unavailable: Callable[[Endpoint], None],
         on_peers_changed: Callable[[tuple[int, ...]], None],
     ) -> None:
-        """``on_endpoint_unavailable`` is called with each endpoint that is to get no more requests,
-        ``on_peers_changed`` with the ids of all routers that are members."""
+        """Create an empty copy.
+
+        ``on_endpoint_unavailable`` is called with each endpoint that may get no further requests, ``on_peers_changed``
+        with the machine ids of all routers that are members.
+        """
         self._on_endpoint_unavailable = on_endpoint_unavailable
         self._on_peers_changed = on_peers_changed
         self.routing_table, self.endpoints = RoutingTable(), Endpoints(random_source)
         self.version_deadlines = VersionDeadlines(bounds)
         self.freshness = Freshness(0.0, REFUSAL_AGE_FRACTION * bounds.config_apply_ms / 1000, bounds.revocation_seconds)
-        self.stored_block_hashes: set[int] = set()  # of the prefix blocks that stores hold
-        self.peer_machines: tuple[int, ...] = ()  # the routers that are members
-        self.member_count = 0  # of the routers that share budgets; 0: not known yet
-        self.core_machines: tuple[int, ...] = ()  # replicas of the control plane
-        # of what is here: each the primary's epoch and a number that counts the changes in it
+        self.stored_block_hashes: set[int] = set()  # of the prefix blocks held by stores
+        self.peer_machines: tuple[int, ...] = ()  # machine ids of the routers that are members
+        self.member_count = 0  # number of routers that share budgets; 0: not known yet
+        self.core_machines: tuple[int, ...] = ()  # machine ids of the control plane's replicas
+        # Versions of the parts of this copy: the primary's epoch, and the number of changes within it.
         self.state_version = self.registry_version = self.prefix_holdings_version = NO_VERSION
         self.peers_version = self.announcements_version = NO_VERSION
-        self.fingerprint = 0  # of the control state, 0: there is none yet
+        self.fingerprint = 0  # of the control state; 0: none received yet
         self._update_event = trio.Event()
 
-    # what the frontend asks
+    # queries of the request path
 
     def required_version(self, model: str, now: float) -> int:
-        """The least version of a model's weights that a server must have."""
+        """The lowest version of a model's weights that a server must have."""
         return self.version_deadlines.required_version(model, now)
 
     def seconds_overdue(self, model: str, version: int, now: float) -> float | None:
-        """Seconds since the first announcement that weights of ``version`` lack, if their bound is near or over."""
+        """Seconds since the first newer version than ``version`` was announced, if its deadline is near or over."""
         return self.version_deadlines.seconds_overdue(model, version, now)
 
     async def wait_until_fresh(self, timeout: float) -> None:
-        """Waits while the copy may be old, or there is none yet; ``timeout``: seconds that the client has left."""
+        """Wait briefly while the copy may be stale or is empty; ``timeout`` is the client's remaining time."""
         if not self.freshness.is_stale:
             return
         if self.routing_table.revision:
-            longest = FRESHNESS_WAIT_SECONDS
+            wait_seconds = FRESHNESS_WAIT_SECONDS
         else:
-            longest = max(FRESHNESS_WAIT_SECONDS, STARTUP_WAIT_FRACTION * timeout)
-        until = trio.current_time() + min(longest, STARTUP_WAIT_SECONDS)
-        while self.freshness.is_stale and (left := until - trio.current_time()) > 0:
-            await self.wait_for_update(left)
+            wait_seconds = max(FRESHNESS_WAIT_SECONDS, STARTUP_WAIT_FRACTION * timeout)
+        deadline = trio.current_time() + min(wait_seconds, STARTUP_WAIT_SECONDS)
+        while self.freshness.is_stale and (remaining := deadline - trio.current_time()) > 0:
+            await self.wait_for_update(remaining)
 
     async def wait_for_update(self, timeout: float) -> None:
-        """Waits until an update was applied, ``timeout`` seconds at most."""
+        """Wait until an update has been applied, for ``timeout`` seconds at most."""
         update_event = self._update_event
         with trio.move_on_after(max(0.0, timeout)):
             await update_event.wait()
 
     def may_refuse(self) -> bool:
-        """Whether the copy is recent enough for a refusal that is final for the client."""
+        """Whether the copy is recent enough to refuse a client for good."""
         return self.freshness.may_refuse(trio.current_time())
 
     def may_admit_key(self, arrived_at: float) -> bool:
@@ -91,31 +94,31 @@
         return self.freshness.may_admit_key(arrived_at)
 
     async def wait_until_may_refuse(self, timeout: float) -> bool:
-        """Waits, ``timeout`` seconds at most, until the copy is recent enough to refuse by; whether it is."""
-        until = trio.current_time() + timeout
-        while not self.may_refuse() and (left := until - trio.current_time()) > 0:
-            await self.wait_for_update(left)
+        """Wait, for ``timeout`` seconds at most, until ``may_refuse`` holds; returns whether it does."""
+        deadline = trio.current_time() + timeout
+        while not self.may_refuse() and (remaining := deadline - trio.current_time()) > 0:
+            await self.wait_for_update(remaining)
         return self.may_refuse()
 
     def ready(self) -> bool:
-        """Whether requests can be served by the copy."""
+        """Whether the copy is complete and recent enough to serve requests."""
         if self.routing_table.requires_keys and not self.may_admit_key(trio.current_time()):
             return False
         return bool(self.routing_table.revision and self.endpoints.by_id and not self.freshness.is_stale)
 
-    # what the control client tells it
+    # updates from the control client
 
     def mark_stale(self) -> None:
-        """The process was suspended: the copy may be old until a poll sent from now on is answered."""
+        """The process was suspended: the copy may be stale until a poll sent from now on is answered."""
         self.freshness.mark_stale(trio.current_time())
 
     def confirm(self, asked_at: float) -> None:
-        """A poll sent at that time was answered, and its update applied."""
+        """A poll sent at ``asked_at`` was answered, and its update has been applied."""
         if self.freshness.confirm(asked_at):
             self._notify()
 
     def apply(self, update: Update, asked_at: float) -> bool:
-        """Applies the answer to a poll sent at that time; False if its configuration can't be read."""
+        """Apply the answer to a poll sent at ``asked_at``; False if its configuration can't be read."""
         self.member_count = update.member_count or self.member_count
         self.core_machines = update.core_machines or self.core_machines
         if update.has_state:
@@ -133,7 +136,7 @@
         return True
 
     def _apply_state(self, update: Update, asked_at: float) -> bool:
-        """The configuration and the announced versions; whether they can be read."""
+        """Apply the configuration and the announced versions; False if they can't be read."""
         try:
             table = parse_routing_table(update.revision, zlib.decompress(update.config), update.versions)
         except (UnreadableConfiguration, zlib.error) as error:
@@ -148,7 +151,7 @@
         return True
 
     def _apply_announcements(self, versions: dict[str, int], update: Update, asked_at: float) -> None:
-        """The announcements, of which ``versions`` are the newest."""
+        """Apply version announcements; ``versions`` is the newest announced version of each model."""
         self.announcements_version = update.announcements_version
         self.version_deadlines.record_announcements(
             versions,
@@ -178,13 +181,13 @@
         self._notify()
 
     def _notify(self) -> None:
-        """Wakes all that wait for an update."""
+        """Wake all tasks that wait for an update."""
         self._update_event.set()
         self._update_event = trio.Event()
 
 
 def endpoint_from_record(record: ServerRecord) -> Endpoint:
-    """A server of the registry as requests are sent to it."""
+    """The endpoint that a server record of the registry describes."""
     return Endpoint(
         record.id,
         record.service,
--- a/rowanshift/dataplane/control_client.py
+++ b/rowanshift/dataplane/control_client.py
@@ -1,8 +1,8 @@
 """Client of the control plane: long-polls the primary and applies its updates to the router's ``ControlCache``.
 
-One poll at a time waits at the primary, which answers when there is something newer than what the poll names, and after
-half a second in any case. When it gives no answer, the replicas of the control plane are asked for the primary without
-waiting for each other (``primary_search``).
+The client has one long poll at a time open at the primary, which answers as soon as it has something newer than the
+versions in the poll, and after ``LONG_POLL_SECONDS`` at the latest. If it does not answer, the client asks the replicas
+of the control plane for the primary, without waiting for one before asking the next (``primary_search``).
 """
 
 import random
@@ -20,28 +20,28 @@
 from rowanshift.wire.control_updates import CONTROL_UPDATE_CODEC, Poll, Redirect, Update
 from rowanshift.wire.machine_ids import ip_from_machine_id, machine_id_from_ip
 
-LONG_POLL_SECONDS = 0.5  # that the primary may hold a poll: the copy is no older than two of these
-POLL_ANSWER_SECONDS = 0.3  # beyond that for its answer; then others are asked for the primary
+LONG_POLL_SECONDS = 0.5  # that the primary may hold a poll; bounds the age of the copy to twice this
+POLL_ANSWER_SECONDS = 0.3  # beyond ``LONG_POLL_SECONDS`` for the answer; then the search for the primary starts
 SEARCH_ANSWER_SECONDS = 0.75  # for the answer to a poll of a search
-SEARCH_STAGGER_SECONDS = 0.12  # until the next machine is asked, whatever the one before does
-SEARCH_RETRY_SECONDS = 0.15  # between two searches, on average
-LOGGED_FAILURES = (1, 10, 100)  # polls without an answer in a row
+SEARCH_STAGGER_SECONDS = 0.12  # between asking one machine and the next, without waiting for an answer
+SEARCH_RETRY_SECONDS = 0.15  # average pause between two searches
+LOGGED_FAILURES = (1, 10, 100)  # numbers of consecutive unanswered polls that are logged
 
 
 @dataclass(slots=True, frozen=True)
 class ReplicaConnection:
     """A replica of the control plane, and the connection to it."""
 
-    machine: int  # its id
+    machine: int  # the replica's machine id
     client: RecordClient
 
 
 @dataclass(slots=True)
 class Search:
-    """One search under way."""
+    """The state of one search in progress."""
 
-    progress: trio.Event = field(default_factory=trio.Event)  # an answer has come, or none will
-    pending: int = 0  # machines that were asked and have not answered
+    progress: trio.Event = field(default_factory=trio.Event)  # set when a machine has answered or failed
+    pending: int = 0  # number of machines asked whose answer is outstanding
     found: ReplicaConnection | None = None
 
 
@@ -57,30 +57,33 @@
         cache: ControlCache,
         random_source: random.Random,
     ) -> None:
-        """``machine``: this router's id; ``port``: the one at which all replicas take polls; ``seeds``: the addresses
-        of replicas as the settings have them now."""
+        """Create a client.
+
+        ``machine`` is this router's machine id, ``port`` the port at which all replicas accept polls; ``seeds`` returns
+        the replicas' addresses as currently configured.
+        """
         self.runtime, self.machine, self.port, self.seeds = runtime, machine, port, seeds
         self.cache, self.random_source = cache, random_source
         self.incarnation = random_source.getrandbits(63)
         self.search = PrimarySearch(random_source.random)
-        self.failures = 0  # polls without an answer in a row
-        self._dates_reported_in = 0  # the epoch whose primary was sent the dates of announcements
-        self._long_poll_scope = trio.CancelScope()  # around the poll that waits at the primary
+        self.failures = 0  # consecutive polls without an answer
+        self._dates_reported_epoch = 0  # the epoch whose primary was sent the announcement dates
+        self._long_poll_scope = trio.CancelScope()  # cancels the poll in progress at the primary
 
     def mark_stale(self) -> None:
-        """The process was suspended: ends the poll under way, whose answer would not say what happened since."""
+        """The process was suspended: cancel the poll in progress, whose answer may date from before."""
         self.cache.mark_stale()
         self._long_poll_scope.cancel()
 
     async def run(self) -> None:
-        """Finds the primary and follows it, again and again; never returns."""
+        """Find the primary and poll it until it fails, in an endless loop."""
         while True:
             primary = await self._find_primary()
             await self._follow(primary)
             primary.client.close()
 
     async def _find_primary(self) -> ReplicaConnection:
-        """Asks replicas until one answers as the primary; its update is applied."""
+        """Search until a replica answers as the primary; its update has then been applied."""
         while True:
             found = await self._search_once()
             if found is not None:
@@ -88,7 +91,7 @@
             await self.runtime.pause(SEARCH_RETRY_SECONDS * (0.5 + self.random_source.random()))
 
     async def _search_once(self) -> ReplicaConnection | None:
-        """Asks each replica once; ``None`` if none of them is the primary."""
+        """Ask each replica once; returns the primary, ``None`` if no replica answered as such."""
         self.search.begin(self._replicas(), trio.current_time())
         search = Search()
         async with self.runtime.nursery() as nursery:
@@ -102,7 +105,7 @@
         return search.found
 
     async def _ask_for_primary(self, search: Search, machine: int, scope: trio.CancelScope) -> None:
-        """Asks one machine; ends the search if it is the primary."""
+        """Poll one machine; ends the search if it is the primary."""
         address = ip_from_machine_id(machine), self.port
         replica = ReplicaConnection(machine, RecordClient(self.runtime, CONTROL_UPDATE_CODEC, address))
         try:
@@ -118,7 +121,7 @@
         search.progress.set()
 
     async def _follow(self, primary: ReplicaConnection) -> None:
-        """One long poll after another at the primary, until it gives no answer or is no longer primary."""
+        """Send one long poll after another, until the primary does not answer or is no longer primary."""
         while True:
             long_poll_seconds = 0.0 if self.cache.freshness.is_stale else LONG_POLL_SECONDS
             try:
@@ -130,7 +133,7 @@
                 return
 
     async def _poll(self, replica: ReplicaConnection, long_poll_seconds: float) -> bool:
-        """One poll; whether the machine answered as the primary, and with nothing older than the copy.
+        """Send one poll; whether the machine answered as the primary, with a state not older than the copy.
 
         Raises ``ConnectionFailed``.
         """
@@ -146,16 +149,16 @@
             return False
         self.failures = 0
         if poll.announcements:
-            self._dates_reported_in, _ = answer.state_version
+            self._dates_reported_epoch, _ = answer.state_version
         if self.cache.apply(answer, asked_at):
             self.cache.confirm(asked_at)
         return True
 
     def _poll_record(self, long_poll_seconds: float) -> Poll:
-        """What the cache has; the dates of announcements only for a primary that may lack them."""
+        """The poll with the versions of the cache; it reports announcement dates if the primary may lack them."""
         cache = self.cache
         epoch, _ = cache.state_version
-        reports_dates = not long_poll_seconds or self._dates_reported_in != epoch
+        reports_dates = not long_poll_seconds or self._dates_reported_epoch != epoch
         return Poll(
             machine=self.machine,
             incarnation=self.incarnation,
--- a/rowanshift/dataplane/endpoints.py
+++ b/rowanshift/dataplane/endpoints.py
@@ -1,6 +1,6 @@
 """The model servers that a router knows of, as the registry lists them, and its own load on each. No I/O.
 
-Times are steady seconds.
+Times are in seconds of a monotonic clock.
 """
 
 import random
@@ -18,28 +18,28 @@
     service: str
     address: str  # IP:PORT
     zone: str
-    slots: int  # requests that it runs at once
-    versions: dict[str, int]  # of the weights of each model
-    draining: bool = False  # it finishes what it has and gets nothing new
+    slots: int  # requests that it runs concurrently
+    versions: dict[str, int]  # version of the weights, by model
+    draining: bool = False  # it finishes its requests and gets no new ones
     loading: bool = False  # it is loading new weights
     listed: bool = True  # False once the registry no longer lists it
-    open_requests: int = 0  # of this router
-    last_received_at: float = 0.0  # the last byte, or the first request that was sent while none was open
-    backed_off_until: float = 0.0  # it gets no requests before
-    failed_dials: int = 0  # in a row
+    open_requests: int = 0  # sent by this router
+    last_received_at: float = 0.0  # time of the last byte, or of a request sent while none was open
+    backed_off_until: float = 0.0  # it gets no requests before this time
+    failed_dials: int = 0  # consecutive failed connection attempts
 
     def on_request_sent(self, now: float) -> None:
-        """A request was sent there."""
+        """A request was sent to the server."""
         if not self.open_requests:
             self.last_received_at = now
         self.open_requests += 1
 
     def on_request_ended(self) -> None:
-        """A request that was sent there has ended."""
+        """A request that was sent to the server has ended."""
         self.open_requests -= 1
 
     def on_bytes_received(self, now: float) -> None:
-        """Bytes came from there: it isn't backed off any longer."""
+        """Bytes were received from the server, which ends its back-off."""
         self.last_received_at, self.failed_dials, self.backed_off_until = now, 0, 0.0
 
 
@@ -58,9 +58,9 @@
         return self.pools[service]
 
     def apply_listed(self, listed: list[Endpoint]) -> list[Endpoint]:
-        """Applies the complete list of the registry; the endpoints that left it or are at another address now.
+        """Apply the registry's complete list; returns endpoints no longer listed or replaced at another address.
 
-        An endpoint that stays the same keeps its object, and with it the load and the state of its connections.
+        An endpoint that stays the same keeps its object, and with it its load and connections.
         """
         removed = []
         for endpoint in listed:
@@ -81,7 +81,7 @@
         return removed
 
     def _fill_pools(self, endpoints: Iterable[Endpoint]) -> None:
-        """Puts the endpoints that may get requests into the pools of their services."""
+        """Put the endpoints that may get requests into the pools of their services."""
         available: dict[str, list[Endpoint]] = {service: [] for service in self.pools}
         for endpoint in endpoints:
             if not endpoint.draining:
@@ -93,12 +93,12 @@
 
 
 def is_same_server(known: Endpoint, endpoint: Endpoint) -> bool:
-    """Whether both are at one address and of one service."""
+    """Whether both have the same address and service."""
     return known.address == endpoint.address and known.service == endpoint.service
 
 
 def apply_changes(known: Endpoint, endpoint: Endpoint) -> None:
-    """Takes over what may change at a server that stays."""
+    """Copy the attributes that may change while a server stays the same."""
     known.draining, known.loading, known.slots = endpoint.draining, endpoint.loading, endpoint.slots
     known.versions = endpoint.versions
     known.listed = True
--- a/rowanshift/dataplane/forwarded_request.py
+++ b/rowanshift/dataplane/forwarded_request.py
@@ -1,4 +1,4 @@
-"""One request while it is forwarded: its admission, and how far its attempts have come. No I/O, no clock."""
+"""The state of one request while it is forwarded: its admission and the progress of its attempts. No I/O, no clock."""
 
 from dataclasses import dataclass, field
 
@@ -18,50 +18,50 @@
 from rowanshift.dataplane.upstream import ServerConnection
 from rowanshift.placement.shadows import ring_position
 
-MIN_ATTEMPT_SECONDS = 0.02  # with less time left no attempt is made
-RETRY_AFTER_SECONDS = 0.1  # that a refused client is asked to wait
-REFUSAL_REASONS = {  # after every other outcome the client is told that its request may have run
-    ExchangeOutcome.MISDIRECTED: "the server was another",
-    ExchangeOutcome.NOT_EXECUTED: "servers are full",
-    ExchangeOutcome.SERVER_ERROR: "it failed at a server",
-    ExchangeOutcome.RESUME_REJECTED: "it was not taken up",
+MIN_ATTEMPT_SECONDS = 0.02  # no attempt is made with less time left
+RETRY_AFTER_SECONDS = 0.1  # for the Retry-After header of refusals
+REFUSAL_REASONS = {  # for every other outcome, the reason is that the request may have been executed
+    ExchangeOutcome.MISDIRECTED: "the request reached another server instance",
+    ExchangeOutcome.NOT_EXECUTED: "the servers are at capacity",
+    ExchangeOutcome.SERVER_ERROR: "the server failed to process the request",
+    ExchangeOutcome.RESUME_REJECTED: "the interrupted stream could not be resumed",
 }
 
 
 @dataclass(slots=True)
 class RequestCounts:
-    """Requests of this process since its start."""
+    """Counters of this process's requests since its start."""
 
     requests: int = 0
-    completed: int = 0  # a server's response was relayed to its end
-    refused: int = 0  # with a status which promises that the request has not run
-    failed: int = 0  # with another status of the router's own
-    disconnected: int = 0  # by the client
+    completed: int = 0  # a server's response was relayed completely
+    refused: int = 0  # refused with a status which guarantees that the request was not executed
+    failed: int = 0  # refused with another status
+    disconnected: int = 0  # the client disconnected
     retries: int = 0
-    resumed: int = 0  # streams that broke off after they had started
+    resumed: int = 0  # streams that were interrupted after they had started
 
 
 @dataclass(slots=True, eq=False)
 class ForwardedRequest:
-    """One request and how far its attempts have come. Times are trio's, in seconds."""
+    """One request and the progress of its attempts. Times are trio's, in seconds."""
 
     request: Request
     writer: ResponseWriter
-    service_draw: float  # 0 to 1, by which the route's service is chosen
+    service_draw: float  # random number from 0 to 1 that selects one of the route's services
     route: Route
     tenant: Tenant | None
     unreachable: set[str] = field(default_factory=set)  # ids of servers that could not be reached
     reached_server: bool = False
     may_have_run: bool = False
-    abandoned_silent_server: bool = False  # the last server that worked on it did not end the exchange itself
-    retry_granted: bool = False  # the retry budget was drawn on for the next attempt already
-    reserved_connection: ServerConnection | None = None  # up already, for the next attempt
-    wait_ends_at: float = 0.0  # of the wait for an available server; 0: it has not begun
-    last_refusal: Refusal = field(default_factory=lambda: Refusal(503, "no server", RETRY_AFTER_SECONDS))
+    abandoned_silent_server: bool = False  # the router, not the server, ended the last attempt that may have run
+    retry_granted: bool = False  # the retry budget has already granted the next attempt
+    reserved_connection: ServerConnection | None = None  # an open connection for the next attempt
+    wait_ends_at: float = 0.0  # end of the wait for an available server; 0: not started
+    last_refusal: Refusal = field(default_factory=lambda: Refusal(503, "no server is available", RETRY_AFTER_SECONDS))
 
     @property
     def idempotency(self) -> RequestIdempotency:
-        """Whether its request may run more than once."""
+        """Whether the request may be executed more than once."""
         return idempotency_of(self.route.is_streaming, self.route.is_repeatable)
 
     @property
@@ -71,17 +71,17 @@
 
     @property
     def service(self) -> str:
-        """The name of the service that its route and draw choose."""
+        """The name of the service that ``service_draw`` selects on the route."""
         return self.route.choose_service(self.service_draw)
 
     @property
     def request_kind(self) -> RequestKind:
-        """The requests that last about as long as this one."""
+        """The class of requests with a similar duration."""
         return request_kind(self.service, self.request.token_count.max_output)
 
     @property
     def ring_position(self) -> int:
-        """The position of its prompt's prefix on the hash ring."""
+        """The position of the prompt's prefix on the hash ring."""
         return ring_position(self.request.model, self.request.prefix)
 
     @property
@@ -91,21 +91,21 @@
 
     @property
     def progress(self) -> RequestProgress:
-        """What retry decisions depend on."""
+        """The progress that retry decisions depend on."""
         servers_left = self.route.max_attempts - len(self.request.attempted_servers)
         return RequestProgress(self.may_have_run, self.writer.started, bool(self.writer.last_event_id), servers_left)
 
     def record_failed_attempt(self, outcome: ExchangeOutcome, decision: Decision) -> None:
-        """Note an attempt that reached a server and gave no response for the client."""
+        """Record an attempt that reached a server and yielded no response for the client."""
         self.reached_server = True
         if decision.may_have_run:
             self.abandoned_silent_server = outcome is ExchangeOutcome.SERVER_SILENT
         self.may_have_run = self.may_have_run or decision.may_have_run
         response = self.progress.client_response(decision)
-        reason = REFUSAL_REASONS.get(outcome, "it may have run")
+        reason = REFUSAL_REASONS.get(outcome, "the request may have been executed")
         if response is ClientResponse.UNAVAILABLE:
             self.last_refusal = Refusal(response.status, reason, RETRY_AFTER_SECONDS)
-        elif response is ClientResponse.CONNECTION_CLOSED:  # the status is not sent
+        elif response is ClientResponse.CONNECTION_CLOSED:  # the response has started: this status is never sent
             self.last_refusal = Refusal(502, reason)
         else:
             self.last_refusal = Refusal(response.status, reason)
--- a/rowanshift/dataplane/forwarder.py
+++ b/rowanshift/dataplane/forwarder.py
@@ -1,4 +1,4 @@
-"""Forwards one request: attempts at servers until one has answered it, or no further attempt may be made."""
+"""Forwards requests: makes attempts at servers until one answers, or no further attempt may be made."""
 
 from collections.abc import Callable
 
@@ -20,13 +20,13 @@
 from rowanshift.dataplane.upstream import UpstreamPool
 from rowanshift.placement.shadows import ServerPool, back_off, least_loaded
 
-MAX_UNREACHABLE_SERVERS = 4  # for one request; then it is refused
+MAX_UNREACHABLE_SERVERS = 4  # per request, after which it is refused
 
 
 class Forwarder:
     """Sends requests to servers and relays their responses.
 
-    ``retry_budget_of`` gives the retry budget of a service, by its name; ``draw`` a random number from 0 to 1.
+    ``retry_budget_of`` returns a service's retry budget by its name, ``draw`` a random number from 0 to 1.
     """
 
     def __init__(
@@ -50,17 +50,17 @@
         self.attempts = ServerAttempts(state, upstream, self.admission, self.selection, loads, self.counts)
 
     def refuse_if_draining(self, request: Request, writer: ResponseWriter) -> None:
-        """``Refusal`` if this router drains and is not sure to finish the request in time."""
+        """Raise ``Refusal`` if this router is draining and may not finish the request in time."""
         if not self.drain.admitting:
             raise Refusal(503, DRAINING_REASON, RETRY_AFTER_SECONDS)
         try:
             forwarded = self._admit(request, writer)
-        except Refusal:  # it may rest on old state, which is confirmed first, as for any request
+        except Refusal:  # may rest on stale state; ``Frontend`` confirms that first, as for any request
             return
         self.admission.require_not_draining(forwarded, trio.current_time())
 
     async def forward(self, request: Request, writer: ResponseWriter) -> None:
-        """Send a request to servers until one has answered it; ``Refusal`` if none has."""
+        """Send a request to servers until one has answered it; raises ``Refusal`` if none has."""
         forwarded = self._admit(request, writer)
         self.admission.require_time_left(forwarded, trio.current_time())
         self.retry_budget_of(forwarded.service).record_request(trio.current_time())
@@ -72,7 +72,7 @@
             if writer.started:
                 writer.outcome = forwarded.outcome_after_start(trio.current_time())
             raise
-        except trio.Cancelled:  # the router ends, perhaps after the deadline of a client that reads nothing
+        except trio.Cancelled:  # the router shuts down, perhaps after the deadline of a client that reads nothing
             if writer.started and trio.current_time() >= forwarded.deadline:
                 writer.outcome = RequestOutcome.TIMED_OUT
             raise
@@ -85,11 +85,11 @@
         return ForwardedRequest(request, writer, self.draw(), admission.route, admission.tenant)
 
     def _record_duration(self, forwarded: ForwardedRequest, now: float) -> None:
-        """Note how long a completed request took, for the decisions of a later drain."""
+        """Record how long a completed request took, for the decisions of a later drain."""
         self.drain.durations.record(forwarded.request_kind, now - forwarded.request.received_at, now)
 
     async def _attempt_until_answered(self, forwarded: ForwardedRequest) -> None:
-        """Make one attempt after another; ``Refusal`` if no further one may be made."""
+        """Make one attempt after another; raises ``Refusal`` if no further one may be made."""
         while True:
             endpoint = await self._choose_server(forwarded)
             try:
@@ -107,7 +107,7 @@
                 raise forwarded.last_refusal
 
     async def _choose_server(self, forwarded: ForwardedRequest) -> Endpoint:
-        """The server for the next attempt; ``Refusal`` if there is none, or the attempt is not granted."""
+        """The server for the next attempt; raises ``Refusal`` if there is none, or the attempt is not granted."""
         while True:
             now = trio.current_time()
             self._check_admission(forwarded, now)
@@ -135,7 +135,7 @@
         self.admission.require_not_draining(forwarded, now)
 
     async def _wait_for_server(self, forwarded: ForwardedRequest, pool: ServerPool[Endpoint], now: float) -> None:
-        """Wait for a change of what servers are available; ``Refusal`` once that took too long, or one was tried."""
+        """Wait for a change of the available servers; raises ``Refusal`` after a timeout or an earlier attempt."""
         if not forwarded.wait_ends_at:
             forwarded.wait_ends_at = now + max_wait_seconds(forwarded, pool, now)
         if forwarded.request.attempted_servers or now >= forwarded.wait_ends_at:
@@ -145,7 +145,7 @@
     async def _least_loaded(
         self, forwarded: ForwardedRequest, pool: ServerPool[Endpoint], picked: Endpoint
     ) -> Endpoint:
-        """The server picked, or another that serves as well and has far fewer tokens to read, over all routers."""
+        """The picked server, or an equally suitable one with far fewer tokens pending from all routers."""
         others = self.selection.alternatives(forwarded, pool, picked, trio.current_time())
         if not others:
             return picked
@@ -154,7 +154,7 @@
         return chosen
 
     def _on_server_unreachable(self, forwarded: ForwardedRequest, endpoint: Endpoint) -> None:
-        """Back off from a server that didn't get the request; ``Refusal`` after too many of them."""
+        """Back off from a server that did not get the request; raises ``Refusal`` after too many of them."""
         back_off(endpoint, trio.current_time())
         forwarded.unreachable.add(endpoint.id)
         if len(forwarded.unreachable) >= MAX_UNREACHABLE_SERVERS:
--- a/rowanshift/dataplane/frontend.py
+++ b/rowanshift/dataplane/frontend.py
@@ -1,4 +1,4 @@
-"""Accepts client connections, reads requests from them, and gives each request exactly one final response.
+"""Accepts client connections, reads requests from them, and sends exactly one final response to each.
 
 Times are trio's, in seconds.
 """
@@ -28,16 +28,16 @@
 from rowanshift.transport.runtime import Nursery
 from rowanshift.transport.streams import Listener, Stream
 
-LISTEN_BACKLOG = 1024  # connections that wait to be accepted
+LISTEN_BACKLOG = 1024  # connections waiting to be accepted
 MAX_ACCEPTS_PER_TURN = 16  # connections
-ACCEPT_RETRY_SECONDS = 0.02  # after an accept that failed
-BODY_TIMEOUT_SECONDS = 10.0  # for a request's body to come
-ERROR_LINGER_SECONDS = 0.5  # that a connection is read on after a 4xx, so that the response arrives
+ACCEPT_RETRY_SECONDS = 0.02  # after a failed accept
+BODY_TIMEOUT_SECONDS = 10.0  # for receiving a request's body
+ERROR_LINGER_SECONDS = 0.5  # that input is read after a 4xx: closing at once might reset the connection
 LINGER_BUFFER_BYTES = 1 << 16
-DENIAL_STATUSES = (401, 404)  # of the router's own refusals, those that are final for the client
+DENIAL_STATUSES = (401, 404)  # refusals by this router that are final for the client
 CONFIRMATION_WAIT_SECONDS = 0.6  # that a request which would be denied waits for the state to be confirmed
-UNCONFIRMED_RETRY_AFTER_SECONDS = 0.3  # that its client is asked to wait if it was not
-FIRST_REQUEST_TIMEOUT_SECONDS = 0.2  # on a connection that a draining router accepted
+UNCONFIRMED_RETRY_AFTER_SECONDS = 0.3  # Retry-After of a denial whose state could not be confirmed
+FIRST_REQUEST_TIMEOUT_SECONDS = 0.2  # for the first request on a new connection to a draining router
 
 
 @dataclass(slots=True, eq=False)
@@ -51,9 +51,9 @@
 
 
 class Frontend:
-    """The router's side towards clients.
+    """Serves client connections and passes their requests to the ``Forwarder``.
 
-    ``retry_budget_of`` gives the retry budget of a service, by its name; ``draw`` a random number from 0 to 1.
+    ``retry_budget_of`` returns a service's retry budget by its name, ``draw`` a random number from 0 to 1.
     """
 
     def __init__(
@@ -76,11 +76,11 @@
         self.counts = self.forwarder.counts
         self.idle: dict[ClientConnection, None] = {}
         self.open_requests = 0
-        self.reading: set[ClientConnection] = set()  # a part of a request has come
+        self.reading: set[ClientConnection] = set()  # connections on which a part of a request has arrived
         self.writers: dict[
             trio.CancelScope, ResponseWriter
         ] = {}  # of open requests, by the scope that abandons the request
-        self.accepting = trio.CancelScope()
+        self.accept_scope = trio.CancelScope()
         self.listener_closed = trio.Event()
         self.outcomes = outcomes or RequestOutcomes()
         descriptors.close_idle_client = self.close_longest_idle
@@ -88,10 +88,12 @@
     # the listener -----------------------------------------
 
     async def accept(self, listener: Listener, nursery: Nursery, pause: Callable[[float], Awaitable[None]]) -> None:
-        """Accept connections until ``stop_accepting``, then those that wait already, so that their requests get a
-        refusal; close the listener. ``pause`` waits for some seconds."""
+        """Accept connections until ``stop_accepting``, then those still waiting, and close the listener.
+
+        The requests of the latter then get a refusal instead of a reset. ``pause`` sleeps for a number of seconds.
+        """
         try:
-            with self.accepting:
+            with self.accept_scope:
                 await self._accept(listener, nursery, pause)
             self._accept_waiting(listener, nursery)
         finally:
@@ -99,21 +101,21 @@
             self.listener_closed.set()
 
     def _accept_waiting(self, listener: Listener, nursery: Nursery) -> None:
-        """Accept the connections that wait already, as far as there are descriptors."""
+        """Accept the connections in the listener's backlog, as far as there are descriptors."""
         for _ in range(LISTEN_BACKLOG):
             if not self.descriptors.try_acquire_client():
                 return
             try:
                 stream = listener.accept()
-            except OSError:  # none waits, or no descriptor is left
+            except OSError:  # the backlog is empty, or no descriptor is available
                 self.descriptors.release_client()
                 return
             self._record_connection()
             nursery.start_soon(self.serve, stream)
 
     async def stop_accepting(self) -> None:
-        """Accept no more connections but those that wait already; returns once the listener is closed."""
-        self.accepting.cancel()
+        """Accept only the connections already in the backlog; returns once the listener is closed."""
+        self.accept_scope.cancel()
         await self.listener_closed.wait()
 
     async def _accept(self, listener: Listener, nursery: Nursery, pause: Callable[[float], Awaitable[None]]) -> None:
@@ -135,7 +137,7 @@
                 nursery.start_soon(self.serve, stream)
 
     def close_longest_idle(self) -> bool:
-        """Close the connection that has been idle longest and has sent nothing; whether there was one."""
+        """Close the connection that has been idle longest and has no unread input; whether there was one."""
         for client in self.idle:
             if not client.http.stream.readable():
                 del self.idle[client]
@@ -149,17 +151,17 @@
         return len(self.reading) + self.open_requests
 
     def begin_shutdown(self) -> None:
-        """Announce to each client whose response has not started that its connection ends with the response."""
+        """Mark each response that has not started so that it announces the end of its connection."""
         for writer in self.writers.values():
             writer.keep_alive = writer.keep_alive and writer.started
 
     def abandon_open_requests(self) -> None:
-        """End each open request now: with a final response, or by a close if its response has started."""
+        """End each open request now: with a refusal, or by closing the connection if its response has started."""
         for scope in [*self.writers]:
             scope.cancel()
 
     def close_idle_connections(self) -> None:
-        """Close idle connections; a new one is given ``FIRST_REQUEST_TIMEOUT_SECONDS`` for its first request."""
+        """Close idle connections, except new ones within ``FIRST_REQUEST_TIMEOUT_SECONDS`` of their start."""
         now = trio.current_time()
         closed = [client for client in self.idle if self._should_close(client, now)]
         for client in closed:
@@ -167,14 +169,16 @@
             client.scope.cancel()
         if closed and (shutdown := self.outcomes.shutdown) is not None:
             shutdown.idle_connections_closed += len(closed)
-            since = shutdown.since_signal(now)
-            logger.info("event=idle_closed_while_leaving connections={} since_signal={:.3f}", len(closed), since)
+            seconds_since_signal = shutdown.since_signal(now)
+            logger.info(
+                "event=idle_closed_while_leaving connections={} since_signal={:.3f}", len(closed), seconds_since_signal
+            )
 
     @staticmethod
     def _should_close(client: ClientConnection, now: float) -> bool:
         """Whether a draining router closes an idle connection."""
-        expected = not client.requests_read and now < client.connected_at + FIRST_REQUEST_TIMEOUT_SECONDS
-        return not expected and not client.http.stream.readable()
+        awaits_first_request = not client.requests_read and now < client.connected_at + FIRST_REQUEST_TIMEOUT_SECONDS
+        return not awaits_first_request and not client.http.stream.readable()
 
     def _record_connection(self) -> None:
         """Count a new connection that was accepted after SIGTERM."""
@@ -211,7 +215,7 @@
             self.descriptors.release_client()
 
     async def _read_request(self, client: ClientConnection) -> Message | None:
-        """The next complete request; None if the client closed the connection or was idle for too long."""
+        """The next complete request; None if the client closed the connection or the idle timeout expired."""
         try:
             return await self._next_message(client)
         finally:
@@ -220,15 +224,15 @@
     async def _next_message(self, client: ClientConnection) -> Message | None:
         connection, routing_table = client.http, self.state.routing_table
         connection.body_limit_bytes = routing_table.max_body_bytes
-        until, began = trio.current_time() + routing_table.idle_timeout, 0.0
+        until, started_at = trio.current_time() + routing_table.idle_timeout, 0.0
         while True:
             if (message := connection.next()) is not None:
                 return message
             now = trio.current_time()
             if connection.partial:
                 self.reading.add(client)
-                began = began or now
-                until = began + (routing_table.header_timeout if connection.in_head else BODY_TIMEOUT_SECONDS)
+                started_at = started_at or now
+                until = started_at + (routing_table.header_timeout if connection.in_head else BODY_TIMEOUT_SECONDS)
                 self.idle.pop(client, None)
             elif not connection.pending():
                 self.idle[client] = None
@@ -238,23 +242,23 @@
                 if connection.partial and now < until:
                     continue
                 if connection.partial:
-                    raise MalformedMessage(408, "the request took too long")
+                    raise MalformedMessage(408, "the request was not received completely in time")
                 return None
             self.idle.pop(client, None)
             if not connection.receive():
                 return None
 
     async def _reject_malformed(self, writer: ResponseWriter, error: MalformedMessage) -> None:
-        """Send a 4xx and close the connection; read on for a moment so that the response arrives."""
+        """Send the error's status and end the connection; discard input for a moment so that the response arrives."""
         connection, writer.keep_alive = writer.connection, False
         try:
             await writer.refuse(Refusal(error.status, str(error)))
             connection.stream.end()
-            space = memoryview(bytearray(LINGER_BUFFER_BYTES))
+            buffer = memoryview(bytearray(LINGER_BUFFER_BYTES))
             with trio.move_on_after(ERROR_LINGER_SECONDS):
                 while True:
                     await connection.stream.wait_readable()
-                    if not connection.stream.recv_into(space):
+                    if not connection.stream.recv_into(buffer):
                         return
         except ClientDisconnected:
             writer.outcome = RequestOutcome.CLIENT_DISCONNECTED
@@ -262,7 +266,7 @@
             pass
 
     async def _handle_request(self, client: ClientConnection, message: Message) -> bool:
-        """Handle one request to its outcome; whether the connection stays open."""
+        """Handle one request and record its outcome; whether the connection stays open."""
         self.counts.requests += 1
         client.requests_read += 1
         id = dict(message.fields).get(b"request-id", b"").decode("latin-1")
@@ -277,12 +281,12 @@
         except ClientDisconnected:
             writer.outcome = RequestOutcome.CLIENT_DISCONNECTED
             raise
-        finally:  # also when cancelled
+        finally:  # also after a cancellation
             now = trio.current_time()
             log_closed_request(self.outcomes.close(tracked, writer.outcome, now, writer.status, writer.bytes_written))
 
     async def _respond(self, message: Message, writer: ResponseWriter) -> bool:
-        """Give one request a server's response or a refusal; whether the connection stays open."""
+        """Send a server's response or a refusal; whether the connection stays open."""
         request = parse_request(message, trio.current_time())
         self.open_requests += 1
         try:
@@ -292,7 +296,7 @@
             refusal = self._confirmed(refused)
             self.counts.refused += refusal.status in NOT_EXECUTED_STATUSES
             self.counts.failed += refusal.status not in NOT_EXECUTED_STATUSES
-            if writer.started:  # the part that was sent must not look complete
+            if writer.started:  # closing the connection marks the response as incomplete
                 return False
             writer.keep_alive = writer.keep_alive and not self.drain.draining
             await writer.refuse(refusal)
@@ -303,14 +307,14 @@
             self.counts.failed += 1
             if not writer.started:
                 writer.keep_alive = False
-                await writer.refuse(Refusal(502, "a fault of this router"))
+                await writer.refuse(Refusal(502, "internal error of the router"))
             raise
         finally:
             self.open_requests -= 1
         return writer.keep_alive
 
     async def _forward_until_abandoned(self, request: Request, writer: ResponseWriter) -> None:
-        """Forward a request; ``Refusal`` once it is abandoned because this router ends."""
+        """Forward a request; raises ``Refusal`` if the shutdown abandons it."""
         scope = trio.CancelScope()
         self.writers[scope] = writer
         try:
@@ -320,7 +324,7 @@
         finally:
             del self.writers[scope]
         if request.attempted_servers:
-            raise Refusal(502, f"{DRAINING_REASON}; it may have run")
+            raise Refusal(502, f"{DRAINING_REASON}; the request may have been executed")
         raise Refusal(503, DRAINING_REASON, RETRY_AFTER_SECONDS)
 
     async def _forward(self, request: Request, writer: ResponseWriter) -> None:
@@ -331,7 +335,7 @@
         await self.forwarder.forward(request, writer)
 
     async def _confirm_refusal(self, request: Request) -> None:
-        """Let a request that would be denied wait, briefly, until the state is surely recent."""
+        """If the request would be denied, wait briefly until the state is known to be recent."""
         if self.state.may_refuse():
             return
         try:
@@ -343,14 +347,14 @@
                 )
 
     def _confirmed(self, refusal: Refusal) -> Refusal:
-        """The refusal, or a 503 in place of a denial that rests on state that may be out of date."""
+        """The refusal, or a 503 instead of a denial that is based on possibly outdated state."""
         if refusal.status in DENIAL_STATUSES and not self.state.may_refuse():
             return Refusal(503, "the configuration could not be confirmed", UNCONFIRMED_RETRY_AFTER_SECONDS)
         return refusal
 
 
 def log_closed_request(closed: ClosedRequest) -> None:
-    """Log a request that ended during the shutdown, or whose end was a violation."""
+    """Log a request that ended during the shutdown or in a violation."""
     request, shutdown = closed.request, closed.shutdown
     if closed.violation is None and shutdown is None:
         return
--- a/rowanshift/dataplane/kv_transfers.py
+++ b/rowanshift/dataplane/kv_transfers.py
@@ -1,7 +1,7 @@
-"""KV cache transfers of a request: where its server may fetch shared prefix blocks, and which store it saves them to.
+"""KV cache transfers of a request: where its server may fetch shared prefix blocks, and the store to save them to.
 
-Both are hints in the request's ``Kv-Fetch`` and ``Kv-Save`` headers: a server that finds nothing there computes the
-blocks itself. No I/O.
+Both are hints in the request's ``Kv-Fetch`` and ``Kv-Save`` headers: a server that finds no blocks at the source
+computes them itself. No I/O.
 """
 
 from collections import OrderedDict
@@ -13,11 +13,11 @@
 from rowanshift.kv_index.block_hashes import block_hash, presence_hash, store_for_prefix
 from rowanshift.placement.shadows import ServerPool, accepts_requests
 
-MIN_STORE_TRANSFER_TOKENS = 64  # shared tokens of a prompt that are worth a transfer from or to a store
-MIN_HOME_FETCH_TOKENS = 1000  # shared tokens for which the home of a prompt asks its successors
-SOURCE_CANDIDATE_SERVERS = 3  # first servers of the ring walk, the home included, that may be a source
-SAVE_REPEAT_SECONDS = 8.0  # until a block that the store still lacks is saved again
-MAX_REMEMBERED_SAVES = 4096  # blocks; the oldest is forgotten, and may be saved twice
+MIN_STORE_TRANSFER_TOKENS = 64  # shared tokens from which a transfer from or to a store is worthwhile
+MIN_HOME_FETCH_TOKENS = 1000  # shared tokens from which a prompt's home server fetches from its successors
+SOURCE_CANDIDATE_SERVERS = 3  # servers from the start of the ring walk, including the home, that may be a source
+SAVE_REPEAT_SECONDS = 8.0  # after which a block that the store still lacks is saved again
+MAX_REMEMBERED_SAVES = 4096  # blocks; beyond it the oldest is forgotten and may be saved twice
 
 
 class KvTransfer(NamedTuple):
@@ -33,13 +33,13 @@
 def transfer_source(
     pool: ServerPool[Endpoint], request: Request, ring_position: int, version: int, endpoint: Endpoint, now: float
 ) -> Endpoint | None:
-    """The server that may keep the shared blocks of a request that goes to ``endpoint``; ``None`` if there is none.
+    """The server that may hold the shared blocks of a request for ``endpoint``; ``None`` if there is none.
 
     It is the first other server on the ring walk that is available and has the same version of the weights. ``now`` is
-    in seconds of the clock that the endpoints' times are of.
+    in seconds of the clock of the endpoints' times.
     """
-    # The home itself may lack the blocks, as after it has loaded weights. Its successors, which took its requests
-    # meanwhile, are asked only for so many tokens that a vain question costs less than computing them.
+    # The home itself may lack the blocks, for example after loading weights. Its successors, which served its requests
+    # meanwhile, are a source only for so many tokens that a failed fetch costs less than computing them.
     if endpoint is pool.home(ring_position) and request.shared_tokens < MIN_HOME_FETCH_TOKENS:
         return None
     for other in pool.ring.successors(ring_position, SOURCE_CANDIDATE_SERVERS):
@@ -49,14 +49,14 @@
 
 
 class PrefixStoreState(Protocol):
-    """What a router knows of the prefix stores."""
+    """The part of the control state that describes the prefix stores."""
 
     routing_table: RoutingTable
-    stored_block_hashes: set[int]  # of the prefix blocks that stores hold, and of the stores that answer
+    stored_block_hashes: set[int]  # of the prefix blocks held by stores, and the presence hashes of available stores
 
 
 class KvTransferPlanner:
-    """Plans the transfers of each request, and remembers for a while which blocks were saved."""
+    """Plans the transfers of each request and remembers which blocks were saved recently."""
 
     def __init__(self, state: PrefixStoreState) -> None:
         self.state = state
@@ -65,10 +65,10 @@
     def plan(
         self, request: Request, tenant: Tenant | None, version: int, source: Endpoint | None, now: float
     ) -> KvTransfer:
-        """The transfers of a request that goes to a server with this version of the weights (0: unknown).
+        """The transfers of a request for a server with this version of the weights (0: unknown).
 
-        ``source`` is a server that may keep its shared blocks. ``now`` is in seconds. A save that is planned counts as
-        done for ``SAVE_REPEAT_SECONDS``.
+        ``source`` is a server that may hold its shared blocks. ``now`` is in seconds. A planned save counts as done for
+        ``SAVE_REPEAT_SECONDS``.
         """
         shared_blocks = request.prompt_blocks[:-1]
         if not shared_blocks or not version:
@@ -81,7 +81,7 @@
         hashes = [block_hash(store, request.model, salt, block_id.decode("latin-1")) for block_id, _ in shared_blocks]
         missing = [hash_ for hash_ in hashes if hash_ not in self.state.stored_block_hashes]
         store_address = store.encode()
-        # A store that lacks some blocks is the source only where no server is; one that lacks all never is.
+        # A store that lacks some of the blocks is the source only if no server is; one that lacks all of them never is.
         store_is_source = not missing or (source_address is None and len(missing) < len(hashes))
         fetch_from = store_address if store_is_source else source_address
         if all(self.saved_until.get(hash_, 0.0) > now for hash_ in missing):
@@ -90,7 +90,7 @@
         return KvTransfer(fetch_from, store_address)
 
     def _store_of(self, prefix: bytes) -> str | None:
-        """The address of the store for a prefix, of those that answer."""
+        """The address of the store for a prefix, among the available ones."""
         stored = self.state.stored_block_hashes
         addresses = (service.store_address for service in self.state.routing_table.services.values())
         available = (address for address in addresses if address and presence_hash(address) in stored)
--- a/rowanshift/dataplane/primary_search.py
+++ b/rowanshift/dataplane/primary_search.py
@@ -1,20 +1,20 @@
-"""In which order a router asks the control plane's replicas for the primary. No I/O.
+"""The order in which a router asks the control plane's replicas for the primary. No I/O.
 
-Replicas are asked one after the other without waiting for each other's answers, so that one which accepts connections
-and never answers delays nothing. One that gave no answer lately is asked last, unless another that heard it since names
-it as the primary.
+Replicas are asked one after the other without waiting for answers, so that one which accepts connections and never
+answers does not delay the search. A replica that gave no answer recently is asked last, unless another replica has
+named it as the primary since.
 """
 
 from collections.abc import Callable, Iterable
 
-SUSPECT_SECONDS = 10.0  # for which a machine that gave no answer is asked last
+SUSPECT_SECONDS = 10.0  # that a machine is asked last after it gave no answer
 
 
 class PrimarySearch:
-    """The order of one search after another. Machines are known by their ids; times are steady seconds."""
+    """The order of consecutive searches. Machines are identified by their ids; times are monotonic, in seconds."""
 
     def __init__(self, draw: Callable[[], float]) -> None:
-        """``draw`` gives numbers from [0, 1), so that routers don't all ask in the same order."""
+        """``draw`` returns random numbers from [0, 1), so that routers ask in different orders."""
         self._draw = draw
         self._unanswered_at: dict[int, float] = {}
         self._waiting: list[int] = []
@@ -22,14 +22,14 @@
         self._hint: int | None = None
 
     def begin(self, machines: Iterable[int], now: float) -> None:
-        """Start a search of these machines, first the one that was named as the primary since the last search."""
+        """Start a search of these machines; one named as the primary since the last search comes first."""
         self._unanswered_at = {m: at for m, at in self._unanswered_at.items() if now - at < SUSPECT_SECONDS}
         drawn = {machine: self._draw() for machine in sorted({*machines} - {0})}
         self._waiting = sorted(drawn, key=lambda m: (m != self._hint, self._unanswered_at.get(m, 0.0), drawn[m]))
         self._asked, self._hint = set(), None
 
     def next_machine(self) -> int | None:
-        """The machine to be asked now, ``None`` if all were."""
+        """The machine to ask next; ``None`` if all have been asked."""
         if not self._waiting:
             return None
         machine = self._waiting.pop(0)
@@ -37,11 +37,11 @@
         return machine
 
     def on_no_answer(self, machine: int, now: float) -> None:
-        """A machine could not be reached, or gave no answer in time."""
+        """A machine could not be reached or did not answer in time."""
         self._unanswered_at[machine] = now
 
     def on_primary_hint(self, primary: int | None) -> None:
-        """A machine names another as the primary: that is asked next, if it wasn't yet. ``None``: it knows of none."""
+        """A replica named the primary, which is asked next unless it has been asked. ``None``: it knows no primary."""
         self._hint = primary
         if primary is None or primary in self._asked:
             return
--- a/rowanshift/dataplane/requests.py
+++ b/rowanshift/dataplane/requests.py
@@ -6,7 +6,7 @@
 from rowanshift.dataplane.routing_table import Route, Tenant
 from rowanshift.transport.http_connection import Fields, MalformedMessage, Message
 
-ROUTER_FIELDS = frozenset(  # header fields that only the router sets for servers; a client's own are not forwarded
+ROUTER_FIELDS = frozenset(  # header fields that only the router sets for servers; those of clients are not forwarded
     [
         b"authorization",
         b"deadline-remaining",
@@ -20,22 +20,22 @@
         b"last-event-id",
     ]
 )
-SINGLE_FIELDS = (b"request-id", b"deadline-remaining", b"authorization", b"prompt-prefix")  # may not be repeated
-DEFAULT_DEADLINE_MS = b"60000"  # where the client names none
+SINGLE_FIELDS = (b"request-id", b"deadline-remaining", b"authorization", b"prompt-prefix")  # may occur only once
+DEFAULT_DEADLINE_MS = b"60000"  # without a Deadline-Remaining header
 MAX_DEADLINE_MS = 3_600_000.0
 MAX_TOKEN_COUNT_DIGITS = 9
 LOWEST_PRIORITY = 9  # 0 is the highest
 
 
 class PromptBlock(NamedTuple):
-    """A block of a prompt that a server may have in its prefix cache."""
+    """A block of a prompt, the unit of prefix caching."""
 
     id: bytes
     tokens: int
 
 
 class TokenCount(NamedTuple):
-    """Tokens of a request as its client counts them; 0 where that is not known."""
+    """The number of tokens of a request according to its client; 0 if unknown."""
 
     prompt: int
     max_output: int
@@ -43,32 +43,32 @@
 
 @dataclass(slots=True)
 class Request:
-    """A client's request and what its header fields say. Times are trio's, in seconds."""
+    """A client's request with its parsed header fields. Times are trio's, in seconds."""
 
     id: bytes
     method: bytes
     target: bytes
     path: bytes
     host: bytes
-    forwarded_fields: Fields  # header fields that go to the server unchanged
+    forwarded_fields: Fields  # header fields that are forwarded unchanged
     body: bytes
     api_key: bytes | None  # the bearer token
-    deadline: float  # until when the client waits
+    deadline: float  # until which the client waits
     received_at: float
     model: str
     prompt_blocks: tuple[PromptBlock, ...]
     token_count: TokenCount
-    last_event_id: bytes | None  # of the last event that the client has, of a stream that it resumes
+    last_event_id: bytes | None  # of the last event that the client received of a stream that it resumes
     attempted_servers: list[str] = field(default_factory=list)  # ids of the servers that the request was sent to
 
     @property
     def shared_tokens(self) -> int:
-        """Tokens of the blocks that other requests may share: all but the last."""
+        """The number of tokens in the blocks that other requests may share, which are all but the last."""
         return sum(tokens for _, tokens in self.prompt_blocks[:-1])
 
     @property
     def prefix(self) -> bytes:
-        """Id of the last block that is shared, or of the only block; the request's own id if it has none."""
+        """The id of the last shared block, or of the only block; the request's id if it has no blocks."""
         if len(self.prompt_blocks) > 1:
             return self.prompt_blocks[-2].id
         return self.prompt_blocks[0].id if self.prompt_blocks else self.id
@@ -76,25 +76,25 @@
 
 @dataclass(slots=True)
 class ServerFields:
-    """What the router tells a server beside the client's request."""
+    """The header values that the router adds to a forwarded request."""
 
-    instance_id: str  # of the server that is meant
+    instance_id: str  # of the server that the request is meant for
     seconds_left: float  # until the request's deadline
     version: int  # of the model's weights; 0: the model has none
-    last_event_id: bytes | None = None  # of the last event that the client has
+    last_event_id: bytes | None = None  # of the last event that the client received
     fetch_address: bytes | None = None  # where the server may fetch shared prompt blocks
     save_address: bytes | None = None  # the store that the server saves them to
     priority: int | None = None
 
 
 def parse_request(message: Message, now: float) -> Request:
-    """The request that a message holds; ``MalformedMessage`` with the status for the client if it is malformed."""
+    """Parse a request; raises ``MalformedMessage`` with the status for the client if it is malformed."""
     fields = dict(message.fields)
     if not (id := fields.get(b"request-id")):
-        raise MalformedMessage(400, "Request-Id is missing")
+        raise MalformedMessage(400, "missing Request-Id header")
     for name in SINGLE_FIELDS:
-        if name in fields and sum(given == name for given, _ in message.fields) > 1:
-            raise MalformedMessage(400, f"{name.decode()} stands there twice")
+        if name in fields and sum(field_name == name for field_name, _ in message.fields) > 1:
+            raise MalformedMessage(400, f"{name.decode()} header occurs more than once")
     target = message.target
     if target[:1] != b"/":
         target = origin_form(target)
@@ -120,29 +120,31 @@
 
 
 def origin_form(target: bytes) -> bytes:
-    """Path and query of a request target in absolute form; ``MalformedMessage`` if it is neither."""
+    """Path and query of a request target in absolute form; raises ``MalformedMessage`` if it is of another form."""
     scheme, separator, rest = target.partition(b"://")
     if not separator or scheme.lower() not in (b"http", b"https"):
-        raise MalformedMessage(400, "a path is wanted")
+        raise MalformedMessage(400, "invalid request target: expected a path or an http(s) URL")
     authority = rest.replace(b"?", b"/", 1).partition(b"/")[0]
     path = rest[len(authority) :]
     return path if path[:1] == b"/" else b"/" + path
 
 
 def parse_milliseconds(text: bytes, name: str) -> float:
-    """A finite number of milliseconds, 0 or more; ``MalformedMessage`` that names the field if it is none."""
+    """Parse a finite, non-negative number of milliseconds; raises ``MalformedMessage`` that names the header."""
     try:
         value = float(text)
     except ValueError:
         value = -1.0
     if not 0 <= value < float("inf"):
-        raise MalformedMessage(400, f"{name} is no number of milliseconds")
+        raise MalformedMessage(400, f"{name} is not a non-negative number of milliseconds")
     return value
 
 
 def parse_prompt_blocks(text: bytes) -> tuple[PromptBlock, ...]:
-    """The blocks of a Prompt-Prefix; none if any is malformed: the request is then forwarded without a shared
-    prefix."""
+    """Parse the blocks of a Prompt-Prefix header.
+
+    Returns none if any block is malformed: the request is then routed without a shared prefix.
+    """
     blocks = []
     for block in text.split(b",") if text else ():
         id, colon, tokens = block.strip().partition(b":")
@@ -153,24 +155,24 @@
 
 
 def parse_token_count(text: bytes) -> TokenCount:
-    """The numbers of a Token-Count, each 0 where it can't be read."""
+    """Parse a Token-Count header; a number that can't be parsed is 0."""
     prompt, _, output = text.partition(b",")
     prompt, output = prompt.strip(), output.strip()
     return TokenCount(int(prompt) if is_token_count(prompt) else 0, int(output) if is_token_count(output) else 0)
 
 
 def is_token_count(text: bytes) -> bool:
-    """Whether it is a number of tokens of at most ``MAX_TOKEN_COUNT_DIGITS`` digits."""
+    """Whether the text is a number of at most ``MAX_TOKEN_COUNT_DIGITS`` digits."""
     return text.isdigit() and len(text) <= MAX_TOKEN_COUNT_DIGITS
 
 
 def cache_salt(tenant: Tenant | None, version: int) -> bytes:
-    """What separates prefix caches: they are never shared between versions, nor with an isolated tenant."""
+    """The salt that separates prefix caches: they are never shared between versions, nor with an isolated tenant."""
     return b"v%d.%s" % (version, tenant.name if tenant is not None and tenant.isolated else b"")
 
 
 def serialize_request(request: Request, tenant: Tenant | None, server_fields: ServerFields) -> bytes:
-    """Head and body of a request as they go to a server."""
+    """Encode a request as it is sent to a server."""
     lines = [b"%s %s HTTP/1.1" % (request.method, request.target)]
     lines += [b"%s: %s" % pair for pair in request.forwarded_fields]
     lines.append(b"Deadline-Remaining: %d" % max(1, int(server_fields.seconds_left * 1000)))
@@ -194,6 +196,6 @@
 
 
 def effective_priority(route: Route, tenant: Tenant | None) -> int:
-    """The priority at a server, 0 the highest: the tenant's if it has one, else the route's."""
+    """The request's priority at a server, 0 being the highest: the tenant's if it has one, else the route's."""
     priority = tenant.priority if tenant is not None and tenant.priority is not None else route.priority
     return min(LOWEST_PRIORITY, max(0, priority))
--- a/rowanshift/dataplane/response_stream.py
+++ b/rowanshift/dataplane/response_stream.py
@@ -1,4 +1,4 @@
-"""Relays a server's successful response to the client as it comes, a stream in complete events."""
+"""Relays a server's successful response to the client as it arrives; an event stream in units of complete events."""
 
 import re
 from collections.abc import Awaitable, Callable
@@ -17,11 +17,11 @@
 async def relay_response(
     forwarded: ForwardedRequest, endpoint: Endpoint, response: Message, read_body: Callable[[], Awaitable[bytes]]
 ) -> None:
-    """Relay a server's response, of which the head has been read.
+    """Relay a server's response whose head has been read.
 
-    ``read_body`` gives the next bytes of the body, b"" at its end. An event is relayed once it is complete, so that a
-    stream that breaks off can be resumed after it; if ``read_body`` raises, the bytes of an incomplete event are
-    dropped. ``ClientDisconnected`` if the client is gone.
+    ``read_body`` returns the next bytes of the body, b"" at its end. An event is relayed once it is complete, so that
+    an interrupted stream can be resumed after it. If ``read_body`` raises, an incomplete event is dropped.
+    Raises ``ClientDisconnected`` if the client has disconnected.
     """
     writer = forwarded.writer
     streaming = forwarded.route.is_streaming
@@ -46,7 +46,7 @@
 
 
 def end_of_events(data: bytes) -> int:
-    """The number of bytes up to the end of the last complete event in ``data``; 0 if none is complete."""
+    """The offset of the end of the last complete event in ``data``; 0 if none is complete."""
     end = 0
     for match in EVENT_END.finditer(data):
         end = match.end()
--- a/rowanshift/dataplane/routing_table.py
+++ b/rowanshift/dataplane/routing_table.py
@@ -1,6 +1,6 @@
-"""The configuration as a router uses it: routes by host and path, tenants by key, services. No I/O.
+"""The configuration in the form that a router uses: routes by host and path, tenants by API key, services. No I/O.
 
-The control plane has checked it against its schema; a router reads what it needs without these checks.
+The control plane has validated it against its schema; a router parses what it needs without validating again.
 """
 
 from collections.abc import Iterable, Mapping
@@ -12,7 +12,7 @@
 
 from rowanshift.dataplane.errors import UnreadableConfiguration
 
-STREAMING, IDEMPOTENT = "streaming", "idempotent"  # types of routes
+STREAMING, IDEMPOTENT = "streaming", "idempotent"  # route types
 DEFAULT_MAX_BODY_BYTES = 4 << 20
 DEFAULT_HEADER_TIMEOUT_MS = 3000
 DEFAULT_IDLE_TIMEOUT_MS = 15_000
@@ -25,17 +25,17 @@
 
 @dataclass(slots=True, frozen=True)
 class Service:
-    """A service, or a store of prefix blocks, that requests are sent to."""
+    """A service that requests are sent to, or a store of prefix blocks."""
 
     name: str
     health_path: bytes
-    max_connections: int  # that one of its servers accepts from all routers
-    store_address: str = ""  # IP:PORT, if it is a store of prefix blocks
-    kv_token_bytes: int = 0  # that a token takes in its prefix cache
+    max_connections: int  # that one of its servers accepts from all routers together
+    store_address: str = ""  # IP:PORT of a store of prefix blocks; empty for other services
+    kv_token_bytes: int = 0  # size of one token in its prefix cache
 
 
 class WeightedService(msgspec.Struct, frozen=True):
-    """A service that gets a part of a route's requests."""
+    """A service that gets a share of a route's requests."""
 
     name: str
     weight: float
@@ -43,19 +43,19 @@
 
 @dataclass(slots=True, frozen=True)
 class Route:
-    """A route as requests are matched to it; times in seconds."""
+    """A route that requests are matched to; times in seconds."""
 
     name: str
     host: bytes
     path_prefix: bytes
     route_type: str  # STREAMING, IDEMPOTENT or another
-    timeout: float  # for a request
-    target_latency: float  # to its first event
+    timeout: float  # of a request
+    target_latency: float  # until the first event of a response
     priority: int
     services: tuple[WeightedService, ...]
     max_attempts: int  # servers that one request may be sent to
-    public: bool  # whether no key is asked for
-    resumable: bool  # whether a stream that broke may go on at another server
+    public: bool  # whether requests need no API key
+    resumable: bool  # whether an interrupted stream may be resumed at another server
 
     @property
     def is_streaming(self) -> bool:
@@ -64,15 +64,15 @@
 
     @property
     def is_repeatable(self) -> bool:
-        """Whether a request may run more than once."""
+        """Whether a request may be executed more than once."""
         return self.route_type == IDEMPOTENT or (self.is_streaming and self.resumable)
 
     def choose_service(self, draw: float) -> str:
-        """The service for a number from [0, 1), by weight; the last one with a weight for 1."""
-        left = draw * sum(service.weight for service in self.services)
+        """Select a service by weight with a number from [0, 1); 1 selects the last one with a weight."""
+        remaining = draw * sum(service.weight for service in self.services)
         for service in self.services:
-            left -= service.weight
-            if left < 0:
+            remaining -= service.weight
+            if remaining < 0:
                 return service.name
         return next(service.name for service in reversed(self.services) if service.weight > 0)
 
@@ -83,25 +83,25 @@
 
     name: bytes
     priority: int | None  # of its requests, in place of the route's
-    isolated: bool  # whether its prefix blocks are not shared with other tenants
+    isolated: bool  # whether it shares no prefix blocks with other tenants
 
 
 @dataclass(slots=True)
 class RoutingTable:
-    """A configuration in the form that requests are matched by."""
+    """A parsed configuration, indexed for matching requests."""
 
     revision: int = 0  # 0: there is no configuration yet
     routes: dict[bytes, list[Route]] = field(default_factory=dict)  # by host, the longest prefix first
-    tenants: dict[bytes, Tenant] | None = None  # by key; None: no route asks for keys
+    tenants: dict[bytes, Tenant] | None = None  # by API key; None: no route requires keys
     services: dict[str, Service] = field(default_factory=dict)
-    versions: dict[str, int] = field(default_factory=dict)  # the newest that was announced, of each model
+    versions: dict[str, int] = field(default_factory=dict)  # the newest announced version, by model
     max_body_bytes: int = DEFAULT_MAX_BODY_BYTES
     header_timeout: float = DEFAULT_HEADER_TIMEOUT_MS / 1000  # seconds
     idle_timeout: float = DEFAULT_IDLE_TIMEOUT_MS / 1000  # seconds
-    requires_keys: bool = False  # whether no request is served without a key
+    requires_keys: bool = False  # whether every request needs an API key
 
     def find_route(self, host: bytes, path: bytes) -> Route | None:
-        """The route of a host and path with the longest prefix, ``None`` if there is none."""
+        """The route that matches the host and the longest prefix of the path; ``None`` if there is none."""
         for route in self.routes.get(host, ()):
             if path.startswith(route.path_prefix):
                 return route
@@ -109,7 +109,7 @@
 
 
 def parse_routing_table(revision: int, config: bytes, versions: dict[str, int]) -> RoutingTable:
-    """The table of a configuration in JSON, an empty one for no bytes. Raises ``UnreadableConfiguration``."""
+    """Parse a configuration in JSON; empty bytes give an empty table. Raises ``UnreadableConfiguration``."""
     if not config:
         return RoutingTable(versions=dict(versions))
     try:
@@ -117,7 +117,7 @@
         limits = document.get("limits") or {}
         tenants = document.get("tenants")
         routes = parse_routes(document.get("routes") or ())
-        has_public_route = any(route.public for of_host in routes.values() for route in of_host)
+        has_public_route = any(route.public for routes_of_host in routes.values() for route in routes_of_host)
         return RoutingTable(
             revision,
             routes,
@@ -134,18 +134,18 @@
 
 
 def parse_routes(rows: Iterable[JsonObject]) -> dict[bytes, list[Route]]:
-    """Routes by their host, the longest prefix first."""
+    """Parse routes and group them by host, the longest path prefix first."""
     routes: dict[bytes, list[Route]] = {}
     for row in rows:
         route = parse_route(row)
         routes.setdefault(route.host, []).append(route)
-    for of_host in routes.values():
-        of_host.sort(key=lambda route: -len(route.path_prefix))
+    for routes_of_host in routes.values():
+        routes_of_host.sort(key=lambda route: -len(route.path_prefix))
     return routes
 
 
 def parse_tenants(rows: Iterable[JsonObject]) -> dict[bytes, Tenant]:
-    """Tenants by each of their keys."""
+    """Parse tenants and index them by each of their API keys."""
     tenants: dict[bytes, Tenant] = {}
     for row in rows:
         tenant = Tenant(row["name"].encode(), row.get("priority"), bool(row.get("isolated")))
@@ -155,7 +155,7 @@
 
 
 def parse_service(row: JsonObject) -> Service:
-    """A service from its JSON object."""
+    """Parse a service from its JSON object."""
     engine = row.get("engine") or {}
     return Service(
         row["name"],
@@ -167,7 +167,7 @@
 
 
 def parse_route(row: JsonObject) -> Route:
-    """A route from its JSON object."""
+    """Parse a route from its JSON object."""
     if row.get("trafficSplit"):
         services = tuple(WeightedService(part["backend"], float(part["weight"])) for part in row["trafficSplit"])
     else:
--- a/rowanshift/dataplane/server_attempt.py
+++ b/rowanshift/dataplane/server_attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at a request: sent to one server, and the server's response relayed if it is the client's."""
+"""One attempt at a request: sends it to one server, and relays the response if it is final for the client."""
 
 from functools import partial
 
@@ -29,7 +29,7 @@
 from rowanshift.transport.flow import Flow
 from rowanshift.transport.http_connection import Message
 
-OVERDUE_WARNING_SECONDS = 0.2  # between warnings of requests that began on overdue weights
+OVERDUE_WARNING_SECONDS = 0.2  # minimum interval between warnings of requests that began on overdue weights
 FAILURE_OUTCOMES = {
     ExchangeFailure.NOT_SENT: ExchangeOutcome.REQUEST_NOT_SENT,
     ExchangeFailure.BROKEN: ExchangeOutcome.NO_RESPONSE,
@@ -38,7 +38,7 @@
     ExchangeFailure.TIMED_OUT: ExchangeOutcome.TIMED_OUT,
     ExchangeFailure.SERVER_SILENT: ExchangeOutcome.SERVER_SILENT,
 }
-LOAD_REPORTS = {  # what an outcome tells the load index of the server; any other tells nothing
+LOAD_REPORTS = {  # the report to the load index by outcome; other outcomes say nothing about the server
     ExchangeOutcome.SUCCESS: DatagramKind.FIRST_BYTES_RECEIVED,
     ExchangeOutcome.REQUEST_NOT_SENT: DatagramKind.REQUEST_FAILED,
     ExchangeOutcome.NO_RESPONSE: DatagramKind.REQUEST_FAILED,
@@ -53,11 +53,11 @@
 
 
 class ChoiceOutdated(DataPlaneError):
-    """The chosen server may no longer get the request; nothing was sent, and a server has to be chosen again."""
+    """The chosen server may no longer get the request. Nothing was sent; a server has to be chosen again."""
 
 
 class ServerAttempts:
-    """Makes the attempts of all requests, each at a server that was chosen for it."""
+    """Makes attempts at requests, each at a server that was chosen before."""
 
     def __init__(
         self,
@@ -79,9 +79,9 @@
         self.last_overdue_warning_at = float("-inf")
 
     async def run(self, forwarded: ForwardedRequest, endpoint: Endpoint) -> ExchangeOutcome:
-        """Send a request to a server and wait for the outcome; the response, if it is the client's, was relayed.
+        """Send a request to a server, relay the response if it is final for the client, and return the outcome.
 
-        ``ChoiceOutdated`` if nothing was sent; ``ClientDisconnected`` if the client is gone.
+        Raises ``ChoiceOutdated`` if nothing was sent, ``ClientDisconnected`` if the client has disconnected.
         """
         request = forwarded.request
         version = endpoint.versions.get(request.model, 0)
@@ -110,7 +110,7 @@
             await self.loads.report_end(load, report)
 
     def _serialize(self, forwarded: ForwardedRequest, endpoint: Endpoint, version: int) -> bytes:
-        """The request as it goes to a server."""
+        """Encode the request as it is sent to the server."""
         request, tenant, now = forwarded.request, forwarded.tenant, trio.current_time()
         pool = self.selection.pool(forwarded)
         near = transfer_source(pool, request, forwarded.ring_position, version, endpoint, now)
@@ -127,8 +127,11 @@
         return serialize_request(request, tenant, server_fields)
 
     def _check_choice(self, forwarded: ForwardedRequest, connection: ServerConnection, version: int) -> None:
-        """``ChoiceOutdated``, with the connection back in the pool, if the server may no longer get the request;
-        ``Refusal`` if the request is no longer admitted."""
+        """Check whether the server may still get the request.
+
+        Raises ``ChoiceOutdated``, after returning the connection to the pool, if not; ``Refusal`` if the request is no
+        longer admitted.
+        """
         now = trio.current_time()
         valid = self.selection.is_still_valid(forwarded, connection.endpoint, version, now)
         if valid and not (forwarded.may_have_run or forwarded.writer.started):
@@ -140,7 +143,7 @@
     async def _receive(
         self, forwarded: ForwardedRequest, connection: ServerConnection, load: ReportedRequest, version: int
     ) -> ExchangeOutcome:
-        """Wait for the response, and relay it if it is the client's."""
+        """Wait for the response, and relay it if it is final for the client."""
         endpoint, upstream = connection.endpoint, self.upstream
         request_id, deadline = forwarded.request.id, forwarded.deadline
         abandon = partial(self.silence.check, forwarded, connection, version)
@@ -167,7 +170,7 @@
         flow: Flow,
         abandon: AbandonCheck,
     ) -> ExchangeOutcome:
-        """Relay a successful response to its end."""
+        """Relay a successful response completely."""
         read = partial(self.upstream.read_body, connection, flow, forwarded.deadline, abandon)
         read_or_move = partial(self.silence.wait, forwarded, connection, read)
         await relay_response(forwarded, connection.endpoint, response, read_or_move)
@@ -177,7 +180,7 @@
         return outcome
 
     def _release(self, connection: ServerConnection, response: Message, decision: Decision) -> None:
-        """Give a connection back after a complete response."""
+        """Return a connection to the pool, or close it, after a complete response."""
         if decision.keep_connection:
             self.upstream.release(connection, response, trio.current_time())
         else:
@@ -196,7 +199,7 @@
         connection: ServerConnection | None,
         error: ExchangeFailed,
     ) -> ExchangeOutcome:
-        """The outcome that a failure stands for; ``ClientDisconnected`` if nobody waits for the response."""
+        """Map a failure to an outcome; raises ``ClientDisconnected`` if the client no longer waits."""
         if error.failure is ExchangeFailure.CLIENT_DISCONNECTED:
             raise ClientDisconnected from error
         if error.failure is ExchangeFailure.NOT_SENT:
@@ -215,7 +218,7 @@
         return FAILURE_OUTCOMES[error.failure]
 
     def _warn_if_overdue(self, forwarded: ForwardedRequest, endpoint: Endpoint, version: int) -> None:
-        """Log, a few times a second at most, that a request began on weights whose deadline is near or over."""
+        """Log that a request began on weights whose deadline is near or over; rate-limited."""
         now, model = trio.current_time(), forwarded.request.model
         overdue = self.state.seconds_overdue(model, version, now)
         if overdue is None or now < self.last_overdue_warning_at + OVERDUE_WARNING_SECONDS:
--- a/rowanshift/dataplane/server_loads.py
+++ b/rowanshift/dataplane/server_loads.py
@@ -1,8 +1,8 @@
-"""The load of each server that this router owns, by the reports of all routers. No I/O, no clock.
+"""The load of each server whose load index entry this router owns, from the reports of all routers. No I/O, no clock.
 
-The load of a server is the number of prompt tokens in requests that have no first bytes of a response yet. Where too
-many requests fail (``server_health``), the reported load is higher by ``AVOIDED_SERVER_TOKENS``, so that routers choose
-other servers. Times are in seconds of any one clock. Servers are named by the hash of their id.
+The load of a server is the number of prompt tokens in requests whose response has not begun. If too many requests fail
+(``server_health``), the reported load is raised by ``AVOIDED_SERVER_TOKENS``, so that routers choose other servers.
+Times are in seconds of any one clock. Servers are identified by the hash of their id.
 """
 
 from collections import OrderedDict, deque
@@ -13,14 +13,14 @@
 from rowanshift.transport.streams import Address
 
 AVOIDED_SERVER_TOKENS = 1_000_000  # added to the load of a failing server
-PENDING_REQUEST_TTL_SECONDS = 4.0  # for which a request counts if its end is not reported: a datagram may be lost
-MAX_PENDING_REQUESTS = 20_000  # of all routers; beyond it the oldest counts no more
+PENDING_REQUEST_TTL_SECONDS = 4.0  # after which a request without a reported end expires: datagrams may be lost
+MAX_PENDING_REQUESTS = 20_000  # from all routers; beyond it the oldest is dropped
 
-RequestKey = tuple[Address, int]  # the router that sent the request, and the request's number there
+RequestKey = tuple[Address, int]  # the router that sent the request, and that router's number of the request
 
 
 class PendingRequest(NamedTuple):
-    """A request that a server has not begun to answer."""
+    """A request whose response has not begun."""
 
     server: int
     tokens: int
@@ -32,14 +32,15 @@
 
     def __init__(self) -> None:
         self.pending: OrderedDict[RequestKey, PendingRequest] = OrderedDict()  # the oldest first
-        self.tokens: dict[int, int] = {}  # pending, by server; no entry is 0
+        self.tokens: dict[int, int] = {}  # pending tokens by server; servers with none have no entry
         self.health = ServerHealthTracker()
-        # Requests that are not overdue yet, the oldest first. Some have ended: taking those out would be a search.
+        # Requests that are not overdue yet, the oldest first. It includes ended requests, since removing one would need
+        # a linear search.
         self.not_overdue: deque[tuple[RequestKey, PendingRequest]] = deque()
-        self.overdue: dict[RequestKey, bool] = {}  # pending ones, and whether that counted as a failure
+        self.overdue: dict[RequestKey, bool] = {}  # overdue pending requests, and whether each counted as a failure
 
     def add(self, router: Address, number: int, server: int, tokens: int, now: float) -> None:
-        """A router sent a request with so many tokens to a server. One reported twice counts once, as reported last."""
+        """A router sent a request to a server. A request reported twice counts once, as reported last."""
         key = router, number
         self.remove(router, number)
         while len(self.pending) >= MAX_PENDING_REQUESTS:
@@ -53,7 +54,7 @@
         self.tokens[server] = self.tokens.get(server, 0) + tokens
 
     def remove(self, router: Address, number: int) -> PendingRequest | None:
-        """Stop counting a request; returns it, or ``None`` if it is not pending."""
+        """Remove a pending request; returns it, or ``None`` if it is not pending."""
         key = router, number
         request = self.pending.pop(key, None)
         if request is None:
@@ -67,7 +68,7 @@
         return request
 
     def end(self, router: Address, number: int, end_kind: DatagramKind, now: float) -> None:
-        """A request ended in one of the ``REQUEST_END_KINDS``: it counts no more, but for the server's health."""
+        """A request ended in one of the ``REQUEST_END_KINDS``: remove it and update the server's health."""
         self._check_overdue(now)
         counted_as_failure = self.overdue.get((router, number))  # ``None`` if it is not overdue
         request = self.remove(router, number)
@@ -81,14 +82,14 @@
             self.health.record_failure(request.server, now)
 
     def pending_tokens(self, server: int, now: float) -> int:
-        """Tokens pending at a server."""
+        """The number of tokens pending at a server."""
         self._remove_expired(now)
         return self.tokens.get(server, 0)
 
     def reported_tokens(self, server: int, now: float, may_probe: bool) -> int:
-        """Tokens pending at a server, and ``AVOIDED_SERVER_TOKENS`` more if it is to be avoided.
+        """The number of tokens pending at a server, plus ``AVOIDED_SERVER_TOKENS`` if it is to be avoided.
 
-        ``may_probe``: the asking router would send its request there.
+        ``may_probe`` says that the querying router would send its request to this server.
         """
         self._check_overdue(now)
         avoided = self.health.should_avoid(server, now, may_probe)
@@ -102,10 +103,10 @@
             self._remove_oldest()
 
     def _check_overdue(self, now: float) -> None:
-        """Count requests whose first bytes should have come.
+        """Record requests whose first bytes are overdue.
 
-        The first that is not due ends the search. One with a long prompt so delays those behind it, which bounds the
-        work of a call.
+        The check stops at the first request that is not due, which bounds the work of a call. A request with a long
+        prompt may thus delay the check of those behind it.
         """
         while self.not_overdue:
             key, request = self.not_overdue[0]
--- a/rowanshift/dataplane/service.py
+++ b/rowanshift/dataplane/service.py
@@ -1,4 +1,4 @@
-"""The life cycle of a router: start, serve, and a shutdown that finishes what was read."""
+"""The life cycle of a router: start, service, and a graceful shutdown that finishes the requests it has read."""
 
 import random
 import signal
@@ -28,31 +28,31 @@
 from rowanshift.wire.machine_ids import machine_id_from_ip
 
 ROLE = "dataplane"
-CLOCK_CHECK_SECONDS = 0.25  # between looks at the clock, which show that the process was stalled
-STALL_THRESHOLD_SECONDS = 0.5  # beyond a look's time; from then on what the router knows counts as stale
+CLOCK_CHECK_SECONDS = 0.25  # between clock checks, which detect that the process was stalled
+STALL_THRESHOLD_SECONDS = 0.5  # by which a clock check is late when the control state counts as stale
 IDLE_SWEEP_SECONDS = 0.5  # between sweeps of idle connections to servers
-SHUTDOWN_CHECK_SECONDS = 0.05  # between looks at the open requests during a shutdown
-FINAL_ANSWERS_SECONDS = 0.25  # for clients to read the last answers
-FINAL_ANSWERS_CHECK_SECONDS = 0.01  # between looks whether they have
+SHUTDOWN_CHECK_SECONDS = 0.05  # between checks of the open requests during a shutdown
+FINAL_ANSWERS_SECONDS = 0.25  # for clients to read the last responses
+FINAL_ANSWERS_CHECK_SECONDS = 0.01  # between checks whether clients have read the last responses
 RESERVED_DESCRIPTORS = 200  # that sockets may not use
-MEMORY_FRACTION = 0.5  # of ``memoryMb``, for bodies and what carries them
-READINESS_BACKLOG = 64  # connections that wait to be accepted
+MEMORY_FRACTION = 0.5  # of ``memoryMb``, for message bodies and their buffers
+READINESS_BACKLOG = 64  # connections waiting to be accepted
 
 
 class Readiness:
-    """Whether new connections may come."""
+    """The readiness endpoint: whether this router accepts new connections."""
 
     def __init__(self, service: "DataPlaneService") -> None:
         self.service = service
 
     async def call(self, message: Message) -> Response:
-        """200 while new connections may come, else 503."""
+        """200 while the router is ready for new connections, else 503."""
         ready = self.service.ready()
         return Response(200 if ready else 503, b'{"ready":%s}' % (b"true" if ready else b"false"))
 
 
 class DataPlaneService:
-    """One router: its frontend, upstream connections, and what it knows of the control plane."""
+    """One router: its frontend, upstream connections and control-plane client."""
 
     def __init__(self, settings: NodeSettings, runtime: Runtime = SYSTEM_RUNTIME, seed: int | None = None) -> None:
         self.settings, self.runtime = settings, runtime
@@ -61,16 +61,16 @@
         self.shutdown_requested = trio.Event()
         self.shutdown_requested_at = 0.0  # trio's time at which the signal was handled
         self.outcomes = RequestOutcomes()
-        self.frontend: Frontend | None = None  # until it serves
-        self.retry_budgets: dict[str, RetryBudget] = {}
-        self.joined_at: float | None = None
+        self.frontend: Frontend | None = None  # created when serving starts
+        self.retry_budgets: dict[str, RetryBudget] = {}  # by service
+        self.joined_at: float | None = None  # when the number of member routers was first known
 
     def ready(self) -> bool:
-        """Whether new connections may come."""
+        """Whether this router is ready for new connections."""
         return not self.drain.draining and self.control_cache.ready()
 
     def seeds(self) -> list[tuple[str, int]]:
-        """The seed addresses, as the settings file names them now."""
+        """The seed addresses in the current settings file."""
         if self.settings.path is not None and self.settings.path.exists():
             try:
                 self.settings = load_node_settings(self.settings.path)
@@ -79,9 +79,10 @@
         return self.settings.seeds
 
     def retry_budget(self, service: str) -> RetryBudget:
-        """The retry budget of a service, with this router's share of it.
+        """The retry budget of a service, limited to this router's share.
 
-        The share counts once this router has been a member for a whole window: before, nobody knows what others sent.
+        The share applies once this router has been a member for a complete window: before that, the requests of the
+        other routers in the window are unknown.
         """
         bounds = self.settings.bounds
         if service not in self.retry_budgets:
@@ -96,14 +97,14 @@
         return budget
 
     async def run(self) -> None:
-        """Serve from the start to the end that a signal asks for, and tell how its requests ended."""
+        """Serve until a signal requests the shutdown, then log the outcomes of the requests."""
         try:
             await self._serve()
         finally:
             self._log_end()
 
     def _log_end(self) -> None:
-        """Log how the requests of this process ended, once nothing of it runs any more."""
+        """Log the outcomes of all requests, after all tasks of this process have ended."""
         if self.frontend is None:
             return
         outcomes, now = self.outcomes, trio.current_time()
@@ -130,7 +131,7 @@
         )
 
     async def _serve(self) -> None:
-        """Serve until a signal asks for the end, and finish what is open."""
+        """Serve until a signal requests the shutdown, and finish the open requests."""
         settings, runtime = self.settings, self.runtime
         with runtime.signals() as signals:
             async with runtime.nursery() as nursery:
@@ -180,7 +181,7 @@
                 nursery.cancel_scope.cancel()
 
     async def _shut_down(self, frontend: Frontend, descriptors: DescriptorBudget) -> None:
-        """Serve on as ``Drain`` says, then end what is open and stop; return within the grace."""
+        """Drain as ``Drain`` decides, then abandon open requests; returns within the grace period."""
         self.drain.begin(self.shutdown_requested_at)
         frontend.outcomes.begin_shutdown(self.shutdown_requested_at, self.drain.grace)
         frontend.begin_shutdown()
@@ -200,31 +201,33 @@
             await trio.sleep(FINAL_ANSWERS_CHECK_SECONDS)
 
     async def _on_signals(self, signals: AsyncIterator[ReceivedSignal]) -> None:
-        """Request the shutdown at the first signal; SIGHUP needs nothing, as the settings are read again anyway."""
+        """Request the shutdown at the first signal except SIGHUP, since the settings are re-read anyway."""
         async for received in signals:
             if received.number != signal.SIGHUP:
                 self.shutdown_requested_at = self.shutdown_requested_at or received.at
                 self.shutdown_requested.set()
 
     async def _watch_clock(self) -> None:
-        """Notice that the process was stalled, and close server connections that were idle too long."""
-        swept = 0.0
+        """Detect stalls of the process, and close server connections that have been idle too long."""
+        last_sweep_at = 0.0
         while True:
-            at = trio.current_time()
+            sleep_started_at = trio.current_time()
             await self.runtime.pause(CLOCK_CHECK_SECONDS)
             now = trio.current_time()
             if (shutdown := self.outcomes.shutdown) is not None:
-                shutdown.longest_stall_seconds = max(shutdown.longest_stall_seconds, now - at - CLOCK_CHECK_SECONDS)
-            if now - at - CLOCK_CHECK_SECONDS > STALL_THRESHOLD_SECONDS:
-                logger.warning("event=stood_still seconds={:.2f}", now - at - CLOCK_CHECK_SECONDS)
+                shutdown.longest_stall_seconds = max(
+                    shutdown.longest_stall_seconds, now - sleep_started_at - CLOCK_CHECK_SECONDS
+                )
+            if now - sleep_started_at - CLOCK_CHECK_SECONDS > STALL_THRESHOLD_SECONDS:
+                logger.warning("event=stood_still seconds={:.2f}", now - sleep_started_at - CLOCK_CHECK_SECONDS)
                 self.control_client.mark_stale()
-            if now - swept > IDLE_SWEEP_SECONDS:
-                swept = now
+            if now - last_sweep_at > IDLE_SWEEP_SECONDS:
+                last_sweep_at = now
                 self.upstream.close_stale(now)
 
 
 def run(settings: NodeSettings, level: str = "INFO", former_role: str = "") -> int:
-    """Serve until SIGTERM and return the exit code; ``former_role`` is the withdrawn name it was started by."""
+    """Serve until SIGTERM and return the exit code; ``former_role`` is the deprecated role name, if one was used."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     log_to_stderr(level)
     if former_role:
--- a/rowanshift/dataplane/silence_monitor.py
+++ b/rowanshift/dataplane/silence_monitor.py
@@ -1,7 +1,7 @@
-"""Abandons a server that is silent, or whose weights are overdue, once another server is ready to be asked.
+"""Moves a request away from a server that is silent, or whose weights are overdue, once another server is available.
 
 Only a repeatable request is moved, and only after the retry budget has granted the attempt and a connection to the
-other server is up: until then the silent server's response is waited for, up to the request's deadline.
+other server is established. Until then the router waits for the silent server, up to the request's deadline.
 """
 
 from collections.abc import Awaitable, Callable
@@ -24,11 +24,11 @@
 
 T = TypeVar("T")
 
-SERVER_SILENCE_SECONDS = 1.5  # without a byte from a server, after which a repeatable request is moved
+SERVER_SILENCE_SECONDS = 1.5  # without a byte from a server, after which a repeatable request may be moved
 
 
 class SilenceMonitor:
-    """Watches the exchanges of all requests; it keeps nothing between calls."""
+    """Decides when a request is moved to another server; keeps no state between calls."""
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
         self.selection = selection
 
     def check(self, forwarded: ForwardedRequest, connection: ServerConnection, version: int) -> ExchangeFailure | None:
-        """Why a response is no longer waited for; None if it is. ``version`` is of the server's weights."""
+        """Why to stop waiting for a response; None to wait on. ``version`` is that of the server's weights."""
         if forwarded.writer.client_disconnected():
             return ExchangeFailure.CLIENT_DISCONNECTED
         if not forwarded.idempotency.repeatable:
@@ -55,15 +55,15 @@
         return ExchangeFailure.SERVER_SILENT if self.may_move(forwarded, now) else None
 
     def _is_overdue(self, forwarded: ForwardedRequest, connection: ServerConnection, version: int, now: float) -> bool:
-        """Whether a response that has not begun would begin on weights whose deadline is near or over."""
+        """Whether the response has not begun, and the server's weights are near or past their deadline."""
         if connection.response is not None:
             return False
         return self.state.seconds_overdue(forwarded.request.model, version, now) is not None
 
     def may_move(self, forwarded: ForwardedRequest, now: float) -> bool:
-        """Whether there is a server for a further attempt, and the attempt is granted."""
+        """Whether a server is available for a further attempt, and the attempt is granted."""
         writer = forwarded.writer
-        if writer.started and not writer.last_event_id:  # the stream could not be resumed
+        if writer.started and not writer.last_event_id:  # the response can't be resumed elsewhere
             return False
         if not self.admission.may_send(forwarded, now):
             return False
@@ -73,8 +73,10 @@
     async def wait(
         self, forwarded: ForwardedRequest, connection: ServerConnection, read: Callable[[], Awaitable[T]]
     ) -> T:
-        """What ``read`` gives. It is called again after a silence, unless the request moves to another server, which
-        raises ``ExchangeFailed`` with SERVER_SILENT."""
+        """Return the result of ``read``, which is called again after each silence of the server.
+
+        Raises ``ExchangeFailed`` with SERVER_SILENT if the request is to be moved to another server.
+        """
         while True:
             try:
                 return await read()
@@ -85,10 +87,10 @@
                     raise
 
     async def reserve_connection(self, forwarded: ForwardedRequest, silent: ServerConnection) -> bool:
-        """Connect to another server for the next attempt; whether that is up and the silent server still silent."""
+        """Connect to another server for the next attempt; False if that fails or the server is no longer silent."""
         endpoint = self.selection.pick(forwarded, self.selection.pool(forwarded), trio.current_time())
         if endpoint is None:
-            await trio.sleep(ABANDON_CHECK_SECONDS)  # the caller's loop must not spin
+            await trio.sleep(ABANDON_CHECK_SECONDS)  # keeps the caller's loop from spinning
             return False
         try:
             reserved = await self.upstream.acquire(endpoint, forwarded.deadline)
--- a/rowanshift/dataplane/upstream.py
+++ b/rowanshift/dataplane/upstream.py
@@ -1,7 +1,7 @@
 """The pool of connections to model servers, and the exchange of one request and response on a connection.
 
-A connection carries one exchange at a time. It goes back to the pool only after a complete response with nothing
-behind it. Times are trio's, in seconds.
+A connection carries one exchange at a time. It returns to the pool only after a complete response without surplus
+bytes. Times are trio's, in seconds.
 """
 
 import errno
@@ -21,31 +21,33 @@
 from rowanshift.transport.runtime import Runtime
 
 CONNECT_TIMEOUT_SECONDS = 0.6
-DEFAULT_IDLE_SECONDS = 4.0  # that an idle connection is kept where the server names no time
-KEEP_ALIVE_FRACTION = 0.85  # of the time that the server names; closed before the server does
-ABANDON_CHECK_SECONDS = 0.5  # between checks whether a response is still worth waiting for
-MAX_IDLE_CONNECTIONS = 64  # to one server
-MAX_BODY_BYTES = 1 << 18  # of a response that is not a stream
+DEFAULT_IDLE_SECONDS = 4.0  # that an idle connection is kept if the server sends no Keep-Alive timeout
+KEEP_ALIVE_FRACTION = 0.85  # of the server's Keep-Alive timeout, so that the router closes the connection first
+ABANDON_CHECK_SECONDS = 0.5  # between checks whether to go on waiting for a response
+MAX_IDLE_CONNECTIONS = 64  # per server
+MAX_BODY_BYTES = 1 << 18  # of a response that is not streamed
 
 
 class ExchangeFailure(Enum):
     """How an exchange failed."""
 
-    NOT_SENT = "unsent"  # the request was not written to its end: it can't have run
-    BROKEN = "broken"  # it was written, and the connection ended: it may have run
-    MALFORMED = "garbled"  # the bytes received are no HTTP response
-    MISMATCHED = "mismatched"  # the response is to another request
-    TIMED_OUT = "late"
-    SERVER_SILENT = "silent"  # abandoned for another server
-    CLIENT_DISCONNECTED = "client gone"  # nobody waits for the response
+    NOT_SENT = "unsent"  # the request was not written completely: it can't have been executed
+    BROKEN = "broken"  # the connection ended after the request was written: it may have been executed
+    MALFORMED = "garbled"  # the received bytes are not an HTTP response
+    MISMATCHED = "mismatched"  # the response belongs to another request
+    TIMED_OUT = "late"  # the deadline passed
+    SERVER_SILENT = "silent"  # the server is abandoned for another one
+    CLIENT_DISCONNECTED = "client gone"  # the client no longer waits for the response
 
 
-AbandonCheck = Callable[[], ExchangeFailure | None]  # why a response is no longer waited for; None: it is
+AbandonCheck = Callable[[], ExchangeFailure | None]  # returns why to stop waiting for a response; None: wait on
 
 
 class ExchangeFailed(DataPlaneError):
-    """An exchange ended without a complete response; ``failure`` says how, the text why. Whether the request may be
-    retried is decided in ``retry_decision``."""
+    """An exchange ended without a complete response; ``failure`` says how, the text why.
+
+    ``retry_decision`` decides whether the request may be retried.
+    """
 
     def __init__(self, failure: ExchangeFailure, reason: str) -> None:
         super().__init__(reason)
@@ -54,7 +56,7 @@
 
 @dataclass(slots=True, eq=False)
 class ServerConnection:
-    """One connection to a server, and the response that is read from it."""
+    """One connection to a server, and the response being read from it."""
 
     endpoint: Endpoint
     http: Connection
@@ -62,7 +64,7 @@
     max_idle_seconds: float = DEFAULT_IDLE_SECONDS
     response: Message | None = None
     closed: bool = False
-    released: bool = False  # given back to the pool, which kept or closed it
+    released: bool = False  # returned to the pool, which has kept or closed it
 
 
 class UpstreamPool:
@@ -72,7 +74,7 @@
         self.runtime = runtime
         self.descriptors = descriptors
         self.memory = memory
-        self.idle: dict[Endpoint, list[ServerConnection]] = {}  # of each server the longest idle first
+        self.idle: dict[Endpoint, list[ServerConnection]] = {}  # by server, the longest idle first
         self.connects = 0
         self.requests_sent = 0
         descriptors.close_idle_server = self.close_longest_idle
@@ -80,11 +82,11 @@
     # the pool ---------------------------------------------
 
     async def acquire(self, endpoint: Endpoint, deadline: float) -> ServerConnection:
-        """An idle connection to a server, or a new one; ``ExchangeFailed`` with NOT_SENT if none comes up."""
+        """An idle or new connection to a server; raises ``ExchangeFailed`` with NOT_SENT if connecting fails."""
         return self.take_idle(endpoint, trio.current_time()) or await self.connect(endpoint, deadline)
 
     def take_idle(self, endpoint: Endpoint, now: float) -> ServerConnection | None:
-        """The idle connection that was used last, if one is usable; it leaves the pool."""
+        """Remove and return the most recently used idle connection, if one is usable."""
         connections = self.idle.get(endpoint)
         while connections:
             connection = connections.pop()
@@ -96,9 +98,9 @@
         return None
 
     async def connect(self, endpoint: Endpoint, deadline: float) -> ServerConnection:
-        """A new connection; ``ExchangeFailed`` with NOT_SENT if it doesn't come up."""
+        """Open a new connection; raises ``ExchangeFailed`` with NOT_SENT if that fails."""
         if not self.descriptors.try_acquire_server():
-            raise ExchangeFailed(ExchangeFailure.NOT_SENT, "no descriptor is left")
+            raise ExchangeFailed(ExchangeFailure.NOT_SENT, "no file descriptor available for a server connection")
         connection = None
         try:
             connection = self._new_connection(endpoint)
@@ -113,7 +115,7 @@
             raise
         if not connected:
             self.close(connection)
-            raise ExchangeFailed(ExchangeFailure.NOT_SENT, f"connecting failed: {error_number}")
+            raise ExchangeFailed(ExchangeFailure.NOT_SENT, f"connecting to the server failed, errno {error_number}")
         return connection
 
     def _new_connection(self, endpoint: Endpoint) -> ServerConnection:
@@ -125,7 +127,7 @@
         )
 
     async def _connect_socket(self, connection: ServerConnection, deadline: float) -> tuple[int, bool]:
-        """The error number of the attempt, and whether the connection is up; neither after the timeout."""
+        """Connect the socket; returns the last error number, and whether it is connected: False after a timeout."""
         self.connects += 1
         stream = connection.http.stream
         host, _, port = connection.endpoint.address.rpartition(":")
@@ -139,22 +141,22 @@
         return error_number, connected
 
     def release(self, connection: ServerConnection, response: Message, now: float) -> None:
-        """Give a connection back after a complete response; it is kept if nothing is left on it."""
+        """Return a connection after a complete response; it is kept if it can be reused."""
         http, flow = connection.http, response.flow
         connection.released = True
         if not http.kept or not http.clean() or (flow is not None and not flow.is_drained()):
             self.close(connection)
             return
         http.release()
-        named = dict(response.fields).get(b"keep-alive", b"")
-        for parameter in named.split(b","):
+        keep_alive = dict(response.fields).get(b"keep-alive", b"")
+        for parameter in keep_alive.split(b","):
             name, _, value = parameter.strip().partition(b"=")
             if name == b"timeout" and value.isdigit():
                 connection.max_idle_seconds = KEEP_ALIVE_FRACTION * int(value)
         self.put_idle(connection, now)
 
     def put_idle(self, connection: ServerConnection, now: float) -> None:
-        """Put a connection that has no exchange open into the pool; it is closed if it can't be used again."""
+        """Put a connection without an open exchange into the pool; it is closed if it can't be reused."""
         connection.released, connection.response, connection.idle_since = True, None, now
         endpoint, http = connection.endpoint, connection.http
         if not endpoint.listed or endpoint.draining or http.sending() or http.stream.readable():
@@ -166,7 +168,7 @@
             self.close(connections.pop(0))
 
     def close(self, connection: ServerConnection) -> None:
-        """Close a connection, once, and give its file descriptor back to the budget."""
+        """Close a connection, if it is open, and return its file descriptor to the budget."""
         if not connection.closed:
             connection.closed = True
             connection.http.close()
@@ -202,7 +204,7 @@
     # one exchange -----------------------------------------
 
     async def send_request(self, connection: ServerConnection, data: bytes, deadline: float) -> None:
-        """Write a complete request; ``ExchangeFailed`` with NOT_SENT if the last byte was not handed over."""
+        """Write a complete request; raises ``ExchangeFailed`` with NOT_SENT if its last byte was not written."""
         http = connection.http
         self.requests_sent += 1
         complete = False
@@ -215,12 +217,12 @@
         except (OSError, trio.ClosedResourceError) as error:
             raise ExchangeFailed(ExchangeFailure.NOT_SENT, repr(error)) from error
         if not complete:
-            raise ExchangeFailed(ExchangeFailure.NOT_SENT, "its time was up")
+            raise ExchangeFailed(ExchangeFailure.NOT_SENT, "the deadline passed before the request was written")
 
     async def read_head(
         self, connection: ServerConnection, request_id: bytes, deadline: float, abandon: AbandonCheck
     ) -> Message:
-        """The response's head, with its body unless that is a stream; ``ExchangeFailed`` if it doesn't come.
+        """Read a response's head, and its body unless that is streamed; raises ``ExchangeFailed`` if that fails.
 
         ``abandon`` is called every ``ABANDON_CHECK_SECONDS``.
         """
@@ -235,7 +237,7 @@
             if message is not None:
                 break
             if not open_for_more:
-                raise ExchangeFailed(ExchangeFailure.BROKEN, "it ended without an answer")
+                raise ExchangeFailed(ExchangeFailure.BROKEN, "the server closed the connection before a response")
             if http.read_filled_buffer:
                 continue
             now = trio.current_time()
@@ -243,16 +245,17 @@
             with trio.CancelScope(deadline=min(deadline, now + ABANDON_CHECK_SECONDS)):
                 await http.stream.wait_readable()
         if dict(message.fields).get(b"request-id") != request_id:
-            raise ExchangeFailed(ExchangeFailure.MISMATCHED, "an answer to another request")
+            raise ExchangeFailed(ExchangeFailure.MISMATCHED, "the response lacks the Request-Id of the request")
         connection.response = message
         return message
 
     async def read_body(
         self, connection: ServerConnection, flow: Flow, deadline: float, abandon: AbandonCheck
     ) -> bytes:
-        """The next bytes of a response's body, b"" at its regular end; ``ExchangeFailed`` if it breaks off.
+        """Return the next bytes of a response's body, b"" at its regular end.
 
-        ``flow`` holds what was read of the body. ``abandon`` is called every ``ABANDON_CHECK_SECONDS``.
+        Raises ``ExchangeFailed`` if the body is truncated. ``flow`` holds the bytes read so far. ``abandon`` is called
+        every ``ABANDON_CHECK_SECONDS``.
         """
         http = connection.http
         while True:
@@ -274,12 +277,14 @@
             except (OSError, trio.ClosedResourceError) as error:
                 raise ExchangeFailed(ExchangeFailure.BROKEN, repr(error)) from error
             if not open_for_more and not flow.ended and not flow.pieces:
-                raise ExchangeFailed(ExchangeFailure.BROKEN, "it broke off")
+                raise ExchangeFailed(
+                    ExchangeFailure.BROKEN, "the server closed the connection within the response body"
+                )
 
     @staticmethod
     def _check_abandoned(now: float, deadline: float, abandon: AbandonCheck) -> None:
-        """``ExchangeFailed`` if the response is no longer waited for."""
+        """Raise ``ExchangeFailed`` if the response is no longer worth waiting for."""
         if (failure := abandon()) is not None:
-            raise ExchangeFailed(failure, "it is waited for no longer")
+            raise ExchangeFailed(failure, "the response was abandoned")
         if now >= deadline:
-            raise ExchangeFailed(ExchangeFailure.TIMED_OUT, "its time was up")
+            raise ExchangeFailed(ExchangeFailure.TIMED_OUT, "the deadline passed before the response was complete")
