--- a/tests/dataplane/test_exchange_attempts.py
+++ b/tests/dataplane/test_exchange_attempts.py
@@ -1,4 +1,4 @@
-"""Several attempts at one request: after a silence, on forgotten connections, and with streams taken up elsewhere."""
+"""Several attempts at one request: after a server's silence, on stale connections, and of resumed streams."""
 
 import unittest
 
@@ -10,19 +10,19 @@
 from rowanshift.dataplane.upstream import ABANDON_CHECK_SECONDS, ServerConnection
 from tests.support.exchange_case import Case, Exchange, breaches, exchange, outcome
 from tests.support.exchange_rig import (
+    CLIENT_DEADLINE_SECONDS,
     KINDS,
     REPEATABLE,
-    WITHIN,
     Asked,
     Behaviour,
     Client,
     Got,
     Rig,
     Then,
+    complete_response,
     play,
     rejection,
     request_bytes,
-    whole_answer,
 )
 
 
@@ -35,72 +35,72 @@
 
 
 class Forgotten(Case):
-    """A kept connection that its server no longer knows: what is sent on it is reset."""
+    """An idle connection whose server has lost its state: a request on it is answered with a reset."""
 
     def asked_on(self, kind: str, servers: int, window: int = 1 << 16) -> tuple[list, int]:
-        """What came of requests when the first server had forgotten its connections, and how many met one."""
+        """The results of requests after the first server lost its connections, and how many used such a connection."""
 
         async def main(rig: Rig) -> tuple[list, int]:
-            made, met = [], 0
+            results, stale_count = [], 0
             for _ in range(8):
-                await exchange(rig, kind)  # connections are kept from here on
+                await exchange(rig, kind)  # leaves idle connections
                 id, client = rig.next_id(), Client(rig)
                 for stream in rig.servers[0].connections:
-                    stream.drop(False)  # without a word
+                    stream.drop(False)  # without a FIN or reset to the router
                 rig.servers[0].connections.clear()
                 sends = rig.upstream.requests_sent
                 got = await client.ask(kind, id)
-                met += rig.upstream.requests_sent - sends > rig.runs[id]
-                made.append((outcome(kind, id, got), rig.runs[id], breaches(rig, kind, id, got)))
+                stale_count += rig.upstream.requests_sent - sends > rig.runs[id]
+                results.append((outcome(kind, id, got), rig.runs[id], breaches(rig, kind, id, got)))
                 client.close()
                 await trio.sleep(5.0)
-            return made, met
+            return results, stale_count
 
         return play(main, servers, window)
 
     def test_a_repeatable_request_goes_elsewhere(self) -> None:
         for kind in REPEATABLE:
-            made, met = self.asked_on(kind, 2)
-            self.assertEqual(made, [("success", 1, [])] * 8)
-            self.assertGreater(met, 0)
+            results, stale_count = self.asked_on(kind, 2)
+            self.assertEqual(results, [("success", 1, [])] * 8)
+            self.assertGreater(stale_count, 0)
 
-    def test_another_is_not_sent_again_and_no_promise_is_made(self) -> None:
+    def test_another_request_is_not_sent_again_and_gets_a_502(self) -> None:
         for kind in ("non_idempotent", "stream"):
-            made, met = self.asked_on(kind, 2)
-            self.assertEqual({each[0] for each in made}, {"success", "own 502"})
-            self.assertEqual([each[2] for each in made], [[]] * 8)
-            self.assertEqual(met, sum(each[0] == "own 502" for each in made))
+            results, stale_count = self.asked_on(kind, 2)
+            self.assertEqual({each[0] for each in results}, {"success", "own 502"})
+            self.assertEqual([each[2] for each in results], [[]] * 8)
+            self.assertEqual(stale_count, sum(each[0] == "own 502" for each in results))
 
-    def test_one_whose_last_byte_was_kept_back_goes_elsewhere(self) -> None:
+    def test_a_request_whose_last_byte_was_not_written_goes_elsewhere(self) -> None:
         for kind in KINDS:
-            made, met = self.asked_on(kind, 2, 40)
-            self.assertEqual(made, [("success", 1, [])] * 8)
-            self.assertGreater(met, 0)
+            results, stale_count = self.asked_on(kind, 2, 40)
+            self.assertEqual(results, [("success", 1, [])] * 8)
+            self.assertGreater(stale_count, 0)
 
 
 class OverdueWeights(Case):
-    """A server whose weights become overdue while a request waits there, or while its connection comes up."""
+    """A server whose weights become overdue while a request waits there, or while its connection is established."""
 
-    HEARD_EVERY = 0.2  # seconds in which the server is heard of by other requests
-    OVERDUE_AFTER = 0.8  # seconds from the send
+    RECEIVE_INTERVAL_SECONDS = 0.2  # between bytes that the server sends for other requests
+    OVERDUE_AFTER_SECONDS = 0.8  # after the request was sent
 
     def waited(self, kind: str, overdue: bool) -> tuple[str, float]:
-        """What became of a request that its first server, which answers others, leaves waiting; and when."""
+        """The outcome of a request whose first server answers only other requests, and the seconds until it."""
 
         async def main(rig: Rig) -> tuple[str, float]:
             sent_at = rig.now()
             if overdue:
-                rig.state.overdue_at = sent_at + self.OVERDUE_AFTER
+                rig.state.overdue_at = sent_at + self.OVERDUE_AFTER_SECONDS
 
-            async def hear() -> None:
+            async def receive_bytes() -> None:
                 while True:
                     for endpoint in rig.endpoints:
                         endpoint.on_bytes_received(rig.now())
-                    await trio.sleep(self.HEARD_EVERY)
+                    await trio.sleep(self.RECEIVE_INTERVAL_SECONDS)
 
-            rig.nursery.start_soon(hear)
-            made = await exchange(rig, kind, Behaviour(then=Then.SILENCE, cut=0))
-            return outcome(kind, made.id, made.got), made.got.at
+            rig.nursery.start_soon(receive_bytes)
+            result = await exchange(rig, kind, Behaviour(then=Then.SILENCE, cut=0))
+            return outcome(kind, result.id, result.got), result.got.at
 
         return play(main, 2)
 
@@ -108,7 +108,7 @@
         for kind in REPEATABLE:
             how, took = self.waited(kind, overdue=True)
             self.assertEqual(how, "success")
-            self.assertLess(took, self.OVERDUE_AFTER + ABANDON_CHECK_SECONDS + 0.1)
+            self.assertLess(took, self.OVERDUE_AFTER_SECONDS + ABANDON_CHECK_SECONDS + 0.1)
 
     def test_it_waits_on_while_the_weights_are_allowed(self) -> None:
         for kind in REPEATABLE:
@@ -119,7 +119,7 @@
         how, _ = self.waited("non_idempotent", overdue=True)
         self.assertEqual(how, "own 504")
 
-    def test_a_begin_on_overdue_weights_is_logged_a_few_times_a_second_at_most(self) -> None:
+    def test_warnings_of_overdue_weights_are_rate_limited(self) -> None:
         async def main(rig: Rig) -> None:
             rig.state.overdue_at = rig.now()
             for _ in range(5):
@@ -134,94 +134,94 @@
             logger.disable("rowanshift")
             logger.remove(sink)
         found = [line for line in lines if "event=begun_on_older_weights" in line]
-        self.assertEqual(len(found), 1)  # all five lie within one pause between lines
+        self.assertEqual(len(found), 1)  # all five requests are within the minimum interval between warnings
         self.assertRegex(found[0], r"request=r1 server=s\d model= version=0 lacks_for=0\.0")
 
-    def test_what_was_chosen_is_asked_again_once_its_connection_is_up(self) -> None:
+    def test_the_choice_is_checked_again_once_the_connection_is_up(self) -> None:
         async def main(rig: Rig) -> list[tuple[str, bool]]:
             rig.endpoints[1].versions = {"": 2}
             connect = rig.upstream.connect
 
-            async def named_meanwhile(endpoint: Endpoint, until: float) -> ServerConnection:
-                connection = await connect(endpoint, until)
+            async def connect_then_raise_version(endpoint: Endpoint, deadline: float) -> ServerConnection:
+                connection = await connect(endpoint, deadline)
                 rig.state.least_version = 2
                 return connection
 
-            rig.upstream.connect = named_meanwhile
-            ended = []
+            rig.upstream.connect = connect_then_raise_version
+            results = []
             for _ in range(4):
-                made = await exchange(rig, "non_idempotent")
-                at_the_first = any(end in rig.servers[0].connections for end in rig.arrivals[made.id])
-                ended.append((outcome("non_idempotent", made.id, made.got), at_the_first))
-                rig.drop_kept()
+                result = await exchange(rig, "non_idempotent")
+                ran_at_first = any(end in rig.servers[0].connections for end in rig.arrivals[result.id])
+                results.append((outcome("non_idempotent", result.id, result.got), ran_at_first))
+                rig.close_idle_connections()
                 rig.state.least_version = 0
-            return ended
+            return results
 
         self.assertEqual(play(main, 2), [("success", False)] * 4)
 
 
 class Silence(Case):
-    """A server's silence ends no answer sooner, but where another server is surely there."""
+    """A silent server is abandoned only if another server is certainly available."""
 
-    def late(self, kind: str, servers: int, tokens: int | None, *behaviours: Behaviour) -> tuple[str, float, int]:
-        """The outcome, when it was there, and how many servers ran it."""
+    def result(self, kind: str, servers: int, tokens: int | None, *behaviours: Behaviour) -> tuple[str, float, int]:
+        """The outcome, the seconds until it, and the number of servers that ran the request."""
 
         async def main(rig: Rig) -> Exchange:
             rig.retry_budget.tokens = tokens
             return await exchange(rig, kind, *behaviours)
 
-        made = play(main, servers)
-        self.assertEqual(made.breaches, [])
-        return outcome(kind, made.id, made.got), made.got.at, made.runs
+        result = play(main, servers)
+        self.assertEqual(result.breaches, [])
+        return outcome(kind, result.id, result.got), result.got.at, result.runs
 
-    def test_no_other_server_is_there(self) -> None:
+    def test_no_other_server_is_available(self) -> None:
         for kind in REPEATABLE:
-            got, at, runs = self.late(kind, 1, None, Behaviour(wait=3.0))
+            got, at, runs = self.result(kind, 1, None, Behaviour(wait=3.0))
             self.assertEqual((got, runs), ("success", 1), f"{kind} after {at} s")
 
     def test_the_budget_grants_no_attempt(self) -> None:
         for kind in REPEATABLE:
-            got, at, runs = self.late(kind, 3, 0, Behaviour(wait=3.0))
+            got, at, runs = self.result(kind, 3, 0, Behaviour(wait=3.0))
             self.assertEqual((got, runs), ("success", 1), f"{kind} after {at} s")
 
-    def test_another_server_is_there(self) -> None:
+    def test_another_server_is_available(self) -> None:
         for kind in REPEATABLE:
-            got, at, runs = self.late(kind, 2, 1, Behaviour(then=Then.SILENCE, cut=0))
+            got, at, runs = self.result(kind, 2, 1, Behaviour(then=Then.SILENCE, cut=0))
             self.assertEqual((got, runs), ("success", 2), f"{kind} after {at} s")
             self.assertLess(at, 2.5)
 
-    def test_another_server_comes_back_meanwhile(self) -> None:
+    def test_another_server_becomes_available_meanwhile(self) -> None:
         async def main(rig: Rig) -> tuple[str, float]:
             for endpoint in rig.endpoints:
                 endpoint.backed_off_until = rig.now() + 2.6
             rig.endpoints[0].backed_off_until = 0.0
-            made = await exchange(rig, "idempotent", Behaviour(then=Then.SILENCE, cut=0))
-            return outcome("idempotent", made.id, made.got), made.got.at
+            result = await exchange(rig, "idempotent", Behaviour(then=Then.SILENCE, cut=0))
+            return outcome("idempotent", result.id, result.got), result.got.at
 
         got, at = play(main, 2)
         self.assertEqual(got, "success")
         self.assertTrue(2.5 < at < 3.5, at)
 
-    def test_what_cannot_go_again_is_waited_for(self) -> None:
+    def test_a_request_that_may_not_be_repeated_waits(self) -> None:
         for kind in ("non_idempotent", "stream"):
-            got, at, runs = self.late(kind, 3, None, Behaviour(wait=3.0))
+            got, at, runs = self.result(kind, 3, None, Behaviour(wait=3.0))
             self.assertEqual((got, runs), ("success", 1), f"{kind} after {at} s")
 
-    def test_a_pause_within_a_body_that_has_begun(self) -> None:
-        size = len(whole_answer(Asked("r1", {}, b"", "idempotent")))
+    def test_a_pause_within_a_response_body(self) -> None:
+        size = len(complete_response(Asked("r1", {}, b"", "idempotent")))
         for cut in range(size - 10, size):
             paused = Behaviour(cut=cut, pause=2.5)
-            got, at, runs = self.late("idempotent", 3, None, paused)
+            got, at, runs = self.result("idempotent", 3, None, paused)
             self.assertEqual((got, runs), ("success", 2 if cut == size - 10 else 1), f"{cut} of {size}, after {at} s")
 
     def test_a_pause_between_events_with_no_other_server(self) -> None:
-        size = len(whole_answer(Asked("r1", {}, b"", "resumable")))
+        size = len(complete_response(Asked("r1", {}, b"", "resumable")))
         for cut in range(0, size, 5):
-            got, at, runs = self.late("resumable", 1, None, Behaviour(cut=cut, pause=2.5))
+            got, at, runs = self.result("resumable", 1, None, Behaviour(cut=cut, pause=2.5))
             self.assertEqual((got, runs), ("success", 1), f"{cut} of {size}, after {at} s")
 
     def test_the_other_server_cannot_be_reached(self) -> None:
-        """It is named and looks well, but its connection does not come up: the silent one is waited for."""
+        """The other server is listed but does not accept connections: the router waits for the silent one."""
 
         async def main(rig: Rig, kind: str, pause: float) -> tuple[Got, int]:
             id, client = rig.next_id(), Client(rig)
@@ -238,20 +238,20 @@
         for kind in REPEATABLE:
             for pause in (1.6, 2.0, 2.5, 3.0):
                 got, runs = play(lambda rig, kind=kind, pause=pause: main(rig, kind, pause), 2)
-                self.assertEqual((got.status, got.whole, runs), (200, True, 1), f"{kind}, {pause} s")
+                self.assertEqual((got.status, got.complete, runs), (200, True, 1), f"{kind}, {pause} s")
 
-    def test_the_silent_server_answers_while_the_other_is_dialled(self) -> None:
+    def test_the_silent_server_answers_while_connecting_to_another(self) -> None:
         async def main(rig: Rig, pause: float) -> tuple[str, int]:
-            made = await exchange(rig, "idempotent", Behaviour(cut=0, pause=pause))
-            self.assertEqual(made.breaches, [])
-            return outcome("idempotent", made.id, made.got), made.attempts
+            result = await exchange(rig, "idempotent", Behaviour(cut=0, pause=pause))
+            self.assertEqual(result.breaches, [])
+            return outcome("idempotent", result.id, result.got), result.attempts
 
         for step in range(60):
             got, attempts = play(lambda rig, step=step: main(rig, 1.498 + step * 0.0001), 2)
             self.assertEqual(got, "success")
             self.assertLessEqual(attempts, 2)
 
-    def test_the_budget_is_drawn_on_once_for_one_attempt(self) -> None:
+    def test_one_attempt_is_withdrawn_from_the_budget_once(self) -> None:
         async def main(rig: Rig) -> int:
             await exchange(rig, "idempotent", Behaviour(then=Then.SILENCE, cut=0))
             return rig.retry_budget.withdrawn
@@ -260,56 +260,56 @@
 
 
 class SeveralAttempts(Case):
-    """What the client is told when all attempts have failed, each in its own way."""
+    """The client's response after several failed attempts of different kinds."""
 
-    def ends(self, kind: str, *behaviours: Behaviour, tokens: int | None = None, servers: int = 3) -> tuple[str, int]:
+    def result(self, kind: str, *behaviours: Behaviour, tokens: int | None = None, servers: int = 3) -> tuple[str, int]:
         async def main(rig: Rig) -> Exchange:
             rig.retry_budget.tokens = tokens
             return await exchange(rig, kind, *behaviours)
 
-        made = play(main, servers)
-        self.assertEqual([breach for breach in made.breaches if not breach.startswith("next")], [])
-        return outcome(kind, made.id, made.got), made.attempts
+        result = play(main, servers)
+        self.assertEqual([breach for breach in result.breaches if not breach.startswith("next")], [])
+        return outcome(kind, result.id, result.got), result.attempts
 
-    FULL = Behaviour(rejection(503, b"Not-Executed: 1"), runs=False)
-    WRONG = Behaviour(rejection(421), runs=False)
+    AT_CAPACITY = Behaviour(rejection(503, b"Not-Executed: 1"), runs=False)
+    MISDIRECTED = Behaviour(rejection(421), runs=False)
     FAILED = Behaviour(rejection(500))
-    LOST = Behaviour(cut=0, then=Then.RESET)
+    RESET = Behaviour(cut=0, then=Then.RESET)
 
     def test_all_reject_it(self) -> None:
         for kind in KINDS:
-            self.assertEqual(self.ends(kind, self.FULL, self.WRONG, self.FULL), ("own 503", 3))
+            self.assertEqual(self.result(kind, self.AT_CAPACITY, self.MISDIRECTED, self.AT_CAPACITY), ("own 503", 3))
 
-    def test_one_may_have_run_it_and_the_rest_reject_it(self) -> None:
+    def test_one_server_may_have_run_it_and_the_others_reject_it(self) -> None:
         for kind in REPEATABLE:
-            for first in (self.FAILED, self.LOST):
-                for then in (self.FULL, self.WRONG):
-                    self.assertEqual(self.ends(kind, first, then, self.FULL), ("own 502", 3))
-                    self.assertEqual(self.ends(kind, first, then, tokens=1), ("own 502", 2))
-                    self.assertEqual(self.ends(kind, first, then, servers=2), ("own 502", 2))
+            for first in (self.FAILED, self.RESET):
+                for then in (self.AT_CAPACITY, self.MISDIRECTED):
+                    self.assertEqual(self.result(kind, first, then, self.AT_CAPACITY), ("own 502", 3))
+                    self.assertEqual(self.result(kind, first, then, tokens=1), ("own 502", 2))
+                    self.assertEqual(self.result(kind, first, then, servers=2), ("own 502", 2))
 
-    def test_one_rejects_it_and_the_next_may_have_run_it(self) -> None:
+    def test_one_server_rejects_it_and_the_next_may_have_run_it(self) -> None:
         for kind in ("non_idempotent", "stream"):
-            for first in (self.FULL, self.WRONG):
-                self.assertEqual(self.ends(kind, first, self.LOST), ("own 502", 2))
-                self.assertEqual(self.ends(kind, first, self.FAILED), ("server 500", 2))
+            for first in (self.AT_CAPACITY, self.MISDIRECTED):
+                self.assertEqual(self.result(kind, first, self.RESET), ("own 502", 2))
+                self.assertEqual(self.result(kind, first, self.FAILED), ("server 500", 2))
 
-    def test_the_last_of_several_errors_is_passed_on(self) -> None:
+    def test_the_last_of_several_errors_is_relayed(self) -> None:
         for kind in REPEATABLE:
-            self.assertEqual(self.ends(kind, self.FAILED, self.FAILED, self.FAILED), ("server 500", 3))
-            self.assertEqual(self.ends(kind, self.FAILED, tokens=0), ("own 502", 1))
-            self.assertEqual(self.ends(kind, self.FAILED, servers=1), ("own 502", 1))
+            self.assertEqual(self.result(kind, self.FAILED, self.FAILED, self.FAILED), ("server 500", 3))
+            self.assertEqual(self.result(kind, self.FAILED, tokens=0), ("own 502", 1))
+            self.assertEqual(self.result(kind, self.FAILED, servers=1), ("own 502", 1))
 
-    def test_the_time_is_up_after_a_rejection_that_followed_a_run(self) -> None:
+    def test_the_deadline_passes_after_a_rejection_that_followed_a_run(self) -> None:
         for kind in REPEATABLE:
-            full = Behaviour(rejection(503, b"Not-Executed: 1"), runs=False, wait=WITHIN)
-            self.assertEqual(self.ends(kind, self.FAILED, full, tokens=1), ("own 504", 2))
+            at_capacity = Behaviour(rejection(503, b"Not-Executed: 1"), runs=False, wait=CLIENT_DEADLINE_SECONDS)
+            self.assertEqual(self.result(kind, self.FAILED, at_capacity, tokens=1), ("own 504", 2))
 
 
 class StreamsTakenUp(Case):
-    """A resumable stream broken off at each byte, and an answer to its resume that is no success."""
+    """A resumable stream truncated at each byte, also when the attempt to resume it fails."""
 
-    def test_a_resume_that_is_not_taken_up(self) -> None:
+    def test_a_resume_that_fails(self) -> None:
         answers = {
             "400": Behaviour(rejection(400)),
             "500": Behaviour(rejection(500)),
@@ -317,39 +317,39 @@
             "503, not executed": Behaviour(rejection(503, b"Not-Executed: 1"), runs=False),
             "421": Behaviour(rejection(421), runs=False),
             "reset": Behaviour(cut=0, then=Then.RESET),
-            "another id": Behaviour(lambda asked: whole_answer(asked, "other")),
+            "another id": Behaviour(lambda asked: complete_response(asked, "other")),
         }
-        size = len(whole_answer(Asked("r1001", {}, b"", "resumable")))
+        size = len(complete_response(Asked("r1001", {}, b"", "resumable")))
         for name, answer in answers.items():
             for tail, attempts, wanted in (((), 3, "success"), ((answer,), 3, "cut")):
 
                 async def main(rig: Rig, answer: Behaviour = answer, tail: tuple = tail) -> list:
-                    rig.asked, made = 1000, []
+                    rig.request_count, results = 1000, []
                     for cut in range(size - 60, size):
                         first = Behaviour(cut=cut, then=Then.RESET)
-                        made.append(await exchange(rig, "resumable", first, answer, *tail))
+                        results.append(await exchange(rig, "resumable", first, answer, *tail))
                         await trio.sleep(1.0)
-                    return made
+                    return results
 
-                for made in play(main):
-                    got = (outcome("resumable", made.id, made.got), made.attempts, made.breaches)
+                for result in play(main):
+                    got = (outcome("resumable", result.id, result.got), result.attempts, result.breaches)
                     if got != (wanted, attempts, []):
-                        self.wrong.append(f"{name}, {tail}: {got}: {made.got}")
+                        self.mismatches.append(f"{name}, {tail}: {got}: {result.got}")
 
     def test_a_stream_that_breaks_at_each_byte_of_two_servers(self) -> None:
-        size = len(whole_answer(Asked("r1001", {}, b"", "resumable")))
+        size = len(complete_response(Asked("r1001", {}, b"", "resumable")))
 
         async def main(rig: Rig) -> list:
-            rig.asked, made = 1000, []
+            rig.request_count, results = 1000, []
             for first in range(0, size, 3):
                 for second in range(90, size, 37):
                     breaks = [Behaviour(cut=first, then=Then.CLOSE), Behaviour(cut=second, then=Then.RESET)]
-                    made.append(await exchange(rig, "resumable", *breaks))
-            return made
+                    results.append(await exchange(rig, "resumable", *breaks))
+            return results
 
-        for made in play(main):
-            if made.breaches or outcome("resumable", made.id, made.got) != "success":
-                self.wrong.append(str(made))
+        for result in play(main):
+            if result.breaches or outcome("resumable", result.id, result.got) != "success":
+                self.mismatches.append(str(result))
 
 
 if __name__ == "__main__":
--- a/tests/dataplane/test_exchange_faults.py
+++ b/tests/dataplane/test_exchange_faults.py
@@ -1,4 +1,4 @@
-"""Faults planted in the data plane, each found by a test of exchanges that passes without it."""
+"""Deliberate faults in the data plane: each must make one of the exchange tests fail."""
 
 import unittest
 from collections.abc import Callable
@@ -41,142 +41,150 @@
     __hash__ = bytes.__hash__
 
 
-class Planted(unittest.TestCase):
-    def found(self, case: type[unittest.TestCase], test: str, *patches: Any) -> None:
+class InjectedFaults(unittest.TestCase):
+    def assert_found(self, case: type[unittest.TestCase], test: str, *patches: Any) -> None:
         with ExitStack() as stack:
             for patch in patches:
                 stack.enter_context(patch)
             result = unittest.TestResult()
             case(test).run(result)
         self.assertEqual(result.errors, [])
-        self.assertNotEqual(result.failures, [], "nothing was found")
+        self.assertNotEqual(result.failures, [], "the test did not find the fault")
 
     def test_a_connection_with_surplus_bytes_is_used_again(self) -> None:
         patch = mock.patch.object(Connection, "clean", lambda connection: True)
-        self.found(test_exchanges.Surplus, "test_with_the_answer", patch)
+        self.assert_found(test_exchanges.Surplus, "test_directly_after_the_response", patch)
 
     def test_the_id_of_an_answer_is_not_compared(self) -> None:
-        true = UpstreamPool.read_head
+        original = UpstreamPool.read_head
 
         async def head(upstream: UpstreamPool, connection: ServerConnection, id: bytes, *more: Any) -> Any:
-            return await true(upstream, connection, AnyId(id), *more)
+            return await original(upstream, connection, AnyId(id), *more)
 
         patch = mock.patch.object(UpstreamPool, "read_head", head)
-        self.found(test_exchanges.NoAnswers, "test_another_id_or_none", patch)
-        self.found(test_exchanges.SurplusBefore, "test_before_the_right_answer", patch)
-        self.found(test_exchanges.Surplus, "test_later", patch)
+        self.assert_found(test_exchanges.NoAnswers, "test_another_id_or_none", patch)
+        self.assert_found(test_exchanges.SurplusBefore, "test_before_the_correct_response", patch)
+        self.assert_found(test_exchanges.Surplus, "test_after_a_delay", patch)
 
     def test_a_reset_after_the_whole_write_counts_as_unsent(self) -> None:
-        true = UpstreamPool.send_request
+        original = UpstreamPool.send_request
 
         async def send(upstream: UpstreamPool, connection: ServerConnection, data: bytes, until: float) -> None:
-            await true(upstream, connection, data, until)
+            await original(upstream, connection, data, until)
             await trio.sleep(0.02)
             if connection.http.stream.failed:
                 raise ExchangeFailed(ExchangeFailure.NOT_SENT, "reset")
 
         patch = mock.patch.object(UpstreamPool, "send_request", send)
-        self.found(test_exchanges.AnswersBrokenOff, "test_reset_in_the_answer_to_non_idempotent", patch)
-        self.found(test_exchanges.RequestsReadInPart, "test_all_of_it_was_handed_to_the_system", patch)
+        self.assert_found(test_exchanges.AnswersBrokenOff, "test_reset_within_the_response_to_non_idempotent", patch)
+        self.assert_found(test_exchanges.RequestsReadInPart, "test_the_request_was_written_completely", patch)
 
-    def test_the_last_byte_is_taken_for_not_handed_over(self) -> None:
-        """A send that ends in an error is unsent, though its last write had gone writer."""
-        true = Connection.pump
+    def test_the_last_byte_counts_as_unwritten(self) -> None:
+        """A send whose last write succeeded counts as unsent."""
+        original = Connection.pump
 
         def pump(connection: Connection) -> bool:
-            whole = true(connection)
-            if whole and not connection.reads_requests and connection.stream.room == 0:
+            complete = original(connection)
+            if complete and not connection.reads_requests and connection.stream.room == 0:
                 raise OSError("planted")
-            return whole
+            return complete
 
         patch = mock.patch.object(Connection, "pump", pump)
-        self.found(test_exchanges.RequestsReadInPart, "test_a_narrow_window_keeps_a_part_of_it_back", patch)
+        self.assert_found(test_exchanges.RequestsReadInPart, "test_a_small_window_leaves_a_part_unwritten", patch)
 
-    def test_a_promise_is_passed_on_without_not_executed(self) -> None:
-        true = RequestProgress.outcome_of_status
+    def test_a_rejection_is_relayed_without_not_executed(self) -> None:
+        original = RequestProgress.outcome_of_status
 
-        def ending(progress: RequestProgress, status: int, not_executed: bool) -> ExchangeOutcome:
-            made = true(progress, status, not_executed)
-            return ExchangeOutcome.OTHER_STATUS if made is ExchangeOutcome.UNCONFIRMED_REJECTION else made
+        def outcome_of_status(progress: RequestProgress, status: int, not_executed: bool) -> ExchangeOutcome:
+            original_outcome = original(progress, status, not_executed)
+            return (
+                ExchangeOutcome.OTHER_STATUS
+                if original_outcome is ExchangeOutcome.UNCONFIRMED_REJECTION
+                else original_outcome
+            )
 
-        patch = mock.patch.object(RequestProgress, "outcome_of_status", ending)
-        self.found(test_exchanges.Statuses, "test_a_promise_without_proof", patch)
+        patch = mock.patch.object(RequestProgress, "outcome_of_status", outcome_of_status)
+        self.assert_found(test_exchanges.Statuses, "test_an_unconfirmed_rejection", patch)
 
-    def test_a_promise_is_made_after_a_run_elsewhere(self) -> None:
+    def test_a_503_is_sent_after_another_server_may_have_run_it(self) -> None:
         def client_response(progress: RequestProgress, decision: Decision) -> ClientResponse:
             return ClientResponse.CONNECTION_CLOSED if progress.response_started else decision.client_response
 
         patch = mock.patch.object(RequestProgress, "client_response", client_response)
-        self.found(test_exchange_attempts.SeveralAttempts, "test_one_may_have_run_it_and_the_rest_reject_it", patch)
+        self.assert_found(
+            test_exchange_attempts.SeveralAttempts, "test_one_server_may_have_run_it_and_the_others_reject_it", patch
+        )
 
-    def test_a_stream_that_broke_off_ends_as_whole(self) -> None:
-        true = UpstreamPool.read_body
+    def test_a_truncated_stream_ends_as_complete(self) -> None:
+        original = UpstreamPool.read_body
 
-        async def body(upstream: UpstreamPool, *given: Any) -> bytes:
+        async def body(upstream: UpstreamPool, *arguments: Any) -> bytes:
             try:
-                return await true(upstream, *given)
+                return await original(upstream, *arguments)
             except ExchangeFailed as error:
                 if error.failure is ExchangeFailure.BROKEN:
                     return b""
                 raise
 
         patch = mock.patch.object(UpstreamPool, "read_body", body)
-        self.found(test_exchanges.AnswersBrokenOff, "test_close_in_the_answer_to_stream", patch)
+        self.assert_found(test_exchanges.AnswersBrokenOff, "test_close_within_the_response_to_stream", patch)
 
     def test_a_reset_on_a_reused_connection_counts_as_unsent(self) -> None:
-        true = ServerAttempts._outcome_of_failure
+        original = ServerAttempts._outcome_of_failure
 
         def outcome_of_failure(
             self: ServerAttempts, forwarded: Any, endpoint: Any, connection: ServerConnection, error: ExchangeFailed
         ) -> ExchangeOutcome:
             if connection is not None and connection.idle_since and error.failure is ExchangeFailure.BROKEN:
                 return ExchangeOutcome.REQUEST_NOT_SENT
-            return true(self, forwarded, endpoint, connection, error)
+            return original(self, forwarded, endpoint, connection, error)
 
         patch = mock.patch.object(ServerAttempts, "_outcome_of_failure", outcome_of_failure)
-        name = "test_another_is_not_sent_again_and_no_promise_is_made"
-        self.found(test_exchange_attempts.Forgotten, name, patch)
-        self.found(test_exchanges.AnswersBrokenOff, "test_reset_in_the_answer_to_stream", patch)
+        name = "test_another_request_is_not_sent_again_and_gets_a_502"
+        self.assert_found(test_exchange_attempts.Forgotten, name, patch)
+        self.assert_found(test_exchanges.AnswersBrokenOff, "test_reset_within_the_response_to_stream", patch)
 
-    def test_a_silent_server_is_left_whether_another_is_there_or_not(self) -> None:
-        async def left(*given: Any) -> bool:
+    def test_a_silent_server_is_abandoned_without_another_server(self) -> None:
+        async def abandon_at_once(*arguments: Any) -> bool:
             return True
 
-        patch = mock.patch.multiple(SilenceMonitor, may_move=lambda *given: True, reserve_connection=left)
-        for name in ("test_no_other_server_is_there", "test_the_budget_grants_no_attempt"):
-            self.found(test_exchange_attempts.Silence, name, patch)
+        patch = mock.patch.multiple(
+            SilenceMonitor, may_move=lambda *arguments: True, reserve_connection=abandon_at_once
+        )
+        for name in ("test_no_other_server_is_available", "test_the_budget_grants_no_attempt"):
+            self.assert_found(test_exchange_attempts.Silence, name, patch)
 
-    def test_a_silent_server_is_left_before_a_connection_to_another_is_up(self) -> None:
-        async def left(*given: Any) -> bool:
+    def test_a_silent_server_is_abandoned_before_a_connection_to_another_is_up(self) -> None:
+        async def abandon_at_once(*arguments: Any) -> bool:
             return True
 
-        patch = mock.patch.object(SilenceMonitor, "reserve_connection", left)
-        self.found(test_exchange_attempts.Silence, "test_the_other_server_cannot_be_reached", patch)
+        patch = mock.patch.object(SilenceMonitor, "reserve_connection", abandon_at_once)
+        self.assert_found(test_exchange_attempts.Silence, "test_the_other_server_cannot_be_reached", patch)
 
-    def test_a_part_of_an_event_is_passed_on(self) -> None:
+    def test_a_part_of_an_event_is_relayed(self) -> None:
         patch = mock.patch.object(response_stream, "end_of_events", len)
-        self.found(test_exchanges.AnswersBrokenOff, "test_reset_in_the_answer_to_resumable", patch)
+        self.assert_found(test_exchanges.AnswersBrokenOff, "test_reset_within_the_response_to_resumable", patch)
 
-    def test_what_may_have_run_is_retried(self) -> None:
-        def always_retry(kind: Any, ending: ExchangeOutcome, true: Callable = forwarder.decide) -> Decision:
-            decision = true(kind, ending)
-            if ending is not ExchangeOutcome.NO_RESPONSE:
+    def test_a_request_that_may_have_run_is_retried(self) -> None:
+        def always_retry(kind: Any, outcome: ExchangeOutcome, original: Callable = forwarder.decide) -> Decision:
+            decision = original(kind, outcome)
+            if outcome is not ExchangeOutcome.NO_RESPONSE:
                 return decision
             return Decision(True, decision.client_response, True, False)
 
         patch = mock.patch.object(forwarder, "decide", always_retry)
-        self.found(test_exchanges.AnswersBrokenOff, "test_close_in_the_answer_to_non_idempotent", patch)
+        self.assert_found(test_exchanges.AnswersBrokenOff, "test_close_within_the_response_to_non_idempotent", patch)
 
-    def test_an_old_client_gets_a_regular_end_of_a_stream_that_broke_off(self) -> None:
-        true = ResponseWriter.head
+    def test_an_http_1_0_client_gets_a_regular_end_of_a_truncated_stream(self) -> None:
+        original = ResponseWriter.head
 
-        def head(writer: ResponseWriter, *given: Any) -> bytes:
-            made = true(writer, *given)
+        def head(writer: ResponseWriter, *arguments: Any) -> bytes:
+            head_bytes = original(writer, *arguments)
             writer.connection.reset_on_close = False
-            return made
+            return head_bytes
 
         patch = mock.patch.object(ResponseWriter, "head", head)
-        self.found(test_exchange_clients.Framing, "test_a_stream_to_an_old_client_that_breaks_off", patch)
+        self.assert_found(test_exchange_clients.Framing, "test_a_truncated_stream_to_an_http_1_0_client", patch)
 
 
 if __name__ == "__main__":
--- a/tests/dataplane/test_graceful_shutdown_of_router.py
+++ b/tests/dataplane/test_graceful_shutdown_of_router.py
@@ -1,9 +1,9 @@
-"""A router that got SIGTERM: what becomes of each request that it read, and when it ends.
+"""A router that got SIGTERM: the end of each request that it read, and the time at which the router ends.
 
-Times are seconds of the virtual clock, told from the SIGTERM on. A request was read if the client's bytes were taken
-from the connection. It ends in one of: a whole answer; a whole 503 with ``Retry-After``, if no server ran it; a whole
-502 or 504, if one did. Its connection may be cut only if it was sent within ``EARLY`` and a server was still at work
-on it in the last sixth of the grace.
+Times are in seconds of the virtual clock since the SIGTERM. A request was read if the client's bytes were received
+from the connection. It must end in a complete response, a complete 503 with ``Retry-After`` if no server ran it, or a
+complete 502 or 504 if one did. Its connection may be cut only if the request was sent within
+``CUT_ALLOWED_ARRIVAL_SECONDS`` and a server was still working on it in the last sixth of the grace period.
 """
 
 from collections.abc import Awaitable, Callable
@@ -19,16 +19,18 @@
 from rowanshift.simulation.fleet_settings import BOUNDS
 
 GRACE = float(BOUNDS["graceS"])
-LAST_SIXTH = GRACE * 5 / 6
-EARLY = 3.0  # after it, a request may not be cut at all
-ROUTE_TIMEOUT_MS = 30_000  # so that no request ends by its route
-CLIENT_WITHIN = 25.0  # so that no client gives up
-CLIENT_AIM = 6.0  # clients stay silent for four times as long
-GAP, STRIDE = 0.25, 4  # seconds between events of a stream, and tokens in one
-SERVERS = dict(slots=200, queue=200, kv_tokens=1_000_000, gap=GAP, stride=STRIDE, crowding=0.0)
+LAST_SIXTH_SECONDS = GRACE * 5 / 6
+CUT_ALLOWED_ARRIVAL_SECONDS = 3.0  # a request sent later may not be cut at all
+ROUTE_TIMEOUT_MS = 30_000  # so that no request reaches its route's timeout
+CLIENT_DEADLINE_SECONDS = 25.0  # so that no client reaches its deadline
+CLIENT_TARGET_LATENCY_SECONDS = 6.0  # clients wait four times as long for a response
+EVENT_INTERVAL_SECONDS, TOKENS_PER_EVENT = 0.25, 4  # of a stream
+SERVERS = dict(
+    slots=200, queue=200, kv_tokens=1_000_000, gap=EVENT_INTERVAL_SECONDS, stride=TOKENS_PER_EVENT, crowding=0.0
+)
 PREFIXES = (RESUMED, ONCE, REPEATED)
-SERVERS_SEE_IT = 0.5  # seconds in which servers notice that a connection was closed
-ENDS_WITHIN = 5.0  # a router that got only short requests has ended by then
+SERVERS_NOTICE_SECONDS = 0.5  # until servers notice that a connection was closed
+SHORT_SHUTDOWN_SECONDS = 5.0  # in which a router with only short requests has ended
 MAY_HAVE_RUN = (502, 504)
 
 
@@ -40,88 +42,92 @@
 
 
 @dataclass(slots=True)
-class Leave:
-    """One router that is told to stop, and its clients."""
+class Shutdown:
+    """A router that gets SIGTERM, and its clients."""
 
     fleet: Fleet
     nursery: trio.Nursery
-    told_at: float = 0.0
-    ended_at: float = 0.0  # of the router, from the SIGTERM on
+    signal_at: float = 0.0
+    ended_at: float = 0.0  # of the router, since the SIGTERM
 
     @property
     def unit(self):
         return self.fleet.routers[0]
 
     def now(self) -> float:
-        return self.fleet.now() - self.told_at
+        return self.fleet.now() - self.signal_at
 
     async def until(self, at: float) -> None:
         await trio.sleep(max(0.0, at - self.now()))
 
-    async def see_its_end(self) -> None:
+    async def wait_for_end(self) -> None:
         await self.fleet.until(lambda: not self.unit.machine.running, 2 * GRACE)
         self.ended_at = self.now()
 
     def client(self, keeps: bool = False) -> Patron:
         fleet = self.fleet
         name = f"p{len(fleet.patrons)}"
-        made = Patron(fleet.outside, name, fleet.now, fleet.facts, fleet.fronts[:1], fleet.random_source, keeps)
-        fleet.patrons.append(made)
-        return made
+        client = Patron(fleet.outside, name, fleet.now, fleet.facts, fleet.fronts[:1], fleet.random_source, keeps)
+        fleet.patrons.append(client)
+        return client
 
     def work(self, prefix: str, seconds: float) -> Work:
-        """A request of which the answer lasts so long."""
+        """A request whose response takes ``seconds``."""
         own = f"own-{self.fleet.now():.4f}"
-        work = self.fleet.work(prefix, "key-1", own, out=STRIDE * (1 + round(seconds / GAP)))
-        return replace(work, within=CLIENT_WITHIN, aim=CLIENT_AIM)
+        work = self.fleet.work(
+            prefix, "key-1", own, out=TOKENS_PER_EVENT * (1 + round(seconds / EVENT_INTERVAL_SECONDS))
+        )
+        return replace(work, within=CLIENT_DEADLINE_SECONDS, aim=CLIENT_TARGET_LATENCY_SECONDS)
 
     def ask(self, prefix: str, seconds: float) -> None:
-        """A request on a new connection."""
+        """Send a request on a new connection."""
         self.nursery.start_soon(self.client().ask, self.work(prefix, seconds))
 
     async def ask_on_kept(self, prefix: str, first: float, second: float) -> None:
-        """A request, and one more on its connection as soon as the first has its answer."""
+        """Send a request, and another one on its connection as soon as the first is answered."""
         client = self.client(keeps=True)
         await client.ask(self.work(prefix, first))
         if client.kept:
             await client.ask(self.work(prefix, second))
 
 
-def leave(clients: Callable[[Leave], Awaitable[None]], before: float = 0.5, **servers: float) -> tuple[Fleet, Leave]:
-    """Plays clients of a router that gets SIGTERM ``before`` s after they began, until all have their ends."""
+def shut_down_router(
+    clients: Callable[[Shutdown], Awaitable[None]], before: float = 0.5, **servers: float
+) -> tuple[Fleet, Shutdown]:
+    """Run clients of a router that gets SIGTERM ``before`` s after their start, until all of them have ended."""
 
-    async def main(fleet: Fleet) -> Leave:
+    async def main(fleet: Fleet) -> Shutdown:
         routes = [route | {"timeoutMs": ROUTE_TIMEOUT_MS} for route in routes_of()]
         await fleet.start(config_of(1, routes=routes))
         async with trio.open_nursery() as nursery:
-            made = Leave(fleet, nursery, fleet.now() + before)
-            nursery.start_soon(clients, made)
-            await made.until(0.0)
-            fleet.terminate(made.unit)
-            nursery.start_soon(made.see_its_end)
-        await trio.sleep(SERVERS_SEE_IT)
-        return made
+            shutdown = Shutdown(fleet, nursery, fleet.now() + before)
+            nursery.start_soon(clients, shutdown)
+            await shutdown.until(0.0)
+            fleet.terminate(shutdown.unit)
+            nursery.start_soon(shutdown.wait_for_end)
+        await trio.sleep(SERVERS_NOTICE_SECONDS)
+        return shutdown
 
-    made, fleet = play(main, **(SERVERS | servers))
-    return fleet, made
+    shutdown, fleet = play(main, **(SERVERS | servers))
+    return fleet, shutdown
 
 
-def tries(fleet: Fleet) -> list[Try]:
+def attempts(fleet: Fleet) -> list[Try]:
     return [attempt for patron in fleet.patrons for attempt in patron.tries]
 
 
-def read(fleet: Fleet) -> list[Try]:
-    """Those that the router read."""
-    return [attempt for attempt in tries(fleet) if attempt.taken and attempt.how != "no way"]
+def read_attempts(fleet: Fleet) -> list[Try]:
+    """The attempts whose requests the router read."""
+    return [attempt for attempt in attempts(fleet) if attempt.taken and attempt.how != "no way"]
 
 
-def end(attempt: Try, told_at: float) -> str:
-    asked, ended = attempt.asked_at - told_at, attempt.ended_at - told_at
-    return f"{attempt.id} sent at {asked:.2f} ended at {ended:.2f}: {attempt.how} {attempt.status}"
+def describe(attempt: Try, signal_at: float) -> str:
+    sent, ended = attempt.asked_at - signal_at, attempt.ended_at - signal_at
+    return f"{attempt.id} sent at {sent:.2f} ended at {ended:.2f}: {attempt.how} {attempt.status}"
 
 
-def answered(attempt: Try, fleet: Fleet) -> bool:
-    """Whether it got a whole answer, or a whole refusal that tells the truth."""
+def is_answered(attempt: Try, fleet: Fleet) -> bool:
+    """Whether it got a complete response, or a complete refusal whose status matches what servers did."""
     ran = any(fact.id == attempt.id for fact in fleet.of(Began))
     if attempt.status == 503:
         final = not ran and attempt.field(b"retry-after") != ""
@@ -130,97 +136,105 @@
     return attempt.how == "whole" and final
 
 
-def may_be_cut(attempt: Try, fleet: Fleet, told_at: float) -> bool:
-    """Whether it was sent early, and a server was still at work on it in the last sixth of the grace."""
+def may_be_cut(attempt: Try, fleet: Fleet, signal_at: float) -> bool:
+    """Whether it was sent early, and a server was still working on it in the last sixth of the grace period."""
     worked_until = [fact.at for fact in fleet.of(Finished) if fact.id == attempt.id]
-    late_enough = min([attempt.ended_at, *worked_until]) >= told_at + LAST_SIXTH
-    cut = attempt.how in ("broken", "closed")
-    return cut and attempt.asked_at <= told_at + EARLY and bool(worked_until) and late_enough
+    late_enough = min([attempt.ended_at, *worked_until]) >= signal_at + LAST_SIXTH_SECONDS
+    was_cut = attempt.how in ("broken", "closed")
+    return (
+        was_cut and attempt.asked_at <= signal_at + CUT_ALLOWED_ARRIVAL_SECONDS and bool(worked_until) and late_enough
+    )
 
 
-def faults(fleet: Fleet, made: Leave) -> list[str]:
-    """The requests that were read and did not end as they may."""
+def faults(fleet: Fleet, shutdown: Shutdown) -> list[str]:
+    """Descriptions of the requests that were read and ended in a way that is not allowed."""
     return [
-        end(attempt, made.told_at)
-        for attempt in read(fleet)
-        if not answered(attempt, fleet) and not may_be_cut(attempt, fleet, made.told_at)
+        describe(attempt, shutdown.signal_at)
+        for attempt in read_attempts(fleet)
+        if not is_answered(attempt, fleet) and not may_be_cut(attempt, fleet, shutdown.signal_at)
     ]
 
 
-class TestLeaving:
-    def test_what_comes_late_is_not_cut_and_does_not_keep_it_from_ending(self):
-        """One cause: it takes each request until its end, whatever is left of the grace."""
+class TestGracefulShutdown:
+    def test_late_requests_are_not_cut_and_do_not_delay_the_end(self):
+        """Guards against accepting every request until the end, however little of the grace period remains."""
 
-        async def new_connections(made: Leave) -> None:
+        async def new_connections(shutdown: Shutdown) -> None:
             for n in range(34):
-                made.ask(PREFIXES[n % 3], (0.5, 3.0, 5.0, 4.0)[n % 4])
+                shutdown.ask(PREFIXES[n % 3], (0.5, 3.0, 5.0, 4.0)[n % 4])
                 await trio.sleep(0.25)
 
-        async def kept_connections(made: Leave) -> None:
-            for n in range(12):  # the first answers end from the SIGTERM on until 6 s after it
-                made.nursery.start_soon(made.ask_on_kept, PREFIXES[n % 3], 0.75 + 0.5 * n, 5.0)
+        async def kept_connections(shutdown: Shutdown) -> None:
+            for n in range(12):  # the first responses end between the SIGTERM and 6 s after it
+                shutdown.nursery.start_soon(shutdown.ask_on_kept, PREFIXES[n % 3], 0.75 + 0.5 * n, 5.0)
 
-        async def short_requests(made: Leave) -> None:
-            while made.now() < GRACE:  # several are always open
-                made.ask(PREFIXES[0], 0.25)
+        async def short_requests(shutdown: Shutdown) -> None:
+            while shutdown.now() < GRACE:  # several are always open
+                shutdown.ask(PREFIXES[0], 0.25)
                 await trio.sleep(0.05)
 
         found = []
         for clients in (new_connections, kept_connections, short_requests):
-            fleet, made = leave(clients)
-            assert len(read(fleet)) > 8
-            found += [f"{clients.__name__}: {told}" for told in faults(fleet, made)]
-        if made.ended_at > ENDS_WITHIN:  # with short requests alone
-            found.append(f"short_requests: the router ended at {made.ended_at:.2f}")
+            fleet, shutdown = shut_down_router(clients)
+            assert len(read_attempts(fleet)) > 8
+            found += [f"{clients.__name__}: {fault}" for fault in faults(fleet, shutdown)]
+        if shutdown.ended_at > SHORT_SHUTDOWN_SECONDS:  # with short requests alone
+            found.append(f"short_requests: the router ended at {shutdown.ended_at:.2f}")
         assert not found, "\n" + "\n".join(found)
 
-    def test_a_request_without_a_byte_of_its_answer_is_answered_at_the_end(self):
-        """Servers read the prompt for longer than the grace."""
+    def test_a_request_without_a_response_byte_is_answered_at_the_end(self):
+        """Servers process the prompt for longer than the grace period."""
 
-        async def clients(made: Leave) -> None:
+        async def clients(shutdown: Shutdown) -> None:
             for n in range(6):  # until 2 s after the SIGTERM
-                made.ask(PREFIXES[n % 3], 0.5)
+                shutdown.ask(PREFIXES[n % 3], 0.5)
                 await trio.sleep(0.5)
 
-        async def wait_for_the_core(made: Leave) -> None:
-            made.ask(ONCE, 15.0)  # without it the router would have ended
-            await made.until(GRACE - 1.2)
-            made.fleet.cut(made.unit, made.fleet.cores)
-            made.unit.program.control_client.mark_stale()
-            for _ in range(4):  # each waits until what is known is confirmed
-                made.ask(REPEATED, 0.5)
+        async def wait_for_the_core(shutdown: Shutdown) -> None:
+            shutdown.ask(ONCE, 15.0)  # keeps the router from ending earlier
+            await shutdown.until(GRACE - 1.2)
+            shutdown.fleet.cut(shutdown.unit, shutdown.fleet.cores)
+            shutdown.unit.program.control_client.mark_stale()
+            for _ in range(4):  # each waits until the control state is confirmed
+                shutdown.ask(REPEATED, 0.5)
                 await trio.sleep(0.1)
 
-        fleet, made = leave(clients, prefill_base=20.0)
-        assert len(read(fleet)) == 6
-        found = [end(attempt, made.told_at) for attempt in read(fleet) if not answered(attempt, fleet)]
-        fleet, made = leave(wait_for_the_core)
-        found += [end(attempt, made.told_at) for attempt in read(fleet)[1:] if not answered(attempt, fleet)]
+        fleet, shutdown = shut_down_router(clients, prefill_base=20.0)
+        assert len(read_attempts(fleet)) == 6
+        found = [
+            describe(attempt, shutdown.signal_at) for attempt in read_attempts(fleet) if not is_answered(attempt, fleet)
+        ]
+        fleet, shutdown = shut_down_router(wait_for_the_core)
+        found += [
+            describe(attempt, shutdown.signal_at)
+            for attempt in read_attempts(fleet)[1:]
+            if not is_answered(attempt, fleet)
+        ]
         assert not found, "\n" + "\n".join(found)
 
-    def test_a_stream_longer_than_the_grace_is_not_cut_before_the_last_sixth(self):
-        async def clients(made: Leave) -> None:
+    def test_a_stream_longer_than_the_grace_period_is_not_cut_before_its_last_sixth(self):
+        async def clients(shutdown: Shutdown) -> None:
             for at in (-0.4, 0.1, 0.5, 0.9):
-                await made.until(at)
-                made.ask(ONCE, 15.0)
+                await shutdown.until(at)
+                shutdown.ask(ONCE, 15.0)
 
-        fleet, made = leave(clients)
-        assert [attempt.how for attempt in read(fleet)] == ["broken"] * 4
-        assert faults(fleet, made) == []
+        fleet, shutdown = shut_down_router(clients)
+        assert [attempt.how for attempt in read_attempts(fleet)] == ["broken"] * 4
+        assert faults(fleet, shutdown) == []
 
-    def test_an_idle_router_ends_once_it_was_noticed(self):
-        async def nobody(made: Leave) -> None:
+    def test_an_idle_router_ends_after_the_notice_period(self):
+        async def no_clients(shutdown: Shutdown) -> None:
             await trio.lowlevel.checkpoint()
 
-        _, made = leave(nobody)
-        assert 0.0 < made.ended_at < ENDS_WITHIN
+        _, shutdown = shut_down_router(no_clients)
+        assert 0.0 < shutdown.ended_at < SHORT_SHUTDOWN_SECONDS
 
-    def test_streams_that_end_within_the_grace_are_whole(self):
-        async def clients(made: Leave) -> None:
+    def test_streams_that_end_within_the_grace_period_are_complete(self):
+        async def clients(shutdown: Shutdown) -> None:
             for n in range(8):  # until 1.5 s after the SIGTERM
-                made.ask(PREFIXES[n % 3], 4.0)
+                shutdown.ask(PREFIXES[n % 3], 4.0)
                 await trio.sleep(0.25)
 
-        fleet, made = leave(clients)
-        assert [(attempt.how, attempt.status) for attempt in tries(fleet)] == [("whole", 200)] * 8
-        assert made.ended_at < GRACE
+        fleet, shutdown = shut_down_router(clients)
+        assert [(attempt.how, attempt.status) for attempt in attempts(fleet)] == [("whole", 200)] * 8
+        assert shutdown.ended_at < GRACE
--- a/tests/dataplane/test_request_outcomes.py
+++ b/tests/dataplane/test_request_outcomes.py
@@ -1,4 +1,4 @@
-"""Each request that a router has read ends in exactly one way, and what must not happen to one is counted."""
+"""Each request that a router has read gets exactly one outcome, and violations are counted."""
 
 import unittest
 from collections.abc import Awaitable, Callable
@@ -25,12 +25,12 @@
 from rowanshift.simulation.fleet_machines import Unit
 from rowanshift.transport.call_server import CallOutcome, CallOutcomes, CutCall
 from rowanshift.transport.streams import connect, send_all
-from tests.support.exchange_rig import FRONT, KINDS, Behaviour, Client, Rig, Then, rejection, request_bytes
+from tests.support.exchange_rig import FRONTEND_PORT, KINDS, Behaviour, Client, Rig, Then, rejection, request_bytes
 from tests.support.exchange_rig import play as play_exchange
 
 GRACE = 6.0  # seconds
-MIDWAY = 200  # bytes of an answer, in the middle of its events
-LONG = 3.0  # seconds in which an exchange is surely over
+MID_STREAM_BYTES = 200  # of a response, in the middle of its events
+SETTLE_SECONDS = 3.0  # after which an exchange has certainly ended
 
 
 def setUpModule():
@@ -45,11 +45,11 @@
     def setUp(self) -> None:
         self.outcomes = RequestOutcomes()
 
-    def opened(self, now: float = 1.0, nth: int = 1) -> TrackedRequest:
-        return self.outcomes.track("r", now, nth, now)
+    def track(self, now: float = 1.0, number_on_connection: int = 1) -> TrackedRequest:
+        return self.outcomes.track("r", now, number_on_connection, now)
 
     def test_an_outcome_is_counted_once_in_the_phase_of_its_end(self) -> None:
-        early, late = self.opened(), self.opened()
+        early, late = self.track(), self.track()
         self.outcomes.close(early, RequestOutcome.COMPLETED, 2.0)
         self.outcomes.begin_shutdown(3.0, GRACE)
         self.outcomes.close(late, RequestOutcome.REFUSED, 4.0, status=503)
@@ -57,17 +57,17 @@
         self.assertEqual(self.outcomes.outcomes[ProcessPhase.SHUTTING_DOWN], {RequestOutcome.REFUSED: 1})
         self.assertEqual((self.outcomes.violation_count(), self.outcomes.close_remaining(5.0)), (0, []))
 
-    def test_only_a_cut_by_the_router_is_a_violation_by_itself(self) -> None:
-        for ending in RequestOutcome:
-            with self.subTest(ending=ending):
+    def test_only_the_outcome_cut_by_router_is_a_violation(self) -> None:
+        for outcome in RequestOutcome:
+            with self.subTest(outcome=outcome):
                 outcomes = RequestOutcomes()
-                ended = outcomes.close(outcomes.track("r", 0.0, 1, 0.0), ending, 1.0)
-                cut = ending is RequestOutcome.CUT_BY_ROUTER
+                ended = outcomes.close(outcomes.track("r", 0.0, 1, 0.0), outcome, 1.0)
+                cut = outcome is RequestOutcome.CUT_BY_ROUTER
                 self.assertEqual(outcomes.violation_count(), int(cut))
                 self.assertEqual(ended.violation, Violation.CUT_BY_ROUTER if cut else None)
 
     def test_a_request_closed_twice(self) -> None:
-        request = self.opened()
+        request = self.track()
         self.outcomes.close(request, RequestOutcome.COMPLETED, 2.0)
         ended = self.outcomes.close(request, RequestOutcome.REFUSED, 3.0)
         self.assertEqual(ended.violation, Violation.CLOSED_TWICE)
@@ -75,7 +75,7 @@
         self.assertEqual(self.outcomes.outcomes[ProcessPhase.SERVING], {RequestOutcome.COMPLETED: 1})
 
     def test_a_request_never_closed(self) -> None:
-        request = self.opened()
+        request = self.track()
         self.outcomes.begin_shutdown(3.0, GRACE)
         self.assertEqual([ended.request for ended in self.outcomes.close_remaining(9.0)], [request])
         self.assertEqual(self.outcomes.violations[ProcessPhase.SHUTTING_DOWN], {Violation.NEVER_CLOSED: 1})
@@ -90,8 +90,8 @@
         self.assertEqual(ended.shutdown, ShutdownTimes(5.0, 1.0, 1.0, 5.0, -2.0))
         self.assertEqual((request.reused_connection, ended.bytes_written), (True, 7))
 
-    def test_no_times_of_a_shutdown_while_serving(self) -> None:
-        ended = self.outcomes.close(self.opened(), RequestOutcome.COMPLETED, 2.0)
+    def test_no_shutdown_times_while_serving(self) -> None:
+        ended = self.outcomes.close(self.track(), RequestOutcome.COMPLETED, 2.0)
         self.assertIsNone(ended.shutdown)
 
     def test_connections_since_the_signal(self) -> None:
@@ -104,21 +104,21 @@
 
 
 class Excused(unittest.TestCase):
-    """A cut after the signal at 10 s, of a grace of 6 s: excused from 15 s on, of requests up to 13 s."""
+    """With the signal at 10 s and a grace period of 6 s, a cut is excused from 15 s on for requests read by 13 s."""
 
-    def cut(self, came: float, at: float, leaves: bool = True) -> RequestOutcomes:
-        outcomes, told = RequestOutcomes(), []
-        outcomes.on_violation = told.append
-        request = outcomes.track("r", came, 1, came)
-        if leaves:
+    def cut(self, received_at: float, at: float, is_shutting_down: bool = True) -> RequestOutcomes:
+        outcomes, reported = RequestOutcomes(), []
+        outcomes.on_violation = reported.append
+        request = outcomes.track("r", received_at, 1, received_at)
+        if is_shutting_down:
             outcomes.begin_shutdown(10.0, GRACE)
         ended = outcomes.close(request, RequestOutcome.CUT_BY_ROUTER, at)
-        self.assertEqual(told, [ended])
+        self.assertEqual(reported, [ended])
         self.assertEqual((outcomes.excused, outcomes.violation_count()), (int(ended.excused), int(not ended.excused)))
         return outcomes
 
-    def test_each_side_of_each_bound(self) -> None:
-        for came, at, excused in (
+    def test_both_sides_of_each_bound(self) -> None:
+        for received_at, at, excused in (
             (9.0, 15.0, 1),
             (13.0, 15.0, 1),
             (13.01, 15.0, 0),
@@ -126,13 +126,13 @@
             (13.0, 18.0, 1),
             (9.0, 11.0, 0),
         ):
-            with self.subTest(came=came, at=at):
-                self.assertEqual(self.cut(came, at).excused, excused)
+            with self.subTest(received_at=received_at, at=at):
+                self.assertEqual(self.cut(received_at, at).excused, excused)
 
     def test_never_while_serving(self) -> None:
-        self.assertEqual(self.cut(9.0, 15.0, leaves=False).excused, 0)
+        self.assertEqual(self.cut(9.0, 15.0, is_shutting_down=False).excused, 0)
 
-    def test_other_violations_are_not(self) -> None:
+    def test_other_violations_are_never_excused(self) -> None:
         outcomes = RequestOutcomes()
         outcomes.begin_shutdown(10.0, GRACE)
         request = outcomes.track("r", 10.0, 1, 10.0)
@@ -145,89 +145,99 @@
             outcomes.violations[ProcessPhase.SHUTTING_DOWN], {Violation.CLOSED_TWICE: 1, Violation.NEVER_CLOSED: 1}
         )
 
-    def test_the_counts_name_it(self) -> None:
+    def test_the_summary_counts_excused_requests(self) -> None:
         self.assertIn("leaving_cut_by_router=1 excused=1 violations=0", self.cut(10.0, 15.0).summary())
-        told = self.cut(13.5, 15.0).summary()
-        self.assertIn("leaving_cut_by_router=1 leaving_violation_cut_by_router=1 excused=0 violations=1", told)
+        reported = self.cut(13.5, 15.0).summary()
+        self.assertIn("leaving_cut_by_router=1 leaving_violation_cut_by_router=1 excused=0 violations=1", reported)
 
 
-class AtAFrontend(unittest.TestCase):
-    """Each ending, as an exchange in the virtual network comes to it."""
+class FrontendOutcomes(unittest.TestCase):
+    """Each outcome of an exchange in the virtual network."""
 
-    def ending(self, main: Callable[[Rig, Client], Awaitable[Any]], *behaviours: Behaviour) -> RequestOutcome:
-        """The ending of the one request that ``main`` sends by a client."""
+    def outcome_of(self, main: Callable[[Rig, Client], Awaitable[Any]], *behaviours: Behaviour) -> RequestOutcome:
+        """The outcome of the only request, which ``main`` sends."""
 
         async def run(rig: Rig) -> RequestOutcomes:
             rig.behaviours += behaviours
             await main(rig, Client(rig))
-            await trio.sleep(LONG)
+            await trio.sleep(SETTLE_SECONDS)
             return rig.front.outcomes
 
         outcomes = play_exchange(run, servers=2)
-        (ending,) = outcomes.outcomes[ProcessPhase.SERVING].elements()
+        (outcome,) = outcomes.outcomes[ProcessPhase.SERVING].elements()
         self.assertEqual(len(outcomes.open), 0)
-        self.assertEqual(outcomes.violation_count(), int(ending is RequestOutcome.CUT_BY_ROUTER))
-        return ending
+        self.assertEqual(outcomes.violation_count(), int(outcome is RequestOutcome.CUT_BY_ROUTER))
+        return outcome
 
-    def of_one(self, kind: str, *behaviours: Behaviour) -> RequestOutcome:
-        """The ending of a request whose client waits for it."""
+    def outcome_of_request(self, kind: str, *behaviours: Behaviour) -> RequestOutcome:
+        """The outcome of a request whose client waits for it."""
 
         async def main(rig: Rig, client: Client) -> None:
             await client.ask(kind, "r1")
 
-        return self.ending(main, *behaviours)
+        return self.outcome_of(main, *behaviours)
 
-    def test_a_whole_answer(self) -> None:
+    def test_a_complete_response(self) -> None:
         for kind in KINDS:
-            self.assertEqual(self.of_one(kind), RequestOutcome.COMPLETED)
+            self.assertEqual(self.outcome_of_request(kind), RequestOutcome.COMPLETED)
 
-    def test_a_whole_answer_of_a_second_server(self) -> None:
-        self.assertEqual(self.of_one("idempotent", Behaviour(cut=0, then=Then.RESET)), RequestOutcome.COMPLETED)
-        self.assertEqual(self.of_one("resumable", Behaviour(cut=MIDWAY, then=Then.RESET)), RequestOutcome.COMPLETED)
+    def test_a_complete_response_from_a_second_server(self) -> None:
+        self.assertEqual(
+            self.outcome_of_request("idempotent", Behaviour(cut=0, then=Then.RESET)), RequestOutcome.COMPLETED
+        )
+        self.assertEqual(
+            self.outcome_of_request("resumable", Behaviour(cut=MID_STREAM_BYTES, then=Then.RESET)),
+            RequestOutcome.COMPLETED,
+        )
 
     def test_a_refusal(self) -> None:
-        self.assertEqual(self.of_one("non_idempotent", Behaviour(cut=0, then=Then.RESET)), RequestOutcome.REFUSED)
+        self.assertEqual(
+            self.outcome_of_request("non_idempotent", Behaviour(cut=0, then=Then.RESET)), RequestOutcome.REFUSED
+        )
 
-    def test_a_refusal_of_a_request_that_is_not_well_formed(self) -> None:
+    def test_a_refusal_of_a_malformed_request(self) -> None:
         async def main(rig: Rig, client: Client) -> None:
             await client.send(b"GET /idempotent/ HTTP/1.1\r\nHost: h\r\n\r\n")
             self.assertEqual((await client.answer()).status, 400)
 
-        self.assertEqual(self.ending(main), RequestOutcome.REFUSED)
+        self.assertEqual(self.outcome_of(main), RequestOutcome.REFUSED)
 
-    def test_a_server_that_breaks_off(self) -> None:
+    def test_a_server_that_ends_a_response_early(self) -> None:
         for then in (Then.RESET, Then.CLOSE):
-            self.assertEqual(self.of_one("stream", Behaviour(cut=MIDWAY, then=then)), RequestOutcome.SERVER_BROKE_OFF)
+            self.assertEqual(
+                self.outcome_of_request("stream", Behaviour(cut=MID_STREAM_BYTES, then=then)),
+                RequestOutcome.SERVER_BROKE_OFF,
+            )
 
-    def test_its_time_is_up(self) -> None:
-        silent = Behaviour(cut=MIDWAY, then=Then.SILENCE)
-        self.assertEqual(self.of_one("stream", silent), RequestOutcome.TIMED_OUT)
+    def test_the_deadline_passes(self) -> None:
+        silent = Behaviour(cut=MID_STREAM_BYTES, then=Then.SILENCE)
+        self.assertEqual(self.outcome_of_request("stream", silent), RequestOutcome.TIMED_OUT)
 
-    def test_the_client_leaves(self) -> None:
+    def test_the_client_disconnects(self) -> None:
         async def main(rig: Rig, client: Client) -> None:
             await client.send(request_bytes("stream", "r1"))
             await trio.sleep(0.1)
             client.close()
 
-        for cut in (0, MIDWAY):
+        for cut in (0, MID_STREAM_BYTES):
             self.assertEqual(
-                self.ending(main, Behaviour(cut=cut, then=Then.SILENCE)), RequestOutcome.CLIENT_DISCONNECTED
+                self.outcome_of(main, Behaviour(cut=cut, then=Then.SILENCE)), RequestOutcome.CLIENT_DISCONNECTED
             )
 
-    def test_a_server_that_is_given_up_after_its_answer_had_begun(self) -> None:
-        """It says nothing for long, and no other takes its stream up."""
-        silent = Behaviour(cut=MIDWAY, then=Then.SILENCE)
+    def test_a_server_that_is_abandoned_after_its_response_started(self) -> None:
+        """The server stays silent and no other server resumes the stream."""
+        silent = Behaviour(cut=MID_STREAM_BYTES, then=Then.SILENCE)
         refused = Behaviour(rejection(503, b"Not-Executed: 1"))
-        self.assertEqual(self.of_one("resumable", silent, refused), RequestOutcome.CUT_BY_ROUTER)
+        self.assertEqual(self.outcome_of_request("resumable", silent, refused), RequestOutcome.CUT_BY_ROUTER)
 
     def test_a_request_that_is_cancelled(self) -> None:
-        """Before its answer has begun, and in the middle of it."""
-        for cut in (0, MIDWAY):
+        """Before its response has started, and in the middle of it."""
+        for cut in (0, MID_STREAM_BYTES):
 
             async def main(rig: Rig, cut: int = cut) -> RequestOutcomes:
                 rig.behaviours.append(Behaviour(cut=cut, then=Then.SILENCE))
                 stream = rig.client_machine.stream()
-                await connect(stream, (rig.router.address, FRONT))
+                await connect(stream, (rig.router.address, FRONTEND_PORT))
                 await send_all(stream, request_bytes("stream", "r1"))
                 await trio.sleep(0.1)
                 self.assertEqual(len(rig.front.outcomes.open), 1)
@@ -239,9 +249,9 @@
             self.assertEqual(len(outcomes.open), 0)
 
 
-class WhileLeaving(unittest.TestCase):
+class DuringShutdown(unittest.TestCase):
     def lines(self) -> list[str]:
-        """What a router logs that gets SIGTERM while one client goes on asking."""
+        """The log of a router that gets SIGTERM while a client keeps sending requests."""
         lines: list[str] = []
 
         async def main(fleet: Fleet) -> None:
@@ -265,7 +275,7 @@
             logger.remove(sink)
         return lines
 
-    def test_what_is_logged(self) -> None:
+    def test_logged_events(self) -> None:
         lines = self.lines()
         ended = [line for line in lines if "event=request_ended_while_leaving" in line]
         self.assertEqual(len(ended), 2)
@@ -280,34 +290,34 @@
         self.assertRegex(left, r"requests_on_kept=1 requests_on_new=1 last_request=0\.\d+ idle_closed=\d+ longest_st")
 
 
-class InPlays(unittest.TestCase):
-    """Each play of a fleet fails by what the machines themselves counted; faults are put into the code for it."""
+class InSimulations(unittest.TestCase):
+    """A simulated run fails if the machines themselves counted violations; the tests inject faults to check that."""
 
-    async def scenario(self, fleet: Fleet, trouble: Callable[[Fleet, Unit], None] = Fleet.terminate) -> None:
+    async def scenario(self, fleet: Fleet, fault: Callable[[Fleet, Unit], None] = Fleet.terminate) -> None:
         await fleet.start()
         for n in range(6):
             fleet.client(f"c{n}", ONCE, "key-1", 0.05, 400)
         await trio.sleep(1)
         router = fleet.routers[0]
         await fleet.until(lambda: router.program.frontend.open_requests >= 2)
-        trouble(fleet, router)
+        fault(fleet, router)
         await trio.sleep(7.5)
 
-    def found(self, why: str) -> None:
-        """A play fails for this; one that is not strict reports it as a breach."""
-        with self.assertRaisesRegex(ViolatedOutcomes, f"ENDING .*{why}"):
+    def assert_found(self, text: str) -> None:
+        """A strict run fails with this text; one that is not strict reports it as a breach."""
+        with self.assertRaisesRegex(ViolatedOutcomes, f"ENDING .*{text}"):
             play(self.scenario)
         breaches = play(self.scenario, strict=False)[1].breaches()
-        self.assertIn("ENDING", {breach.rule for breach in breaches if why in breach.why})
+        self.assertIn("ENDING", {breach.rule for breach in breaches if text in breach.why})
 
     def test_nothing_is_found_without_a_fault(self) -> None:
         play(self.scenario)
 
-    def test_requests_that_are_cut_at_sigterm(self) -> None:
+    def test_requests_cut_at_sigterm(self) -> None:
         with mock.patch.multiple(drain, NOTICE_SECONDS=0.05, END_RESERVE_SECONDS=8.0, END_RESERVE_MAX_FRACTION=1.0):
-            self.found("cut_by_router")
+            self.assert_found("cut_by_router")
 
-    def test_a_router_that_is_asked_on_until_it_ends(self) -> None:
+    def test_a_router_that_gets_requests_until_it_ends(self) -> None:
         """Short requests by clients that know of no other router, from before SIGTERM until after the grace."""
 
         async def main(fleet: Fleet) -> None:
@@ -334,34 +344,34 @@
         self.assertEqual([str(breach) for breach in fleet.breaches()], [])
 
     def test_a_request_that_is_never_closed(self) -> None:
-        true = RequestOutcomes.close
+        original = RequestOutcomes.close
 
-        def forgetting(outcomes, request, *more, **named):
+        def close_without_recording(outcomes, request, *arguments, **keywords):
             if outcomes.shutdown is not None:
                 return ClosedRequest(request, RequestOutcome.COMPLETED, 0.0)
-            return true(outcomes, request, *more, **named)
+            return original(outcomes, request, *arguments, **keywords)
 
-        with mock.patch.object(RequestOutcomes, "close", forgetting):
-            self.found("never_closed")
+        with mock.patch.object(RequestOutcomes, "close", close_without_recording):
+            self.assert_found("never_closed")
 
     def test_a_request_that_is_closed_twice(self) -> None:
-        true = RequestOutcomes.close
+        original = RequestOutcomes.close
 
-        def twice(outcomes, request, *more, **named):
-            true(outcomes, request, *more, **named)
-            return true(outcomes, request, *more, **named)
+        def close_twice(outcomes, request, *arguments, **keywords):
+            original(outcomes, request, *arguments, **keywords)
+            return original(outcomes, request, *arguments, **keywords)
 
-        with mock.patch.object(RequestOutcomes, "close", twice):
-            self.found("closed_twice")
+        with mock.patch.object(RequestOutcomes, "close", close_twice):
+            self.assert_found("closed_twice")
 
-    def test_unplanned_trouble_of_the_router_excuses(self) -> None:
-        for trouble in (Fleet.kill, Fleet.cut_power):
-            with self.subTest(trouble.__name__):
-                _, fleet = play(partial(self.scenario, trouble=trouble))
+    def test_unplanned_failures_of_the_router_excuse_cuts(self) -> None:
+        for fault in (Fleet.kill, Fleet.cut_power):
+            with self.subTest(fault.__name__):
+                _, fleet = play(partial(self.scenario, fault=fault))
                 self.assertGreater(len(fleet.of(RequestCut)), 0)
 
-    def test_trouble_of_another_does_not_excuse(self) -> None:
-        def trouble(fleet: Fleet, router: Unit) -> None:
+    def test_failures_of_another_router_do_not_excuse_cuts(self) -> None:
+        def fault(fleet: Fleet, router: Unit) -> None:
             fleet.kill(fleet.routers[1])
             fleet.terminate(router)
 
@@ -369,52 +379,52 @@
             mock.patch.multiple(drain, NOTICE_SECONDS=0.05, END_RESERVE_SECONDS=8.0, END_RESERVE_MAX_FRACTION=1.0),
             self.assertRaisesRegex(ViolatedOutcomes, "router-0: cut_by_router"),
         ):
-            play(partial(self.scenario, trouble=trouble))
+            play(partial(self.scenario, fault=fault))
 
 
 class Calls(unittest.TestCase):
-    """A call of a core machine's API that was read and not answered."""
+    """Calls to a core machine's API that were read and not answered."""
 
-    async def scenario(self, fleet: Fleet, trouble: Callable[[Fleet, Unit], None]) -> None:
-        """An operator sends a configuration, which takes the primary's disk a second, and trouble comes meanwhile."""
+    async def scenario(self, fleet: Fleet, fault: Callable[[Fleet, Unit], None]) -> None:
+        """An operator sends a configuration, which takes the primary's disk a second; ``fault`` happens meanwhile."""
         await fleet.start()
         unit = fleet.primary()
         unit.machine.drive.hang(1.0)
         fleet.nursery.start_soon(fleet.put, config_of(2))
         self.assertTrue(await fleet.until(lambda: unit.program.calls.not_answered > 0, 0.8))
-        trouble(fleet, unit)
+        fault(fleet, unit)
         await trio.sleep(2.0)
 
-    def stopped(self, fleet: Fleet, unit: Unit) -> None:
-        """Its program ends by itself, at once."""
+    def end_program(self, fleet: Fleet, unit: Unit) -> None:
+        """End the unit's program immediately."""
         unit.wanted = False
         unit.machine.scope.cancel()
 
     def test_a_call_that_is_cut(self) -> None:
         with self.assertRaisesRegex(ViolatedOutcomes, "core-.*a call was read and not answered"):
-            play(partial(self.scenario, trouble=self.stopped))
+            play(partial(self.scenario, fault=self.end_program))
 
-    def test_unplanned_trouble_of_the_machine_excuses(self) -> None:
-        def trouble(fleet: Fleet, unit: Unit) -> None:
+    def test_unplanned_failures_of_the_machine_excuse_cuts(self) -> None:
+        def fault(fleet: Fleet, unit: Unit) -> None:
             fleet.freeze(unit)
             fleet.thaw(unit)
-            self.stopped(fleet, unit)
+            self.end_program(fleet, unit)
 
-        _, fleet = play(partial(self.scenario, trouble=trouble))
+        _, fleet = play(partial(self.scenario, fault=fault))
         self.assertEqual([cut.target for cut in fleet.of(CallCut)], ["/config"])
-        play(partial(self.scenario, trouble=Fleet.kill))
-
-    def test_a_core_machine_that_is_told_to_stop(self) -> None:
-        play(partial(self.scenario, trouble=Fleet.terminate))
-
-    def test_the_count(self) -> None:
-        endings, told = CallOutcomes(), []
-        endings.watch = told.append
-        for ending in CallOutcome:
-            endings.record_read()
-            endings.record_end(ending, "/config", 1.0, 2.0)
-        endings.record_read()
-        self.assertEqual((endings.read, endings.not_answered, told), (4, 2, [CutCall("/config", 1.0, 2.0)]))
+        play(partial(self.scenario, fault=Fleet.kill))
+
+    def test_a_core_machine_that_gets_sigterm(self) -> None:
+        play(partial(self.scenario, fault=Fleet.terminate))
+
+    def test_counters(self) -> None:
+        outcomes, reported = CallOutcomes(), []
+        outcomes.watch = reported.append
+        for outcome in CallOutcome:
+            outcomes.record_read()
+            outcomes.record_end(outcome, "/config", 1.0, 2.0)
+        outcomes.record_read()
+        self.assertEqual((outcomes.read, outcomes.not_answered, reported), (4, 2, [CutCall("/config", 1.0, 2.0)]))
 
 
 if __name__ == "__main__":
--- a/tests/support/exchange_rig.py
+++ b/tests/support/exchange_rig.py
@@ -1,8 +1,8 @@
-"""One data plane in the virtual network between one raw client and model servers that misbehave as they are told.
+"""A router's frontend in the virtual network, between a raw HTTP client and model servers with scripted behaviour.
 
-All servers of a rig take their behaviours from one common list, in the order in which requests arrive, so that a
-test decides what happens to the first attempt, the second and so on, wherever they go. With the list empty a
-server serves well. Bodies name the request they belong to, so that bytes of another's answer show.
+All servers of a rig take their behaviours from one list, in the order in which requests arrive, so that a test decides
+what happens to the first attempt, the second and so on, whichever servers they reach. A server whose rig has no
+behaviours left responds correctly. Bodies contain the id of their request, so that bytes of another response are found.
 """
 
 import random
@@ -29,10 +29,10 @@
 from rowanshift.transport.memory_budget import MemoryBudget
 from rowanshift.transport.streams import connect, send_all
 
-FRONT, SERVED = 8080, 9000  # ports
-EVENTS = 3  # of a whole stream
-WITHIN = 4.0  # seconds that a client waits
-APART = 0.01  # seconds between two pieces of an answer, so that they come in two reads
+FRONTEND_PORT, SERVER_PORT = 8080, 9000  # ports
+EVENT_COUNT = 3  # events of a complete stream
+CLIENT_DEADLINE_SECONDS = 4.0
+PIECE_INTERVAL_SECONDS = 0.01  # between two pieces of a response, so that they arrive in two reads
 KINDS = {  # kind of request: route type and whether it is resumable
     "idempotent": ("idempotent", False),
     "non_idempotent": ("non_idempotent", False),
@@ -40,22 +40,22 @@
     "stream": ("streaming", False),
 }
 REPEATABLE = ("idempotent", "resumable")
-STREAMS = ("resumable", "stream")
-PROMISES = (408, 421, 429, 503)
+STREAM_KINDS = ("resumable", "stream")
+NOT_EXECUTED_STATUSES = (408, 421, 429, 503)
 
 
 class Then(Enum):
-    """What a server does once it has sent what it was told to."""
+    """What a server does after the part of its response that its behaviour names."""
 
-    GO_ON = "goes on"
+    GO_ON = "sends the rest"
     RESET = "resets the connection"
     CLOSE = "closes the connection"
-    SILENCE = "says no more"
+    SILENCE = "sends nothing more"
 
 
 @dataclass(slots=True)
 class Asked:
-    """A request as a server read it."""
+    """A request as received by a server."""
 
     id: str
     fields: dict[bytes, bytes]
@@ -63,53 +63,53 @@
     kind: str
 
     @property
-    def after(self) -> int:
+    def last_event_number(self) -> int:
         return int(self.fields.get(b"last-event-id", b"0"))
 
 
 @dataclass(slots=True)
 class Behaviour:
-    """What a server does with one request."""
+    """How a server handles one request."""
 
-    answer: Callable[[Asked], bytes] = lambda asked: whole_answer(asked)
-    cut: int | None = None  # bytes of the answer that are sent before ``then``; None: all
+    answer: Callable[[Asked], bytes] = lambda asked: complete_response(asked)
+    cut: int | None = None  # bytes of the response sent before ``then``; None: all
     then: Then = Then.GO_ON
-    read: int | None = None  # bytes of the request that are read before ``then``; None: all, and it runs
-    runs: bool = True
-    surplus: bytes = b""  # sent after the answer
-    surplus_after: float = 0.0  # seconds, 0 in the same write
-    wait: float = 0.0  # seconds before the answer
-    pause: float = APART  # seconds at the cut, where the answer goes on
+    read: int | None = None  # bytes of the request read before ``then``; None: all, and it is executed
+    runs: bool = True  # whether the request counts as executed
+    surplus: bytes = b""  # sent after the response
+    surplus_after: float = 0.0  # seconds after the response; 0: in the same write
+    wait: float = 0.0  # seconds before the response
+    pause: float = PIECE_INTERVAL_SECONDS  # seconds before the rest of the response
 
 
 @dataclass(slots=True)
 class Got:
-    """What a client got for one request."""
+    """What a client received for one request."""
 
     status: int = 0
     fields: dict[bytes, bytes] = field(default_factory=dict)
-    top: bytes = b""  # the head as it came
+    raw_head: bytes = b""  # the head as received
     body: bytes = b""
-    whole: bool = False
-    rest: bytes = b""  # bytes after a whole answer
-    ended: bool = False  # the router closed the connection
-    at: float = 0.0  # seconds from the request to its end
+    complete: bool = False
+    trailing: bytes = b""  # bytes after a complete response
+    closed: bool = False  # the router closed the connection
+    at: float = 0.0  # seconds from the request to the end of the response
 
 
-def seal_of(id: str, status: int) -> bytes:
+def response_seal(id: str, status: int) -> bytes:
     return f"seal-{id}-{status}".encode()
 
 
 def head(asked: Asked, status: int = 200, *more: bytes, id: str | None = None) -> bytes:
-    own = (asked.id if id is None else id).encode()
-    lines = [b"HTTP/1.1 %d Told" % status, b"Response-Seal: " + seal_of(asked.id, status)]
-    if own:
-        lines.append(b"Request-Id: " + own)
+    response_id = (asked.id if id is None else id).encode()
+    lines = [b"HTTP/1.1 %d Told" % status, b"Response-Seal: " + response_seal(asked.id, status)]
+    if response_id:
+        lines.append(b"Request-Id: " + response_id)
     return b"\r\n".join([*lines, *more, b"", b""])
 
 
 def plain(asked: Asked, status: int = 200, *more: bytes, id: str | None = None) -> bytes:
-    body = body_of(asked.id if id is None else id)
+    body = body_for(asked.id if id is None else id)
     return head(asked, status, *more, b"Content-Length: %d" % len(body), id=id) + body
 
 
@@ -117,7 +117,7 @@
     return lambda asked: plain(asked, status, *more)
 
 
-def body_of(id: str) -> bytes:
+def body_for(id: str) -> bytes:
     return f"body of {id}".encode()
 
 
@@ -129,33 +129,35 @@
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
-def stream_answer(asked: Asked, id: str | None = None, last: bool = True) -> bytes:
-    own = asked.id if id is None else id
-    events = b"".join(chunk(event(own, n)) for n in range(asked.after + 1, EVENTS + 1))
+def stream_response(asked: Asked, id: str | None = None, last: bool = True) -> bytes:
+    response_id = asked.id if id is None else id
+    events = b"".join(
+        chunk(event(response_id, number)) for number in range(asked.last_event_number + 1, EVENT_COUNT + 1)
+    )
     opening = head(asked, 200, b"Content-Type: text/event-stream", b"Transfer-Encoding: chunked", id=id)
     return opening + events + (b"0\r\n\r\n" if last else b"")
 
 
-def whole_answer(asked: Asked, id: str | None = None) -> bytes:
-    return stream_answer(asked, id) if asked.kind in STREAMS else plain(asked, id=id)
+def complete_response(asked: Asked, id: str | None = None) -> bytes:
+    return stream_response(asked, id) if asked.kind in STREAM_KINDS else plain(asked, id=id)
 
 
-def whole_body(kind: str, id: str) -> bytes:
-    return b"".join(event(id, n) for n in range(1, EVENTS + 1)) if kind in STREAMS else body_of(id)
+def complete_body(kind: str, id: str) -> bytes:
+    return b"".join(event(id, number) for number in range(1, EVENT_COUNT + 1)) if kind in STREAM_KINDS else body_for(id)
 
 
 # servers --------------------------------------------------
 
 
 class Server:
-    """A model server that does with each request what the rig's next behaviour says."""
+    """A model server that handles each request according to the rig's next behaviour."""
 
     def __init__(self, rig: "Rig", machine: Machine, name: str) -> None:
         self.rig, self.machine, self.name = rig, machine, name
         self.connections: list[End] = []
 
     async def run(self) -> None:
-        self.listener = self.machine.listen((self.machine.address, SERVED), 64)
+        self.listener = self.machine.listen((self.machine.address, SERVER_PORT), 64)
         while True:
             await self.listener.wait()
             stream = self.listener.accept()
@@ -168,13 +170,13 @@
             while True:
                 if not buffer:
                     await stream.wait_readable()
-                    if not stream.inbox:  # it ended without another request
+                    if not stream.inbox:  # the peer closed the connection without another request
                         return
                 behaviour = self.rig.next_behaviour()
                 if behaviour.read is not None:
-                    await read_some(stream, behaviour.read)
-                    self.rig.handed.append(stream.peer)
-                    await self._then(stream, behaviour.then)
+                    await read_exactly(stream, behaviour.read)
+                    self.rig.partly_read.append(stream.peer)
+                    await self._end_connection(stream, behaviour.then)
                     return
                 asked = await read_request(stream, buffer)
                 if asked is None:
@@ -188,17 +190,17 @@
                 stream.close()
 
     async def _answer(self, stream: End, asked: Asked, behaviour: Behaviour) -> bool:
-        """Whether the connection goes on."""
+        """Respond to a request; whether the connection stays open."""
         rig = self.rig
         rig.arrivals[asked.id].append(stream)
         rig.runs[asked.id] += behaviour.runs
         answer = behaviour.answer(asked)
         if answer[9:12].isdigit():
-            rig.given[asked.id].add(int(answer[9:12]))
+            rig.server_statuses[asked.id].add(int(answer[9:12]))
         await trio.sleep(behaviour.wait)
         cut = len(answer) if behaviour.cut is None else behaviour.cut
         if behaviour.cut is not None and behaviour.then is not Then.GO_ON:
-            cut = min(cut, len(answer) - 1)  # of a resumed stream, which is shorter
+            cut = min(cut, len(answer) - 1)  # a resumed stream is shorter
         sent = answer[:cut]
         if behaviour.surplus and not behaviour.surplus_after:
             sent += behaviour.surplus
@@ -211,21 +213,21 @@
                 await trio.sleep(behaviour.pause)
                 await send_all(stream, answer[cut:])
             return True
-        await trio.sleep(APART)
-        await self._then(stream, behaviour.then)
+        await trio.sleep(PIECE_INTERVAL_SECONDS)
+        await self._end_connection(stream, behaviour.then)
         return False
 
-    async def _then(self, stream: End, then: Then) -> None:
+    async def _end_connection(self, stream: End, then: Then) -> None:
         if then is Then.RESET:
             stream.drop(True)
         elif then is Then.CLOSE:
             stream.close()
         else:
-            await self.rig.over.wait()
+            await self.rig.finished.wait()
 
 
-async def read_some(stream: End, count: int) -> None:
-    """Reads exactly so many bytes, and leaves the rest with the system."""
+async def read_exactly(stream: End, count: int) -> None:
+    """Read exactly ``count`` bytes and leave the rest in the socket."""
     while count:
         await stream.wait_readable()
         count -= stream.recv_into(memoryview(bytearray(count)))
@@ -234,36 +236,38 @@
 async def read_more(stream: End, buffer: bytearray) -> bool:
     space = bytearray(1 << 16)
     await stream.wait_readable()
-    n = stream.recv_into(memoryview(space))
-    buffer += space[:n]
-    return n > 0
+    count = stream.recv_into(memoryview(space))
+    buffer += space[:count]
+    return count > 0
 
 
 async def read_request(stream: End, buffer: bytearray) -> Asked | None:
     while b"\r\n\r\n" not in buffer:
         if not await read_more(stream, buffer):
             return None
-    top, _, rest = bytes(buffer).partition(b"\r\n\r\n")
-    fields = fields_of(top)
+    raw_head, _, rest = bytes(buffer).partition(b"\r\n\r\n")
+    fields = parse_fields(raw_head)
     length = int(fields.get(b"content-length", b"0"))
     while len(rest) < length:
         if not await read_more(stream, buffer):
             return None
         rest = bytes(buffer).partition(b"\r\n\r\n")[2]
-    del buffer[: len(top) + 4 + length]
-    kind = top.split(b" ")[1].strip(b"/").decode()
+    del buffer[: len(raw_head) + 4 + length]
+    kind = raw_head.split(b" ")[1].strip(b"/").decode()
     return Asked(fields[b"request-id"].decode(), fields, rest[:length], kind)
 
 
-def fields_of(top: bytes) -> dict[bytes, bytes]:
-    lines = [line.partition(b":") for line in top.split(b"\r\n")[1:]]
+def parse_fields(raw_head: bytes) -> dict[bytes, bytes]:
+    lines = [line.partition(b":") for line in raw_head.split(b"\r\n")[1:]]
     return {name.lower(): value.strip() for name, _, value in lines}
 
 
 # the client -----------------------------------------------
 
 
-def request_bytes(kind: str, id: str, within: float = WITHIN, method: str = "POST", *more: str) -> bytes:
+def request_bytes(
+    kind: str, id: str, within: float = CLIENT_DEADLINE_SECONDS, method: str = "POST", *more: str
+) -> bytes:
     body = f"for {id}"
     lines = [
         f"{method} /{kind}/ HTTP/1.1",
@@ -276,8 +280,8 @@
     return ("\r\n".join([*lines, "", ""]) + body).encode()
 
 
-def dechunked(data: bytes) -> tuple[bytes, bool, bytes]:
-    """The body so far, whether it is whole, and what follows it."""
+def decode_chunks(data: bytes) -> tuple[bytes, bool, bytes]:
+    """Decode a chunked body; returns the body so far, whether it is complete, and the bytes after it."""
     body = b""
     while True:
         line, found, rest = data.partition(b"\r\n")
@@ -292,23 +296,23 @@
         data = rest[size + 2 :]
 
 
-def parsed(data: bytes, closed: bool = False) -> Got:
-    """What came for one request, as a strict client reads it."""
+def parse_response(data: bytes, closed: bool = False) -> Got:
+    """Parse the bytes received for one request as a strict client does."""
     while data.startswith(b"HTTP/1.1 1") and b"\r\n\r\n" in data:
         data = data.partition(b"\r\n\r\n")[2]
-    top, found, rest = data.partition(b"\r\n\r\n")
+    raw_head, found, rest = data.partition(b"\r\n\r\n")
     if not found:
-        return Got(rest=b"" if b"HTTP/1.1 ".startswith(data[:9]) else data)
-    got = Got(int(top[9:12]), fields_of(top), top)
+        return Got(trailing=b"" if b"HTTP/1.1 ".startswith(data[:9]) else data)
+    got = Got(int(raw_head[9:12]), parse_fields(raw_head), raw_head)
     if got.status in (204, 304):
-        got.whole, got.rest = True, rest
+        got.complete, got.trailing = True, rest
     elif got.fields.get(b"transfer-encoding") == b"chunked":
-        got.body, got.whole, got.rest = dechunked(rest)
+        got.body, got.complete, got.trailing = decode_chunks(rest)
     elif b"content-length" in got.fields:
         length = int(got.fields[b"content-length"])
-        got.body, got.whole, got.rest = rest[:length], len(rest) >= length, rest[length:]
+        got.body, got.complete, got.trailing = rest[:length], len(rest) >= length, rest[length:]
     else:
-        got.body, got.whole = rest, closed
+        got.body, got.complete = rest, closed
     return got
 
 
@@ -321,30 +325,30 @@
     async def send(self, data: bytes) -> None:
         if self.stream is None:
             self.stream = self.rig.client_machine.stream()
-            await connect(self.stream, (self.rig.router.address, FRONT))
+            await connect(self.stream, (self.rig.router.address, FRONTEND_PORT))
         await send_all(self.stream, data)
 
-    async def answer(self, within: float = WITHIN + 1.0) -> Got:
-        """The next answer, whole or as far as it came when the router closed or the time was up."""
-        began, got, ended = self.rig.now(), parsed(bytes(self.data)), False
+    async def answer(self, within: float = CLIENT_DEADLINE_SECONDS + 1.0) -> Got:
+        """The next response, or its part received before the router closed the connection or the timeout expired."""
+        started_at, got, closed = self.rig.now(), parse_response(bytes(self.data)), False
         with trio.move_on_after(within):
-            while not got.whole and not ended:
+            while not got.complete and not closed:
                 try:
-                    ended = not await read_more(self.stream, self.data)
+                    closed = not await read_more(self.stream, self.data)
                 except OSError:
-                    ended = True
-                got = parsed(bytes(self.data))
-        if got.whole:
-            self.data[:] = got.rest
-        got.ended, got.at = ended, self.rig.now() - began
+                    closed = True
+                got = parse_response(bytes(self.data))
+        if got.complete:
+            self.data[:] = got.trailing
+        got.closed, got.at = closed, self.rig.now() - started_at
         return got
 
     async def ask(self, kind: str, id: str, **more: Any) -> Got:
         await self.send(request_bytes(kind, id, **more))
         return await self.answer()
 
-    async def leftover(self, seconds: float = 0.1) -> bytes:
-        """What comes without a request waiting."""
+    async def read_unrequested(self, seconds: float = 0.1) -> bytes:
+        """Read for a while without a request open; returns all bytes that are buffered."""
         with trio.move_on_after(seconds):
             while await self._more():
                 pass
@@ -365,7 +369,7 @@
 
 
 class FakeRetryBudget:
-    """A retry budget of so many retries; None: unlimited."""
+    """A retry budget of ``tokens`` retries; None: unlimited."""
 
     def __init__(self, tokens: int | None = None) -> None:
         self.tokens, self.withdrawn = tokens, 0
@@ -381,7 +385,7 @@
 
 
 class NoLoads:
-    """A load index that knows of nothing."""
+    """A load index without any loads."""
 
     async def query(self, servers: list[str]) -> dict[str, int]:
         return {}
@@ -394,13 +398,13 @@
 
 
 class FixedState:
-    """What the channel would tell, never changing."""
+    """A control state that never changes by itself."""
 
     def __init__(self, endpoints: Endpoints, routing_table: RoutingTable) -> None:
         self.endpoints, self.routing_table = endpoints, routing_table
         self.stored_block_hashes: set[int] = set()
         self.least_version = 0
-        self.overdue_at = float("inf")  # from when all weights in use are overdue
+        self.overdue_at = float("inf")  # time from which all weights in use are overdue
 
     def seconds_overdue(self, model: str, version: int, now: float) -> float | None:
         return now - self.overdue_at if now >= self.overdue_at else None
@@ -440,7 +444,7 @@
 
 
 class Rig:
-    """A frontend with its upstream on a machine of the virtual network, and servers that share one list."""
+    """A frontend with its upstream pool on a machine of the virtual network, and servers that share one script."""
 
     def __init__(self, nursery: trio.Nursery, clock: VirtualClock, servers: int, window: int, partial: float) -> None:
         self.nursery, self.clock = nursery, clock
@@ -449,14 +453,16 @@
         self.client_machine, self.router = self._machine("client"), self._machine("router")
         self.behaviours: list[Behaviour] = []
         self.runs: Counter[str] = Counter()
-        self.arrivals: dict[str, list[End]] = defaultdict(list)  # the servers' ends, in order
-        self.given: dict[str, set[int]] = defaultdict(set)  # statuses that servers answered with
-        self.handed: list[End] = []  # the router's ends of connections on which not all was read
-        self.over = trio.Event()
+        self.arrivals: dict[str, list[End]] = defaultdict(
+            list
+        )  # servers' ends of connections, by request id in order of arrival
+        self.server_statuses: dict[str, set[int]] = defaultdict(set)  # by request id, statuses of server responses
+        self.partly_read: list[End] = []  # the router's ends of connections whose request was read in part
+        self.finished = trio.Event()
         self.servers = [Server(self, self._machine(f"server-{n}"), f"s{n}") for n in range(servers)]
         self.retry_budget = FakeRetryBudget()
         self.front, self.upstream = self._frontend()
-        self.asked = 0
+        self.request_count = 0
 
     def now(self) -> float:
         return self.clock.time
@@ -468,7 +474,9 @@
 
     def _frontend(self) -> tuple[Frontend, UpstreamPool]:
         endpoints = Endpoints(random.Random(1))
-        self.endpoints = [Endpoint(s.name, "s", f"{s.machine.address}:{SERVED}", "z", 8, {"": 0}) for s in self.servers]
+        self.endpoints = [
+            Endpoint(s.name, "s", f"{s.machine.address}:{SERVER_PORT}", "z", 8, {"": 0}) for s in self.servers
+        ]
         endpoints.apply_listed(self.endpoints)
         budget, memory = DescriptorBudget(4096, 0), MemoryBudget(512)
         upstream = UpstreamPool(self.router, budget, memory)
@@ -479,7 +487,7 @@
         return front, upstream
 
     async def start(self) -> None:
-        listener = self.router.listen((self.router.address, FRONT), LISTEN_BACKLOG)
+        listener = self.router.listen((self.router.address, FRONTEND_PORT), LISTEN_BACKLOG)
         self.nursery.start_soon(self.front.accept, listener, self.nursery, trio.sleep)
         for server in self.servers:
             self.nursery.start_soon(server.run)
@@ -489,20 +497,20 @@
         return self.behaviours.pop(0) if self.behaviours else Behaviour()
 
     def next_id(self) -> str:
-        self.asked += 1
-        return f"r{self.asked}"
+        self.request_count += 1
+        return f"r{self.request_count}"
 
-    def kept(self) -> int:
-        """Idle connections to servers."""
-        return sum(len(links) for links in self.upstream.idle.values())
+    def idle_connection_count(self) -> int:
+        """The number of idle connections to servers."""
+        return sum(len(connections) for connections in self.upstream.idle.values())
 
-    def drop_kept(self) -> None:
+    def close_idle_connections(self) -> None:
         while self.upstream.close_longest_idle():
             pass
 
 
 def play(main: Callable[[Rig], Awaitable[Any]], servers: int = 3, window: int = 1 << 16, partial: float = 0.0) -> Any:
-    """Runs ``main(rig)`` beside a started rig in the virtual network."""
+    """Run ``main`` with a started rig in the virtual network."""
     clock = VirtualClock()
 
     async def run() -> Any:
