--- a/tests/dataplane/test_control_cache.py
+++ b/tests/dataplane/test_control_cache.py
@@ -1,4 +1,4 @@
-"""What a router makes of the control plane's updates."""
+"""Applying the control plane's updates to a router's copy of the control state."""
 
 import random
 import unittest
@@ -34,9 +34,9 @@
 
 
 def update_of(**fields: Any) -> Update:
-    """An update with these fields, and nothing else that is newer."""
-    nothing = Update((1, 1), 0, False, 0, b"", {}, (0, 0), False)
-    return replace(nothing, **fields)
+    """An update with these fields and nothing else."""
+    empty = Update((1, 1), 0, False, 0, b"", {}, (0, 0), False)
+    return replace(empty, **fields)
 
 
 def state_fields(revision: int, config: bytes | None = None) -> dict[str, Any]:
@@ -61,21 +61,21 @@
     async def _apply(self, update: Update) -> bool:
         return self.cache.apply(update, ASKED_AT)
 
-    def test_a_state(self) -> None:
+    def test_a_new_state(self) -> None:
         self.assertTrue(self.apply(state_version=(2, 7), **state_fields(3)))
         self.assertEqual((self.cache.routing_table.revision, self.cache.fingerprint), (3, 3))
         self.assertEqual(self.cache.state_version, (2, 7))
         self.assertIsNotNone(self.cache.routing_table.find_route(b"h", b"/x"))
 
-    def test_a_state_that_can_not_be_read_leaves_the_one_before(self) -> None:
+    def test_an_unreadable_state_leaves_the_previous_one(self) -> None:
         self.apply(state_version=(2, 7), **state_fields(3))
-        broken = state_fields(4) | {"config": b"not compressed"}
-        for fields in (broken, state_fields(4, b"[]"), state_fields(4, b'{"routes": [{}]}')):
+        unreadable = state_fields(4) | {"config": b"not compressed"}
+        for fields in (unreadable, state_fields(4, b"[]"), state_fields(4, b'{"routes": [{}]}')):
             self.assertFalse(self.apply(state_version=(2, 8), **fields))
             self.assertEqual((self.cache.routing_table.revision, self.cache.fingerprint), (3, 3))
             self.assertEqual(self.cache.state_version, (2, 7))
 
-    def test_prefix_holdings_complete_and_changed(self) -> None:
+    def test_complete_and_incremental_prefix_holdings(self) -> None:
         stored = pack_block_hashes([1, 2])
         self.apply(prefix_holdings_version=(1, 1), prefix_holdings_complete=True, stored_block_hashes=stored)
         self.assertEqual(self.cache.stored_block_hashes, {1, 2})
@@ -101,7 +101,7 @@
 
     def test_members_and_replicas(self) -> None:
         self.apply(has_peers=True, peers_version=(1, 1), peer_machines=(7, 8), member_count=2, core_machines=(1, 2))
-        self.apply(member_count=0)  # a new primary doesn't know yet
+        self.apply(member_count=0)  # a new primary does not know the number yet
         self.assertEqual((self.peers, self.cache.member_count), ([(7, 8)], 2))
         self.assertEqual((self.cache.core_machines, self.cache.peer_machines), ((1, 2), (7, 8)))
 
@@ -110,7 +110,7 @@
     def cache(self) -> ControlCache:
         return ControlCache(RuleBounds(), random.Random(1), lambda endpoint: None, lambda peers: None)
 
-    def test_an_update_that_confirms_ends_the_wait(self) -> None:
+    def test_a_confirming_update_ends_the_wait(self) -> None:
         async def main() -> float:
             cache = self.cache()
             async with trio.open_nursery() as nursery:
@@ -118,28 +118,28 @@
                 await trio.sleep(0.1)
                 cache.apply(update_of(**state_fields(1)), trio.current_time())
                 cache.confirm(trio.current_time())
-                at = trio.current_time()
-            return trio.current_time() - at
+                confirmed_at = trio.current_time()
+            return trio.current_time() - confirmed_at
 
         self.assertLess(trio.run(main, clock=MockClock(autojump_threshold=0)), 0.01)
 
-    def test_the_longest_waits(self) -> None:
+    def test_maximum_waits(self) -> None:
         async def main(revision: int, timeout: float) -> float:
             cache = self.cache()
             if revision:
                 cache.apply(update_of(**state_fields(revision)), trio.current_time())
-            began = trio.current_time()
+            started_at = trio.current_time()
             await cache.wait_until_fresh(timeout)
-            return trio.current_time() - began
+            return trio.current_time() - started_at
 
-        for revision, timeout, longest in (
+        for revision, timeout, max_wait in (
             (0, 60.0, STARTUP_WAIT_SECONDS),
             (0, 4.0, STARTUP_WAIT_FRACTION * 4.0),
             (0, 0.1, FRESHNESS_WAIT_SECONDS),
             (1, 60.0, FRESHNESS_WAIT_SECONDS),
         ):
             waited = trio.run(main, revision, timeout, clock=MockClock(autojump_threshold=0))
-            self.assertAlmostEqual(waited, longest, places=3)
+            self.assertAlmostEqual(waited, max_wait, places=3)
 
 
 if __name__ == "__main__":
--- a/tests/dataplane/test_kv_transfers.py
+++ b/tests/dataplane/test_kv_transfers.py
@@ -1,4 +1,4 @@
-"""Which transfers of prefix blocks a request names; a wrong index changes those headers alone."""
+"""The transfers of prefix blocks that a request names; a wrong index changes only those headers."""
 
 import random
 import unittest
@@ -13,7 +13,7 @@
 
 
 class Transfers(unittest.TestCase):
-    """Whatever the index says, a request differs in its transfer headers, and in nothing else."""
+    """Whatever the index contains, encoded requests differ only in their transfer headers."""
 
     STORES = ("10.0.1.1:9000", "10.0.1.2:9000")
 
@@ -35,18 +35,18 @@
             0.0,
         )
 
-    def sent(self, stored, prefix, home, tenant=None):
+    def encode(self, stored, prefix, source, tenant=None):
         request = self.request(prefix)
-        fetch, save = self.planner(stored).plan(request, tenant, 3, home, 1.0)
+        fetch, save = self.planner(stored).plan(request, tenant, 3, source, 1.0)
         data = serialize_request(request, tenant, ServerFields("i-1", 2.0, 3, None, fetch, save, 5))
         lines = data.split(b"\r\n")
         transfers = [line for line in lines if line.startswith((b"Kv-Fetch: ", b"Kv-Save: "))]
         return [line for line in lines if line not in transfers], transfers
 
-    def test_any_index_changes_only_those_headers(self):
+    def test_any_index_changes_only_the_transfer_headers(self):
         random_source = random.Random(1)
         home = Endpoint("i-0", "s", "10.0.2.1:80", "z", 1, {"m": 3})
-        every = [presence_hash(at) for at in self.STORES] + [
+        known_hashes = [presence_hash(at) for at in self.STORES] + [
             block_hash(at, "m", salt, id)
             for at in self.STORES
             for salt in ("v3.", "v2.", "v3.t")
@@ -56,24 +56,24 @@
             b"Kv-Save: " + at.encode() for at in self.STORES
         }
         for prefix in (b"a:100,b:64,c:7", b"a:1,b:2", b"a:9", b""):
-            plain, _ = self.sent(set(), prefix, None)
+            plain, _ = self.encode(set(), prefix, None)
             seen = set()
             for _ in range(300):
-                stored = set(random_source.sample(every, random_source.randrange(len(every) + 1)))
+                stored = set(random_source.sample(known_hashes, random_source.randrange(len(known_hashes) + 1)))
                 stored |= {random_source.getrandbits(64) for _ in range(3)}
-                lines, transfers = self.sent(stored, prefix, random_source.choice((None, home)))
+                lines, transfers = self.encode(stored, prefix, random_source.choice((None, home)))
                 self.assertEqual(lines, plain)
                 self.assertLessEqual(set(transfers), allowed)
                 self.assertLessEqual(len(transfers), 2)
                 seen.update(transfers)
             if prefix in (b"a:9", b""):
-                self.assertEqual(seen, set())  # nothing is shared
+                self.assertEqual(seen, set())  # no blocks are shared
 
-    def test_a_store_that_does_not_answer_is_not_named(self):
+    def test_an_unavailable_store_is_not_used(self):
         hashes = {block_hash(at, "m", "v3.", "a") for at in self.STORES}
-        self.assertEqual(self.sent(hashes, b"a:100,b:1", None)[1], [])
+        self.assertEqual(self.encode(hashes, b"a:100,b:1", None)[1], [])
 
-    def test_what_is_given_to_a_store_is_not_given_again_at_once(self):
+    def test_saved_blocks_are_not_saved_again_at_once(self):
         planner, request = self.planner({presence_hash(self.STORES[0])}), self.request(b"a:100,b:1")
         address = self.STORES[0].encode()
         save = [planner.plan(request, None, 3, None, at)[1] for at in (1.0, 2.0, 20.0)]
@@ -81,7 +81,7 @@
         self.assertEqual(planner.plan(request, Tenant(b"t", None, True), 3, None, 20.0)[1], address)
         self.assertEqual(planner.plan(request, None, 0, None, 40.0), (None, None))
 
-    def test_a_part_is_fetched_from_the_store_that_keeps_it(self):
+    def test_some_blocks_are_fetched_from_the_store_that_holds_them(self):
         address, home = self.STORES[0].encode(), Endpoint("i-0", "s", "10.0.2.1:80", "z", 1, {"m": 3})
         stored = {presence_hash(self.STORES[0]), block_hash(self.STORES[0], "m", "v3.", "a")}
         planner = self.planner(stored)
--- a/tests/dataplane/test_requests.py
+++ b/tests/dataplane/test_requests.py
@@ -1,4 +1,4 @@
-"""Requests as a router parses and forwards them, by the routing_table of routes, tenants and services."""
+"""Parsing requests, encoding them for servers, and parsing the routing table."""
 
 import random
 import unittest
@@ -20,7 +20,7 @@
 from rowanshift.dataplane.routing_table import RoutingTable, Tenant, parse_routing_table
 from rowanshift.transport.http_connection import MalformedMessage, Message
 
-SHEET = {
+CONFIG = {
     "limits": {"maxBodyBytes": 1000, "headerTimeoutMs": 500, "idleTimeoutMs": 2000},
     "backends": [
         {"name": "a", "healthCheck": "/up", "maxConnections": 7, "engine": {"kvTokenBytes": 16}},
@@ -58,22 +58,24 @@
 ID = (b"request-id", b"r-1")
 
 
-def routing_table(sheet=SHEET):
-    return parse_routing_table(3, orjson.dumps(sheet), {"m": 2})
+def routing_table(config=CONFIG):
+    return parse_routing_table(3, orjson.dumps(config), {"m": 2})
 
 
-def read(*fields, target=b"/v1/chat", method=b"POST", body=b"{}", now=100.0):
+def parse(*fields, target=b"/v1/chat", method=b"POST", body=b"{}", now=100.0):
     return parse_request(Message(method, target, fields=list(fields), body=body), now)
 
 
-def sent(request, tenant=None, left=1.0, version=2, after=None, fetch=None, save=None, priority=5):
-    data = serialize_request(request, tenant, ServerFields("i-0-1", left, version, after, fetch, save, priority))
+def encoded(request, tenant=None, seconds_left=1.0, version=2, last_event_id=None, fetch=None, save=None, priority=5):
+    data = serialize_request(
+        request, tenant, ServerFields("i-0-1", seconds_left, version, last_event_id, fetch, save, priority)
+    )
     head, _, body = data.partition(b"\r\n\r\n")
-    first, *lines = head.split(b"\r\n")
-    return first, [tuple(line.split(b": ", 1)) for line in lines], body
+    request_line, *lines = head.split(b"\r\n")
+    return request_line, [tuple(line.split(b": ", 1)) for line in lines], body
 
 
-class Books(unittest.TestCase):
+class RoutingTables(unittest.TestCase):
     def test_the_longest_prefix(self):
         for path, name in (
             (b"/v1/chat/x", "deep"),
@@ -87,10 +89,10 @@
     def test_the_order_of_routes_does_not_matter(self):
         random_source = random.Random(1)
         for _ in range(50):
-            rows = random_source.sample(SHEET["routes"], len(SHEET["routes"]))
-            made = routing_table({**SHEET, "routes": rows})
-            self.assertEqual(made.find_route(b"h.example", b"/v1/chat/x").name, "deep")
-            self.assertEqual(made.find_route(b"h.example", b"/v1").name, "v1")
+            rows = random_source.sample(CONFIG["routes"], len(CONFIG["routes"]))
+            table = routing_table({**CONFIG, "routes": rows})
+            self.assertEqual(table.find_route(b"h.example", b"/v1/chat/x").name, "deep")
+            self.assertEqual(table.find_route(b"h.example", b"/v1").name, "v1")
 
     def test_no_route(self):
         self.assertIsNone(routing_table().find_route(b"o.example", b"/y"))
@@ -98,19 +100,19 @@
         self.assertIsNone(routing_table().find_route(b"h.example", b""))
 
     def test_all_fields(self):
-        made = routing_table()
-        route = made.find_route(b"h.example", b"/v1/chat")
+        table = routing_table()
+        route = table.find_route(b"h.example", b"/v1/chat")
         self.assertEqual((route.timeout, route.target_latency, route.max_attempts, route.priority), (1.5, 0.2, 3, 4))
         self.assertTrue(route.is_streaming and route.is_repeatable and not route.public)
-        self.assertEqual((made.max_body_bytes, made.header_timeout, made.idle_timeout), (1000, 0.5, 2.0))
-        self.assertEqual((made.services["a"].health_path, made.services["a"].max_connections), (b"/up", 7))
-        self.assertEqual((made.services["k"].store_address, made.services["a"].kv_token_bytes), ("10.0.0.7:9000", 16))
-        self.assertEqual((made.revision, made.versions), (3, {"m": 2}))
-        self.assertIs(made.tenants[b"k1"], made.tenants[b"k2"])
-        self.assertTrue(made.tenants[b"k3"].isolated)
-        self.assertTrue(made.find_route(b"o.example", b"/x").public)
-
-    def test_what_may_run_more_than_once(self):
+        self.assertEqual((table.max_body_bytes, table.header_timeout, table.idle_timeout), (1000, 0.5, 2.0))
+        self.assertEqual((table.services["a"].health_path, table.services["a"].max_connections), (b"/up", 7))
+        self.assertEqual((table.services["k"].store_address, table.services["a"].kv_token_bytes), ("10.0.0.7:9000", 16))
+        self.assertEqual((table.revision, table.versions), (3, {"m": 2}))
+        self.assertIs(table.tenants[b"k1"], table.tenants[b"k2"])
+        self.assertTrue(table.tenants[b"k3"].isolated)
+        self.assertTrue(table.find_route(b"o.example", b"/x").public)
+
+    def test_repeatable_routes(self):
         for kind, resumable, expected in (
             ("streaming", True, True),
             ("streaming", False, False),
@@ -120,7 +122,7 @@
             row = {"hostname": "h", "pathPrefix": "/", "backend": "a", "routeType": kind, "resumable": resumable}
             self.assertEqual(routing_table({"routes": [row]}).find_route(b"h", b"/").is_repeatable, expected)
 
-    def test_without_tenants_no_key_is_asked_for(self):
+    def test_without_tenants_no_keys_are_required(self):
         self.assertIsNone(routing_table({}).tenants)
         self.assertEqual(routing_table({"tenants": []}).tenants, {})
 
@@ -151,7 +153,7 @@
     def test_no_configuration(self):
         self.assertEqual(parse_routing_table(9, b"", {"m": 1}), RoutingTable(versions={"m": 1}))
 
-    def test_junk(self):
+    def test_invalid_configurations(self):
         for data in (
             b"x",
             b"null",
@@ -169,22 +171,22 @@
         ):
             with self.assertRaises(UnreadableConfiguration, msg=data):
                 parse_routing_table(1, data, {})
-        random_source, good = random.Random(2), orjson.dumps(SHEET)
+        random_source, good = random.Random(2), orjson.dumps(CONFIG)
         for _ in range(3000):
-            spoilt = bytearray(good)
-            spoilt[random_source.randrange(len(spoilt))] = random_source.randrange(256)
+            corrupted = bytearray(good)
+            corrupted[random_source.randrange(len(corrupted))] = random_source.randrange(256)
             with suppress(UnreadableConfiguration):
-                parse_routing_table(1, bytes(spoilt), {})
+                parse_routing_table(1, bytes(corrupted), {})
 
 
-class Reading(unittest.TestCase):
-    def refused(self, *fields, **more):
+class Parsing(unittest.TestCase):
+    def assert_rejected(self, *fields, **arguments):
         with self.assertRaises(MalformedMessage) as caught:
-            read(*fields, **more)
+            parse(*fields, **arguments)
         self.assertEqual(caught.exception.status, 400)
 
-    def test_a_whole_one(self):
-        request = read(
+    def test_a_request_with_all_fields(self):
+        request = parse(
             ID,
             (b"host", b"H.example:80"),
             (b"authorization", b"Bearer k1"),
@@ -203,15 +205,15 @@
         self.assertEqual((request.token_count, request.last_event_id), ((35, 100), b"7"))
 
     def test_the_prefix(self):
-        self.assertEqual(read(ID).prefix, b"r-1")
-        self.assertEqual(read(ID, (b"prompt-prefix", b"a:1")).prefix, b"a")
-        self.assertEqual(read(ID, (b"prompt-prefix", b"a:1,b:2")).prefix, b"a")
+        self.assertEqual(parse(ID).prefix, b"r-1")
+        self.assertEqual(parse(ID, (b"prompt-prefix", b"a:1")).prefix, b"a")
+        self.assertEqual(parse(ID, (b"prompt-prefix", b"a:1,b:2")).prefix, b"a")
 
-    def test_the_id_is_needed(self):
-        self.refused()
-        self.refused((b"request-id", b""))
+    def test_a_missing_request_id(self):
+        self.assert_rejected()
+        self.assert_rejected((b"request-id", b""))
 
-    def test_headers_that_stand_there_twice(self):
+    def test_repeated_headers(self):
         for name, value in (
             ID,
             (b"deadline-remaining", b"5"),
@@ -219,17 +221,17 @@
             (b"prompt-prefix", b"a:1"),
         ):
             fields = [pair for pair in (ID,) if pair[0] != name]
-            self.refused(*fields, (name, value), (name, value))
-            self.refused(*fields, (name, value), (b"x", b"y"), (name, b"other"))
-        read(ID, (b"x-any", b"1"), (b"x-any", b"2"))
+            self.assert_rejected(*fields, (name, value), (name, value))
+            self.assert_rejected(*fields, (name, value), (b"x", b"y"), (name, b"other"))
+        parse(ID, (b"x-any", b"1"), (b"x-any", b"2"))
 
     def test_deadlines(self):
         for text, seconds in ((b"0", 0.0), (b"1", 0.001), (b"2.5", 0.0025), (b"1e3", 1.0), (b"9" * 40, 3600.0)):
-            self.assertAlmostEqual(read(ID, (b"deadline-remaining", text)).deadline, 100.0 + seconds)
-        self.assertEqual(read(ID).deadline, 160.0)
+            self.assertAlmostEqual(parse(ID, (b"deadline-remaining", text)).deadline, 100.0 + seconds)
+        self.assertEqual(parse(ID).deadline, 160.0)
         self.assertEqual(MAX_DEADLINE_MS, 3_600_000)
 
-    def test_deadlines_that_are_none(self):
+    def test_invalid_deadlines(self):
         for text in (
             b"",
             b"x",
@@ -245,9 +247,9 @@
             b"1 2",
             b"5s",
         ):
-            self.refused(ID, (b"deadline-remaining", text))
+            self.assert_rejected(ID, (b"deadline-remaining", text))
 
-    def test_prompt_prefixes_that_are_none(self):
+    def test_invalid_prompt_prefixes(self):
         for text in (
             b"",
             b"a",
@@ -266,10 +268,10 @@
             b"\xff",
         ):
             self.assertEqual(parse_prompt_blocks(text), (), text)
-            self.assertEqual(read(ID, (b"prompt-prefix", text)).prompt_blocks, ())
+            self.assertEqual(parse(ID, (b"prompt-prefix", text)).prompt_blocks, ())
 
-    def test_a_number_of_tokens_beyond_reason(self):
-        """A field of 16 KiB holds one that Python won't read, and one that no float holds."""
+    def test_excessive_numbers_of_tokens(self):
+        """A header of 16 KiB can hold a number that Python refuses to parse, and one too large for a float."""
         for digits in (5000, 400):
             text = b"9" * digits
             with self.subTest("parts", digits=digits):
@@ -278,7 +280,7 @@
             with self.subTest("tokens", digits=digits):
                 self.assertLess(float(sum(parse_token_count(text + b"," + text))), float("inf"))
 
-    def test_drawn_prompt_prefixes_and_counts(self):
+    def test_random_prompt_prefixes_and_counts(self):
         random_source = random.Random(3)
         for _ in range(5000):
             text = bytes(random_source.choices(b"ab:,0 9-.\xff", k=random_source.randrange(14)))
@@ -306,26 +308,26 @@
             (b"k1", None),
             (b"", None),
         ):
-            self.assertEqual(read(ID, (b"authorization", text)).api_key, key)
-        self.assertIsNone(read(ID).api_key)
+            self.assertEqual(parse(ID, (b"authorization", text)).api_key, key)
+        self.assertIsNone(parse(ID).api_key)
 
     def test_absolute_targets(self):
         for target, path in ((b"http://h.example/v1?q=1", b"/v1"), (b"HTTPS://h:80/", b"/"), (b"http://h", b"/")):
-            self.assertEqual(read(ID, target=target).path, path)
-        self.assertEqual(read(ID, target=b"http://h/v1?q=http://x/y").target, b"/v1?q=http://x/y")
+            self.assertEqual(parse(ID, target=target).path, path)
+        self.assertEqual(parse(ID, target=b"http://h/v1?q=http://x/y").target, b"/v1?q=http://x/y")
 
     def test_an_absolute_target_without_a_path_keeps_its_query(self):
         for query in (b"?q=1", b"?q=/v1/chat"):
-            request = read(ID, target=b"http://h" + query)
+            request = parse(ID, target=b"http://h" + query)
             self.assertEqual((request.path, request.target), (b"/", b"/" + query))
 
-    def test_targets_that_are_none(self):
+    def test_invalid_targets(self):
         for target in (b"", b"*", b"v1", b"h:80", b"ftp://h/v1", b"://h/v1", b"?q"):
-            self.refused(ID, target=target)
+            self.assert_rejected(ID, target=target)
 
 
-class Writing(unittest.TestCase):
-    OWN = (
+class Encoding(unittest.TestCase):
+    FORGED_FIELDS = (
         (b"tenant-name", b"evil"),
         (b"expect-instance", b"evil"),
         (b"expect-version", b"evil"),
@@ -338,8 +340,8 @@
         (b"last-event-id", b"evil"),
     )
 
-    def test_what_goes_on(self):
-        request = read(
+    def test_forwarded_fields(self):
+        request = parse(
             ID,
             (b"host", b"h"),
             (b"x-any", b"1"),
@@ -348,8 +350,8 @@
             (b"x-hop", b"1"),
             target=b"/v1?q=1",
         )
-        first, lines, body = sent(request, Tenant(b"t1", None, False), 1.25, fetch=b"f:1", save=b"s:1")
-        self.assertEqual((first, body), (b"POST /v1?q=1 HTTP/1.1", b"{}"))
+        request_line, lines, body = encoded(request, Tenant(b"t1", None, False), 1.25, fetch=b"f:1", save=b"s:1")
+        self.assertEqual((request_line, body), (b"POST /v1?q=1 HTTP/1.1", b"{}"))
         self.assertEqual(
             lines,
             [
@@ -369,28 +371,30 @@
             ],
         )
 
-    def test_what_a_server_runs_by_goes_on_unchanged(self):
-        own = ((b"model-name", b"m"), (b"token-count", b"12,3"), (b"prompt-prefix", b"ab:10, cd:2"))
-        _, lines, _ = sent(read(ID, *own), Tenant(b"t", None, True))
-        self.assertEqual([line for line in lines if line[0] in dict(own)], list(own))
+    def test_fields_for_the_server_are_forwarded_unchanged(self):
+        client_fields = ((b"model-name", b"m"), (b"token-count", b"12,3"), (b"prompt-prefix", b"ab:10, cd:2"))
+        _, lines, _ = encoded(parse(ID, *client_fields), Tenant(b"t", None, True))
+        self.assertEqual([line for line in lines if line[0] in dict(client_fields)], list(client_fields))
 
-    def test_a_clients_own_never_go_on(self):
-        request = read(ID, *self.OWN)
+    def test_router_fields_from_clients_are_not_forwarded(self):
+        request = parse(ID, *self.FORGED_FIELDS)
         for tenant in (None, Tenant(b"t", None, True)):
             for version in (0, 2):
                 data = serialize_request(request, tenant, ServerFields("i", 1.0, version))
                 self.assertNotIn(b"evil", data)
                 self.assertNotIn(b"77777", data)
 
-    def test_each_stands_there_once(self):
-        _, lines, _ = sent(read(ID, *self.OWN), Tenant(b"t", None, True), after=b"9", fetch=b"f", save=b"s")
+    def test_each_field_occurs_once(self):
+        _, lines, _ = encoded(
+            parse(ID, *self.FORGED_FIELDS), Tenant(b"t", None, True), last_event_id=b"9", fetch=b"f", save=b"s"
+        )
         names = [name.lower() for name, _ in lines]
         self.assertEqual(len(names), len(set(names)))
         self.assertEqual(dict(lines)[b"Last-Event-Id"], b"9")
 
-    def test_the_key_never_goes_on(self):
+    def test_the_key_is_never_forwarded(self):
         for scheme in (b"Bearer ", b"bearer  ", b"Basic ", b""):
-            request = read(ID, (b"authorization", scheme + b"secret"))
+            request = parse(ID, (b"authorization", scheme + b"secret"))
             data = serialize_request(request, Tenant(b"t", None, False), ServerFields("i", 1.0, 1))
             self.assertNotIn(b"secret", data)
 
@@ -402,13 +406,20 @@
         salts = [cache_salt(tenant, version) for version in (1, 2, 11, 12) for tenant in (None, *isolated)]
         self.assertEqual(len(set(salts)), len(salts))
 
-    def test_without_a_version_nothing_is_kept_or_moved(self):
-        names = {name for name, _ in sent(read(ID), version=0, fetch=b"f", save=b"s")[1]}
+    def test_without_a_version_there_are_no_cache_fields(self):
+        names = {name for name, _ in encoded(parse(ID), version=0, fetch=b"f", save=b"s")[1]}
         self.assertFalse(names & {b"Expect-Version", b"Cache-Salt", b"Kv-Fetch", b"Kv-Save"})
 
-    def test_a_millisecond_is_left_at_least(self):
-        for left, text in ((-5.0, b"1"), (0.0, b"1"), (0.0004, b"1"), (0.0019, b"1"), (0.002, b"2"), (3.0, b"3000")):
-            self.assertEqual(dict(sent(read(ID), left=left)[1])[b"Deadline-Remaining"], text)
+    def test_the_deadline_is_at_least_a_millisecond(self):
+        for seconds_left, text in (
+            (-5.0, b"1"),
+            (0.0, b"1"),
+            (0.0004, b"1"),
+            (0.0019, b"1"),
+            (0.002, b"2"),
+            (3.0, b"3000"),
+        ):
+            self.assertEqual(dict(encoded(parse(ID), seconds_left=seconds_left)[1])[b"Deadline-Remaining"], text)
 
     def test_the_length_of_the_body(self):
         for method, body, expected in (
@@ -418,8 +429,8 @@
             (b"GET", b"ab", b"2"),
             (b"DELETE", b"", None),
         ):
-            _, lines, came = sent(read(ID, (b"content-length", b"99"), method=method, body=body))
-            self.assertEqual((dict(lines).get(b"Content-Length"), came), (expected, body))
+            _, lines, encoded_body = encoded(parse(ID, (b"content-length", b"99"), method=method, body=body))
+            self.assertEqual((dict(lines).get(b"Content-Length"), encoded_body), (expected, body))
 
 
 if __name__ == "__main__":
