--- a/rowanshift/dataplane/control_cache.py
+++ b/rowanshift/dataplane/control_cache.py
@@ -20,10 +20,10 @@
 from rowanshift.process.node_settings import RuleBounds
 from rowanshift.wire.control_updates import SERVER_DRAINING, SERVER_LOADING, PartVersion, ServerRecord, Update
 
-FRESHNESS_WAIT_SECONDS = 0.6  # that a request waits while the copy may be stale
-STARTUP_WAIT_SECONDS = 2.5  # that a request waits at most for the first configuration
-STARTUP_WAIT_FRACTION = 0.5  # of the client's remaining time, that a request waits for the first configuration
-REFUSAL_AGE_FRACTION = 0.75  # of ``configApplyMs``: the maximum age of the copy at which clients are refused
+FRESHNESS_WAIT_SECONDS = 0.6  # maximum wait of a request while the copy may be stale
+STARTUP_WAIT_SECONDS = 2.5  # maximum wait of a request for the first configuration
+STARTUP_WAIT_FRACTION = 0.5  # part of the client's remaining time spent waiting for the first configuration
+REFUSAL_AGE_FRACTION = 0.75  # maximum age of the copy for refusals, as a part of ``configApplyMs``
 NO_VERSION: PartVersion = (0, 0)
 
 
@@ -47,14 +47,14 @@
         self.routing_table, self.endpoints = RoutingTable(), Endpoints(random_source)
         self.version_deadlines = VersionDeadlines(bounds)
         self.freshness = Freshness(0.0, REFUSAL_AGE_FRACTION * bounds.config_apply_ms / 1000, bounds.revocation_seconds)
-        self.stored_block_hashes: set[int] = set()  # of the prefix blocks held by stores
+        self.stored_block_hashes: set[int] = set()  # hashes of the prefix blocks held by stores
         self.peer_machines: tuple[int, ...] = ()  # machine ids of the routers that are members
         self.member_count = 0  # number of routers that share budgets; 0: not known yet
         self.core_machines: tuple[int, ...] = ()  # machine ids of the control plane's replicas
         # Versions of the parts of this copy: the primary's epoch, and the number of changes within it.
         self.state_version = self.registry_version = self.prefix_holdings_version = NO_VERSION
         self.peers_version = self.announcements_version = NO_VERSION
-        self.fingerprint = 0  # of the control state; 0: none received yet
+        self.fingerprint = 0  # fingerprint of the control state; 0: none received yet
         self._update_event = trio.Event()
 
     # queries of the request path
--- a/rowanshift/dataplane/control_client.py
+++ b/rowanshift/dataplane/control_client.py
@@ -20,10 +20,10 @@
 from rowanshift.wire.control_updates import CONTROL_UPDATE_CODEC, Poll, Redirect, Update
 from rowanshift.wire.machine_ids import ip_from_machine_id, machine_id_from_ip
 
-LONG_POLL_SECONDS = 0.5  # that the primary may hold a poll; bounds the age of the copy to twice this
-POLL_ANSWER_SECONDS = 0.3  # beyond ``LONG_POLL_SECONDS`` for the answer; then the search for the primary starts
-SEARCH_ANSWER_SECONDS = 0.75  # for the answer to a poll of a search
-SEARCH_STAGGER_SECONDS = 0.12  # between asking one machine and the next, without waiting for an answer
+LONG_POLL_SECONDS = 0.5  # maximum time that the primary holds a poll; the copy is at most twice as old
+POLL_ANSWER_SECONDS = 0.3  # extra time for the answer to a held poll; then the search for the primary starts
+SEARCH_ANSWER_SECONDS = 0.75  # timeout of a poll that searches for the primary
+SEARCH_STAGGER_SECONDS = 0.12  # delay before the next machine is asked as well, without an answer from the last one
 SEARCH_RETRY_SECONDS = 0.15  # average pause between two searches
 LOGGED_FAILURES = (1, 10, 100)  # numbers of consecutive unanswered polls that are logged
 
--- a/rowanshift/dataplane/control_state.py
+++ b/rowanshift/dataplane/control_state.py
@@ -11,7 +11,7 @@
 
     routing_table: RoutingTable
     endpoints: Endpoints
-    stored_block_hashes: set[int]  # of the prefix blocks held by stores
+    stored_block_hashes: set[int]  # hashes of the prefix blocks held by stores
 
     def required_version(self, model: str, now: float) -> int:
         """The lowest version of a model's weights that a server must have."""
--- a/rowanshift/dataplane/endpoints.py
+++ b/rowanshift/dataplane/endpoints.py
@@ -48,7 +48,7 @@
 
     def __init__(self, random_source: random.Random) -> None:
         self.random_source = random_source
-        self.pools: dict[str, ServerPool[Endpoint]] = {}  # by service
+        self.pools: dict[str, ServerPool[Endpoint]] = {}  # keyed by service name
         self.by_id: dict[str, Endpoint] = {}
 
     def pool(self, service: str) -> ServerPool[Endpoint]:
--- a/rowanshift/dataplane/forwarded_request.py
+++ b/rowanshift/dataplane/forwarded_request.py
@@ -19,8 +19,8 @@
 from rowanshift.placement.shadows import ring_position
 
 MIN_ATTEMPT_SECONDS = 0.02  # no attempt is made with less time left
-RETRY_AFTER_SECONDS = 0.1  # for the Retry-After header of refusals
-REFUSAL_REASONS = {  # for every other outcome, the reason is that the request may have been executed
+RETRY_AFTER_SECONDS = 0.1  # value of the Retry-After header of refusals
+REFUSAL_REASONS = {  # other outcomes give the reason that the request may have been executed
     ExchangeOutcome.MISDIRECTED: "the request reached another server instance",
     ExchangeOutcome.NOT_EXECUTED: "the servers are at capacity",
     ExchangeOutcome.SERVER_ERROR: "the server failed to process the request",
--- a/rowanshift/dataplane/forwarder.py
+++ b/rowanshift/dataplane/forwarder.py
@@ -20,7 +20,7 @@
 from rowanshift.dataplane.upstream import UpstreamPool
 from rowanshift.placement.shadows import ServerPool, back_off, least_loaded
 
-MAX_UNREACHABLE_SERVERS = 4  # per request, after which it is refused
+MAX_UNREACHABLE_SERVERS = 4  # a request is refused after this number of unreachable servers
 
 
 class Forwarder:
--- a/rowanshift/dataplane/frontend.py
+++ b/rowanshift/dataplane/frontend.py
@@ -30,14 +30,14 @@
 
 LISTEN_BACKLOG = 1024  # connections waiting to be accepted
 MAX_ACCEPTS_PER_TURN = 16  # connections
-ACCEPT_RETRY_SECONDS = 0.02  # after a failed accept
-BODY_TIMEOUT_SECONDS = 10.0  # for receiving a request's body
-ERROR_LINGER_SECONDS = 0.5  # that input is read after a 4xx: closing at once might reset the connection
+ACCEPT_RETRY_SECONDS = 0.02  # pause after a failed accept
+BODY_TIMEOUT_SECONDS = 10.0  # maximum time for receiving a request's body
+ERROR_LINGER_SECONDS = 0.5  # input is read for this time after a 4xx: closing at once might reset the connection
 LINGER_BUFFER_BYTES = 1 << 16
 DENIAL_STATUSES = (401, 404)  # refusals by this router that are final for the client
-CONFIRMATION_WAIT_SECONDS = 0.6  # that a request which would be denied waits for the state to be confirmed
+CONFIRMATION_WAIT_SECONDS = 0.6  # maximum wait for confirmed state before a request is denied
 UNCONFIRMED_RETRY_AFTER_SECONDS = 0.3  # Retry-After of a denial whose state could not be confirmed
-FIRST_REQUEST_TIMEOUT_SECONDS = 0.2  # for the first request on a new connection to a draining router
+FIRST_REQUEST_TIMEOUT_SECONDS = 0.2  # maximum wait for the first request on a new connection while draining
 
 
 @dataclass(slots=True, eq=False)
@@ -79,7 +79,7 @@
         self.reading: set[ClientConnection] = set()  # connections on which a part of a request has arrived
         self.writers: dict[
             trio.CancelScope, ResponseWriter
-        ] = {}  # of open requests, by the scope that abandons the request
+        ] = {}  # writers of open requests, keyed by the scope that abandons the request
         self.accept_scope = trio.CancelScope()
         self.listener_closed = trio.Event()
         self.outcomes = outcomes or RequestOutcomes()
--- a/rowanshift/dataplane/kv_transfers.py
+++ b/rowanshift/dataplane/kv_transfers.py
@@ -16,7 +16,7 @@
 MIN_STORE_TRANSFER_TOKENS = 64  # shared tokens from which a transfer from or to a store is worthwhile
 MIN_HOME_FETCH_TOKENS = 1000  # shared tokens from which a prompt's home server fetches from its successors
 SOURCE_CANDIDATE_SERVERS = 3  # servers from the start of the ring walk, including the home, that may be a source
-SAVE_REPEAT_SECONDS = 8.0  # after which a block that the store still lacks is saved again
+SAVE_REPEAT_SECONDS = 8.0  # a block that the store still lacks is saved again after this time
 MAX_REMEMBERED_SAVES = 4096  # blocks; beyond it the oldest is forgotten and may be saved twice
 
 
@@ -52,7 +52,7 @@
     """The part of the control state that describes the prefix stores."""
 
     routing_table: RoutingTable
-    stored_block_hashes: set[int]  # of the prefix blocks held by stores, and the presence hashes of available stores
+    stored_block_hashes: set[int]  # hashes of the blocks held by stores, and presence hashes of available stores
 
 
 class KvTransferPlanner:
@@ -60,7 +60,7 @@
 
     def __init__(self, state: PrefixStoreState) -> None:
         self.state = state
-        self.saved_until: OrderedDict[int, float] = OrderedDict()  # by block hash, the oldest first
+        self.saved_until: OrderedDict[int, float] = OrderedDict()  # keyed by block hash, the oldest first
 
     def plan(
         self, request: Request, tenant: Tenant | None, version: int, source: Endpoint | None, now: float
--- a/rowanshift/dataplane/load_datagrams.py
+++ b/rowanshift/dataplane/load_datagrams.py
@@ -37,7 +37,7 @@
     """A datagram without its header; the fields are in the order of the layout."""
 
     kind: int  # a ``DatagramKind``, or a value unknown to this release
-    number: int  # of the query or the request, unique per sender
+    number: int  # number of the query or the request, unique per sender
     server: int  # the hash of the server's id
     tokens: int
 
--- a/rowanshift/dataplane/primary_search.py
+++ b/rowanshift/dataplane/primary_search.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Callable, Iterable
 
-SUSPECT_SECONDS = 10.0  # that a machine is asked last after it gave no answer
+SUSPECT_SECONDS = 10.0  # a machine that gave no answer is asked last for this time
 
 
 class PrimarySearch:
--- a/rowanshift/dataplane/request_outcomes.py
+++ b/rowanshift/dataplane/request_outcomes.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-EXCUSED_ARRIVAL_SECONDS = 3.0  # after the signal; cutting a request received later is never excused
-EXCUSED_GRACE_FRACTION = 5 / 6  # of the grace period, after which a cut is excused
+EXCUSED_ARRIVAL_SECONDS = 3.0  # cutting a request received later after the signal is never excused
+EXCUSED_GRACE_FRACTION = 5 / 6  # a cut is excused after this part of the grace period
 
 
 class RequestOutcome(Enum):
@@ -51,7 +51,7 @@
     requests_on_new: int = 0  # received since the signal as the first request of a connection
     last_request_at: float = 0.0
     idle_connections_closed: int = 0
-    longest_stall_seconds: float = 0.0  # of the event loop
+    longest_stall_seconds: float = 0.0  # longest stall of the event loop
 
     def since_signal(self, at: float) -> float:
         """Seconds from the signal to ``at``; negative before the signal."""
@@ -81,8 +81,8 @@
 
     id: str
     received_at: float
-    connected_at: float  # when its connection was accepted
-    number_on_connection: int  # from 1
+    connected_at: float  # time at which its connection was accepted
+    number_on_connection: int  # position among the requests of its connection, starting at 1
     closed: bool = False
 
     @property
@@ -95,8 +95,8 @@
 class ShutdownTimes:
     """The times of a closed request relative to the shutdown, in seconds."""
 
-    since_signal: float  # when the request was closed
-    grace_left: float  # when the request was closed
+    since_signal: float  # from the signal to the close of the request
+    grace_left: float  # rest of the grace period at the close of the request
     received_since_signal: float
     grace_left_at_arrival: float
     connected_since_signal: float
@@ -109,8 +109,8 @@
     request: TrackedRequest
     outcome: RequestOutcome
     closed_at: float
-    status: int = 0  # of a refusal
-    bytes_written: int = 0  # of the response
+    status: int = 0  # status of a refusal; 0 for other outcomes
+    bytes_written: int = 0  # size of the response so far
     violation: Violation | None = None
     excused: bool = False  # cut by the router, but so late in the grace period that it is no violation
     shutdown: ShutdownTimes | None = None  # None: the process was not shutting down
--- a/rowanshift/dataplane/requests.py
+++ b/rowanshift/dataplane/requests.py
@@ -21,7 +21,7 @@
     ]
 )
 SINGLE_FIELDS = (b"request-id", b"deadline-remaining", b"authorization", b"prompt-prefix")  # may occur only once
-DEFAULT_DEADLINE_MS = b"60000"  # without a Deadline-Remaining header
+DEFAULT_DEADLINE_MS = b"60000"  # used if the request has no Deadline-Remaining header
 MAX_DEADLINE_MS = 3_600_000.0
 MAX_TOKEN_COUNT_DIGITS = 9
 LOWEST_PRIORITY = 9  # 0 is the highest
@@ -53,12 +53,12 @@
     forwarded_fields: Fields  # header fields that are forwarded unchanged
     body: bytes
     api_key: bytes | None  # the bearer token
-    deadline: float  # until which the client waits
+    deadline: float  # time until which the client waits
     received_at: float
     model: str
     prompt_blocks: tuple[PromptBlock, ...]
     token_count: TokenCount
-    last_event_id: bytes | None  # of the last event that the client received of a stream that it resumes
+    last_event_id: bytes | None  # id of the last event received by a client that resumes a stream
     attempted_servers: list[str] = field(default_factory=list)  # ids of the servers that the request was sent to
 
     @property
@@ -78,10 +78,10 @@
 class ServerFields:
     """The header values that the router adds to a forwarded request."""
 
-    instance_id: str  # of the server that the request is meant for
-    seconds_left: float  # until the request's deadline
-    version: int  # of the model's weights; 0: the model has none
-    last_event_id: bytes | None = None  # of the last event that the client received
+    instance_id: str  # id of the server that the request is meant for
+    seconds_left: float  # time left until the request's deadline
+    version: int  # version of the model's weights; 0: the model has none
+    last_event_id: bytes | None = None  # id of the last event that the client received
     fetch_address: bytes | None = None  # where the server may fetch shared prompt blocks
     save_address: bytes | None = None  # the store that the server saves them to
     priority: int | None = None
--- a/rowanshift/dataplane/response_writer.py
+++ b/rowanshift/dataplane/response_writer.py
@@ -9,7 +9,7 @@
 from rowanshift.transport.http_connection import NO_BODY, Connection, Message
 from rowanshift.transport.http_response import REASONS, error_body
 
-CLIENT_WRITE_TIMEOUT_SECONDS = 10.0  # without progress, before the client counts as disconnected
+CLIENT_WRITE_TIMEOUT_SECONDS = 10.0  # a client that reads nothing for this time counts as disconnected
 
 
 class ClientDisconnected(DataPlaneError):
@@ -34,10 +34,10 @@
     is_http_1_0: bool  # no chunked bodies: the end of the connection ends a body of unknown length
     started: bool = False
     chunked: bool = False
-    last_event_id: bytes | None = None  # of the last event that was relayed
+    last_event_id: bytes | None = None  # id of the last event that was relayed
     bytes_written: int = 0
-    status: int = 0  # of a refusal
-    outcome: RequestOutcome = RequestOutcome.CUT_BY_ROUTER  # unless another one is recorded
+    status: int = 0  # status of a refusal; 0 for other responses
+    outcome: RequestOutcome = RequestOutcome.CUT_BY_ROUTER  # the default, until another outcome is recorded
 
     async def send(self, data: bytes) -> None:
         """Write bytes to the client; raises ``ClientDisconnected`` if it reads nothing for too long."""
--- a/rowanshift/dataplane/routing_table.py
+++ b/rowanshift/dataplane/routing_table.py
@@ -29,7 +29,7 @@
 
     name: str
     health_path: bytes
-    max_connections: int  # that one of its servers accepts from all routers together
+    max_connections: int  # maximum connections that one of its servers accepts from all routers together
     store_address: str = ""  # IP:PORT of a store of prefix blocks; empty for other services
     kv_token_bytes: int = 0  # size of one token in its prefix cache
 
@@ -49,8 +49,8 @@
     host: bytes
     path_prefix: bytes
     route_type: str  # STREAMING, IDEMPOTENT or another
-    timeout: float  # of a request
-    target_latency: float  # until the first event of a response
+    timeout: float  # maximum duration of a request
+    target_latency: float  # target time until the first event of a response
     priority: int
     services: tuple[WeightedService, ...]
     max_attempts: int  # servers that one request may be sent to
@@ -82,7 +82,7 @@
     """The owner of a set of API keys."""
 
     name: bytes
-    priority: int | None  # of its requests, in place of the route's
+    priority: int | None  # priority of its requests; overrides the route's
     isolated: bool  # whether it shares no prefix blocks with other tenants
 
 
@@ -91,8 +91,8 @@
     """A parsed configuration, indexed for matching requests."""
 
     revision: int = 0  # 0: there is no configuration yet
-    routes: dict[bytes, list[Route]] = field(default_factory=dict)  # by host, the longest prefix first
-    tenants: dict[bytes, Tenant] | None = None  # by API key; None: no route requires keys
+    routes: dict[bytes, list[Route]] = field(default_factory=dict)  # keyed by host, the longest path prefix first
+    tenants: dict[bytes, Tenant] | None = None  # keyed by API key; None: no route requires keys
     services: dict[str, Service] = field(default_factory=dict)
     versions: dict[str, int] = field(default_factory=dict)  # the newest announced version, by model
     max_body_bytes: int = DEFAULT_MAX_BODY_BYTES
--- a/rowanshift/dataplane/server_loads.py
+++ b/rowanshift/dataplane/server_loads.py
@@ -13,8 +13,8 @@
 from rowanshift.transport.streams import Address
 
 AVOIDED_SERVER_TOKENS = 1_000_000  # added to the load of a failing server
-PENDING_REQUEST_TTL_SECONDS = 4.0  # after which a request without a reported end expires: datagrams may be lost
-MAX_PENDING_REQUESTS = 20_000  # from all routers; beyond it the oldest is dropped
+PENDING_REQUEST_TTL_SECONDS = 4.0  # a request without a reported end expires after this time: datagrams may be lost
+MAX_PENDING_REQUESTS = 20_000  # maximum over all routers; beyond it the oldest is dropped
 
 RequestKey = tuple[Address, int]  # the router that sent the request, and that router's number of the request
 
--- a/rowanshift/dataplane/service.py
+++ b/rowanshift/dataplane/service.py
@@ -28,14 +28,14 @@
 from rowanshift.wire.machine_ids import machine_id_from_ip
 
 ROLE = "dataplane"
-CLOCK_CHECK_SECONDS = 0.25  # between clock checks, which detect that the process was stalled
-STALL_THRESHOLD_SECONDS = 0.5  # by which a clock check is late when the control state counts as stale
-IDLE_SWEEP_SECONDS = 0.5  # between sweeps of idle connections to servers
-SHUTDOWN_CHECK_SECONDS = 0.05  # between checks of the open requests during a shutdown
-FINAL_ANSWERS_SECONDS = 0.25  # for clients to read the last responses
-FINAL_ANSWERS_CHECK_SECONDS = 0.01  # between checks whether clients have read the last responses
-RESERVED_DESCRIPTORS = 200  # that sockets may not use
-MEMORY_FRACTION = 0.5  # of ``memoryMb``, for message bodies and their buffers
+CLOCK_CHECK_SECONDS = 0.25  # interval of clock checks, which detect that the process was stalled
+STALL_THRESHOLD_SECONDS = 0.5  # the control state counts as stale after a clock check that is later than this
+IDLE_SWEEP_SECONDS = 0.5  # interval of sweeps of idle connections to servers
+SHUTDOWN_CHECK_SECONDS = 0.05  # interval of checks of the open requests during a shutdown
+FINAL_ANSWERS_SECONDS = 0.25  # maximum time for clients to read the last responses
+FINAL_ANSWERS_CHECK_SECONDS = 0.01  # interval of checks whether clients have read the last responses
+RESERVED_DESCRIPTORS = 200  # descriptors that sockets may not use
+MEMORY_FRACTION = 0.5  # part of ``memoryMb`` for message bodies and their buffers
 READINESS_BACKLOG = 64  # connections waiting to be accepted
 
 
@@ -62,8 +62,8 @@
         self.shutdown_requested_at = 0.0  # trio's time at which the signal was handled
         self.outcomes = RequestOutcomes()
         self.frontend: Frontend | None = None  # created when serving starts
-        self.retry_budgets: dict[str, RetryBudget] = {}  # by service
-        self.joined_at: float | None = None  # when the number of member routers was first known
+        self.retry_budgets: dict[str, RetryBudget] = {}  # keyed by service name
+        self.joined_at: float | None = None  # time at which the number of member routers was first known
 
     def ready(self) -> bool:
         """Whether this router is ready for new connections."""
--- a/rowanshift/dataplane/silence_monitor.py
+++ b/rowanshift/dataplane/silence_monitor.py
@@ -24,7 +24,7 @@
 
 T = TypeVar("T")
 
-SERVER_SILENCE_SECONDS = 1.5  # without a byte from a server, after which a repeatable request may be moved
+SERVER_SILENCE_SECONDS = 1.5  # a repeatable request may be moved after this time without a byte from its server
 
 
 class SilenceMonitor:
--- a/rowanshift/dataplane/upstream.py
+++ b/rowanshift/dataplane/upstream.py
@@ -21,11 +21,11 @@
 from rowanshift.transport.runtime import Runtime
 
 CONNECT_TIMEOUT_SECONDS = 0.6
-DEFAULT_IDLE_SECONDS = 4.0  # that an idle connection is kept if the server sends no Keep-Alive timeout
-KEEP_ALIVE_FRACTION = 0.85  # of the server's Keep-Alive timeout, so that the router closes the connection first
-ABANDON_CHECK_SECONDS = 0.5  # between checks whether to go on waiting for a response
-MAX_IDLE_CONNECTIONS = 64  # per server
-MAX_BODY_BYTES = 1 << 18  # of a response that is not streamed
+DEFAULT_IDLE_SECONDS = 4.0  # idle connections are kept for this time if the server sends no Keep-Alive timeout
+KEEP_ALIVE_FRACTION = 0.85  # part of the server's Keep-Alive timeout, so that the router closes connections first
+ABANDON_CHECK_SECONDS = 0.5  # interval of checks whether to go on waiting for a response
+MAX_IDLE_CONNECTIONS = 64  # limit for one server
+MAX_BODY_BYTES = 1 << 18  # maximum body of a response that is not streamed
 
 
 class ExchangeFailure(Enum):
@@ -74,7 +74,7 @@
         self.runtime = runtime
         self.descriptors = descriptors
         self.memory = memory
-        self.idle: dict[Endpoint, list[ServerConnection]] = {}  # by server, the longest idle first
+        self.idle: dict[Endpoint, list[ServerConnection]] = {}  # keyed by server, the longest idle first
         self.connects = 0
         self.requests_sent = 0
         descriptors.close_idle_server = self.close_longest_idle
--- a/rowanshift/transport/call_server.py
+++ b/rowanshift/transport/call_server.py
@@ -17,12 +17,12 @@
 from rowanshift.transport.streams import Listener, Stream, send_all
 
 MAX_CALLERS = 256  # open connections; further ones are closed if none is idle
-CALL_TIMEOUT_SECONDS = 10.0  # for reading a complete request, and for writing its response
-IDLE_TIMEOUT_SECONDS = 15.0  # that a connection may be idle
-SHUTDOWN_CHECK_SECONDS = 0.01  # between checks for open calls during a shutdown
-LAST_WRITES_SECONDS = 0.1  # for writing the responses to calls that a shutdown has cancelled
+CALL_TIMEOUT_SECONDS = 10.0  # maximum time for reading a complete request, and for writing its response
+IDLE_TIMEOUT_SECONDS = 15.0  # connections that are idle for longer are closed
+SHUTDOWN_CHECK_SECONDS = 0.01  # interval of checks for open calls during a shutdown
+LAST_WRITES_SECONDS = 0.1  # time for writing the responses to calls that a shutdown has cancelled
 ACCEPT_ERROR_PAUSE_SECONDS = 0.02
-LOGGED_BYTES = 80  # of an unknown target
+LOGGED_BYTES = 80  # maximum length of an unknown target in the log
 
 
 class CallOutcome(Enum):
@@ -38,8 +38,8 @@
     """A call that was read and not answered. Times are trio's, in seconds."""
 
     target: str
-    came_at: float  # when it was read
-    at: float  # when it ended
+    came_at: float  # time at which the call was read
+    at: float  # time at which the call ended
 
 
 def _ignore(cut: CutCall) -> None:
--- a/rowanshift/transport/descriptor_budget.py
+++ b/rowanshift/transport/descriptor_budget.py
@@ -6,8 +6,8 @@
 
 RESERVED_DESCRIPTORS = 24  # standard streams, event loop, listener, discovery, peers, and a margin
 MIN_CONNECTIONS = 8
-MAX_CLIENT_FRACTION = 0.7  # of all connections; the rest is for servers, without which no request is served
-RETRY_SECONDS = 0.1  # between attempts to accept a client: meanwhile a connection may have become idle
+MAX_CLIENT_FRACTION = 0.7  # maximum share of clients; the rest is for servers, without which no request is served
+RETRY_SECONDS = 0.1  # interval of attempts to accept a client: a connection may have become idle meanwhile
 
 
 def no_connection_to_close() -> bool:
--- a/rowanshift/transport/flow.py
+++ b/rowanshift/transport/flow.py
@@ -12,7 +12,7 @@
 HIGH_WATER_BYTES = 256 * 1024  # buffered bytes at which the source pauses
 LOW_WATER_BYTES = 64 * 1024  # buffered bytes at which it resumes
 SCARCE_HIGH_WATER_BYTES = 32 * 1024  # the high-water mark while memory for bodies is scarce; the size of one read
-SCARCE_MEMORY_FRACTION = 0.25  # of the memory for bodies; it is scarce while less is available
+SCARCE_MEMORY_FRACTION = 0.25  # memory for bodies is scarce while less than this part of it is available
 LAST_CHUNK = b"0\r\n\r\n"
 
 
@@ -33,7 +33,7 @@
         self.ended = self.aborted = self.cancelled = False
         self.waiting = trio.Event()
 
-    # for the source
+    # methods of the source
 
     def put(self, piece: bytes) -> None:
         """Append bytes that were read; check ``is_full`` before the next read."""
@@ -67,7 +67,7 @@
             while (self.buffered > LOW_WATER_BYTES and not self.cancelled) or self.is_full():
                 await self._wait()
 
-    # for the sink
+    # methods of the sink
 
     def pop(self) -> bytes:
         """Remove and return the first piece."""
--- a/rowanshift/transport/http_connection.py
+++ b/rowanshift/transport/http_connection.py
@@ -89,7 +89,7 @@
     ) -> None:
         self.stream, self.memory, self.reads_requests = stream, memory, parser is httptools.HttpRequestParser
         self.flows, self.stream_success_bodies = flows, stream_success_bodies
-        self.flow: Flow | None = None  # of the message that is being read
+        self.flow: Flow | None = None  # streamed body of the message that is being read
         self.body_limit_bytes = body_limit_bytes or (
             (LARGEST_BODY if flows else WHOLE) if self.reads_requests else memory.largest_response
         )
@@ -97,7 +97,7 @@
         self.inbound, self.outbound = RingBuffer(), RingBuffer()
         self.unsent = memoryview(b"")  # bytes that did not fit into the outbound ring
         self.complete_messages: deque[Message] = deque()
-        self.error: MalformedMessage | None = None  # in the bytes after the complete messages
+        self.error: MalformedMessage | None = None  # parse error in the bytes after the complete messages
         self.kept = True  # whether the sender of the last complete message keeps the connection open
         self.partial = False  # whether a message has begun and is not complete
         self.read_filled_buffer = False  # whether the last read filled the free space, so that more may be waiting
--- a/rowanshift/transport/http_response.py
+++ b/rowanshift/transport/http_response.py
@@ -6,7 +6,7 @@
 from rowanshift.transport.http_connection import Fields
 
 REASONS = {status.value: status.phrase.encode() for status in HTTPStatus}
-RETRY_AFTER_SECONDS = b"0.3"  # after which a refused caller may try another machine
+RETRY_AFTER_SECONDS = b"0.3"  # delay before a refused caller tries another machine
 
 
 @dataclass(slots=True, frozen=True)
--- a/rowanshift/transport/record_links.py
+++ b/rowanshift/transport/record_links.py
@@ -16,7 +16,7 @@
 CONNECT_TIMEOUT_SECONDS = 0.4
 SENDER_CONNECT_TIMEOUT_SECONDS = 0.25  # a machine that was just powered on does not answer the first attempt
 RECONNECT_PAUSE_SECONDS = 0.1
-MAX_QUEUED_RECORDS = 64  # for one machine; the oldest is dropped
+MAX_QUEUED_RECORDS = 64  # maximum per machine; beyond it the oldest is dropped
 WRITE_TIMEOUT_SECONDS = 1.5
 
 
--- a/rowanshift/transport/runtime.py
+++ b/rowanshift/transport/runtime.py
@@ -70,7 +70,7 @@
 
     def await_fellows(self, name: str) -> Listener | None: ...  # makes this process the one that others connect to
 
-    def pass_on(self, stream: Stream, data: bytes, sockets: Sequence[Listener | Port]) -> None: ...  # to the peer
+    def pass_on(self, stream: Stream, data: bytes, sockets: Sequence[Listener | Port]) -> None: ...  # sends sockets
 
     def take_over(self, stream: Stream) -> tuple[bytes, list[Listener | Port]]: ...  # receives what ``pass_on`` sent
 
--- a/rowanshift/transport/signals.py
+++ b/rowanshift/transport/signals.py
@@ -21,7 +21,7 @@
     """An async iterator over received signals; of each number at most one is pending, the first."""
 
     def __init__(self) -> None:
-        self.pending: dict[int, ReceivedSignal] = {}  # by number, in the order in which they came
+        self.pending: dict[int, ReceivedSignal] = {}  # keyed by number, in order of arrival
         self.clock = trio.lowlevel.current_clock()
         self.token = trio.lowlevel.current_trio_token()
         self.waiting = trio.lowlevel.ParkingLot()
--- a/tests/dataplane/test_control_client.py
+++ b/tests/dataplane/test_control_client.py
@@ -15,7 +15,7 @@
 from rowanshift.simulation.fleet import ONCE, Fleet, Unit, config_of, play
 from rowanshift.wire.control_updates import Poll, Update
 
-MAX_APPLY_SECONDS = 1.0  # from a change's acknowledgement after a takeover; the operators' bound is 2 s
+MAX_APPLY_SECONDS = 1.0  # limit from the new primary's acknowledgement of a change; the operators' bound is 2 s
 
 
 def setUpModule() -> None:
--- a/tests/dataplane/test_exchange_attempts.py
+++ b/tests/dataplane/test_exchange_attempts.py
@@ -46,7 +46,7 @@
                 await exchange(rig, kind)  # leaves idle connections
                 id, client = rig.next_id(), Client(rig)
                 for stream in rig.servers[0].connections:
-                    stream.drop(False)  # without a FIN or reset to the router
+                    stream.drop(False)  # the router gets neither a FIN nor a reset
                 rig.servers[0].connections.clear()
                 sends = rig.upstream.requests_sent
                 got = await client.ask(kind, id)
@@ -81,8 +81,8 @@
 class OverdueWeights(Case):
     """A server whose weights become overdue while a request waits there, or while its connection is established."""
 
-    RECEIVE_INTERVAL_SECONDS = 0.2  # between bytes that the server sends for other requests
-    OVERDUE_AFTER_SECONDS = 0.8  # after the request was sent
+    RECEIVE_INTERVAL_SECONDS = 0.2  # interval of bytes that the server sends for other requests
+    OVERDUE_AFTER_SECONDS = 0.8  # delay from the sending of the request
 
     def waited(self, kind: str, overdue: bool) -> tuple[str, float]:
         """The outcome of a request whose first server answers only other requests, and the seconds until it."""
--- a/tests/dataplane/test_exchange_signals.py
+++ b/tests/dataplane/test_exchange_signals.py
@@ -13,8 +13,8 @@
 from rowanshift.transport.streams import connect, send_all
 
 PREFIXES = (RESUMED, ONCE, REPEATED)
-CLIENT_INTERVAL_SECONDS = 0.04  # between requests, so that the signal arrives in each phase of an exchange
-CLIENTS_BEFORE_SIGNAL_SECONDS = 1.2  # during which clients send requests before the signal
+CLIENT_INTERVAL_SECONDS = 0.04  # interval of requests, so that the signal arrives in each phase of an exchange
+CLIENTS_BEFORE_SIGNAL_SECONDS = 1.2  # clients send requests for this time before the signal
 
 
 def setUpModule():
--- a/tests/dataplane/test_exchanges.py
+++ b/tests/dataplane/test_exchanges.py
@@ -99,7 +99,7 @@
             for offset in range(1, size):
                 rig.close_idle_connections()
                 rig.partly_read.clear()
-                await trio.sleep(5.0)  # until unreachable servers are used again
+                await trio.sleep(5.0)  # unreachable servers are used again after this pause
                 results.append(
                     (offset, await exchange(rig, kind, Behaviour(read=offset, then=then)), rig.partly_read[0].wrote)
                 )
@@ -169,7 +169,7 @@
                     results.append(
                         (offset, await exchange(rig, kind, Behaviour(rejection(status, *more), cut=offset, runs=runs)))
                     )
-                    await trio.sleep(1.0)  # until servers that were at capacity are used again
+                    await trio.sleep(1.0)  # servers that were at capacity are used again after this pause
                 return results
 
             exchange_outcome = RequestProgress(servers_left=2).outcome_of_status(status, bool(more))
--- a/tests/dataplane/test_frontend_shutdown.py
+++ b/tests/dataplane/test_frontend_shutdown.py
@@ -18,10 +18,10 @@
 from tests.dataplane.test_drain_order_of_events import WITHIN, until_its_end
 from tests.support.exchange_rig import FRONTEND_PORT, Behaviour, Client, Got, Rig, request_bytes
 
-CONNECT_AT_SECONDS = NOTICE_SECONDS + 0.2  # when the new connection is opened
+CONNECT_AT_SECONDS = NOTICE_SECONDS + 0.2  # time at which the new connection is opened
 WAITING_CONNECTIONS = 20
-DESCRIPTORS = RESERVED_DESCRIPTORS + 40  # of a process with room for 40 connections
-OPEN_UNTIL_SECONDS = 5.0  # until which an open request keeps the router running
+DESCRIPTORS = RESERVED_DESCRIPTORS + 40  # limit of a process with room for 40 connections
+OPEN_UNTIL_SECONDS = 5.0  # an open request keeps the router running until then
 
 
 def setUpModule():
--- a/tests/dataplane/test_graceful_shutdown_of_router.py
+++ b/tests/dataplane/test_graceful_shutdown_of_router.py
@@ -24,13 +24,13 @@
 ROUTE_TIMEOUT_MS = 30_000  # so that no request reaches its route's timeout
 CLIENT_DEADLINE_SECONDS = 25.0  # so that no client reaches its deadline
 CLIENT_TARGET_LATENCY_SECONDS = 6.0  # clients wait four times as long for a response
-EVENT_INTERVAL_SECONDS, TOKENS_PER_EVENT = 0.25, 4  # of a stream
+EVENT_INTERVAL_SECONDS, TOKENS_PER_EVENT = 0.25, 4  # shape of the servers' streams
 SERVERS = dict(
     slots=200, queue=200, kv_tokens=1_000_000, gap=EVENT_INTERVAL_SECONDS, stride=TOKENS_PER_EVENT, crowding=0.0
 )
 PREFIXES = (RESUMED, ONCE, REPEATED)
-SERVERS_NOTICE_SECONDS = 0.5  # until servers notice that a connection was closed
-SHORT_SHUTDOWN_SECONDS = 5.0  # in which a router with only short requests has ended
+SERVERS_NOTICE_SECONDS = 0.5  # servers notice within this time that a connection was closed
+SHORT_SHUTDOWN_SECONDS = 5.0  # a router with only short requests ends within this time
 MAY_HAVE_RUN = (502, 504)
 
 
@@ -48,7 +48,7 @@
     fleet: Fleet
     nursery: trio.Nursery
     signal_at: float = 0.0
-    ended_at: float = 0.0  # of the router, since the SIGTERM
+    ended_at: float = 0.0  # end of the router, in seconds since the SIGTERM
 
     @property
     def unit(self):
@@ -178,7 +178,7 @@
             fleet, shutdown = shut_down_router(clients)
             assert len(read_attempts(fleet)) > 8
             found += [f"{clients.__name__}: {fault}" for fault in faults(fleet, shutdown)]
-        if shutdown.ended_at > SHORT_SHUTDOWN_SECONDS:  # with short requests alone
+        if shutdown.ended_at > SHORT_SHUTDOWN_SECONDS:  # the last run had only short requests
             found.append(f"short_requests: the router ended at {shutdown.ended_at:.2f}")
         assert not found, "\n" + "\n".join(found)
 
@@ -186,7 +186,7 @@
         """Servers process the prompt for longer than the grace period."""
 
         async def clients(shutdown: Shutdown) -> None:
-            for n in range(6):  # until 2 s after the SIGTERM
+            for n in range(6):  # the last one is sent 2 s after the SIGTERM
                 shutdown.ask(PREFIXES[n % 3], 0.5)
                 await trio.sleep(0.5)
 
@@ -231,7 +231,7 @@
 
     def test_streams_that_end_within_the_grace_period_are_complete(self):
         async def clients(shutdown: Shutdown) -> None:
-            for n in range(8):  # until 1.5 s after the SIGTERM
+            for n in range(8):  # the last one is sent 1.25 s after the SIGTERM
                 shutdown.ask(PREFIXES[n % 3], 4.0)
                 await trio.sleep(0.25)
 
--- a/tests/dataplane/test_request_outcomes.py
+++ b/tests/dataplane/test_request_outcomes.py
@@ -29,8 +29,8 @@
 from tests.support.exchange_rig import play as play_exchange
 
 GRACE = 6.0  # seconds
-MID_STREAM_BYTES = 200  # of a response, in the middle of its events
-SETTLE_SECONDS = 3.0  # after which an exchange has certainly ended
+MID_STREAM_BYTES = 200  # a cut after these bytes is in the middle of a stream's events
+SETTLE_SECONDS = 3.0  # an exchange has certainly ended after this time
 
 
 def setUpModule():
--- a/tests/support/exchange_rig.py
+++ b/tests/support/exchange_rig.py
@@ -32,7 +32,7 @@
 FRONTEND_PORT, SERVER_PORT = 8080, 9000  # ports
 EVENT_COUNT = 3  # events of a complete stream
 CLIENT_DEADLINE_SECONDS = 4.0
-PIECE_INTERVAL_SECONDS = 0.01  # between two pieces of a response, so that they arrive in two reads
+PIECE_INTERVAL_SECONDS = 0.01  # interval of two pieces of a response, so that they arrive in two reads
 KINDS = {  # kind of request: route type and whether it is resumable
     "idempotent": ("idempotent", False),
     "non_idempotent": ("non_idempotent", False),
@@ -456,7 +456,7 @@
         self.arrivals: dict[str, list[End]] = defaultdict(
             list
         )  # servers' ends of connections, by request id in order of arrival
-        self.server_statuses: dict[str, set[int]] = defaultdict(set)  # by request id, statuses of server responses
+        self.server_statuses: dict[str, set[int]] = defaultdict(set)  # keyed by request id
         self.partly_read: list[End] = []  # the router's ends of connections whose request was read in part
         self.finished = trio.Event()
         self.servers = [Server(self, self._machine(f"server-{n}"), f"s{n}") for n in range(servers)]
--- a/tests/transport/test_call_exchanges.py
+++ b/tests/transport/test_call_exchanges.py
@@ -22,7 +22,7 @@
 from rowanshift.wire.control_updates import CONTROL_UPDATE_CODEC, Redirect
 
 PORT = 80
-TIMEOUT_SECONDS = 0.05  # of a call
+TIMEOUT_SECONDS = 0.05  # timeout of a call
 BODY = b"{}"
 
 
--- a/tests/transport/test_call_server_shutdown.py
+++ b/tests/transport/test_call_server_shutdown.py
@@ -16,7 +16,7 @@
 from rowanshift.transport.streams import connect, send_all
 
 PORT = 700
-IDLE_SHUTDOWN_SECONDS = 0.5  # for a server that has nothing to answer
+IDLE_SHUTDOWN_SECONDS = 0.5  # maximum shutdown time of a server without open calls
 
 
 def setUpModule() -> None:
