--- a/rowanshift/cacheproxy/__init__.py
+++ b/rowanshift/cacheproxy/__init__.py
@@ -1,1 +1,1 @@
-"""The proxy of one process in front of cache servers and a slow origin (``rowanshift serve``)."""
+"""A single-process proxy in front of cache servers and a slow origin (``rowanshift serve``)."""
--- a/rowanshift/cacheproxy/clients.py
+++ b/rowanshift/cacheproxy/clients.py
@@ -1,4 +1,4 @@
-"""The client side: the listener, requests to exchanges, final answers, and clients that go away."""
+"""The client side: accepts connections, turns requests into exchanges, sends replies, and notices disconnects."""
 
 import re
 from dataclasses import dataclass, field
@@ -13,10 +13,10 @@
 from loguru import logger
 
 from rowanshift.cacheproxy.clock import Clock
-from rowanshift.cacheproxy.config import Names
-from rowanshift.cacheproxy.driver import WAY_BACK
+from rowanshift.cacheproxy.config import NameIndex
+from rowanshift.cacheproxy.driver import REPLY_MARGIN_SECONDS
 from rowanshift.cacheproxy.exchange import Exchange, Reply
-from rowanshift.cacheproxy.figures import Figures
+from rowanshift.cacheproxy.figures import Metrics
 from rowanshift.transport.descriptor_budget import DescriptorBudget
 from rowanshift.transport.flow import LAST_CHUNK, Flow, framed
 from rowanshift.transport.http_connection import Connection, MalformedMessage, Message
@@ -24,78 +24,84 @@
 from rowanshift.transport.runtime import Nursery
 from rowanshift.transport.streams import Listener, Stream
 
-READY = b"/-/ready"
-ABSOLUTE = re.compile(rb"https?://[^/?#]*", re.IGNORECASE)  # before the path, in the absolute form
-LEFT = b"x-remaining-ms"
-ONCE = frozenset([b"x-txn", b"x-lane", b"x-org", LEFT])
-FRESH_FOR = 0.1  # seconds from the accept, in which no connection is closed to make room
-SILENT_FOR = 2.0  # seconds from a connection to its first whole request
-HEAD_WITHIN = 2.5  # seconds from a request's first byte to the end of its head
-BODY_RATE, BODY_SLACK = 64_000, 2.5  # bytes a second that a body comes at, at least, but for so many seconds
-LONGEST_UPLOAD = 600.0  # seconds: the largest body at that rate; its time counts from the last byte
-IDLE_FOR = 2.0  # that a client's connection may stand idle
-IDLE_PART = 0.125  # of the descriptors, that idle ones may hold: some clients ask once and never let go
-DRAINED_FOR = 1.0  # after which a drained router closes what is idle: a request may be on its way
-LAST_LOOK = 0.02  # of a connection that was accepted at the very end
-REPLY_WITHIN = 10.0  # seconds in which a client takes some of its answer
-LINGER_FOR, LINGER_BYTES = 0.5, 256 * 1024  # read on after an error, so that it arrives
-UPLOAD_FOR, UPLOAD_BYTES = 2.0, 8 * 1024 * 1024  # the same after an answer to a request that is still coming
-OVERDUE = 0.03  # after the expiry
-LONGEST_LEFT_MS = 3_600_000
+READINESS_PATH = b"/-/ready"
+ABSOLUTE_FORM = re.compile(
+    rb"https?://[^/?#]*", re.IGNORECASE
+)  # matches the scheme and authority of an absolute-form target
+REMAINING_MS = b"x-remaining-ms"
+SINGLE_FIELDS = frozenset(
+    [b"x-txn", b"x-lane", b"x-org", REMAINING_MS]
+)  # A request that repeats one of them is rejected.
+FRESH_SECONDS = 0.1  # A connection younger than this is not closed for its descriptor.
+FIRST_REQUEST_TIMEOUT_SECONDS = 2.0  # It runs from the accept to the first complete request.
+HEAD_TIMEOUT_SECONDS = 2.5  # It runs from a request's first byte to the end of its head.
+MIN_BODY_BYTES_PER_SECOND, BODY_SLACK_SECONDS = 64_000, 2.5  # A body may take its size at this rate, plus the slack.
+MAX_UPLOAD_SECONDS = 600.0  # The largest body takes this at the minimum rate; the expiry counts from its last byte.
+IDLE_TIMEOUT_SECONDS = 2.0
+MAX_IDLE_FRACTION = 0.125  # of the descriptors: some clients send one request and keep the connection open
+DRAIN_IDLE_SECONDS = 1.0  # A drained router keeps idle connections so long, as a request may be on its way.
+FINISH_IDLE_SECONDS = 0.02  # A router that is about to stop keeps idle connections so long.
+WRITE_TIMEOUT_SECONDS = 10.0  # A client that reads no byte of its response for so long is disconnected.
+LINGER_SECONDS, LINGER_BYTES = 0.5, 256 * 1024  # Closing with unread input would reset the connection.
+UPLOAD_LINGER_SECONDS, UPLOAD_LINGER_BYTES = 2.0, 8 * 1024 * 1024  # These apply after a reply to an upload.
+OVERDUE_SECONDS = 0.03  # An exchange without a reply so long after its expiry is answered with 504.
+MAX_REMAINING_MS = 3_600_000
 REASONS = {status.value: status.phrase.encode() for status in HTTPStatus}
-BACKLOG = 1024
-AT_ONCE = 16  # connections accepted in one turn
+LISTEN_BACKLOG = 1024
+MAX_ACCEPTS_PER_TURN = 16
 
-scratch = bytearray(64 * 1024)  # for what nobody will look at
+discard_buffer = bytearray(64 * 1024)
 
 
-class Decider(Protocol):
-    def take(self, exchange: Exchange) -> None: ...
+class RequestHandler(Protocol):
+    """What the client side uses of the ``Driver``."""
 
-    def gone(self, exchange: Exchange) -> None: ...
+    def submit(self, exchange: Exchange) -> None: ...
 
+    def abandon(self, exchange: Exchange) -> None: ...
 
-def exchange_of(id: int, message: Message, names: Names, came_at: float) -> Exchange:
-    """The work item that a request stands for; its time counts from when its last byte came."""
+
+def exchange_of(id: int, message: Message, names: NameIndex, arrived_at: float) -> Exchange:
+    """The exchange for a request; its remaining time counts from the arrival of its last byte."""
     if message.method not in (b"GET", b"PUT"):
-        raise MalformedMessage(405, "GET reads and PUT writes")
+        raise MalformedMessage(405, "expected the method GET for a read or PUT for a write")
     fields = dict(message.fields)
-    if sum(name in ONCE for name, _ in message.fields) != len(ONCE & fields.keys()):
-        raise MalformedMessage(400, "a field that says what to do stands there twice")
+    if sum(name in SINGLE_FIELDS for name, _ in message.fields) != len(SINGLE_FIELDS & fields.keys()):
+        raise MalformedMessage(400, "X-Txn, X-Lane, X-Org or X-Remaining-Ms is repeated")
     if not fields.get(b"x-txn"):
-        raise MalformedMessage(400, "X-Txn is missing")
-    if message.target[:1] != b"/" and (form := ABSOLUTE.match(message.target)) is not None:
-        message.target = message.target[form.end() :] or b"/"
+        raise MalformedMessage(400, "X-Txn is missing or empty")
+    if message.target[:1] != b"/" and (prefix := ABSOLUTE_FORM.match(message.target)) is not None:
+        message.target = message.target[prefix.end() :] or b"/"
     first, *rest = message.target.split(b"?", 1)[0].strip(b"/").split(b"/")
     category = fields.get(b"x-lane", first)
     if category != first or (position := names.categories.get(category)) is None:
-        raise MalformedMessage(400, f"unknown category, or X-Lane and the path differ: {category[:40]!r}")
-    customer = names.tenants.get(fields.get(b"x-org")) if names.tenants else 0
-    if customer is None:
-        raise MalformedMessage(400, "unknown tenant")
-    left = fields.get(LEFT, b"")
-    if not left.isdigit() or len(left) > 9 or int(left) > LONGEST_LEFT_MS:
-        raise MalformedMessage(400, "X-Remaining-Ms is no whole number of milliseconds")
+        raise MalformedMessage(400, f"category is unknown, or X-Lane differs from the path: {category[:40]!r}")
+    tenant = names.tenants.get(fields.get(b"x-org")) if names.tenants else 0
+    if tenant is None:
+        raise MalformedMessage(400, "X-Org names no known tenant")
+    remaining_ms = fields.get(REMAINING_MS, b"")
+    if not remaining_ms.isdigit() or len(remaining_ms) > 9 or int(remaining_ms) > MAX_REMAINING_MS:
+        raise MalformedMessage(400, "X-Remaining-Ms is not a whole number of milliseconds up to 3600000")
     key = unquote(rest[-1].decode("latin-1")) if rest and rest[-1] else None
-    passed_on = [field for field in message.end_to_end() if field[0] != LEFT]
+    forwarded = [field for field in message.end_to_end() if field[0] != REMAINING_MS]
     return Exchange(
         id,
         position,
-        customer,
+        tenant,
         key,
         message.method == b"PUT",
-        came_at + int(left) / 1000,
+        arrived_at + int(remaining_ms) / 1000,
         message.method,
         message.target,
-        passed_on,
+        forwarded,
         message.body,
         message.flow,
         message.length,
     )
 
 
-def written(reply: Reply, keep: bool, chunked: bool = False) -> bytes:
-    """A final answer as it goes out; of a long one, what comes before its flow."""
+def encode_reply(reply: Reply, keep_alive: bool, chunked: bool = False) -> bytes:
+    """The bytes of a reply; of a streamed one, those before its flow."""
     lines = [b"HTTP/1.1 %d %s" % (reply.status, REASONS.get(reply.status, b""))]
     lines += [b"%s: %s" % field for field in reply.headers]
     if reply.flow is None:
@@ -106,65 +112,67 @@
         lines.append(b"Transfer-Encoding: chunked")
     if reply.retry_after:
         lines.append(b"Retry-After: %.3f" % reply.retry_after)
-    if not keep:
+    if not keep_alive:
         lines.append(b"Connection: close")
     return b"\r\n".join([*lines, b"", reply.body])
 
 
 @dataclass(slots=True, eq=False)
 class Client:
-    """A client's connection, and the work item that is open on it."""
+    """A client's connection and the exchange in progress on it. Times are trio's."""
 
     connection: Connection
-    until: float  # trio's time by which the next thing must happen
-    since: float  # trio's time at which it was accepted
+    deadline: float  # The next step must happen by then.
+    accepted_at: float
     scope: trio.CancelScope = field(default_factory=trio.CancelScope)
     exchange: Exchange | None = None
-    txn: bytes = b""
-    category: int | None = None  # of the request that was taken and has not ended
-    status: int = 0  # of its answer
-    reading: bool = False  # part of a request has come
-    keep: bool = True  # the connection, after the answer
-    refused: bool = False  # what it sent could not be followed
-    over: bool = False
-    old: bool = False  # it speaks HTTP/1.0
-    body_at: float = 0.0  # trio's time at which the body began, later by while this router did not read
-    upload: Flow | None = None  # of a long request that is still coming
-    left: float = 0.0  # seconds that it has, from its last byte
-    flow: Flow | None = None  # of a long answer
+    request_id: bytes = b""  # the value of X-Txn
+    category: int | None = None  # None if there is no request whose end is still to be counted
+    reply_status: int = 0
+    request_begun: bool = False  # Part of a request has been received.
+    keep_alive: bool = True  # The connection stays open after the reply.
+    rejected: bool = False  # Further input is not parsed.
+    closing: bool = False
+    http_1_0: bool = False
+    body_started_at: float = 0.0  # Pauses in which the router did not read are added to it.
+    upload: Flow | None = None  # the body of a long request, while it is being received
+    upload_remaining: float = 0.0  # the request's remaining seconds, which count from its last byte
+    reply_flow: Flow | None = None  # the body of a streamed reply
     chunked: bool = False
 
 
 class Clients:
+    """The connections of all clients."""
+
     def __init__(
         self,
-        names: Names,
-        driver: Decider,
+        names: NameIndex,
+        driver: RequestHandler,
         clock: Clock,
         budget: DescriptorBudget,
         memory: MemoryBudget,
-        figures: Figures | None = None,
+        metrics: Metrics | None = None,
     ) -> None:
         self.names, self.driver, self.clock = names, driver, clock
-        self.figures = figures or Figures([name.decode("latin-1") for name in names.categories])
+        self.metrics = metrics or Metrics([name.decode("latin-1") for name in names.categories])
         self.budget, self.memory = budget, memory
-        self.ids = 0
-        self.ready = False  # whether to say so to those who ask
-        self.leaving = False  # answers close their connections
-        self.finishing = False  # and nothing is waited for
-        self.open: set[bytes] = set()  # X-Txn of work items that are open
-        self.silent: dict[Client, None] = {}  # never asked, or were refused; the oldest first
-        self.idle: dict[Client, None] = {}  # have asked; the longest idle first
-        budget.close_silent_client = partial(self.drop_one, self.silent)
-        budget.close_idle_client = partial(self.drop_one, self.idle)
-
-    # the listener -----------------------------------------
+        self.last_id = 0
+        self.ready = False  # This is reported at ``READINESS_PATH``.
+        self.leaving = False  # If set, each reply closes its connection.
+        self.finishing = False  # If set, idle connections are closed after ``FINISH_IDLE_SECONDS``.
+        self.open: set[bytes] = set()  # the request ids of the exchanges in progress
+        self.silent: dict[Client, None] = {}  # connections without a request so far, or rejected; the oldest first
+        self.idle: dict[Client, None] = {}  # connections after a reply; the longest idle first
+        budget.close_silent_client = partial(self.close_unused, self.silent)
+        budget.close_idle_client = partial(self.close_unused, self.idle)
+
+    # the listener
 
     async def accept(self, listener: Listener, nursery: Nursery) -> None:
-        """Accepts for good; an error of one ``accept`` ends nothing."""
+        """Accepts connections until cancelled, whatever errors a single accept meets."""
         while True:
             await listener.wait()
-            for _ in range(AT_ONCE):
+            for _ in range(MAX_ACCEPTS_PER_TURN):
                 await self.budget.acquire_client()
                 try:
                     stream = listener.accept()
@@ -173,223 +181,243 @@
                     break
                 except OSError as error:
                     self.budget.release_client()
-                    logger.warning("accept: {}", error)
+                    logger.warning("event=accept_failed error={!r}", error)
                     await trio.sleep(0.02)
                     break
                 nursery.start_soon(self.serve, stream)
 
-    def drop_one(self, clients: dict[Client, None]) -> bool:
-        """Closes the first of these connections that nothing has come in on, if there is one. The request of
-        a fresh one may be on its way: to close it would lose what was taken, and the next try as well."""
-        fresh = trio.current_time() - FRESH_FOR
+    def close_unused(self, clients: dict[Client, None]) -> bool:
+        """Closes the first of these connections without unread input; returns False if there is none.
+
+        A connection accepted within ``FRESH_SECONDS`` stays open: its request may be on its way, and would be lost
+        as would the client's next attempt, on another fresh connection.
+        """
+        fresh_since = trio.current_time() - FRESH_SECONDS
         for client in clients:
-            if client.since > fresh and not client.refused:
+            if client.accepted_at > fresh_since and not client.rejected:
                 continue
-            if client.refused or not (client.connection.stream.readable() or client.connection.pending()):
-                self._end(client)
+            if client.rejected or not (client.connection.stream.readable() or client.connection.pending()):
+                self._close(client)
                 return True
         return False
 
     def drain(self) -> None:
-        """Until ``undrain``: not ready, answers close their connections, and soon nothing is held idle."""
+        """Until ``undrain``: reports not ready, closes connections with their reply, and idle ones soon."""
         self.ready, self.leaving = False, True
-        until = trio.current_time() + DRAINED_FOR
+        deadline = trio.current_time() + DRAIN_IDLE_SECONDS
         for client in chain(self.silent, self.idle):
-            if not client.reading:
-                client.until = client.scope.deadline = min(client.until, until)
+            if not client.request_begun:
+                client.deadline = client.scope.deadline = min(client.deadline, deadline)
 
     def undrain(self) -> None:
+        """Ends a drain."""
         self.ready, self.leaving = True, False
 
-    def leave(self) -> None:
-        """Closes what is idle, after a last look; what else is open closes with its answer."""
+    def finish(self) -> None:
+        """Closes idle connections after a short wait for a request, and the others with their reply."""
         self.leaving = self.finishing = True
         for client in chain(self.silent, self.idle):
-            if not client.reading:
-                client.until = client.scope.deadline = trio.current_time() + LAST_LOOK
+            if not client.request_begun:
+                client.deadline = client.scope.deadline = trio.current_time() + FINISH_IDLE_SECONDS
 
-    def _end(self, client: Client) -> None:
-        """Closes a connection now: its descriptor may be wanted in the same turn of the loop."""
-        client.over = True
+    def _close(self, client: Client) -> None:
+        """Closes a connection at once: another may need its descriptor in the same turn of the event loop."""
+        client.closing = True
         self.silent.pop(client, None)
         self.idle.pop(client, None)
-        if client.category is not None:  # the client went away, or could not be sent the whole answer
-            self._count(client, 0)
+        if client.category is not None:  # The client disconnected, or did not receive the complete reply.
+            self._count_end(client, 0)
         if not client.connection.closed():
             client.connection.close()
             self.budget.release_client()
 
-    def _count(self, client: Client, status: int) -> None:
-        """Counts a work item at its end, once."""
+    def _count_end(self, client: Client, status: int) -> None:
+        """Counts the end of an accepted request, once."""
         category, client.category = client.category, None
-        self.figures.end(category, status)
+        self.metrics.count_end(category, status)
 
-    def _taken(self, client: Client, category: int) -> None:
+    def _count_start(self, client: Client, category: int) -> None:
         client.category = category
-        self.figures.in_flight += 1
+        self.metrics.in_flight += 1
 
-    # one connection ---------------------------------------
+    # one connection
 
     async def serve(self, stream: Stream) -> None:
-        wait = LAST_LOOK if self.finishing else DRAINED_FOR if self.leaving else SILENT_FOR
+        """Serves an accepted connection until it is closed."""
+        timeout = (
+            FINISH_IDLE_SECONDS
+            if self.finishing
+            else DRAIN_IDLE_SECONDS
+            if self.leaving
+            else FIRST_REQUEST_TIMEOUT_SECONDS
+        )
         now = trio.current_time()
         connection = Connection(stream, httptools.HttpRequestParser, self.memory, flows=True)
-        client = Client(connection, now + wait, now)
+        client = Client(connection, now + timeout, now)
         self.silent[client] = None
         try:
-            while not client.over:
-                if client.flow is not None:
-                    await self._pass_on(client)
+            while not client.closing:
+                if client.reply_flow is not None:
+                    await self._stream_reply(client)
                 elif client.upload is not None and not client.connection.sending():
-                    await self._take_in(client)
+                    await self._receive_upload(client)
                 else:
-                    await self._turn(client)
-            if client.refused and not client.connection.closed():
+                    await self._step(client)
+            if client.rejected and not client.connection.closed():
                 await self._linger(client)
         except (OSError, trio.ClosedResourceError):
-            pass  # the client broke off, or was closed to make room
+            pass  # The client disconnected, or the connection was closed for its descriptor.
         except Exception:
-            logger.exception("a client's connection failed")
+            logger.exception("event=client_connection_failed")
         finally:
-            for flow in (client.upload, client.flow):
+            for flow in (client.upload, client.reply_flow):
                 if flow is not None:
                     flow.abort()
                     flow.cancel()
             if client.exchange is not None:
-                self.driver.gone(client.exchange)
-            self._end(client)
+                self.driver.abandon(client.exchange)
+            self._close(client)
 
-    async def _turn(self, client: Client) -> None:
-        """Waits for the next thing to happen on a connection, and takes it in."""
-        connection, waits = client.connection, client.exchange is not None
-        with trio.CancelScope(deadline=client.until) as client.scope:
+    async def _step(self, client: Client) -> None:
+        """Waits for the next event on a connection and handles it."""
+        connection, in_exchange = client.connection, client.exchange is not None
+        with trio.CancelScope(deadline=client.deadline) as client.scope:
             if connection.sending():
                 await connection.stream.wait_writable()
-            elif waits and connection.inbound.full():
+            elif in_exchange and connection.inbound.full():
                 await trio.sleep_forever()
-            elif not waits and connection.pending():
+            elif not in_exchange and connection.pending():
                 await trio.lowlevel.checkpoint()
             else:
                 await connection.stream.wait_readable()
-        late = client.scope.cancelled_caught and trio.current_time() >= client.until
-        if client.over:
+        timed_out = client.scope.cancelled_caught and trio.current_time() >= client.deadline
+        if client.closing:
             return
         if connection.sending():
-            left = len(connection.unsent) + len(connection.outbound)
+            unsent = len(connection.unsent) + len(connection.outbound)
             if connection.pump():
-                self._sent(client)
-            elif len(connection.unsent) + len(connection.outbound) < left:  # slow, and it goes on
-                client.until = trio.current_time() + REPLY_WITHIN
+                self._on_sent(client)
+            elif len(connection.unsent) + len(connection.outbound) < unsent:  # The client is slow, but reads.
+                client.deadline = trio.current_time() + WRITE_TIMEOUT_SECONDS
             else:
-                client.over = client.over or late
+                client.closing = client.closing or timed_out
         elif client.exchange is not None:
-            if late:
-                await self._last_resort(client)
+            if timed_out:
+                await self._reply_overdue(client)
             elif not client.scope.cancelled_caught and not connection.receive():
-                client.over = True  # it has gone away
+                client.closing = True  # The client disconnected.
         elif client.scope.cancelled_caught:
-            if late and client.reading:
-                self._refuse(client, MalformedMessage(408, "the request took too long"))
+            if timed_out and client.request_begun:
+                self._reject(client, MalformedMessage(408, "the request was not complete in time"))
             else:
-                client.over = late
+                client.closing = timed_out
         elif connection.receive() or connection.pending():
-            self._read(client)
+            self._read_request(client)
         else:
-            client.over = True
-
-    def _read(self, client: Client) -> None:
-        """Takes up the next request, if it has come whole."""
-        self.idle.pop(client, None)  # what was read must be answered
-        if not client.reading:
-            client.reading, client.body_at = True, 0.0
-            client.until = trio.current_time() + HEAD_WITHIN
+            client.closing = True
+
+    def _read_request(self, client: Client) -> None:
+        """Handles the next request, if it is complete."""
+        self.idle.pop(client, None)  # From here on the connection must not be closed without a reply.
+        if not client.request_begun:
+            client.request_begun, client.body_started_at = True, 0.0
+            client.deadline = trio.current_time() + HEAD_TIMEOUT_SECONDS
         message = None
         try:
             message = client.connection.next()
             if message is not None:
-                client.reading = False
-                self._take(client, message)
+                client.request_begun = False
+                self._handle_request(client, message)
             elif client.connection.partial and not client.connection.in_head:
-                client.body_at = client.body_at or trio.current_time()
-                client.until = client.body_at + BODY_SLACK + client.connection.size / BODY_RATE
+                client.body_started_at = client.body_started_at or trio.current_time()
+                client.deadline = (
+                    client.body_started_at + BODY_SLACK_SECONDS + client.connection.size / MIN_BODY_BYTES_PER_SECOND
+                )
         except MalformedMessage as error:
             first = (message or client.connection.message).target.strip(b"/").split(b"/", 1)[0]
             if (category := self.names.categories.get(first)) is not None:
-                self._taken(client, category)
-            self._refuse(client, error)
-
-    def _take(self, client: Client, message: Message) -> None:
-        client.keep, client.old = message.keep, message.old
-        if message.target == READY:
-            ready = Reply(200, b"ready\n") if self.ready else Reply(503, b"not ready\n")
-            return self._answer(client, ready)
-        self.ids += 1
-        came_at = self.clock.now() - client.connection.stream.age()
-        exchange = exchange_of(self.ids, message, self.names, came_at)
-        txn = next(value for name, value in exchange.headers if name == b"x-txn")
-        if txn in self.open:
-            raise MalformedMessage(409, "X-Txn is that of a request that is open")
-        self.open.add(txn)
+                self._count_start(client, category)
+            self._reject(client, error)
+
+    def _handle_request(self, client: Client, message: Message) -> None:
+        client.keep_alive, client.http_1_0 = message.keep, message.old
+        if message.target == READINESS_PATH:
+            reply = Reply(200, b"ready\n") if self.ready else Reply(503, b"not ready\n")
+            return self._send_reply(client, reply)
+        self.last_id += 1
+        arrived_at = self.clock.now() - client.connection.stream.age()
+        exchange = exchange_of(self.last_id, message, self.names, arrived_at)
+        request_id = next(value for name, value in exchange.headers if name == b"x-txn")
+        if request_id in self.open:
+            raise MalformedMessage(409, "another request with this X-Txn is in progress")
+        self.open.add(request_id)
         self.silent.pop(client, None)
-        self._taken(client, exchange.category)
-        client.exchange, client.txn = exchange, txn
-        exchange.wake = partial(self._ended, client, exchange)
-        client.left = 0.0
+        self._count_start(client, exchange.category)
+        client.exchange, client.request_id = exchange, request_id
+        exchange.on_end = partial(self._on_exchange_end, client, exchange)
+        client.upload_remaining = 0.0
         if message.flow is not None and not message.flow.ended:
-            client.left = exchange.expiry - came_at
+            client.upload_remaining = exchange.expiry - arrived_at
             client.upload = message.flow
-            client.body_at = client.body_at or trio.current_time()
-            exchange.expiry += LONGEST_UPLOAD
-        self.driver.take(exchange)
+            client.body_started_at = client.body_started_at or trio.current_time()
+            exchange.expiry += MAX_UPLOAD_SECONDS
+        self.driver.submit(exchange)
         if client.exchange is not None and client.upload is not None:
-            client.until = client.body_at + BODY_SLACK + client.connection.size / BODY_RATE
+            client.deadline = (
+                client.body_started_at + BODY_SLACK_SECONDS + client.connection.size / MIN_BODY_BYTES_PER_SECOND
+            )
         elif client.exchange is not None:
-            client.until = self.clock.deadline(exchange.expiry + OVERDUE)
+            client.deadline = self.clock.deadline(exchange.expiry + OVERDUE_SECONDS)
 
-    async def _take_in(self, client: Client) -> None:
-        """Reads on in a long request, as far as it is passed on."""
-        connection, flow, at = client.connection, client.upload, trio.current_time()
+    async def _receive_upload(self, client: Client) -> None:
+        """Reads the next part of a long request, once the server side has room for it."""
+        connection, flow, waiting_since = client.connection, client.upload, trio.current_time()
         with trio.CancelScope() as client.scope:
             if flow.is_full():
                 await flow.wait_until_writable()
-                client.body_at += trio.current_time() - at
+                client.body_started_at += trio.current_time() - waiting_since
             else:
-                client.scope.deadline = client.until
+                client.scope.deadline = client.deadline
                 await connection.stream.wait_readable()
-        if client.over or client.upload is None:
+        if client.closing or client.upload is None:
             return
         if client.scope.cancelled_caught:
-            if trio.current_time() >= client.until:
-                self._spoilt(client, MalformedMessage(408, f"a body comes at {BODY_RATE} bytes a second at least"))
+            if trio.current_time() >= client.deadline:
+                self._fail_upload(
+                    client,
+                    MalformedMessage(408, f"expected at least {MIN_BODY_BYTES_PER_SECOND} bytes of the body a second"),
+                )
             return
-        going = connection.read_body() if not flow.is_full() else True
+        connected = connection.read_body() if not flow.is_full() else True
         if flow.ended:
             client.upload = None
-            client.keep = connection.kept
+            client.keep_alive = connection.kept
             exchange = client.exchange
-            exchange.expiry = self.clock.now() - connection.stream.age() + client.left - WAY_BACK
-            exchange.timed()
-            client.until = self.clock.deadline(exchange.expiry + OVERDUE)
+            exchange.expiry = (
+                self.clock.now() - connection.stream.age() + client.upload_remaining - REPLY_MARGIN_SECONDS
+            )
+            exchange.on_expiry_set()
+            client.deadline = self.clock.deadline(exchange.expiry + OVERDUE_SECONDS)
         elif connection.error is not None:
-            self._spoilt(client, connection.error)
-        elif not going:
-            client.over = True  # it has gone away
+            self._fail_upload(client, connection.error)
+        elif not connected:
+            client.closing = True  # The client disconnected.
         else:
-            client.until = client.body_at + BODY_SLACK + connection.size / BODY_RATE
+            client.deadline = client.body_started_at + BODY_SLACK_SECONDS + connection.size / MIN_BODY_BYTES_PER_SECOND
 
-    def _spoilt(self, client: Client, error: MalformedMessage) -> None:
-        """A long request that can't be followed to its end, and has not run."""
+    def _fail_upload(self, client: Client, error: MalformedMessage) -> None:
+        """Rejects a long request whose body is malformed or too slow; without its last byte it has not run."""
         client.upload, flow = None, client.upload
         flow.abort()
-        self.driver.gone(client.exchange)
-        self._refuse(client, error)
+        self.driver.abandon(client.exchange)
+        self._reject(client, error)
 
-    async def _pass_on(self, client: Client) -> None:
-        """Sends a long answer as it comes, to its end, or until the client takes nothing of it for long."""
-        connection, flow, ends = client.connection, client.flow, False
+    async def _stream_reply(self, client: Client) -> None:
+        """Sends a long reply as it arrives, until it ends or the client reads nothing for too long."""
+        connection, flow, last_chunk_sent = client.connection, client.reply_flow, False
         while True:
             if connection.sending():
-                with trio.move_on_after(REPLY_WITHIN) as scope:
+                with trio.move_on_after(WRITE_TIMEOUT_SECONDS) as scope:
                     await connection.stream.wait_writable()
                 if scope.cancelled_caught:
                     break
@@ -400,88 +428,91 @@
                 await flow.wait_until_readable()
             elif not flow.ended:
                 break
-            elif client.chunked and not ends:
-                ends = True
+            elif client.chunked and not last_chunk_sent:
+                last_chunk_sent = True
                 connection.push(LAST_CHUNK)
             else:
-                client.flow = None
-                return self._sent(client)
-        client.over = True  # the client can tell that it is not whole
+                client.reply_flow = None
+                return self._on_sent(client)
+        client.closing = True  # The client notices the missing end of the body.
 
-    def _ended(self, client: Client, exchange: Exchange) -> None:
-        """The end of a work item: its answer goes out in the same turn."""
+    def _on_exchange_end(self, client: Client, exchange: Exchange) -> None:
+        """Sends the reply in the same turn of the event loop in which the exchange ends."""
         client.exchange = None
-        self.open.discard(client.txn)
+        self.open.discard(client.request_id)
         if exchange.reply is not None:
-            self._answer(client, exchange.reply)
+            self._send_reply(client, exchange.reply)
+
+    async def _reply_overdue(self, client: Client) -> None:
+        """Replies with 504 to a request that has no reply after its expiry.
 
-    async def _last_resort(self, client: Client) -> None:
-        """After a standstill the hand-off's time is up in the same turn: its outcome goes first."""
-        late = trio.current_time() - client.until
+        After a pause of the event loop the hand-off's timeout is due in the same turn, and its outcome goes first.
+        """
+        late = trio.current_time() - client.deadline
         await trio.sleep(0.005)
         if (exchange := client.exchange) is not None:
             logger.error(
-                "work item {} was left without an answer: {:.3f} s late, {} hand-offs",
+                "event=reply_overdue request={} late_s={:.3f} hand_offs={}",
                 exchange.id,
                 late,
                 exchange.hand_offs,
             )
-            self.driver.gone(exchange)
-            self._answer(client, Reply(504))
+            self.driver.abandon(exchange)
+            self._send_reply(client, Reply(504))
 
-    # answers ----------------------------------------------
+    # replies
 
-    def _refuse(self, client: Client, error: MalformedMessage) -> None:
-        """What can't be followed gets its error and the close: no more of it is read."""
-        logger.info("refused a request: {} {}", error.status, error)
-        client.refused, client.keep = True, False
+    def _reject(self, client: Client, error: MalformedMessage) -> None:
+        """Replies with an error and closes the connection; the rest of its input is not parsed."""
+        logger.info("event=request_rejected status={} error={!r}", error.status, error)
+        client.rejected, client.keep_alive = True, False
         self.silent[client] = None
-        self._answer(client, Reply(error.status, f"{error}\n".encode()))
+        self._send_reply(client, Reply(error.status, f"{error}\n".encode()))
 
-    def _answer(self, client: Client, reply: Reply) -> None:
-        most_idle = max(1, int(IDLE_PART * self.budget.limit))
-        client.keep = client.keep and not self.leaving and len(self.idle) < most_idle
-        client.until, client.status = trio.current_time() + REPLY_WITHIN, reply.status
+    def _send_reply(self, client: Client, reply: Reply) -> None:
+        max_idle = max(1, int(MAX_IDLE_FRACTION * self.budget.limit))
+        client.keep_alive = client.keep_alive and not self.leaving and len(self.idle) < max_idle
+        client.deadline, client.reply_status = trio.current_time() + WRITE_TIMEOUT_SECONDS, reply.status
         connection = client.connection
-        if client.upload is not None:  # answered before it came whole: what is still coming is not looked at
+        if client.upload is not None:  # The reply precedes the end of the request, whose rest is not parsed.
             client.upload.give_up()
-            client.upload, client.keep, client.refused = None, False, True
-        client.flow = reply.flow
-        client.chunked = reply.flow is not None and reply.length is None and not client.old
-        if reply.flow is not None and reply.length is None and client.old:
-            client.keep = False
+            client.upload, client.keep_alive, client.rejected = None, False, True
+        client.reply_flow = reply.flow
+        client.chunked = reply.flow is not None and reply.length is None and not client.http_1_0
+        if reply.flow is not None and reply.length is None and client.http_1_0:
+            client.keep_alive = False
         try:
-            if connection.push(written(reply, client.keep, client.chunked)):
-                if client.flow is None:
-                    self._sent(client)
+            if connection.push(encode_reply(reply, client.keep_alive, client.chunked)):
+                if client.reply_flow is None:
+                    self._on_sent(client)
             elif not connection.hold(len(connection.unsent)):
-                client.over = True  # the client can tell that it is not whole
+                client.closing = True  # No memory is left for the rest. The client notices that it is missing.
         except OSError:
-            client.over = True
-        if client.over or client.flow is not None or connection.sending() or connection.pending():
+            client.closing = True
+        if client.closing or client.reply_flow is not None or connection.sending() or connection.pending():
             client.scope.cancel()
         else:
-            client.scope.deadline = client.until
+            client.scope.deadline = client.deadline
 
-    def _sent(self, client: Client) -> None:
+    def _on_sent(self, client: Client) -> None:
         client.connection.release()
         if client.category is not None:
-            self._count(client, client.status)
-        if client.keep:
-            client.until = trio.current_time() + (LAST_LOOK if self.finishing else IDLE_FOR)
+            self._count_end(client, client.reply_status)
+        if client.keep_alive:
+            client.deadline = trio.current_time() + (FINISH_IDLE_SECONDS if self.finishing else IDLE_TIMEOUT_SECONDS)
             self.idle[client] = None
             self.silent.pop(client, None)
         else:
-            client.over = True
+            client.closing = True
 
     async def _linger(self, client: Client) -> None:
-        """Reads on a little, so that the error is not lost with what the client is still sending."""
-        stream, left, within = client.connection.stream, LINGER_BYTES, LINGER_FOR
-        if client.left:
-            left, within = UPLOAD_BYTES, UPLOAD_FOR
+        """Reads on for a while, since closing with unread input would reset the connection and lose the reply."""
+        stream, remaining_bytes, timeout = client.connection.stream, LINGER_BYTES, LINGER_SECONDS
+        if client.upload_remaining:
+            remaining_bytes, timeout = UPLOAD_LINGER_BYTES, UPLOAD_LINGER_SECONDS
         stream.end()
-        with trio.move_on_after(within):
-            while left > 0:
+        with trio.move_on_after(timeout):
+            while remaining_bytes > 0:
                 await stream.wait_readable()
-                n = stream.recv_into(scratch)
-                left -= n or left
+                n = stream.recv_into(discard_buffer)
+                remaining_bytes -= n or remaining_bytes
--- a/rowanshift/cacheproxy/clock.py
+++ b/rowanshift/cacheproxy/clock.py
@@ -1,4 +1,4 @@
-"""Unix seconds that never step back, and trio's deadlines for them."""
+"""Unix time that never steps back, and its conversion to trio's deadlines."""
 
 import trio
 
@@ -6,16 +6,18 @@
 
 
 class Clock:
-    """The system's clock as it stood at the start, carried on by the monotonic one.
+    """The system's wall clock as read at the start, advanced by the monotonic clock.
 
-    Lists tell when a cache server came up by the same clock, and routers agree on the second by it.
+    Lists give the start times of cache servers in wall-clock time, and routers use it to agree on the current second.
     """
 
-    def __init__(self, host: Runtime = SYSTEM_RUNTIME) -> None:
-        self.offset = host.wall() - trio.current_time()
+    def __init__(self, runtime: Runtime = SYSTEM_RUNTIME) -> None:
+        self.offset = runtime.wall() - trio.current_time()
 
     def now(self) -> float:
+        """The current time in Unix seconds."""
         return self.offset + trio.current_time()
 
     def deadline(self, at: float) -> float:
+        """Converts a time in Unix seconds to trio's time."""
         return at - self.offset
--- a/rowanshift/cacheproxy/config.py
+++ b/rowanshift/cacheproxy/config.py
@@ -12,7 +12,7 @@
 from rowanshift.cacheproxy.settings import SettingsError, settings_of
 
 Address = tuple[str, int]
-HEALTH = {"active": "live", "leaving": "quiescing", "left": "dead"}
+HEALTH_OF_LIFECYCLE = {"active": "live", "leaving": "quiescing", "left": "dead"}
 
 
 class ConfigError(Exception):
@@ -20,8 +20,8 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Names:
-    """Positions in the settings by the names that stand on the wire."""
+class NameIndex:
+    """Positions in the settings' lists, by the names used in requests and in lists of servers."""
 
     categories: dict[bytes, int]
     tenants: dict[bytes, int]
@@ -31,6 +31,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Config:
+    """A configuration that was parsed; times are seconds."""
+
     name: str
     listen: Address
     discovery: Address
@@ -42,29 +44,32 @@
     peers_all: Address | None
     known: dict[str, Any]
     settings: Settings
-    names: Names
+    names: NameIndex
     dial_within: float
     idle_for: float
-    longest: float  # the longest expiry of a category
-    control: Address | None = None  # the second address
+    longest: float  # the longest expiry of all categories
+    control: Address | None = None  # the address of the control port
 
 
-def address_of(text: str) -> Address:
+def parse_address(text: str) -> Address:
+    """An address given as IPv4 address, colon and port; raises ``ValueError``."""
     host, _, port = text.rpartition(":")
     try:
         address = str(IPv4Address(host)), int(port)
     except ValueError:
         address = host, 0
     if not 0 < address[1] < 65536:
-        raise ValueError(f"no IPv4 address with a port: {text!r}")
+        raise ValueError(f"expected an IPv4 address and a port, found {text!r}")
     return address
 
 
-def entry_of(row: dict[str, Any], names: Names) -> Entry:
-    """One entry of a list. Zones and kinds that the settings lack get positions of their own: servers of
-    two zones must not pass for one group."""
-    if (health := HEALTH.get(row["lifecycle"])) is None:
-        raise ValueError(f"unknown lifecycle {row['lifecycle']!r}")
+def entry_of(row: dict[str, Any], names: NameIndex) -> Entry:
+    """The entry for one row of a list of servers.
+
+    Zones and kinds that the settings lack get new positions: servers of two zones must not count as one group.
+    """
+    if (health := HEALTH_OF_LIFECYCLE.get(row["lifecycle"])) is None:
+        raise ValueError(f"unknown lifecycle {row['lifecycle']!r}, expected active, leaving or left")
     zone, kind = row.get("zone"), row.get("machineType")
     return Entry(
         row["instanceId"],
@@ -77,48 +82,50 @@
     )
 
 
-def control_of(text: Any, where: str) -> Address | None:
-    """The second address, if there is one; ``where`` says where it was given."""
+def parse_control_address(text: Any, source: str) -> Address | None:
+    """The address of the control port, None if there is none; ``source`` names the place in an error."""
     try:
-        return address_of(text) if text else None
+        return parse_address(text) if text else None
     except (ValueError, AttributeError) as error:
-        raise ConfigError(f"{where}: no IPv4 address with a port: {text!r}") from error
+        raise ConfigError(f"{source}: expected an IPv4 address and a port, found {text!r}") from error
 
 
-def positions(names: list[str]) -> dict[str, int]:
+def index_by_name(names: list[str]) -> dict[str, int]:
+    """The position of each name."""
     return {name: n for n, name in enumerate(names)}
 
 
 def config_of(data: dict[str, Any]) -> Config:
+    """Parses a configuration; raises ``ConfigError``."""
     try:
         raw, limits = data["settings"], data["limits"]
         categories, tenants = raw["categories"], raw.get("tenants") or ()
-        names = Names(
+        names = NameIndex(
             {c["name"].encode(): n for n, c in enumerate(categories)},
             {t["name"].encode(): n for n, t in enumerate(tenants)},
-            positions(raw.get("zones") or []),
-            positions(raw.get("kinds") or []),
+            index_by_name(raw.get("zones") or []),
+            index_by_name(raw.get("kinds") or []),
         )
         known = data.get("known") or {"generation": 0, "instances": []}
         for row in known["instances"]:
-            entry_of(row, names), address_of(row["hostPort"])
+            entry_of(row, names), parse_address(row["hostPort"])
         return Config(
             name=str(data["name"]),
-            listen=address_of(data["listen"]),
-            discovery=address_of(data["discovery"]),
+            listen=parse_address(data["listen"]),
+            discovery=parse_address(data["discovery"]),
             seed=int(data["seed"], 16),
             sockets=int(limits["sockets"]),
             memory_mb=float(limits["memory_mb"]),
-            peer_listen=address_of(data["peer_listen"]) if data.get("peer_listen") else None,
-            peers=[address_of(text) for text in data.get("peers") or ()],
-            peers_all=address_of(data["peers_all"]) if data.get("peers_all") else None,
+            peer_listen=parse_address(data["peer_listen"]) if data.get("peer_listen") else None,
+            peers=[parse_address(text) for text in data.get("peers") or ()],
+            peers_all=parse_address(data["peers_all"]) if data.get("peers_all") else None,
             known={"generation": int(known["generation"]), "instances": known["instances"]},
             settings=settings_of(raw),
             names=names,
             dial_within=raw["limits"]["dial_timeout_us"] / 1e6,
             idle_for=raw["limits"]["conn_idle_us"] / 1e6,
             longest=max(c["expiry_us"] for c in categories) / 1e6,
-            control=control_of(data.get("control"), "control"),
+            control=parse_control_address(data.get("control"), "control"),
         )
     except SettingsError as error:
         raise ConfigError(str(error)) from error
@@ -128,21 +135,27 @@
         raise ConfigError(f"the configuration can't be used: {error}") from error
 
 
-def changed(old: Config, new: Config) -> list[str]:
-    """What differs but for what a reload takes up, and for what every list may differ in."""
-    rest = [f.name for f in fields(old) if f.name not in ("discovery", "known", "seed", "names")]
-    differing = [name for name in rest if getattr(old, name) != getattr(new, name)]
+def fields_needing_restart(old: Config, new: Config) -> list[str]:
+    """The fields that differ and that a reload does not apply.
+
+    A reload applies ``discovery``; ``known`` and ``seed`` may differ in every file.
+    """
+    compared = [f.name for f in fields(old) if f.name not in ("discovery", "known", "seed", "names")]
+    differing = [name for name in compared if getattr(old, name) != getattr(new, name)]
     if (old.names.categories, old.names.tenants) != (new.names.categories, new.names.tenants):
-        differing.append("names")  # positions of zones and kinds go on as servers come
+        differing.append("names")  # Zones and kinds do not count, since lists of servers add to them.
     return differing
 
 
 def load(path: Path) -> Config:
-    """Reads a configuration. ``$BALANCER_CONTROL`` goes before its ``control``: two processes may share a
-    file while one replaces the other, and each has a second address of its own."""
+    """Reads a configuration file; raises ``ConfigError``.
+
+    ``$BALANCER_CONTROL`` overrides ``control`` of the file: while one process replaces another, both may read the same
+    file, but each needs its own control port.
+    """
     try:
         config = config_of(orjson.loads(path.read_bytes()))
-        control = control_of(os.environ.get("BALANCER_CONTROL"), "$BALANCER_CONTROL")
+        control = parse_control_address(os.environ.get("BALANCER_CONTROL"), "$BALANCER_CONTROL")
         return replace(config, control=control or config.control)
     except OSError as error:
         raise ConfigError(f"{path}: {error.strerror}") from error
--- a/rowanshift/cacheproxy/control.py
+++ b/rowanshift/cacheproxy/control.py
@@ -1,4 +1,4 @@
-"""The second address: one line in, one answer out, and the close. It knows neither HTTP nor the module."""
+"""The control port: one command line per connection, answered and closed. Independent of HTTP and of the router."""
 
 from collections.abc import Callable, Mapping
 
@@ -8,108 +8,110 @@
 from rowanshift.transport.runtime import Nursery
 from rowanshift.transport.streams import Listener, Stream, accepted, send_all
 
-CALLERS = 16  # at once; beyond these the longest silent one is closed. Their descriptors are set aside
-BACKLOG = 64
-LONGEST_LINE = 256  # bytes of a call, its end among them
-LINE_WITHIN = 30.0  # seconds from a connection to the end of its line
-ANSWER_WITHIN = 2.0  # seconds that a caller may take to read its answer
-LINGER_FOR = 0.2  # seconds, read on after the answer, so that it arrives whatever else was sent
+MAX_CALLERS = 16  # One more without a complete line closes the oldest. The descriptors for so many are reserved.
+LISTEN_BACKLOG = 64
+MAX_LINE_BYTES = 256  # The newline counts.
+LINE_TIMEOUT_SECONDS = 30.0  # It runs from the accept to the end of the line.
+ANSWER_TIMEOUT_SECONDS = 2.0
+LINGER_SECONDS = 0.2  # Closing with unread input would reset the connection.
 
-Call = tuple[tuple[str, ...], Callable[..., str]]  # names of its words, and what answers with whole lines
+Command = tuple[tuple[str, ...], Callable[..., str]]  # the arguments' names, and the function that gives the answer
 
 
-class Refused(Exception):
-    """A call that is owed a no; the text says why."""
+class CommandRefused(Exception):
+    """A command that can't be carried out; the text says why."""
 
 
-class Control:
-    """Answers calls, each in the turn in which its line came whole."""
+class ControlPort:
+    """Answers each command in the same turn of the event loop in which its line is complete."""
 
-    def __init__(self, calls: Mapping[str, Call]) -> None:
-        self.calls = calls
-        self.callers: dict[trio.CancelScope, None] = {}  # with no whole line yet; the longest silent first
+    def __init__(self, commands: Mapping[str, Command]) -> None:
+        self.commands = commands
+        self.pending_callers: dict[trio.CancelScope, None] = {}  # callers without a complete line, the oldest first
 
     def answer(self, line: bytes) -> str:
-        """What a line is answered with; a bad one changes nothing."""
+        """Carries out a command line and returns the answer; an invalid line changes nothing."""
         try:
-            name, *words = line.decode("ascii").split() or [""]
-            if name not in self.calls:
-                raise Refused(f"unknown call {name[:32]!r}, known are {' '.join(self.calls)}")
-            wanted, function = self.calls[name]
-            if len(words) != len(wanted):
-                raise Refused(f"{name} takes {' '.join(wanted) or 'no further word'}")
-            return function(*words)
+            name, *arguments = line.decode("ascii").split() or [""]
+            if name not in self.commands:
+                raise CommandRefused(f"unknown call {name[:32]!r}, known are {' '.join(self.commands)}")
+            parameters, function = self.commands[name]
+            if len(arguments) != len(parameters):
+                raise CommandRefused(f"{name} takes {' '.join(parameters) or 'no further word'}")
+            return function(*arguments)
         except UnicodeDecodeError:
-            return self._no("the line is no text")
-        except Refused as refused:
-            if line.strip() == b"READY":  # asked all the time
+            return self._failure("the line is no text")
+        except CommandRefused as refused:
+            if line.strip() == b"READY":  # It is polled often, and therefore not logged.
                 return f"FAILURE {refused}\n"
-            return self._no(str(refused))
+            return self._failure(str(refused))
         except Exception:
-            logger.exception("a call on the second address failed")
+            logger.exception("event=control_command_failed")
             return "FAILURE a fault of the router, see its log\n"
 
     @staticmethod
-    def _no(why: str) -> str:
-        logger.info("a call on the second address was refused: {}", why)
-        return f"FAILURE {why}\n"
+    def _failure(reason: str) -> str:
+        logger.info("event=control_command_refused reason={!r}", reason)
+        return f"FAILURE {reason}\n"
 
     async def serve(self, listener: Listener, nursery: Nursery) -> None:
-        """Accepts callers for good, and closes the listener at the end."""
+        """Accepts connections until cancelled; closes the listener at the end."""
         try:
             while True:
                 stream = await accepted(listener)
-                if len(self.callers) >= CALLERS:
-                    oldest = next(iter(self.callers))
-                    del self.callers[oldest]
+                if len(self.pending_callers) >= MAX_CALLERS:
+                    oldest = next(iter(self.pending_callers))
+                    del self.pending_callers[oldest]
                     oldest.cancel()
                 scope = trio.CancelScope()
-                self.callers[scope] = None
-                nursery.start_soon(self._caller, stream, scope)
+                self.pending_callers[scope] = None
+                nursery.start_soon(self._serve_caller, stream, scope)
         finally:
             listener.close()
 
-    async def _caller(self, stream: Stream, scope: trio.CancelScope) -> None:
+    async def _serve_caller(self, stream: Stream, scope: trio.CancelScope) -> None:
         try:
             with scope:
-                scope.deadline = trio.current_time() + LINE_WITHIN
-                line = await self._line(stream)
-                self.callers.pop(scope, None)
+                scope.deadline = trio.current_time() + LINE_TIMEOUT_SECONDS
+                line = await self._read_line(stream)
+                self.pending_callers.pop(scope, None)
                 if line is None:
                     return
-                scope.deadline = trio.current_time() + ANSWER_WITHIN
-                long = len(line) > LONGEST_LINE or not line.endswith(b"\n")
+                scope.deadline = trio.current_time() + ANSWER_TIMEOUT_SECONDS
+                invalid = len(line) > MAX_LINE_BYTES or not line.endswith(b"\n")
                 text = (
-                    self._no(f"a line of {LONGEST_LINE} bytes at most, with its end") if long else (self.answer(line))
+                    self._failure(f"a line of {MAX_LINE_BYTES} bytes at most, with its end")
+                    if invalid
+                    else (self.answer(line))
                 )
                 await send_all(stream, text.encode())
                 stream.end()
-                scope.deadline = trio.current_time() + LINGER_FOR
-                space = memoryview(bytearray(1024))
-                while await self._receive(stream, space):
+                scope.deadline = trio.current_time() + LINGER_SECONDS
+                buffer = memoryview(bytearray(1024))
+                while await self._receive(stream, buffer):
                     pass
         except OSError:
-            pass  # the caller broke off
+            pass  # The caller reset the connection.
         finally:
-            self.callers.pop(scope, None)
+            self.pending_callers.pop(scope, None)
             stream.close()
 
-    async def _line(self, stream: Stream) -> bytes | None:
-        """The first line; without its end if that never came or came too late, None if nothing did."""
-        got, space = bytearray(), memoryview(bytearray(LONGEST_LINE + 1))
-        while b"\n" not in got and len(got) <= LONGEST_LINE:
-            n = await self._receive(stream, space)
+    async def _read_line(self, stream: Stream) -> bytes | None:
+        """The first line with its newline; an incomplete or too long one as received; None for no input at all."""
+        received, buffer = bytearray(), memoryview(bytearray(MAX_LINE_BYTES + 1))
+        while b"\n" not in received and len(received) <= MAX_LINE_BYTES:
+            n = await self._receive(stream, buffer)
             if not n:
-                return bytes(got) or None
-            got += space[:n]
-        end = got.find(b"\n") + 1
-        return bytes(got[:end] if end else got)
+                return bytes(received) or None
+            received += buffer[:n]
+        end = received.find(b"\n") + 1
+        return bytes(received[:end] if end else received)
 
     @staticmethod
-    async def _receive(stream: Stream, space: memoryview) -> int:
+    async def _receive(stream: Stream, buffer: memoryview) -> int:
         while True:
             await stream.wait_readable()
             try:
-                return stream.recv_into(space)
+                return stream.recv_into(buffer)
             except BlockingIOError:
                 continue
--- a/rowanshift/cacheproxy/exchange.py
+++ b/rowanshift/cacheproxy/exchange.py
@@ -1,4 +1,4 @@
-"""A work item between the client and the server side, which meet only here. No I/O."""
+"""One client request and its attempts, shared by the client side and the server side. No I/O."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -6,58 +6,60 @@
 from rowanshift.transport.flow import Flow
 
 
-def nothing() -> None:
+def no_op() -> None:
     pass
 
 
 @dataclass(slots=True, frozen=True)
 class Reply:
-    """A final answer."""
+    """The final response to a client."""
 
     status: int
     body: bytes = b""
-    headers: list[tuple[bytes, bytes]] = field(default_factory=list)  # those of a server's answer
-    retry_after: float = 0.0
-    flow: Flow | None = None  # what follows the body, while it comes
-    length: int | None = None  # of all of it, where that is known
+    headers: list[tuple[bytes, bytes]] = field(default_factory=list)  # the end-to-end fields of the server's response
+    retry_after: float = 0.0  # in seconds; 0 for no Retry-After field
+    flow: Flow | None = None  # the rest of a long body, streamed after ``body``
+    length: int | None = None  # the size of the complete body, if known
 
 
 @dataclass(slots=True, eq=False)
 class Exchange:
+    """A client request from its acceptance to its final reply; called a work item in the decision module."""
+
     id: int
     category: int
-    customer: int
+    tenant: int
     key: str | None
     write: bool
     expiry: float
     method: bytes
     target: bytes
-    headers: list[tuple[bytes, bytes]]  # those that go on to a server as they came
+    headers: list[tuple[bytes, bytes]]  # They are forwarded to servers unchanged.
     body: bytes
-    flow: Flow | None = None  # what follows the body of a long request
-    length: int | None = None  # of all of it, where that is known
-    timed: Callable[[], None] = nothing  # called when the last byte has come and ``expiry`` is set anew
+    flow: Flow | None = None  # the rest of a long request body, streamed after ``body``
+    length: int | None = None  # the size of the complete body, if known
+    on_expiry_set: Callable[[], None] = no_op  # It is called once the last body byte is received and ``expiry`` final.
     hand_offs: int = 0
     ended: bool = False
-    reply: Reply | None = None  # none if the client has gone away
-    wake: Callable[[], None] = nothing  # set by the side that waits for the end
+    reply: Reply | None = None  # None before the end, and if the client disconnected
+    on_end: Callable[[], None] = no_op
 
     def end(self, reply: Reply | None) -> bool:
-        """Ends the work item once; what comes later changes nothing."""
+        """Ends the exchange; returns False and changes nothing if it has already ended."""
         if self.ended:
             return False
         self.ended, self.reply = True, reply
-        wake, self.wake = self.wake, nothing  # what it is bound to holds this exchange
-        wake()
+        on_end, self.on_end = self.on_end, no_op  # The callback refers to this exchange.
+        on_end()
         return True
 
 
 @dataclass(slots=True, eq=False)
 class HandOff:
-    """One sending of a work item to a server."""
+    """One attempt to serve an exchange by a server."""
 
     exchange: Exchange
     number: int
     server: str
-    at: float
-    until: float
+    started_at: float  # in Unix seconds
+    deadline: float  # in Unix seconds
--- a/rowanshift/cacheproxy/figures.py
+++ b/rowanshift/cacheproxy/figures.py
@@ -1,45 +1,47 @@
-"""Counters as plain numbers, written out as text. It knows neither sockets nor who asks."""
+"""Request counters and their text format. Independent of sockets and of the port that serves them."""
 
 from collections.abc import Callable
 
 OUTCOMES = ("served", "refused", "failed")
 
 
-def outcome_of(status: int) -> int:
-    """Which of ``OUTCOMES`` an answer to a client is, by its status."""
+def outcome_index(status: int) -> int:
+    """The index in ``OUTCOMES`` of a response with this status."""
     return 0 if status == 200 else 1 if status in (429, 503) else 2
 
 
-def escaped(value: str) -> str:
-    """A label's value as it stands between quotes."""
+def escape_label_value(value: str) -> str:
+    """Escapes a label value for use between double quotes."""
     return value.replace("\\", r"\\").replace('"', r"\"").replace("\n", r"\n")
 
 
-class Figures:
-    """Counts from the start of the process; each is counted where it happens, and in one place."""
+class Metrics:
+    """Counters since the start of the process."""
 
     def __init__(self, categories: list[str]) -> None:
         self.categories = categories
-        self.ended = [[0] * len(OUTCOMES) for _ in categories]  # work items, by category and outcome
-        self.in_flight = 0  # work items that were taken and have not ended
-        self.attempts = 0  # hand-offs written whole
-        self.servers: Callable[[], tuple[int, int]] = lambda: (0, 0)  # in the list, and avoided now
+        self.ended_requests = [[0] * len(OUTCOMES) for _ in categories]  # counts by category and outcome
+        self.in_flight = 0  # the requests accepted and not yet ended
+        self.attempts = 0  # the hand-offs whose request was written completely
+        self.server_counts: Callable[[], tuple[int, int]] = lambda: (0, 0)  # listed servers, avoided servers
 
-    def handed_off(self, ho: object) -> None:
+    def count_attempt(self, hand_off: object) -> None:
+        """Counts a hand-off whose last byte was written."""
         self.attempts += 1
 
-    def end(self, category: int, status: int) -> None:
-        """Counts a work item that was taken; the status is that of the answer which has left."""
+    def count_end(self, category: int, status: int) -> None:
+        """Counts the end of an accepted request; ``status`` is that of the response sent, 0 if there was none."""
         self.in_flight -= 1
-        self.ended[category][outcome_of(status)] += 1
+        self.ended_requests[category][outcome_index(status)] += 1
 
-    def text(self) -> str:
+    def render(self) -> str:
+        """The counters, one a line."""
         lines = [
-            f'router_requests{{class="{escaped(name)}",outcome="{outcome}"}} {n}'
-            for name, row in zip(self.categories, self.ended, strict=True)
+            f'router_requests{{class="{escape_label_value(name)}",outcome="{outcome}"}} {n}'
+            for name, row in zip(self.categories, self.ended_requests, strict=True)
             for outcome, n in zip(OUTCOMES, row, strict=True)
         ]
-        known, avoided = self.servers()
+        known, avoided = self.server_counts()
         lines += [
             f"router_attempts {self.attempts}",
             f"router_in_flight {self.in_flight}",
--- a/rowanshift/cacheproxy/membership.py
+++ b/rowanshift/cacheproxy/membership.py
@@ -1,5 +1,7 @@
-"""Which servers there are: what the list says, and what staff called out by hand, merged into one. Pools and
-module see only the merged entries, and neither knows who told."""
+"""The servers in use: the list from discovery merged with the servers that operators have disabled.
+
+The connection pools and the decision module see only the merged entries.
+"""
 
 from collections.abc import Callable, Iterable
 from typing import Protocol
@@ -7,47 +9,52 @@
 from rowanshift.cacheproxy.model import Entry
 from rowanshift.transport.streams import Address
 
-MOST_OUT = 4096  # ids that may be out by hand at once
+MAX_DISABLED = 4096
+
 
+class ServerPools(Protocol):
+    """What ``Membership`` uses of the connection pools."""
 
-class Pools(Protocol):
-    def locate(self, server: str, address: Address) -> None: ...
+    def set_address(self, server: str, address: Address) -> None: ...
 
-    def leave(self, server: str) -> None: ...
+    def drain(self, server: str) -> None: ...
 
-    def join(self, server: str) -> None: ...
+    def undrain(self, server: str) -> None: ...
 
-    def forget(self, server: str) -> None: ...
+    def remove(self, server: str) -> None: ...
 
-    def forget_others(self, servers: Iterable[str]) -> None: ...
+    def retain_only(self, servers: Iterable[str]) -> None: ...
 
 
 class Membership:
-    """Merges. An id that is out by hand is ``quiescing`` while it is listed; one that was called back came up
-    at the moment of the call, until the list tells a later one, since it was restarted meanwhile."""
+    """Merges the list with the operators' commands.
 
-    def __init__(self, pools: Pools, list_changed: Callable[[str, list[Entry]], None]) -> None:
+    A disabled server that the list calls live is passed on as ``quiescing``. A server that was enabled again counts as
+    started at that time, since it was restarted in between, until the list gives a later start.
+    """
+
+    def __init__(self, pools: ServerPools, list_changed: Callable[[str, list[Entry]], None]) -> None:
         self.pools, self.list_changed = pools, list_changed
-        self.listed: dict[str, Entry] = {}  # as the list has it, those that left excepted
-        self.out: set[str] = set()  # by hand
-        self.back_at: dict[str, float] = {}  # Unix seconds of the call back
+        self.listed: dict[str, Entry] = {}  # the list without dead servers
+        self.disabled: set[str] = set()
+        self.enabled_at: dict[str, float] = {}  # the Unix time at which a server was enabled again
 
     def _merged(self, entry: Entry) -> Entry:
-        if (back_at := self.back_at.get(entry.server)) is not None:
-            if entry.came_up > back_at or entry.health == "dead":
-                del self.back_at[entry.server]
+        if (enabled_at := self.enabled_at.get(entry.server)) is not None:
+            if entry.came_up > enabled_at or entry.health == "dead":
+                del self.enabled_at[entry.server]
             else:
-                entry = entry._replace(came_up=back_at)
-        if entry.server in self.out and entry.health == "live":
+                entry = entry._replace(came_up=enabled_at)
+        if entry.server in self.disabled and entry.health == "live":
             entry = entry._replace(health="quiescing")
         return entry
 
-    def learn(self, scope: str, rows: list[tuple[Entry, Address | None]]) -> None:
-        """Takes in a whole list, or with the scope ``delta`` a part of it."""
+    def update(self, scope: str, rows: list[tuple[Entry, Address | None]]) -> None:
+        """Applies a complete list or, with the scope ``delta``, changes to it."""
         merged = [(self._merged(entry), address) for entry, address in rows]
         if scope != "delta":
             self.listed.clear()
-            self.pools.forget_others(entry.server for entry, _ in rows)
+            self.pools.retain_only(entry.server for entry, _ in rows)
         for entry, _ in rows:
             if entry.health == "dead":
                 self.listed.pop(entry.server, None)
@@ -55,45 +62,48 @@
                 self.listed[entry.server] = entry
         for entry, address in merged:
             if entry.health == "dead":
-                self.pools.forget(entry.server)
+                self.pools.remove(entry.server)
                 continue
             if address is not None:
-                self.pools.locate(entry.server, address)
+                self.pools.set_address(entry.server, address)
             if entry.health != "live":
-                self.pools.leave(entry.server)
+                self.pools.drain(entry.server)
         self.list_changed(scope, [entry for entry, _ in merged])
 
-    def known(self, server: str) -> bool:
-        """Whether a call about this id can be followed."""
-        return server in self.listed or server in self.out
+    def is_known(self, server: str) -> bool:
+        """Whether operators may disable or enable a server of this name."""
+        return server in self.listed or server in self.disabled
+
+    def disable(self, server: str) -> bool:
+        """Excludes a server until it is enabled; returns whether that is a change.
 
-    def call_out(self, server: str) -> bool:
-        """Leaves a server out until it is called back; whether that is new. Nothing new goes there from now
-        on: what is idle closes, dials are given up, held work items look elsewhere."""
-        if server in self.out or len(self.out) >= MOST_OUT:
+        Nothing new is sent there: idle connections close, dials are cancelled, and requests held for the server are
+        routed again.
+        """
+        if server in self.disabled or len(self.disabled) >= MAX_DISABLED:
             return False
-        self.out.add(server)
-        self.back_at.pop(server, None)
-        self._tell(server)
+        self.disabled.add(server)
+        self.enabled_at.pop(server, None)
+        self._publish(server)
         return True
 
-    def call_back(self, server: str, now: float) -> bool:
-        """Ends all calls out; whether there was one."""
-        if server not in self.out:
+    def enable(self, server: str, now: float) -> bool:
+        """Uses a disabled server again; returns whether it was disabled."""
+        if server not in self.disabled:
             return False
-        self.out.discard(server)
-        if len(self.back_at) >= MOST_OUT:
-            self.back_at.pop(next(iter(self.back_at)))
-        self.back_at[server] = now
-        self._tell(server)
+        self.disabled.discard(server)
+        if len(self.enabled_at) >= MAX_DISABLED:
+            self.enabled_at.pop(next(iter(self.enabled_at)))
+        self.enabled_at[server] = now
+        self._publish(server)
         return True
 
-    def _tell(self, server: str) -> None:
+    def _publish(self, server: str) -> None:
         if (entry := self.listed.get(server)) is None:
             return
         entry = self._merged(entry)
         if entry.health == "live":
-            self.pools.join(server)
+            self.pools.undrain(server)
         else:
-            self.pools.leave(server)
+            self.pools.drain(server)
         self.list_changed("delta", [entry])
--- a/rowanshift/cacheproxy/migrate.py
+++ b/rowanshift/cacheproxy/migrate.py
@@ -12,7 +12,7 @@
 
 import orjson
 
-from rowanshift.cacheproxy.config import ConfigError, address_of, config_of
+from rowanshift.cacheproxy.config import ConfigError, config_of, parse_address
 from rowanshift.cacheproxy.settings import NEW
 
 LOOPBACK = "127."
@@ -51,7 +51,7 @@
     if wanted.listen is not None:
         new["listen"] = wanted.listen
     elif not old["listen"].startswith(LOOPBACK):
-        new["listen"] = "127.0.0.1:{}".format(address_of(old["listen"])[1])
+        new["listen"] = "127.0.0.1:{}".format(parse_address(old["listen"])[1])
         lost.append(
             f"listen: {old['listen']} served clients of a pool; a client's own router listens on {new['listen']}"
         )
--- a/rowanshift/cacheproxy/peers.py
+++ b/rowanshift/cacheproxy/peers.py
@@ -1,4 +1,4 @@
-"""Datagrams between routers; a sender's address tells its ordinal."""
+"""Datagrams between routers. The sender's address identifies its ordinal."""
 
 from collections.abc import Callable
 
@@ -7,66 +7,79 @@
 
 from rowanshift.transport.streams import Address, Port
 
-LARGEST = 256
+MAX_DATAGRAM_BYTES = 256
 
 
 class Peers:
+    """Sends messages to the other routers, and passes on those that they send."""
+
     def __init__(
-        self, port: Port, addresses: list[Address], everyone: Address | None, heard: Callable[[int, bytes], None]
+        self,
+        port: Port,
+        addresses: list[Address],
+        broadcast_address: Address | None,
+        on_message: Callable[[int, bytes], None],
     ) -> None:
-        self.port, self.addresses, self.everyone, self.heard = port, addresses, everyone, heard
+        self.port, self.addresses, self.broadcast_address, self.on_message = (
+            port,
+            addresses,
+            broadcast_address,
+            on_message,
+        )
         self.ordinals = {address: n for n, address in enumerate(addresses)}
-        self.ours, self.hearing = trio.Event(), trio.CancelScope()
-        self.ours.set()
+        self.receiving, self.receive_scope = trio.Event(), trio.CancelScope()
+        self.receiving.set()
         self.outbox, self.inbox = trio.open_memory_channel[tuple[int | None, bytes]](16)
 
-    def tell(self, ordinal: int | None, payload: bytes) -> None:
-        """Sends to one router, or to all; a message may be lost, so a full outbox loses it."""
-        if ordinal is not None and ordinal >= len(self.addresses):  # the settings count more than are here
+    def enqueue(self, ordinal: int | None, payload: bytes) -> None:
+        """Queues a message to one router, or to all for None. Delivery is best effort: a full queue drops it."""
+        if ordinal is not None and ordinal >= len(self.addresses):  # The settings count more routers than are listed.
             return
         try:
             self.outbox.send_nowait((ordinal, payload))
         except trio.WouldBlock:
-            logger.debug("a message to a peer is lost")
+            logger.debug("event=peer_message_dropped reason=queue_full")
 
-    async def send(self) -> None:
+    async def run_sender(self) -> None:
+        """Sends queued messages until cancelled."""
         async for ordinal, payload in self.inbox:
-            address = self.everyone if ordinal is None else self.addresses[ordinal]
-            if address is None or len(payload) > LARGEST:
+            address = self.broadcast_address if ordinal is None else self.addresses[ordinal]
+            if address is None or len(payload) > MAX_DATAGRAM_BYTES:
                 continue
             try:
                 await self.port.send(payload, address)
             except OSError as error:
-                logger.debug("to peer {}: {}", ordinal, error)
+                logger.debug("event=peer_send_failed peer={} error={!r}", ordinal, error)
 
-    async def listen(self) -> None:
+    async def run_receiver(self) -> None:
+        """Receives messages until cancelled, while receiving is enabled; closes the port at the end."""
         try:
             while True:
-                await self.ours.wait()
-                with trio.CancelScope() as self.hearing:
-                    await self._listen()
+                await self.receiving.wait()
+                with trio.CancelScope() as self.receive_scope:
+                    await self._receive()
         finally:
             self.port.close()
 
-    def hear(self, ours: bool) -> None:
-        """Whether what comes in is for this process, and not for a newer one at the same port."""
-        if ours:
-            self.ours.set()
-        elif self.ours.is_set():
-            self.ours = trio.Event()
-            self.hearing.cancel()
+    def set_receiving(self, enabled: bool) -> None:
+        """Disables receiving while a newer process reads from the same port."""
+        if enabled:
+            self.receiving.set()
+        elif self.receiving.is_set():
+            self.receiving = trio.Event()
+            self.receive_scope.cancel()
 
-    async def _listen(self) -> None:
+    async def _receive(self) -> None:
         while True:
             try:
-                payload, sender = await self.port.receive(LARGEST + 1)
-            except OSError as error:  # an earlier datagram came back undelivered
-                logger.debug("from peers: {}", error)
+                payload, sender = await self.port.receive(MAX_DATAGRAM_BYTES + 1)
+            except OSError as error:  # An earlier datagram could not be delivered.
+                logger.debug("event=peer_receive_failed error={!r}", error)
                 await trio.sleep(0.01)
                 continue
             ordinal = self.ordinals.get(sender)
-            if ordinal is not None and len(payload) <= LARGEST:
+            if ordinal is not None and len(payload) <= MAX_DATAGRAM_BYTES:
                 try:
-                    self.heard(ordinal, payload)
+                    self.on_message(ordinal, payload)
                 except Exception:
-                    logger.exception("a message of peer {} failed", ordinal)
+                    logger.exception("event=peer_message_failed peer={}", ordinal)
--- a/rowanshift/cacheproxy/servers.py
+++ b/rowanshift/cacheproxy/servers.py
@@ -1,4 +1,4 @@
-"""The server side: connection pools, dialling, and each hand-off to one ``Verdict``."""
+"""The server side: connection pools, dialling, and the carrying out of each hand-off up to its ``Verdict``."""
 
 import errno
 from collections.abc import Callable, Iterable
@@ -10,7 +10,7 @@
 from loguru import logger
 
 from rowanshift.cacheproxy.clock import Clock
-from rowanshift.cacheproxy.exchange import HandOff, Reply, nothing
+from rowanshift.cacheproxy.exchange import HandOff, Reply, no_op
 from rowanshift.cacheproxy.model import Verdict
 from rowanshift.transport.descriptor_budget import DescriptorBudget
 from rowanshift.transport.flow import LAST_CHUNK, Flow, framed
@@ -18,50 +18,55 @@
 from rowanshift.transport.memory_budget import MemoryBudget
 from rowanshift.transport.runtime import SYSTEM_RUNTIME, Nursery, Runtime
 
-REMARKS = {b"hit": 1, b"miss": 2, b"pending": 3}
-OVERTAKEN = 8  # later hand-offs to a server that came back tell that a connection fell silent
-GAIN, LONG = 0.05, 3.5  # of the usual time of an answer: its moving average, and how much is long
-SILENT_BODY = 10.0  # seconds that a long answer may stand still, or a server may take no byte of a request
-EARLY = 0.1  # seconds between looks for an answer that comes before the request is whole
-SPARE = 0.8  # part of the idle time that a connection is kept for: the server may close at the latest then
+REMARKS = {b"hit": 1, b"miss": 2, b"pending": 3}  # The decision module numbers the values of x-found so.
+OVERTAKEN_LIMIT = 8  # A hand-off without a response is reported once so many later ones have ended.
+MEAN_LATENCY_GAIN, SLOW_FACTOR = 0.05, 3.5  # Slow is more than this multiple of the moving average.
+BODY_STALL_SECONDS = 10.0  # No byte of a long response or request moves for so long before it is aborted.
+EARLY_RESPONSE_POLL_SECONDS = 0.1  # A response may come before the request is complete.
+IDLE_FRACTION = 0.8  # Connections are kept for this part of the idle timeout, at whose end the server may close them.
 
-Done = Callable[[HandOff, Verdict, int | None, Reply | None], None]
+ResultCallback = Callable[[HandOff, Verdict, int | None, Reply | None], None]
 
 
 @dataclass(slots=True, eq=False)
 class Target:
-    """A server at an address. One that moves is another target: what is open to the old one is not kept."""
+    """A server at an address. A new address makes a new target; connections to the old one are not reused."""
 
     address: tuple[str, int]
-    idle: list["Link"] = field(default_factory=list)  # the longest idle first, which is used first
+    idle: list["Link"] = field(
+        default_factory=list
+    )  # The one that has been idle longest is first, and is reused first.
     dialling: list["Link"] = field(default_factory=list)
-    usual: float = 0.0  # seconds that an answer takes, on a moving average
-    busy: dict["Link", None] = field(default_factory=dict)  # written, with no outcome; in that order
-    kept: bool = True  # whether connections to it may be used again
+    mean_latency: float = 0.0  # the moving average of the seconds from a request to its response
+    busy: dict["Link", None] = field(
+        default_factory=dict
+    )  # connections with a hand-off in progress, in the order of sending
+    reusable: bool = True  # Connections are kept after a response.
 
 
 @dataclass(slots=True, eq=False)
 class Link:
-    """A connection to a server, and what it carries."""
+    """A connection to a server and the hand-off in progress on it."""
 
     target: Target
     connection: Connection
-    job: HandOff | None
-    until: float = 0.0  # trio's time by which the next thing must happen
-    since: float = 0.0  # idle
+    hand_off: HandOff | None
+    deadline: float = 0.0  # The next step must happen by then, in trio's time.
+    idle_since: float = 0.0
     scope: trio.CancelScope = field(default_factory=trio.CancelScope)
-    written: bool = False  # the job's last byte
-    broken: bool = False  # before that
+    request_written: bool = False  # to its last byte
+    write_failed: bool = False
     withdrawn: bool = False
-    begun: bool = False  # an answer
-    overtaken: int = 0  # later hand-offs to the server that came back since
-    told: bool = False  # that it was overtaken often
-    ended: bool = False
-    flow: Flow | None = None  # of a long answer that is passed on
-    message: Message | None = None  # its head
+    response_begun: bool = False
+    overtaken_by: int = 0  # the number of later hand-offs to the server that have ended
+    overtaken_reported: bool = False
+    closed: bool = False
+    response_flow: Flow | None = None  # the body of a long response that is being forwarded
+    response_head: Message | None = None  # the head of that response
 
 
 def verdict_of(message: Message) -> Verdict:
+    """The verdict on a hand-off with this response."""
     match message.status:
         case 200:
             return Verdict.FINISHED
@@ -73,372 +78,409 @@
 
 
 class Servers:
+    """The connections to all servers.
+
+    Each hand-off ends with a call of ``on_result``. ``on_written`` is called after the last byte of its request,
+    ``on_body_consumed`` once the request can't be sent again in full, and ``on_overtaken`` after ``OVERTAKEN_LIMIT``
+    later hand-offs have ended.
+    """
+
     def __init__(
         self,
         clock: Clock,
-        dial_within: float,
-        idle_for: float,
-        stall_for: float,
+        dial_timeout: float,
+        idle_timeout: float,
+        stall_timeout: float,
         budget: DescriptorBudget,
         memory: MemoryBudget,
         nursery: Nursery,
-        host: Runtime = SYSTEM_RUNTIME,
+        runtime: Runtime = SYSTEM_RUNTIME,
     ) -> None:
-        self.clock, self.budget, self.memory, self.nursery, self.host = clock, budget, memory, nursery, host
-        self.dial_within, self.idle_for = dial_within, SPARE * idle_for
-        self.stall_for = stall_for  # seconds that an answer may stand still halfway
+        self.clock, self.budget, self.memory, self.nursery, self.runtime = clock, budget, memory, nursery, runtime
+        self.dial_timeout, self.idle_timeout = dial_timeout, IDLE_FRACTION * idle_timeout
+        self.stall_timeout = stall_timeout  # A response without a new byte for so many seconds has failed.
         self.targets: dict[str, Target] = {}
-        self.out: dict[tuple[int, int], Link] = {}  # of hand-offs without an outcome
-        self.done: Done = lambda *_: None
-        self.spent: Callable[[HandOff], None] = lambda ho: None  # part of its body is gone
-        self.written: Callable[[HandOff], None] = lambda ho: None  # a hand-off whose last byte has gone out
-        self.silent: Callable[[HandOff], None] = lambda *_: None  # a hand-off that was overtaken often
-        budget.close_idle_server = self.drop_idle
+        self.out: dict[tuple[int, int], Link] = {}  # hand-offs in progress, by exchange and number
+        self.on_result: ResultCallback = lambda *_: None
+        self.on_body_consumed: Callable[[HandOff], None] = lambda hand_off: None
+        self.on_written: Callable[[HandOff], None] = lambda hand_off: None
+        self.on_overtaken: Callable[[HandOff], None] = lambda *_: None
+        budget.close_idle_server = self.close_oldest_idle
 
-    # the list ---------------------------------------------
+    # changes of the list
 
-    def locate(self, server: str, address: tuple[str, int]) -> None:
-        """Where a live server is."""
+    def set_address(self, server: str, address: tuple[str, int]) -> None:
+        """Adds a live server, or moves it to another address."""
         target = self.targets.get(server)
         if target is None or target.address != address:
-            self.forget(server)
+            self.remove(server)
             target = self.targets[server] = Target(address)
-        target.kept = True
+        target.reusable = True
+
+    def drain(self, server: str) -> None:
+        """Closes idle connections to a server and cancels dials.
 
-    def leave(self, server: str) -> None:
-        """Closes idle connections to a server, and those that are not up yet: where the time for dialling
-        is longer than the grace of a drain, their hand-offs would come too late. Busy ones close once they
-        have their answer."""
+        Where the dial timeout is longer than the grace period of a drain, a hand-off on a new connection would reach
+        the server too late. Busy connections close after their response.
+        """
         if (target := self.targets.get(server)) is not None:
-            target.kept = False
+            target.reusable = False
             for link in [*target.idle]:
-                self._end(link)
+                self._close(link)
             for link in target.dialling:
                 link.scope.cancel()
 
-    def join(self, server: str) -> None:
-        """A server that had left serves again, where it was."""
+    def undrain(self, server: str) -> None:
+        """Uses a drained server again, at the same address."""
         if (target := self.targets.get(server)) is not None:
-            target.kept = True
+            target.reusable = True
 
-    def forget(self, server: str) -> None:
-        self.leave(server)
+    def remove(self, server: str) -> None:
+        """Drains a server and forgets its address."""
+        self.drain(server)
         self.targets.pop(server, None)
 
-    def forget_others(self, servers: Iterable[str]) -> None:
-        named = set(servers)
-        for server in [server for server in self.targets if server not in named]:
-            self.forget(server)
+    def retain_only(self, servers: Iterable[str]) -> None:
+        """Removes all servers but these."""
+        retained = set(servers)
+        for server in [server for server in self.targets if server not in retained]:
+            self.remove(server)
 
-    # calls ------------------------------------------------
+    # hand-offs
 
-    def drop_idle(self) -> bool:
-        """Closes the connection that has stood idle longest, if there is one."""
+    def close_oldest_idle(self) -> bool:
+        """Closes the connection that has been idle longest; returns False if none is idle."""
         links = (target.idle[0] for target in self.targets.values() if target.idle)
-        oldest = min(links, key=lambda link: link.since, default=None)
+        oldest = min(links, key=lambda link: link.idle_since, default=None)
         if oldest is None:
             return False
-        self._end(oldest)
+        self._close(oldest)
         return True
 
-    def hand_off(self, ho: HandOff) -> bool:
-        """Starts a hand-off, of which ``done`` will tell; False if it can't even be tried."""
-        if (target := self.targets.get(ho.server)) is None:
+    def hand_off(self, hand_off: HandOff) -> bool:
+        """Starts a hand-off, whose outcome ``on_result`` receives; False if there is no address or descriptor."""
+        if (target := self.targets.get(hand_off.server)) is None:
             return False
         while target.idle:
             link = target.idle[0]
-            if link.connection.stream.readable():  # it was ended, or would answer what was not asked
-                self._end(link)
+            if link.connection.stream.readable():  # The server closed it, or sent unrequested bytes.
+                self._close(link)
                 continue
             del target.idle[0]
-            link.job = ho
-            self._send(link)
+            link.hand_off = hand_off
+            self._start_request(link)
             return True
         if not self.budget.try_acquire_server():
             return False
         try:
-            stream = self.host.stream()
+            stream = self.runtime.stream()
         except OSError as error:
-            logger.warning("no socket: {}", error)
+            logger.warning("event=socket_not_created error={!r}", error)
             self.budget.release_server()
             return False
-        link = Link(target, Connection(stream, httptools.HttpResponseParser, self.memory, flows=True), ho)
-        self.out[ho.exchange.id, ho.number] = link
+        link = Link(target, Connection(stream, httptools.HttpResponseParser, self.memory, flows=True), hand_off)
+        self.out[hand_off.exchange.id, hand_off.number] = link
         target.dialling.append(link)
         self.nursery.start_soon(self._serve, link)
         return True
 
     def withdraw(self, id: int, number: int) -> None:
+        """Cancels a hand-off, if it is still in progress."""
         if (link := self.out.get((id, number))) is not None:
             link.withdrawn = True
             link.scope.cancel()
 
-    # one connection ---------------------------------------
+    # one connection
 
     async def _serve(self, link: Link) -> None:
-        """Carries one hand-off after another, from dialling to the close."""
+        """Runs a connection from dialling to the close, one hand-off after another."""
         try:
             if await self._dial(link):
-                self._send(link)
-                while not link.ended:
-                    if link.flow is not None:
-                        await self._pass_on(link)
-                    elif link.job is not None and link.job.exchange.flow is not None and not link.written:
-                        await self._upload(link)
+                self._start_request(link)
+                while not link.closed:
+                    if link.response_flow is not None:
+                        await self._stream_response(link)
+                    elif (
+                        link.hand_off is not None
+                        and link.hand_off.exchange.flow is not None
+                        and not link.request_written
+                    ):
+                        await self._stream_request(link)
                     else:
-                        await self._turn(link)
+                        await self._step(link)
         except trio.ClosedResourceError:
-            pass  # ended from outside, while idle
+            pass  # Another task closed the connection while it was idle.
         except Exception:
-            logger.exception("a connection to a server failed")
-            if link.job is not None:
-                self._finish(link, Verdict.RESET if link.written else Verdict.UNREACHABLE)
+            logger.exception("event=server_connection_failed")
+            if link.hand_off is not None:
+                self._finish(link, Verdict.RESET if link.request_written else Verdict.UNREACHABLE)
         finally:
-            self._end(link)
+            self._close(link)
 
     async def _dial(self, link: Link) -> bool:
-        ho, stream = link.job, link.connection.stream
-        link.until = min(trio.current_time() + self.dial_within, self.clock.deadline(ho.until))
-        up = False
-        with trio.CancelScope(deadline=link.until) as link.scope:
+        hand_off, stream = link.hand_off, link.connection.stream
+        link.deadline = min(trio.current_time() + self.dial_timeout, self.clock.deadline(hand_off.deadline))
+        connected = False
+        with trio.CancelScope(deadline=link.deadline) as link.scope:
             try:
-                if not link.target.kept:  # it left before this task began
+                if not link.target.reusable:  # The server was drained before this task began.
                     raise ConnectionAbortedError
-                failed = stream.connect_ex(link.target.address)
-                if failed == errno.EINPROGRESS:
+                error_number = stream.connect_ex(link.target.address)
+                if error_number == errno.EINPROGRESS:
                     await stream.wait_writable()
-                    failed = stream.dialled()
-                up = not failed and not link.withdrawn
+                    error_number = stream.dialled()
+                connected = not error_number and not link.withdrawn
             except OSError as error:
-                logger.debug("{}: {!r}", ho.server, error)
+                logger.debug("event=dial_failed server={} error={!r}", hand_off.server, error)
         link.target.dialling.remove(link)
-        if not up:
-            self._finish(link, self._unwritten(link))
-        return up
+        if not connected:
+            self._finish(link, self._verdict_if_unwritten(link))
+        return connected
 
-    def _unwritten(self, link: Link) -> Verdict:
-        """Of a hand-off whose last byte was not written: by the bytes, it can't have run."""
-        ho = link.job
+    def _verdict_if_unwritten(self, link: Link) -> Verdict:
+        """The verdict on a hand-off whose last byte was not written, so that the server can't have run it."""
+        hand_off = link.hand_off
         if link.withdrawn:
             return Verdict.WITHDRAWN
-        if self.clock.now() >= ho.until >= ho.exchange.expiry:
-            return Verdict.MOOT  # the work item's time ran out first, which tells nothing of the server
+        if self.clock.now() >= hand_off.deadline >= hand_off.exchange.expiry:
+            return Verdict.MOOT  # The request expired first, which does not count against the server.
         return Verdict.UNREACHABLE
 
-    def _send(self, link: Link) -> None:
-        """Writes the job, as far as the system takes it at once; the link's task does the rest."""
-        ho = link.job
-        self.out[ho.exchange.id, ho.number] = link
-        link.until = self.clock.deadline(ho.until)
-        link.written = link.begun = False
-        flow = ho.exchange.flow
+    def _start_request(self, link: Link) -> None:
+        """Writes what the kernel accepts of the request at once; the connection's task writes the rest."""
+        hand_off = link.hand_off
+        self.out[hand_off.exchange.id, hand_off.number] = link
+        link.deadline = self.clock.deadline(hand_off.deadline)
+        link.request_written = link.response_begun = False
+        flow = hand_off.exchange.flow
         try:
-            link.written = link.connection.push(self._request(ho)) and flow is None
+            link.request_written = link.connection.push(self._encode_request(hand_off)) and flow is None
         except OSError:
-            link.broken = True
+            link.write_failed = True
         if flow is not None:
-            ho.exchange.timed = partial(self._timed, link, ho)
-        link.overtaken, link.told = 0, False
+            hand_off.exchange.on_expiry_set = partial(self._extend_deadline, link, hand_off)
+        link.overtaken_by, link.overtaken_reported = 0, False
         link.target.busy[link] = None
-        if link.written:
-            self.written(ho)
-            link.scope.deadline = link.until
+        if link.request_written:
+            self.on_written(hand_off)
+            link.scope.deadline = link.deadline
         else:
             link.scope.cancel()
 
-    def _timed(self, link: Link, ho: HandOff) -> None:
-        """The last byte of a long request has come, which starts its time."""
-        if link.job is ho:
-            ho.until = ho.exchange.expiry
-            link.until = link.scope.deadline = self.clock.deadline(ho.until)
-
-    async def _upload(self, link: Link) -> None:
-        """Writes a long request as it comes, until it is written whole or its outcome is known."""
-        ho, connection = link.job, link.connection
-        flow, spent, early = ho.exchange.flow, False, False
-        chunked, stalled = ho.exchange.length is None, trio.current_time() + SILENT_BODY
-        with trio.CancelScope(deadline=link.until) as link.scope:
+    def _extend_deadline(self, link: Link, hand_off: HandOff) -> None:
+        """Takes over the expiry that is set once the last byte of a long request is received."""
+        if link.hand_off is hand_off:
+            hand_off.deadline = hand_off.exchange.expiry
+            link.deadline = link.scope.deadline = self.clock.deadline(hand_off.deadline)
+
+    async def _stream_request(self, link: Link) -> None:
+        """Writes a long request as its body arrives, until it is complete or its outcome is known."""
+        hand_off, connection = link.hand_off, link.connection
+        flow, consumed, early = hand_off.exchange.flow, False, False
+        chunked, stalls_at = hand_off.exchange.length is None, trio.current_time() + BODY_STALL_SECONDS
+        with trio.CancelScope(deadline=link.deadline) as link.scope:
             try:
-                while not (link.broken or link.withdrawn or link.written or early or flow.aborted or flow.cancelled):
+                while not (
+                    link.write_failed
+                    or link.withdrawn
+                    or link.request_written
+                    or early
+                    or flow.aborted
+                    or flow.cancelled
+                ):
                     if connection.sending():
-                        with trio.move_on_at(stalled):
+                        with trio.move_on_at(stalls_at):
                             await connection.stream.wait_writable()
-                        link.broken = trio.current_time() >= stalled
+                        link.write_failed = trio.current_time() >= stalls_at
                         connection.pump()
                     elif flow.pieces:
-                        if not spent:
-                            spent = True
-                            self.spent(ho)
+                        if not consumed:
+                            consumed = True
+                            self.on_body_consumed(hand_off)
                         connection.push(framed(flow.pop(), chunked))
-                        stalled = trio.current_time() + SILENT_BODY
+                        stalls_at = trio.current_time() + BODY_STALL_SECONDS
                     elif not flow.ended:
-                        with trio.move_on_after(EARLY):
+                        with trio.move_on_after(EARLY_RESPONSE_POLL_SECONDS):
                             await flow.wait_until_readable()
                         early = connection.stream.readable()
                     elif chunked:
                         chunked = False
                         connection.push(LAST_CHUNK)
                     else:
-                        link.written = True
+                        link.request_written = True
             except OSError:
-                link.broken = True
+                link.write_failed = True
         if link.withdrawn:
             self._finish(link, Verdict.WITHDRAWN)
-        elif link.written:
-            self.written(ho)
-            link.until = self.clock.deadline(ho.until)
-        elif flow.aborted or flow.cancelled:  # nobody waits for it, which tells nothing of the server
+        elif link.request_written:
+            self.on_written(hand_off)
+            link.deadline = self.clock.deadline(hand_off.deadline)
+        elif flow.aborted or flow.cancelled:  # The client side ended it, which does not count against the server.
             self._finish(link, Verdict.MOOT)
         elif early:
-            self._read_on(link)
-        elif link.broken or link.scope.cancelled_caught:
-            self._finish(link, self._unwritten(link))
+            self._continue_read(link)
+        elif link.write_failed or link.scope.cancelled_caught:
+            self._finish(link, self._verdict_if_unwritten(link))
 
-    async def _pass_on(self, link: Link) -> None:
-        """Reads a long answer as fast as it is passed on, to its end."""
-        connection, flow = link.connection, link.flow
+    async def _stream_response(self, link: Link) -> None:
+        """Reads a long response to its end, as fast as the client side consumes it."""
+        connection, flow = link.connection, link.response_flow
         try:
             while connection.flow is flow and connection.error is None and not flow.cancelled:
                 if flow.is_full():
                     await flow.wait_until_writable()
                     continue
-                with trio.move_on_after(SILENT_BODY) as scope:
+                with trio.move_on_after(BODY_STALL_SECONDS) as scope:
                     await connection.stream.wait_readable()
                 if scope.cancelled_caught or not connection.read_body():
                     break
         except OSError:
             pass
         finally:
-            link.flow = None
+            link.response_flow = None
             if not flow.ended:
                 if not flow.cancelled:
-                    at = "{}:{}".format(*link.target.address)
-                    logger.info("{} broke off a long answer after {} bytes", at, flow.size)
+                    address = "{}:{}".format(*link.target.address)
+                    logger.info("event=response_incomplete server={} received_bytes={}", address, flow.size)
                 flow.abort()
-        if flow.ended and not flow.cancelled and self._reusable(link, link.message):
-            self._keep(link)
+        if flow.ended and not flow.cancelled and self._is_reusable(link, link.response_head):
+            self._return_to_pool(link)
         else:
-            self._end(link)
-
-    async def _turn(self, link: Link) -> None:
-        """Waits for the next thing to happen on a connection that is up, and takes it in."""
-        stream, writes = link.connection.stream, link.job is not None and not link.written
-        with trio.CancelScope(deadline=link.until) as link.scope:
-            if not link.broken and not link.withdrawn:
-                await (stream.wait_writable() if writes else stream.wait_readable())
-        if link.job is None:  # the server ended it, sent what nobody asked for, or it stood idle long enough
-            if not link.ended and not (link.scope.cancelled_caught and trio.current_time() < link.until):
-                self._end(link)
+            self._close(link)
+
+    async def _step(self, link: Link) -> None:
+        """Waits for the next event on an established connection and handles it."""
+        stream, writing = link.connection.stream, link.hand_off is not None and not link.request_written
+        with trio.CancelScope(deadline=link.deadline) as link.scope:
+            if not link.write_failed and not link.withdrawn:
+                await (stream.wait_writable() if writing else stream.wait_readable())
+        if link.hand_off is None:  # The server closed it or sent unrequested bytes, or the idle timeout is over.
+            if not link.closed and not (link.scope.cancelled_caught and trio.current_time() < link.deadline):
+                self._close(link)
         elif link.withdrawn:
             self._finish(link, Verdict.WITHDRAWN)
-        elif not link.written:
-            self._write_on(link)
+        elif not link.request_written:
+            self._continue_write(link)
         elif link.scope.cancelled_caught and not link.connection.stream.readable():
-            if trio.current_time() >= link.until:  # an answer that stops halfway is spoilt
-                if link.begun:
-                    logger.info("{} spoilt an answer: it stopped halfway", link.job.server)
-                self._finish(link, Verdict.ERROR if link.begun else Verdict.TIMED_OUT)
+            if trio.current_time() >= link.deadline:  # A response that stalls halfway counts as malformed.
+                if link.response_begun:
+                    logger.info("event=response_malformed server={} error=stalled", link.hand_off.server)
+                self._finish(link, Verdict.ERROR if link.response_begun else Verdict.TIMED_OUT)
         else:
-            self._read_on(link)
+            self._continue_read(link)
 
-    def _write_on(self, link: Link) -> None:
+    def _continue_write(self, link: Link) -> None:
         try:
-            link.written = not link.broken and link.connection.pump()
+            link.request_written = not link.write_failed and link.connection.pump()
         except OSError:
-            link.broken = True
-        if link.written:
-            self.written(link.job)
-        if link.broken or (not link.written and trio.current_time() >= link.until):
-            self._finish(link, self._unwritten(link))
+            link.write_failed = True
+        if link.request_written:
+            self.on_written(link.hand_off)
+        if link.write_failed or (not link.request_written and trio.current_time() >= link.deadline):
+            self._finish(link, self._verdict_if_unwritten(link))
 
-    def _read_on(self, link: Link) -> None:
+    def _continue_read(self, link: Link) -> None:
         try:
-            message, going = link.connection.read_on()
+            message, open_for_more = link.connection.read_on()
         except OSError:
             self._finish(link, Verdict.RESET)
-        except MalformedMessage as error:  # it ran, and the server is there
-            logger.info("{} spoilt an answer: {}", link.job.server, error)
+        except MalformedMessage as error:  # The server is reachable and may have run the request.
+            logger.info("event=response_malformed server={} error={!r}", link.hand_off.server, error)
             self._finish(link, Verdict.ERROR)
         else:
             if message is not None and message.flow is not None:
-                self._begin(link, message)
+                self._begin_long_response(link, message)
             elif message is not None:
                 self._finish(link, verdict_of(message), message)
-            elif not going:
+            elif not open_for_more:
                 self._finish(link, Verdict.RESET)
             else:
-                link.begun = True
-                stalled = trio.current_time() + self.stall_for
-                link.until = min(self.clock.deadline(link.job.until), stalled)
-
-    def _begin(self, link: Link, message: Message) -> None:
-        """A long answer has begun: with its first bytes it counts as given, and the choice is over."""
-        ho, link.job = link.job, None
-        link.flow, link.message = message.flow, message
-        del self.out[ho.exchange.id, ho.number]
+                link.response_begun = True
+                stalls_at = trio.current_time() + self.stall_timeout
+                link.deadline = min(self.clock.deadline(link.hand_off.deadline), stalls_at)
+
+    def _begin_long_response(self, link: Link, message: Message) -> None:
+        """Reports the result at the start of a long response, after which no other server is tried."""
+        hand_off, link.hand_off = link.hand_off, None
+        link.response_flow, link.response_head = message.flow, message
+        del self.out[hand_off.exchange.id, hand_off.number]
         link.target.busy.pop(link, None)
         remark = REMARKS.get(dict(message.fields).get(b"x-found"))
-        if ho.exchange.ended:
+        if hand_off.exchange.ended:
             message.flow.cancel()
         reply = Reply(message.status, message.body, message.end_to_end(), flow=message.flow, length=message.length)
-        self.done(ho, verdict_of(message), remark, reply)
-        self._overtake(link.target, ho)
-
-    def _reusable(self, link: Link, message: Message | None) -> bool:
-        """Whether a connection may carry another hand-off: only after a whole answer with nothing behind."""
-        return message is not None and message.keep and link.written and link.connection.clean() and link.target.kept
-
-    def _keep(self, link: Link) -> None:
-        link.since = trio.current_time()
-        link.until = link.since + self.idle_for
+        self.on_result(hand_off, verdict_of(message), remark, reply)
+        self._count_overtaken(link.target, hand_off)
+
+    def _is_reusable(self, link: Link, message: Message | None) -> bool:
+        """Whether a connection may carry another hand-off: only after a complete response with nothing behind it."""
+        return (
+            message is not None
+            and message.keep
+            and link.request_written
+            and link.connection.clean()
+            and link.target.reusable
+        )
+
+    def _return_to_pool(self, link: Link) -> None:
+        link.idle_since = trio.current_time()
+        link.deadline = link.idle_since + self.idle_timeout
         link.target.idle.append(link)
         link.connection.release()
 
     def _finish(self, link: Link, verdict: Verdict, message: Message | None = None) -> None:
-        """Tells the outcome."""
-        ho, link.job = link.job, None
-        del self.out[ho.exchange.id, ho.number]
+        """Ends the hand-off in progress and reports its result."""
+        hand_off, link.hand_off = link.hand_off, None
+        del self.out[hand_off.exchange.id, hand_off.number]
         link.target.busy.pop(link, None)
-        ho.exchange.timed = nothing
+        hand_off.exchange.on_expiry_set = no_op
         remark = reply = None
-        if self._reusable(link, message):
-            self._keep(link)  # first back to the pool: what ``done`` sets off may use it
+        if self._is_reusable(link, message):
+            self._return_to_pool(link)  # first, since ``on_result`` may start the next hand-off on it
         else:
-            self._end(link)
+            self._close(link)
         if message is not None:
             remark = REMARKS.get(dict(message.fields).get(b"x-found"))
             reply = Reply(message.status, message.body, message.end_to_end())
-        self.done(ho, verdict, remark, reply)
+        self.on_result(hand_off, verdict, remark, reply)
         if message is not None:
-            self._overtake(link.target, ho)
+            self._count_overtaken(link.target, hand_off)
+
+    def _count_overtaken(self, target: Target, hand_off: HandOff) -> None:
+        """Counts the end of a hand-off against earlier ones to the server that have no response yet.
 
-    def _overtake(self, target: Target, ho: HandOff) -> None:
-        """Tells of hand-offs that many later ones have overtaken, after what is long for that server."""
+        One that ``OVERTAKEN_LIMIT`` later ones have overtaken and that is slow for this server is reported once.
+        """
         now = self.clock.now()
-        target.usual += GAIN * (now - ho.at - target.usual)
-        long_ago = now - max(2 * self.stall_for, LONG * target.usual)
+        target.mean_latency += MEAN_LATENCY_GAIN * (now - hand_off.started_at - target.mean_latency)
+        slow_before = now - max(2 * self.stall_timeout, SLOW_FACTOR * target.mean_latency)
         for link in [*target.busy]:
-            if link.job.at < ho.at and not link.begun:
-                link.overtaken += 1
-                if link.overtaken >= OVERTAKEN and link.job.at < long_ago and not link.told:
-                    link.told = True
-                    self.silent(link.job)
-
-    def _end(self, link: Link) -> None:
-        """Closes a connection now: its descriptor may be wanted in the same turn of the loop."""
-        if not link.ended:
-            link.ended = True
+            if link.hand_off.started_at < hand_off.started_at and not link.response_begun:
+                link.overtaken_by += 1
+                if (
+                    link.overtaken_by >= OVERTAKEN_LIMIT
+                    and link.hand_off.started_at < slow_before
+                    and not link.overtaken_reported
+                ):
+                    link.overtaken_reported = True
+                    self.on_overtaken(link.hand_off)
+
+    def _close(self, link: Link) -> None:
+        """Closes a connection at once: another may need its descriptor in the same turn of the event loop."""
+        if not link.closed:
+            link.closed = True
             if link in link.target.idle:
                 link.target.idle.remove(link)
             link.connection.close()
             self.budget.release_server()
 
-    def _request(self, ho: HandOff) -> bytes:
-        exchange = ho.exchange
-        left = max(1, int((ho.until - self.clock.now()) * 1000))
+    def _encode_request(self, hand_off: HandOff) -> bytes:
+        """The head of a request, and what is already there of its body."""
+        exchange = hand_off.exchange
+        remaining_ms = max(1, int((hand_off.deadline - self.clock.now()) * 1000))
         lines = [b"%s %s HTTP/1.1" % (exchange.method, exchange.target)]
         lines += [b"%s: %s" % field for field in exchange.headers]
-        lines.append(b"x-remaining-ms: %d" % left)
+        lines.append(b"x-remaining-ms: %d" % remaining_ms)
         if exchange.body or exchange.write:
             if exchange.flow is None:
                 lines.append(b"content-length: %d" % len(exchange.body))
--- a/rowanshift/cacheproxy/service.py
+++ b/rowanshift/cacheproxy/service.py
@@ -1,4 +1,4 @@
-"""The router as a service: its phases from start to exit."""
+"""The router as a service: its phases from start to exit, its signals, and the commands of its control port."""
 
 import random
 import signal
@@ -9,16 +9,16 @@
 import trio
 from loguru import logger
 
-from rowanshift.cacheproxy.clients import BACKLOG, Clients
+from rowanshift.cacheproxy.clients import LISTEN_BACKLOG, Clients
 from rowanshift.cacheproxy.clock import Clock
-from rowanshift.cacheproxy.config import Config, ConfigError, changed, load
-from rowanshift.cacheproxy.control import BACKLOG as CALLS
-from rowanshift.cacheproxy.control import CALLERS, Control, Refused
+from rowanshift.cacheproxy.config import Config, ConfigError, fields_needing_restart, load
+from rowanshift.cacheproxy.control import LISTEN_BACKLOG as CONTROL_BACKLOG
+from rowanshift.cacheproxy.control import MAX_CALLERS, CommandRefused, ControlPort
 from rowanshift.cacheproxy.discovery import Discovery
 from rowanshift.cacheproxy.driver import Driver
-from rowanshift.cacheproxy.figures import Figures
+from rowanshift.cacheproxy.figures import Metrics
 from rowanshift.cacheproxy.handover import Handover, Inherited
-from rowanshift.cacheproxy.membership import MOST_OUT, Membership
+from rowanshift.cacheproxy.membership import MAX_DISABLED, Membership
 from rowanshift.cacheproxy.peers import Peers
 from rowanshift.cacheproxy.servers import Servers
 from rowanshift.transport.descriptor_budget import DescriptorBudget
@@ -27,37 +27,42 @@
 from rowanshift.transport.signals import ReceivedSignal
 from rowanshift.transport.streams import Listener, Port
 
-STALL = 0.25  # of the due time, that an answer may stand still halfway
-BEAT, STOOD_STILL = 0.5, 0.4  # seconds; the latter is told of
-ACCEPT_FOR = 0.5  # after SIGTERM: connections go on coming for a while
+STALL_FRACTION = 0.25  # A response may stall halfway for this part of the shortest due time.
+LOOP_CHECK_SECONDS, LOOP_DELAY_WARNING_SECONDS = 0.5, 0.4
+ACCEPT_AFTER_SIGTERM_SECONDS = 0.5  # Clients learn only after a while that the router shuts down.
 
 
 class Phase(Enum):
+    """The phases of a router."""
+
     STARTING = "starting"
     SERVING = "serving"
-    RELOADING = "reloading"  # serves on, while the file of the configuration is read again
-    DRAINED = "drained"  # not ready, and empty soon; serves what still comes, until it is called back
-    LEAVING = "leaving"  # accepts, but closes each connection with its answer
-    FINISHING = "finishing"  # accepts no more, and ends what it has taken
+    RELOADING = "reloading"  # It serves while it reads the configuration file again.
+    DRAINED = "drained"  # It is not ready and closes idle connections, but serves new requests.
+    LEAVING = "leaving"  # It accepts connections, and closes each with its reply.
+    FINISHING = "finishing"  # It accepts no connections, and completes the requests in progress.
     STOPPED = "stopped"
 
 
 class Service:
-    def __init__(self, config: Config, path: Path | None = None, host: Runtime = SYSTEM_RUNTIME) -> None:
-        self.config, self.path = config, path  # where it was read from
-        self.host = host
+    """One process of a router. ``path`` is the file that ``config`` was read from."""
+
+    def __init__(self, config: Config, path: Path | None = None, runtime: Runtime = SYSTEM_RUNTIME) -> None:
+        self.config, self.path = config, path
+        self.runtime = runtime
         self.phase = Phase.STARTING
         self.shutdown_requested = trio.Event()
-        self.handover = Handover(host, config.listen)
+        self.handover = Handover(runtime, config.listen)
         self.listener: Listener | None = None
         self.peers: Peers | None = None
 
     def enter(self, phase: Phase) -> None:
+        """Changes the phase."""
         self.phase = phase
-        logger.info("{} {}", self.config.name, phase.value)
+        logger.info("event=phase_entered router={} phase={}", self.config.name, phase.value)
 
     async def _on_signals(self, signals: AsyncIterator[ReceivedSignal], discovery: Discovery) -> None:
-        """Takes signals for as long as the process lives, so that one that comes late ends nothing."""
+        """Handles signals until the process ends, so that the default action of a late one can't end it."""
         async for received in signals:
             if received.number != signal.SIGHUP:
                 self.shutdown_requested.set()
@@ -67,16 +72,16 @@
                 self._reload(discovery)
                 self.enter(phase)
 
-    # calls on the second address --------------------------
+    # commands of the control port
 
     def _ready(self) -> str:
         if self.phase is not Phase.SERVING:
-            raise Refused(self.phase.value)
+            raise CommandRefused(self.phase.value)
         return "SUCCESS\n"
 
     def _drain(self) -> str:
         if self.phase not in (Phase.SERVING, Phase.DRAINED):
-            raise Refused(self.phase.value)
+            raise CommandRefused(self.phase.value)
         if self.phase is Phase.SERVING:
             self.clients.drain()
             self.enter(Phase.DRAINED)
@@ -84,70 +89,73 @@
 
     def _undrain(self) -> str:
         if self.phase not in (Phase.SERVING, Phase.DRAINED):
-            raise Refused(self.phase.value)
+            raise CommandRefused(self.phase.value)
         if self.phase is Phase.DRAINED:
             self.clients.undrain()
             self.enter(Phase.SERVING)
         return "SUCCESS\n"
 
-    def _call_out(self, server: str) -> str:
-        if not self.members.known(server):
-            raise Refused(f"unknown cache server {server[:64]!r}")
-        if self.members.call_out(server):
-            logger.info("{} is out by hand, {} in all", server, len(self.members.out))
-            self.handover.call(server, True)
-        elif server not in self.members.out:
-            raise Refused(f"{MOST_OUT} cache servers are out already")
+    def _disable(self, server: str) -> str:
+        if not self.members.is_known(server):
+            raise CommandRefused(f"unknown cache server {server[:64]!r}")
+        if self.members.disable(server):
+            logger.info("event=server_disabled server={} disabled_servers={}", server, len(self.members.disabled))
+            self.handover.record_command(server, True)
+        elif server not in self.members.disabled:
+            raise CommandRefused(f"{MAX_DISABLED} cache servers are out already")
         return "SUCCESS\n"
 
-    def _call_back(self, server: str) -> str:
-        if not self.members.known(server):
-            raise Refused(f"unknown cache server {server[:64]!r}")
-        if self.members.call_back(server, self.driver.clock.now()):
-            logger.info("{} is back by hand, taken for just started", server)
-            self.handover.call(server, False)
+    def _enable(self, server: str) -> str:
+        if not self.members.is_known(server):
+            raise CommandRefused(f"unknown cache server {server[:64]!r}")
+        if self.members.enable(server, self.driver.clock.now()):
+            logger.info("event=server_enabled server={}", server)
+            self.handover.record_command(server, False)
         return "SUCCESS\n"
 
-    def _control(self) -> Control:
-        return Control(
+    def _control_port(self) -> ControlPort:
+        return ControlPort(
             {
                 "READY": ((), self._ready),
-                "STATS": ((), lambda: self.figures.text() + "EOT\n"),
-                "DISABLE": (("ID",), self._call_out),
-                "ENABLE": (("ID",), self._call_back),
+                "STATS": ((), lambda: self.metrics.render() + "EOT\n"),
+                "DISABLE": (("ID",), self._disable),
+                "ENABLE": (("ID",), self._enable),
                 "DRAIN": ((), self._drain),
                 "UNDRAIN": ((), self._undrain),
             }
         )
 
-    # ------------------------------------------------------
+    # start, reload and end
 
     def _reload(self, discovery: Discovery) -> None:
-        """Moves the watch of the list to where the file says; what else changed waits for a restart."""
+        """Moves the watch of the list to the agent that the file names; other changes need a restart."""
         if self.path is None:
             return
         try:
             config = load(self.path)
         except ConfigError as error:
-            logger.warning("the configuration stays as it was: {}", error)
+            logger.warning("event=reload_failed error={!r}", error)
             return
-        if waiting := changed(self.config, config):
-            logger.warning("changed, but taken up only by a restart: {}", ", ".join(waiting))
-        logger.info("the list is watched at {}:{} from now on", *config.discovery)
-        discovery.move(config.discovery)
+        if not_applied := fields_needing_restart(self.config, config):
+            logger.warning("event=restart_needed changed={!r}", ", ".join(not_applied))
+        logger.info("event=discovery_agent_changed address={}:{}", *config.discovery)
+        discovery.switch_agent(config.discovery)
 
     async def run(self) -> None:
-        config, host = self.config, self.host
-        with host.signals() as signals:
-            async with host.nursery() as nursery:
-                clock, memory = Clock(host), MemoryBudget(config.memory_mb)
-                budget = DescriptorBudget(host.descriptors(config.sockets), CALLERS if config.control else 0)
-                figures = Figures([name.decode("latin-1") for name in config.names.categories])
-                self.memory, self.budget, self.figures = memory, budget, figures
-                stall_for = min(config.dial_within, STALL * min(c.due for c in config.settings.categories))
-                servers = Servers(clock, config.dial_within, config.idle_for, stall_for, budget, memory, nursery, host)
+        """Serves until a signal or ``shutdown_requested`` ends it."""
+        config, runtime = self.config, self.runtime
+        with runtime.signals() as signals:
+            async with runtime.nursery() as nursery:
+                clock, memory = Clock(runtime), MemoryBudget(config.memory_mb)
+                budget = DescriptorBudget(runtime.descriptors(config.sockets), MAX_CALLERS if config.control else 0)
+                metrics = Metrics([name.decode("latin-1") for name in config.names.categories])
+                self.memory, self.budget, self.metrics = memory, budget, metrics
+                stall_timeout = min(config.dial_within, STALL_FRACTION * min(c.due for c in config.settings.categories))
+                servers = Servers(
+                    clock, config.dial_within, config.idle_for, stall_timeout, budget, memory, nursery, runtime
+                )
                 driver = Driver(config.settings, config.seed, clock, servers)
-                clients = Clients(config.names, driver, clock, budget, memory, figures)
+                clients = Clients(config.names, driver, clock, budget, memory, metrics)
                 members = self.members = Membership(servers, driver.list_changed)
                 discovery = Discovery(
                     config.discovery,
@@ -156,27 +164,27 @@
                     random.Random(config.seed),
                     members,
                     driver.list_changed,
-                    host,
+                    runtime,
                 )
                 self.servers, self.driver, self.clients, self.discovery = servers, driver, clients, discovery
                 driver.subscribe = discovery.subscribe
-                figures.servers = lambda: driver.router.seen(clock.now())
-                servers.written = figures.handed_off
-                discovery.learn(config.known, "cached")
-                if config.control:  # opened first, closed last
-                    calls = host.listen(config.control, CALLS)
-                    nursery.start_soon(self._control().serve, calls, nursery)
+                metrics.server_counts = lambda: driver.router.seen(clock.now())
+                servers.on_written = metrics.count_attempt
+                discovery.apply_update(config.known, "cached")
+                if config.control:  # The control port opens first and closes last.
+                    control_listener = runtime.listen(config.control, CONTROL_BACKLOG)
+                    nursery.start_soon(self._control_port().serve, control_listener, nursery)
                 nursery.start_soon(self._on_signals, signals, discovery)
-                nursery.start_soon(driver.keep_waking)
-                nursery.start_soon(self._watch_the_loop)
+                nursery.start_soon(driver.run_wake_timer)
+                nursery.start_soon(self._watch_event_loop)
                 nursery.start_soon(discovery.run)
-                await discovery.first_list()
-                inherited = await self._take_over()
-                self._meet_peers(nursery, driver, inherited.port)
-                self.listener = inherited.listener or host.listen(config.listen, BACKLOG, shared=True)
-                accepting = trio.CancelScope()
-                nursery.start_soon(self._accept, accepting, clients, self.listener)
-                host.settled()
+                await discovery.wait_for_first_list()
+                inherited = await self._inherit()
+                self._start_peers(nursery, driver, inherited.port)
+                self.listener = inherited.listener or runtime.listen(config.listen, LISTEN_BACKLOG, shared=True)
+                accept_scope = trio.CancelScope()
+                nursery.start_soon(self._accept, accept_scope, clients, self.listener)
+                runtime.settled()
 
                 clients.ready = True
                 self.enter(Phase.SERVING)
@@ -185,88 +193,90 @@
 
                 self.enter(Phase.LEAVING)
                 clients.ready, clients.leaving = False, True
-                if self.handover.replaced():  # it takes what comes, from the same queue
-                    accepting.cancel()
-                await trio.sleep(ACCEPT_FOR)
+                if self.handover.is_replaced():  # The new process accepts from the same queue.
+                    accept_scope.cancel()
+                await trio.sleep(ACCEPT_AFTER_SIGTERM_SECONDS)
 
                 self.enter(Phase.FINISHING)
-                accepting.cancel()
+                accept_scope.cancel()
                 await trio.lowlevel.checkpoint()
                 await self._finish(clients, nursery)
 
                 self.enter(Phase.STOPPED)
                 nursery.cancel_scope.cancel()
 
-    async def _watch_the_loop(self) -> None:
-        """Says when the whole process stood still, and how much of that time it was computing: little tells
-        of a machine that did not let it run."""
+    async def _watch_event_loop(self) -> None:
+        """Logs delays of the event loop, and the CPU time within them: little CPU time in a long delay means that the
+        machine did not run the process."""
         while True:
-            at, cpu = trio.current_time(), self.host.cpu()
-            await self.host.pause(BEAT)
-            if (late := trio.current_time() - at - BEAT) > STOOD_STILL:
-                spent = self.host.cpu() - cpu
-                logger.warning("stood still for {:.2f} s, of which {:.2f} s computing", late, spent)
-
-    async def _accept(self, accepting: trio.CancelScope, clients: Clients, listener: Listener) -> None:
-        async with self.host.nursery() as nursery:
-            with accepting:
+            started_at, cpu = trio.current_time(), self.runtime.cpu()
+            await self.runtime.pause(LOOP_CHECK_SECONDS)
+            if (delay := trio.current_time() - started_at - LOOP_CHECK_SECONDS) > LOOP_DELAY_WARNING_SECONDS:
+                cpu_seconds = self.runtime.cpu() - cpu
+                logger.warning("event=event_loop_delayed seconds={:.2f} cpu_s={:.2f}", delay, cpu_seconds)
+
+    async def _accept(self, accept_scope: trio.CancelScope, clients: Clients, listener: Listener) -> None:
+        async with self.runtime.nursery() as nursery:
+            with accept_scope:
                 await clients.accept(listener, nursery)
 
     async def _finish(self, clients: Clients, nursery: Nursery) -> None:
-        """Takes what the kernel has accepted, unless another process will, closes the listener and what is
-        idle, and ends the rest."""
-        if not self.handover.replaced():
+        """Closes the listener and idle connections, and waits for the requests in progress.
+
+        Unless a newer process takes them, the connections that the kernel has queued are accepted first.
+        """
+        if not self.handover.is_replaced():
             with trio.move_on_after(0.02):
                 await clients.accept(self.listener, nursery)
         self.listener, listener = None, self.listener
         listener.close()
-        clients.leave()
-        with trio.move_on_after(self.config.longest + 0.1):  # SIGKILL may come soon after
+        clients.finish()
+        with trio.move_on_after(self.config.longest + 0.1):  # SIGKILL may follow soon after.
             while clients.budget.clients > 0:
                 await trio.sleep(0.01)
 
-    async def _take_over(self) -> Inherited:
-        """Meets the process that serves, if there is one, and takes up what is out by hand."""
+    async def _inherit(self) -> Inherited:
+        """Receives what the serving process passes on, if there is one, and applies the disabled servers."""
         handover, members = self.handover, self.members
-        handover.passed_on = lambda: {
-            name: thing
-            for name, thing in (("listener", self.listener), ("port", self.peers and self.peers.port))
-            if thing is not None
+        handover.sockets_to_pass = lambda: {
+            name: sock
+            for name, sock in (("listener", self.listener), ("port", self.peers and self.peers.port))
+            if sock is not None
         }
-        handover.out = lambda: members.out
+        handover.disabled_servers = lambda: members.disabled
         handover.learned = self.driver.router.learned
-        handover.called, handover.changed = self._called_elsewhere, self._fellows_changed
-        inherited = await handover.meet()
+        handover.on_remote_command, handover.on_links_changed = self._on_remote_command, self._on_links_changed
+        inherited = await handover.inherit()
         if inherited.learned is not None:
-            self.driver.take_up(inherited.learned)
-        early = sorted(members.out)
-        for server in inherited.out if inherited.out is not None else handover.written():
-            members.call_out(server)
-        for server in early:  # called here before the fellow was met
-            handover.call(server, True)
+            self.driver.restore_learned(inherited.learned)
+        disabled_before = sorted(members.disabled)
+        for server in inherited.disabled if inherited.disabled is not None else handover.read_disabled():
+            members.disable(server)
+        for server in disabled_before:  # These were disabled at this process's control port before the link existed.
+            handover.record_command(server, True)
         return inherited
 
-    def _called_elsewhere(self, server: str, out: bool) -> None:
-        """A call that came to a fellow binds here as well."""
-        if out:
-            self.members.call_out(server)
+    def _on_remote_command(self, server: str, disable: bool) -> None:
+        """Applies a command that an operator gave to another process of this router."""
+        if disable:
+            self.members.disable(server)
         else:
-            self.members.call_back(server, self.driver.clock.now())
-        self.handover.write()
+            self.members.enable(server, self.driver.clock.now())
+        self.handover.write_disabled()
 
-    def _fellows_changed(self) -> None:
-        """Processes that live share the limits; the newest that serves hears the peers."""
-        self.budget.divide(self.handover.processes())
-        self.memory.divide(self.handover.processes())
+    def _on_links_changed(self) -> None:
+        """Divides the limits among the processes; only the newest serving one receives messages of peers."""
+        self.budget.divide(self.handover.process_count())
+        self.memory.divide(self.handover.process_count())
         if self.peers is not None:
-            self.peers.hear(not self.handover.replaced())
+            self.peers.set_receiving(not self.handover.is_replaced())
 
-    def _meet_peers(self, nursery: Nursery, driver: Driver, port: Port | None) -> None:
+    def _start_peers(self, nursery: Nursery, driver: Driver, port: Port | None) -> None:
         config = self.config
         if config.peer_listen is None:
             return
-        port = port or self.host.port(config.peer_listen)
-        peers = self.peers = Peers(port, config.peers, config.peers_all, driver.heard)
-        driver.tell = peers.tell
-        nursery.start_soon(peers.send)
-        nursery.start_soon(peers.listen)
+        port = port or self.runtime.port(config.peer_listen)
+        peers = self.peers = Peers(port, config.peers, config.peers_all, driver.on_peer_message)
+        driver.send_to_peers = peers.enqueue
+        nursery.start_soon(peers.run_sender)
+        nursery.start_soon(peers.run_receiver)
--- a/tests/cacheproxy/test_bodies.py
+++ b/tests/cacheproxy/test_bodies.py
@@ -1,4 +1,4 @@
-"""Long bodies both ways, in all forms of HTTP/1.1 and in pieces of any size."""
+"""Long request and response bodies, in all framings of HTTP/1.1 and split into pieces of any size."""
 
 import socket
 from functools import partial
@@ -16,40 +16,40 @@
 from rowanshift.transport.flow import HIGH_WATER_BYTES, Flow
 from rowanshift.transport.http_connection import WHOLE, Connection, MalformedMessage
 from rowanshift.transport.memory_budget import MemoryBudget
-from tests.cacheproxy.test_network import FIELDS, Deciding, clients_of, pair
+from tests.cacheproxy.test_network import FIELDS, StubDriver, clients_of, pair
 
 LONG = bytes(range(256)) * 1200  # over 64 KiB
 
 
-def chunked(body: bytes, size: int, extension: bytes = b"", trailers: bytes = b"") -> bytes:
+def encode_chunks(body: bytes, size: int, extension: bytes = b"", trailers: bytes = b"") -> bytes:
     parts = [body[at : at + size] for at in range(0, len(body), size)]
     return b"".join(b"%x%s\r\n%s\r\n" % (len(p), extension, p) for p in parts) + b"0\r\n" + trailers + b"\r\n"
 
 
 OK = b"HTTP/1.1 200 OK\r\n"
-FORMS = {
+FRAMINGS = {
     "length": OK + b"Content-Length: 300\r\n\r\n" + LONG[:300],
     "blanks": OK + b"content-length:  300 \t\r\n\r\n" + LONG[:300],
-    "chunked": OK + b"Transfer-Encoding: chunked\r\n\r\n" + chunked(LONG[:300], 100),
-    "extensions": OK + b"Transfer-Encoding: Chunked\r\n\r\n" + chunked(LONG[:300], 77, b';a=b;c="d"'),
-    "trailers": OK + b"Transfer-Encoding: chunked\r\n\r\n" + chunked(LONG[:300], 99, b"", b"X-T: 1\r\n"),
+    "chunked": OK + b"Transfer-Encoding: chunked\r\n\r\n" + encode_chunks(LONG[:300], 100),
+    "extensions": OK + b"Transfer-Encoding: Chunked\r\n\r\n" + encode_chunks(LONG[:300], 77, b';a=b;c="d"'),
+    "trailers": OK + b"Transfer-Encoding: chunked\r\n\r\n" + encode_chunks(LONG[:300], 99, b"", b"X-T: 1\r\n"),
     "close": OK + b"X: y\r\n\r\n" + LONG[:300],
     "old": b"HTTP/1.0 200 OK\r\n\r\n" + LONG[:300],
     "hints": b"HTTP/1.1 103 Hints\r\nLink: a\r\n\r\n" + OK + b"Content-Length: 300\r\n\r\n" + LONG[:300],
-    "one byte chunks": OK + b"Transfer-Encoding: chunked\r\n\r\n" + chunked(LONG[:300], 1),
+    "one byte chunks": OK + b"Transfer-Encoding: chunked\r\n\r\n" + encode_chunks(LONG[:300], 1),
     "204": b"HTTP/1.1 204 No Content\r\n\r\n",
     "304": b"HTTP/1.1 304 Not Modified\r\nContent-Length: 300\r\n\r\n",
 }
 
 
-def read(sent: bytes, size: int, parser=httptools.HttpResponseParser) -> tuple[bytes, bool]:
-    """What a connection makes of an answer in pieces, and then the end: its body, and if it is kept."""
-    ours, theirs = pair()
-    with ours, theirs:
-        connection = Connection(ours, parser, MemoryBudget(64), flows=True)
+def read_response(sent: bytes, size: int, parser=httptools.HttpResponseParser) -> tuple[bytes, bool]:
+    """The body of a response received in pieces and then the end of input, and whether the connection is kept."""
+    local, remote = pair()
+    with local, remote:
+        connection = Connection(local, parser, MemoryBudget(64), flows=True)
         for at in range(0, len(sent), size):
             connection._parse(sent[at : at + size])
-        theirs.shutdown(socket.SHUT_WR)
+        remote.shutdown(socket.SHUT_WR)
         message = connection.next()
         if message is None:
             message, _ = connection.read_on()
@@ -63,27 +63,27 @@
 
 
 @pytest.mark.parametrize("size", [1, 7, 10**9])
-@pytest.mark.parametrize("form", FORMS)
-def test_all_forms_of_an_answer_in_pieces_of_any_size(form, size):
-    body, keep = read(FORMS[form], size)
-    assert body == (b"" if form in ("204", "304") else LONG[:300])
-    assert keep == (form not in ("close", "old"))
+@pytest.mark.parametrize("framing", FRAMINGS)
+def test_all_framings_of_a_response_in_pieces_of_any_size(framing, size):
+    body, keep = read_response(FRAMINGS[framing], size)
+    assert body == (b"" if framing in ("204", "304") else LONG[:300])
+    assert keep == (framing not in ("close", "old"))
 
 
 @pytest.mark.parametrize("size", [1009, 10**9])
 @pytest.mark.parametrize("head", [b"Content-Length: %d\r\n" % len(LONG), b"Transfer-Encoding: chunked\r\n", b""])
-def test_a_long_answer_flows_in_all_forms(head, size):
-    sent = OK + head + b"\r\n" + (chunked(LONG, 5000) if b"chunked" in head else LONG)
-    assert read(sent, size) == (LONG, head != b"")
+def test_a_long_response_is_streamed_in_all_framings(head, size):
+    sent = OK + head + b"\r\n" + (encode_chunks(LONG, 5000) if b"chunked" in head else LONG)
+    assert read_response(sent, size) == (LONG, head != b"")
 
 
-# flows ------------------------------------------------------
+# flows
 
 
-def test_a_flow_holds_its_source_back_and_counts_what_it_holds():
+def test_a_flow_applies_backpressure_and_counts_its_memory():
     async def main():
         memory = MemoryBudget(96)
-        whole, flow, got = memory.available, Flow(memory), []
+        initial, flow, popped = memory.available, Flow(memory), []
 
         async def source():
             for _ in range(100):
@@ -99,15 +99,20 @@
             while not flow.is_drained():
                 await flow.wait_until_readable()
                 if flow.pieces:
-                    got.append(len(flow.pop()))
-        return peak, whole - memory.minimum_available, sum(got), memory.available == whole
+                    popped.append(len(flow.pop()))
+        return peak, initial - memory.minimum_available, sum(popped), memory.available == initial
 
-    peak, held, got, back = trio.run(main)
-    assert HIGH_WATER_BYTES <= peak <= HIGH_WATER_BYTES + 32 * 1024 and held == peak and got == 100 * 32 * 1024 and back
+    peak, held, popped, released = trio.run(main)
+    assert (
+        HIGH_WATER_BYTES <= peak <= HIGH_WATER_BYTES + 32 * 1024
+        and held == peak
+        and popped == 100 * 32 * 1024
+        and released
+    )
 
 
-def test_many_flows_together_stay_within_the_memory_for_bodies():
-    # guards against a router killed for memory by more long answers at once than it can hold
+def test_many_flows_stay_within_the_memory_for_bodies():
+    # Guards against running out of memory when more long responses are in progress than fit into it.
     async def main():
         memory = MemoryBudget(0)  # 4 MB
         flows = [Flow(memory) for _ in range(100)]
@@ -120,21 +125,21 @@
     assert trio.run(main) <= 0
 
 
-@pytest.mark.parametrize("how", ["cancel", "abort", "end"])
-def test_each_side_of_a_flow_hears_how_it_ended(how):
+@pytest.mark.parametrize("ending", ["cancel", "abort", "end"])
+def test_each_side_of_a_flow_learns_how_it_ended(ending):
     async def main():
         memory = MemoryBudget(96)
-        whole, flow = memory.available, Flow(memory)
+        initial, flow = memory.available, Flow(memory)
         flow.put(b"abc")
         async with trio.open_nursery() as nursery:
             nursery.start_soon(trio.sleep, 0)
-            getattr(flow, how)()
+            getattr(flow, ending)()
             with trio.fail_after(1):
                 await flow.wait_until_readable()
                 await flow.wait_until_writable()
-        if how == "cancel":
+        if ending == "cancel":
             flow.put(b"more")
-        return flow.ended, flow.aborted, flow.cancelled, [*flow.pieces], memory.available == whole
+        return flow.ended, flow.aborted, flow.cancelled, [*flow.pieces], memory.available == initial
 
     assert (
         trio.run(main)
@@ -142,83 +147,85 @@
             "cancel": (False, False, True, [], True),
             "abort": (False, True, False, [b"abc"], False),
             "end": (True, False, False, [b"abc"], False),
-        }[how]
+        }[ending]
     )
 
 
-# answers ----------------------------------------------------
+# responses
 
 
-class Passing:
-    """A client, a server and a router's two sides between them, without a module: each work item goes to the
-    server once."""
+class ProxyWithoutRouter:
+    """The proxy's client side and server side without a router: each request is handed off to one server once."""
 
     def __init__(self, nursery: trio.Nursery, memory: MemoryBudget | None = None) -> None:
         self.clock, self.memory = Clock(), memory or MemoryBudget(96)
         budget = DescriptorBudget(100)
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.servers = Servers(self.clock, 0.5, 60.0, 0.2, budget, self.memory, nursery)
-        self.servers.locate("s", self.listener.getsockname())
-        self.servers.done, self.servers.spent = self.done, lambda ho: self.told.append("spent")
+        self.servers.set_address("s", self.listener.getsockname())
+        self.servers.on_result, self.servers.on_body_consumed = (
+            self.on_result,
+            lambda hand_off: self.events.append("consumed"),
+        )
         names = clients_of(None).names
         self.clients = Clients(names, self, self.clock, budget, self.memory)
-        self.told, self.nursery, self.gone_ids = [], nursery, []
+        self.events, self.nursery, self.abandoned_ids = [], nursery, []
 
-    def take(self, exchange) -> None:
+    def submit(self, exchange) -> None:
         from rowanshift.cacheproxy.exchange import HandOff
 
         self.exchange = exchange
         self.servers.hand_off(HandOff(exchange, 0, "s", self.clock.now(), exchange.expiry))
 
-    def gone(self, exchange) -> None:
-        self.gone_ids.append(exchange.id)
+    def abandon(self, exchange) -> None:
+        self.abandoned_ids.append(exchange.id)
         exchange.end(None)
 
-    def done(self, ho, verdict, remark, reply) -> None:
-        self.told.append(verdict)
-        ho.exchange.end(reply if verdict is Verdict.FINISHED else Reply(502))
+    def on_result(self, hand_off, verdict, remark, reply) -> None:
+        self.events.append(verdict)
+        hand_off.exchange.end(reply if verdict is Verdict.FINISHED else Reply(502))
 
     async def connect(self) -> tuple[trio.SocketStream, "partial"]:
-        """A client's connection, and a call that gives the server's as it is accepted."""
-        ours, theirs = pair()
-        self.nursery.start_soon(self.clients.serve, ours)
-        theirs.settimeout(None)
+        """A client's connection, and a function that accepts and returns the server's."""
+        local, remote = pair()
+        self.nursery.start_soon(self.clients.serve, local)
+        remote.settimeout(None)
 
         async def accept() -> trio.SocketStream:
             sock = await trio.to_thread.run_sync(self.listener.accept)
             return trio.SocketStream(trio.socket.from_stdlib_socket(sock[0]))
 
-        return trio.SocketStream(trio.socket.from_stdlib_socket(theirs)), accept
+        return trio.SocketStream(trio.socket.from_stdlib_socket(remote)), accept
 
 
-def passing(script, memory: MemoryBudget | None = None):
+def run_proxy(script, memory: MemoryBudget | None = None):
     async def main():
         with trio.fail_after(20):
             async with trio.open_nursery() as nursery:
-                p = Passing(nursery, memory)
-                with p.listener:
-                    got = await script(p)
+                proxy = ProxyWithoutRouter(nursery, memory)
+                with proxy.listener:
+                    got = await script(proxy)
                 nursery.cancel_scope.cancel()
         return got
 
     return trio.run(main)
 
 
-def request(method: bytes = b"GET", *more: bytes, version: bytes = b"1.1", left: int = 900) -> bytes:
-    fields = FIELDS | {"X-Remaining-Ms": str(left)}
-    lines = [method + b" /read/k HTTP/" + version, *(f"{n}: {v}".encode() for n, v in fields.items()), *more]
+def request(method: bytes = b"GET", *extra_lines: bytes, version: bytes = b"1.1", remaining_ms: int = 900) -> bytes:
+    fields = FIELDS | {"X-Remaining-Ms": str(remaining_ms)}
+    lines = [method + b" /read/k HTTP/" + version, *(f"{n}: {v}".encode() for n, v in fields.items()), *extra_lines]
     return b"\r\n".join([*lines, b"", b""])
 
 
-async def until(stream: trio.SocketStream, end: bytes = b"", size: int = 10**9, got: bytes = b"") -> bytes:
-    """Reads until these bytes, or so many, or the end."""
-    while not (end and end in got) and len(got) < size and (piece := await stream.receive_some(65536)):
-        got += piece
-    return got
+async def read_until(stream: trio.SocketStream, end: bytes = b"", size: int = 10**9, received: bytes = b"") -> bytes:
+    """Reads until ``end`` has been received, or ``size`` bytes, or the end of input."""
+    while not (end and end in received) and len(received) < size and (piece := await stream.receive_some(65536)):
+        received += piece
+    return received
 
 
 def body_of(answer: bytes) -> tuple[bytes, bool]:
-    """The body of an answer to a client, and whether the client can tell that it is whole."""
+    """The body of a response to a client, and whether the client knows that it is complete."""
     head, _, rest = answer.partition(b"\r\n\r\n")
     if b"Content-Length" in head:
         return rest, len(rest) == int(head.split(b"Content-Length: ")[1].split(b"\r\n")[0])
@@ -234,137 +241,137 @@
 
 
 @pytest.mark.parametrize("version", [b"1.1", b"1.0"])
-@pytest.mark.parametrize("form", ["length", "chunked", "close"])
-def test_a_long_answer_goes_on_with_its_first_bytes_and_is_unchanged(form, version):
-    # guards against first bytes held back until the last has come
-    async def script(p):
-        client, accept = await p.connect()
+@pytest.mark.parametrize("framing", ["length", "chunked", "close"])
+def test_a_long_response_is_forwarded_from_its_first_bytes_unchanged(framing, version):
+    # Guards against holding back the first bytes of a response until the last has arrived.
+    async def script(proxy):
+        client, accept = await proxy.connect()
         await client.send_all(request(version=version))
         server = await accept()
-        await until(server, b"\r\n\r\n")
+        await read_until(server, b"\r\n\r\n")
         head = {
             "length": b"Content-Length: %d\r\n" % len(LONG),
             "chunked": b"Transfer-Encoding: chunked\r\n",
             "close": b"",
-        }[form]
-        sent = OK + head + b"\r\n" + (chunked(LONG, 9000) if form == "chunked" else LONG)
+        }[framing]
+        sent = OK + head + b"\r\n" + (encode_chunks(LONG, 9000) if framing == "chunked" else LONG)
         first = len(sent) // 2
         await server.send_all(sent[:first])
         with trio.fail_after(2):
-            got = await until(client, size=first // 2)
-        early = list(p.told)
+            got = await read_until(client, size=first // 2)
+        events_before_end = list(proxy.events)
         await server.send_all(sent[first:])
-        if form == "close":
+        if framing == "close":
             await server.aclose()
-        if form == "length":
-            got = await until(client, size=len(LONG) + got.index(b"\r\n\r\n") + 4, got=got)
+        if framing == "length":
+            got = await read_until(client, size=len(LONG) + got.index(b"\r\n\r\n") + 4, received=got)
         else:
-            got = await until(client, b"\r\n0\r\n\r\n" if version == b"1.1" else b"", got=got)
-        return early, body_of(got), p.memory.available == p.memory.capacity
+            got = await read_until(client, b"\r\n0\r\n\r\n" if version == b"1.1" else b"", received=got)
+        return events_before_end, body_of(got), proxy.memory.available == proxy.memory.capacity
 
-    early, got, back = passing(script)
-    assert early == [Verdict.FINISHED] and got == (LONG, True) and back
+    events_before_end, got, memory_released = run_proxy(script)
+    assert events_before_end == [Verdict.FINISHED] and got == (LONG, True) and memory_released
 
 
 @pytest.mark.parametrize("head", [b"Content-Length: 900000\r\n\r\n", b"Transfer-Encoding: chunked\r\n\r\nf0000\r\n"])
-def test_a_server_that_breaks_off_halfway_is_seen_by_the_client(head):
-    async def script(p):
-        client, accept = await p.connect()
+def test_the_client_notices_an_incomplete_response(head):
+    async def script(proxy):
+        client, accept = await proxy.connect()
         await client.send_all(request())
         server = await accept()
-        await until(server, b"\r\n\r\n")
+        await read_until(server, b"\r\n\r\n")
         await server.send_all(OK + head + LONG)
         await server.aclose()
-        return await until(client)
+        return await read_until(client)
 
-    body, whole = body_of(passing(script))
+    body, whole = body_of(run_proxy(script))
     assert not whole and LONG.startswith(body[:1000])
 
 
-def test_a_client_that_reads_nothing_holds_its_server_back_and_no_memory():
-    # guards against a router that takes in 32 MB for a client that takes none of it
-    async def script(p):
-        client, accept = await p.connect()
+def test_a_client_that_does_not_read_applies_backpressure_to_its_server():
+    # Guards against buffering a 32 MB response for a client that does not read it.
+    async def script(proxy):
+        client, accept = await proxy.connect()
         await client.send_all(request())
         server = await accept()
-        await until(server, b"\r\n\r\n")
+        await read_until(server, b"\r\n\r\n")
         size, sent = 32 * 2**20, 0
         await server.send_all(OK + b"Content-Length: %d\r\n\r\n" % size)
         with trio.move_on_after(0.5):
             while sent < size:
                 await server.send_all(bytes(2**16))
                 sent += 2**16
-        held = p.memory.capacity - p.memory.available
+        buffered = proxy.memory.capacity - proxy.memory.available
         await client.aclose()
         await trio.sleep(0.1)
-        return sent < size, held, p.memory.available == p.memory.capacity, p.servers.budget.clients
+        return sent < size, buffered, proxy.memory.available == proxy.memory.capacity, proxy.servers.budget.clients
 
-    blocked, held, back, clients = passing(script)
-    assert blocked and 0 < held <= HIGH_WATER_BYTES + 2**16 and back and clients <= 0
+    blocked, buffered, memory_released, clients = run_proxy(script)
+    assert blocked and 0 < buffered <= HIGH_WATER_BYTES + 2**16 and memory_released and clients <= 0
 
 
-# requests ---------------------------------------------------
+# requests
 
 
 @pytest.mark.parametrize(("size", "pieces"), [(len(LONG), 1000), (2**22, 10**6)])
-@pytest.mark.parametrize("form", ["length", "chunked"])
-def test_a_long_request_goes_on_as_it_comes_and_its_last_byte_starts_its_time(form, size, pieces):
-    async def script(p):
-        client, accept = await p.connect()
+@pytest.mark.parametrize("framing", ["length", "chunked"])
+def test_a_long_request_is_forwarded_as_it_arrives_and_its_last_byte_starts_its_time(framing, size, pieces):
+    async def script(proxy):
+        client, accept = await proxy.connect()
         body = (LONG * (size // len(LONG) + 1))[:size]
-        length = b"Content-Length: %d" % size if form == "length" else b"Transfer-Encoding: chunked"
-        await client.send_all(request(b"PUT", length, left=300))
-        sent = body if form == "length" else chunked(body, 10007)
+        length = b"Content-Length: %d" % size if framing == "length" else b"Transfer-Encoding: chunked"
+        await client.send_all(request(b"PUT", length, remaining_ms=300))
+        sent = body if framing == "length" else encode_chunks(body, 10007)
         got = []
 
         async def serve():
             server = await accept()
-            rest = (await until(server, b"\r\n\r\n")).partition(b"\r\n\r\n")[2]
-            if form == "length":
-                rest = await until(server, size=size, got=rest)
+            rest = (await read_until(server, b"\r\n\r\n")).partition(b"\r\n\r\n")[2]
+            if framing == "length":
+                rest = await read_until(server, size=size, received=rest)
             else:
-                rest = await until(server, b"\r\n0\r\n\r\n", got=rest)
+                rest = await read_until(server, b"\r\n0\r\n\r\n", received=rest)
             got.extend((rest, server))
             await server.send_all(OK + b"Content-Length: 2\r\n\r\nok")
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(serve)
             await client.send_all(sent[:pieces])
-            await trio.sleep(0.4)  # longer than the work item has, from its last byte
+            await trio.sleep(0.4)  # longer than the request's remaining time, which starts at its last byte
             await client.send_all(sent[pieces:])
-            answer = await until(client, b"ok")
+            answer = await read_until(client, b"ok")
         rest = got[0]
-        whole = rest == body if form == "length" else body_of(b"chunked\r\n\r\n" + rest) == (body, True)
-        kept = len(p.servers.targets["s"].idle)
-        return answer[:15], whole, p.told, kept, p.memory.available == p.memory.capacity
+        whole = rest == body if framing == "length" else body_of(b"chunked\r\n\r\n" + rest) == (body, True)
+        idle_connections = len(proxy.servers.targets["s"].idle)
+        return answer[:15], whole, proxy.events, idle_connections, proxy.memory.available == proxy.memory.capacity
 
-    assert passing(script) == (b"HTTP/1.1 200 OK", True, ["spent", Verdict.FINISHED], 1, True)
+    assert run_proxy(script) == (b"HTTP/1.1 200 OK", True, ["consumed", Verdict.FINISHED], 1, True)
 
 
-def test_a_long_request_can_go_again_until_more_than_its_first_part_was_sent():
-    # guards against a second hand-off of a body that is not there in full
-    async def script(p):
-        client, _ = await p.connect()
-        p.listener.close()
+def test_a_long_request_can_be_retried_while_none_of_its_flow_was_sent():
+    # Guards against a second hand-off of a body that is no longer available in full.
+    async def script(proxy):
+        client, _ = await proxy.connect()
+        proxy.listener.close()
         await client.send_all(request(b"PUT", b"Content-Length: %d" % len(LONG)) + LONG[: WHOLE + 10])
-        await until(client, b"\r\n\r\n")
-        return p.told
+        await read_until(client, b"\r\n\r\n")
+        return proxy.events
 
-    assert passing(script) == [Verdict.UNREACHABLE]
+    assert run_proxy(script) == [Verdict.UNREACHABLE]
 
 
-def test_a_long_request_whose_client_goes_away_never_runs():
-    async def script(p):
-        client, accept = await p.connect()
+def test_a_long_request_whose_client_disconnects_is_not_completed():
+    async def script(proxy):
+        client, accept = await proxy.connect()
         await client.send_all(request(b"PUT", b"Content-Length: %d" % len(LONG)) + LONG[: WHOLE * 2])
         server = await accept()
-        await until(server, size=WHOLE)
+        await read_until(server, size=WHOLE)
         await client.aclose()
-        await until(server)  # ends, without the last byte
+        await read_until(server)  # the connection ends without the last byte
         await trio.sleep(0.05)
-        return p.told, len(p.gone_ids), p.memory.available == p.memory.capacity
+        return proxy.events, len(proxy.abandoned_ids), proxy.memory.available == proxy.memory.capacity
 
-    assert passing(script) == (["spent", Verdict.MOOT], 1, True)
+    assert run_proxy(script) == (["consumed", Verdict.MOOT], 1, True)
 
 
 @pytest.mark.parametrize(
@@ -375,29 +382,29 @@
         (b"", b"408"),
     ],
 )
-def test_a_long_request_that_is_malformed_or_too_slow_gets_an_error_and_the_close(sent, status, monkeypatch):
-    monkeypatch.setattr("rowanshift.cacheproxy.clients.BODY_RATE", 10**6)
-    monkeypatch.setattr("rowanshift.cacheproxy.clients.BODY_SLACK", 0.3)
+def test_a_malformed_or_too_slow_long_request_is_rejected_and_closed(sent, status, monkeypatch):
+    monkeypatch.setattr("rowanshift.cacheproxy.clients.MIN_BODY_BYTES_PER_SECOND", 10**6)
+    monkeypatch.setattr("rowanshift.cacheproxy.clients.BODY_SLACK_SECONDS", 0.3)
 
-    async def script(p):
-        client, accept = await p.connect()
+    async def script(proxy):
+        client, accept = await proxy.connect()
         await client.send_all(request(b"PUT", b"Transfer-Encoding: chunked"))
         await client.send_all(b"%x\r\n" % len(LONG) + LONG + b"\r\n" + sent)
         server = await accept()
         with trio.fail_after(3):
-            answer = await until(client)
-            await until(server)
-        return answer[9:12], b"Connection: close" in answer, p.told
+            answer = await read_until(client)
+            await read_until(server)
+        return answer[9:12], b"Connection: close" in answer, proxy.events
 
-    assert passing(script) == (status, True, ["spent", Verdict.MOOT])
+    assert run_proxy(script) == (status, True, ["consumed", Verdict.MOOT])
 
 
-def test_a_body_over_the_limit_is_refused_by_its_length_and_when_it_is_reached(monkeypatch):
+def test_a_body_over_the_limit_is_rejected_by_its_length_or_when_the_limit_is_reached(monkeypatch):
     monkeypatch.setattr("rowanshift.transport.http_connection.LARGEST_BODY", 100_000)
-    for sent in (b"Content-Length: 100001\r\n\r\n", b"Transfer-Encoding: chunked\r\n\r\n" + chunked(LONG, 9000)):
-        ours, theirs = pair()
-        with ours, theirs:
-            connection = Connection(ours, httptools.HttpRequestParser, MemoryBudget(96), flows=True)
+    for sent in (b"Content-Length: 100001\r\n\r\n", b"Transfer-Encoding: chunked\r\n\r\n" + encode_chunks(LONG, 9000)):
+        local, remote = pair()
+        with local, remote:
+            connection = Connection(local, httptools.HttpRequestParser, MemoryBudget(96), flows=True)
             connection._parse(b"PUT /write/k HTTP/1.1\r\nHost: a\r\n" + sent)
             with pytest.raises(MalformedMessage) as caught:
                 while connection.next() is not None:
@@ -405,33 +412,33 @@
             assert caught.value.status == 413
 
 
-def test_short_bodies_go_as_they_did():
-    deciding = Deciding(Reply(200, b"x" * WHOLE))
+def test_short_bodies_are_not_streamed():
+    driver = StubDriver(Reply(200, b"x" * WHOLE))
 
     async def main():
-        ours, theirs = pair()
+        local, remote = pair()
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(clients_of(deciding).serve, ours)
-            theirs.sendall(request(b"PUT", b"Content-Length: %d" % WHOLE) + bytes(WHOLE))
-            client = trio.SocketStream(trio.socket.from_stdlib_socket(theirs))
-            got = await until(client, size=WHOLE + 42)
+            nursery.start_soon(clients_of(driver).serve, local)
+            remote.sendall(request(b"PUT", b"Content-Length: %d" % WHOLE) + bytes(WHOLE))
+            client = trio.SocketStream(trio.socket.from_stdlib_socket(remote))
+            got = await read_until(client, size=WHOLE + 42)
             nursery.cancel_scope.cancel()
         return got
 
     assert body_of(trio.run(main)) == (b"x" * WHOLE, True)
-    assert deciding.taken[0].flow is None and len(deciding.taken[0].body) == WHOLE
+    assert driver.submitted[0].flow is None and len(driver.submitted[0].body) == WHOLE
 
 
-def test_a_long_answer_that_stands_still_is_cut_off(monkeypatch):
-    monkeypatch.setattr("rowanshift.cacheproxy.servers.SILENT_BODY", 0.2)
+def test_a_long_response_that_stalls_is_aborted(monkeypatch):
+    monkeypatch.setattr("rowanshift.cacheproxy.servers.BODY_STALL_SECONDS", 0.2)
 
-    async def script(p):
-        client, accept = await p.connect()
+    async def script(proxy):
+        client, accept = await proxy.connect()
         await client.send_all(request())
         server = await accept()
-        await until(server, b"\r\n\r\n")
+        await read_until(server, b"\r\n\r\n")
         await server.send_all(OK + b"Content-Length: 900000\r\n\r\n" + LONG)
         with trio.fail_after(2):
-            return body_of(await until(client))[1], await server.receive_some(1)
+            return body_of(await read_until(client))[1], await server.receive_some(1)
 
-    assert passing(script) == (False, b"")
+    assert run_proxy(script) == (False, b"")
--- a/tests/cacheproxy/test_migrate.py
+++ b/tests/cacheproxy/test_migrate.py
@@ -121,7 +121,7 @@
     [
         ([], "the configuration is no object"),
         ({}, "the configuration lacks 'settings'"),
-        (pool() | {"listen": "there"}, "no IPv4 address"),
+        (pool() | {"listen": "there"}, "expected an IPv4 address"),
         (pool() | {"settings": RAW | {"objective_mix": {"slow_end": "x"}}}, "objective_mix.slow_end"),
     ],
 )
@@ -146,7 +146,7 @@
         (("-o", "no/such/folder/new.json"), "No such file"),
         (("-o", "new.json", "--routers", "3", "--ordinal", "3"), "ordinal: 3 is not below 3"),
         (("-o", "new.json", "--ordinal", "3"), "ordinal: 3 is not below 3"),
-        (("-o", "new.json", "--listen", "nowhere"), "no IPv4 address"),
+        (("-o", "new.json", "--listen", "nowhere"), "expected an IPv4 address"),
     ],
 )
 def test_a_target_that_can_not_be_ends_with_2(tmp_path, monkeypatch, arguments, says):
