--- a/rowanshift/cacheproxy/clients.py
+++ b/rowanshift/cacheproxy/clients.py
@@ -25,13 +25,9 @@
 from rowanshift.transport.streams import Listener, Stream
 
 READINESS_PATH = b"/-/ready"
-ABSOLUTE_FORM = re.compile(
-    rb"https?://[^/?#]*", re.IGNORECASE
-)  # matches the scheme and authority of an absolute-form target
+ABSOLUTE_FORM = re.compile(rb"https?://[^/?#]*", re.IGNORECASE)  # the scheme and authority of such a target
 REMAINING_MS = b"x-remaining-ms"
-SINGLE_FIELDS = frozenset(
-    [b"x-txn", b"x-lane", b"x-org", REMAINING_MS]
-)  # A request that repeats one of them is rejected.
+SINGLE_FIELDS = frozenset([b"x-txn", b"x-lane", b"x-org", REMAINING_MS])  # A request must not repeat any of them.
 FRESH_SECONDS = 0.1  # A connection younger than this is not closed for its descriptor.
 FIRST_REQUEST_TIMEOUT_SECONDS = 2.0  # It runs from the accept to the first complete request.
 HEAD_TIMEOUT_SECONDS = 2.5  # It runs from a request's first byte to the end of its head.
--- a/rowanshift/cacheproxy/servers.py
+++ b/rowanshift/cacheproxy/servers.py
@@ -18,11 +18,11 @@
 from rowanshift.transport.memory_budget import MemoryBudget
 from rowanshift.transport.runtime import SYSTEM_RUNTIME, Nursery, Runtime
 
-REMARKS = {b"hit": 1, b"miss": 2, b"pending": 3}  # The decision module numbers the values of x-found so.
+REMARKS = {b"hit": 1, b"miss": 2, b"pending": 3}  # the decision module's numbers for the values of x-found
 OVERTAKEN_LIMIT = 8  # A hand-off without a response is reported once so many later ones have ended.
-MEAN_LATENCY_GAIN, SLOW_FACTOR = 0.05, 3.5  # Slow is more than this multiple of the moving average.
-BODY_STALL_SECONDS = 10.0  # No byte of a long response or request moves for so long before it is aborted.
-EARLY_RESPONSE_POLL_SECONDS = 0.1  # A response may come before the request is complete.
+MEAN_LATENCY_GAIN, SLOW_FACTOR = 0.05, 3.5  # A latency above this multiple of the moving average is slow.
+BODY_STALL_SECONDS = 10.0  # A long response or request is aborted if no byte of it moves for so long.
+EARLY_RESPONSE_POLL_SECONDS = 0.1  # An upload is interrupted to check for a response so often.
 IDLE_FRACTION = 0.8  # Connections are kept for this part of the idle timeout, at whose end the server may close them.
 
 ResultCallback = Callable[[HandOff, Verdict, int | None, Reply | None], None]
@@ -33,14 +33,10 @@
     """A server at an address. A new address makes a new target; connections to the old one are not reused."""
 
     address: tuple[str, int]
-    idle: list["Link"] = field(
-        default_factory=list
-    )  # The one that has been idle longest is first, and is reused first.
+    idle: list["Link"] = field(default_factory=list)  # The longest idle one is first, and is reused first.
     dialling: list["Link"] = field(default_factory=list)
     mean_latency: float = 0.0  # the moving average of the seconds from a request to its response
-    busy: dict["Link", None] = field(
-        default_factory=dict
-    )  # connections with a hand-off in progress, in the order of sending
+    busy: dict["Link", None] = field(default_factory=dict)  # those with a hand-off in progress, in order of sending
     reusable: bool = True  # Connections are kept after a response.
 
 
