--- a/rowanshift/emulation/application_client.py
+++ b/rowanshift/emulation/application_client.py
@@ -1,6 +1,6 @@
-"""A caller of the core machines for locks, numbers and keys, which records each call with its answer.
+"""Client for the coordination API (locks, numbers and keys) that records each call and its answer.
 
-Times are in seconds by the clock that it is given.
+Times are in seconds of the clock passed to the client.
 """
 
 from __future__ import annotations
@@ -19,14 +19,15 @@
 from rowanshift.transport.runtime import Runtime
 from rowanshift.transport.streams import Address
 
-REPEAT_SECONDS = 6.0  # for which a call without a clear answer is sent again
-RETRY_SECONDS = 0.1  # between two calls
-UNSETTLED = (0, 307, 408, 429, 500, 502, 503, 504)
+REPEAT_SECONDS = 6.0  # how long a call without a conclusive answer is retried
+RETRY_SECONDS = 0.1  # mean pause between two attempts of a call
+RETRYABLE_STATUSES = (0, 307, 408, 429, 500, 502, 503, 504)  # 0: no response
 
 
 @dataclass
 class Application:
-    """One caller. ``controls`` are the addresses of the core machines' API, as they are at any time."""
+    """A client of the coordination API. ``controls`` are the current API addresses of the core machines; the caller
+    may change the sequence."""
 
     host: Runtime
     name: str
@@ -36,32 +37,32 @@
     random_source: random.Random
     memory: MemoryBudget = field(default_factory=lambda: MemoryBudget(64))
     calls: int = 0
-    settled: int = 0  # calls that got an answer
-    given_up: list[Call] = field(default_factory=list)  # that got no clear answer in time
+    answered_calls: int = 0
+    unanswered_calls: list[Call] = field(default_factory=list)  # no conclusive answer within ``REPEAT_SECONDS``
 
-    async def ask(self, asked: Call) -> Answer | None:
-        """The answer to a call, which is sent again until it is settled or ``REPEAT_SECONDS`` are over."""
-        until = self.now() + REPEAT_SECONDS
+    async def ask(self, call: Call) -> Answer | None:
+        """Send a call, with retries for up to ``REPEAT_SECONDS``, and return its answer if there is one."""
+        deadline = self.now() + REPEAT_SECONDS
         while True:
-            status, answer = await self._ask_once(asked)
-            if answer is not None or status not in UNSETTLED:
-                self.settled += 1
+            status, answer = await self._send_once(call)
+            if answer is not None or status not in RETRYABLE_STATUSES:
+                self.answered_calls += 1
                 return answer
-            if self.now() >= until:
-                self.given_up.append(asked)
+            if self.now() >= deadline:
+                self.unanswered_calls.append(call)
                 return None
             await self.host.pause(RETRY_SECONDS * (0.5 + self.random_source.random()))
 
-    async def _ask_once(self, asked: Call) -> tuple[int, Answer | None]:
-        """One call, with its redirects: the last status, 0 for none, and the answer."""
+    async def _send_once(self, call: Call) -> tuple[int, Answer | None]:
+        """Send a call once, following redirects. Returns the last status (0 without a response) and the answer."""
         self.calls += 1
-        id = f"{self.name}-{self.calls}"
+        call_id = f"{self.name}-{self.calls}"
         address = self.random_source.choice(self.controls)
-        self.facts.append(CoordinationAsked(self.now(), id, asked))
+        self.facts.append(CoordinationAsked(self.now(), call_id, call))
         try:
-            message = await follow_redirects(self.host, self.memory, address, http_call(asked))
+            message = await follow_redirects(self.host, self.memory, address, http_call(call))
         except CallFailed:
             return 0, None
-        answer = answer_of(asked, message.status, message.body)
-        self.facts.append(CoordinationAnswered(self.now(), id, message.status, answer))
+        answer = answer_of(call, message.status, message.body)
+        self.facts.append(CoordinationAnswered(self.now(), call_id, message.status, answer))
         return message.status, answer
