--- a/rowanshift/emulation/clients.py
+++ b/rowanshift/emulation/clients.py
@@ -1,8 +1,8 @@
-"""Open-loop clients: work comes at its own times, whatever becomes of what came before.
+"""Open-loop clients: requests start at random times that do not depend on earlier requests.
 
-A ``Crowd`` stands for the clients of one site. It deals its requests over the routers that it takes for
-alive, those of its own site first, keeps connections, and asks again as clients do: at once or after a
-wait, a few times, each time under a new X-Txn.
+A ``Crowd`` emulates the clients of one site. It spreads its requests over the routers it considers up, those of
+its own site first, reuses connections, and retries a few times, at once or after a wait, each time under a new
+X-Txn.
 """
 
 import random
@@ -21,15 +21,17 @@
 from rowanshift.transport.runtime import Nursery, Runtime
 from rowanshift.transport.streams import Address, connect, send_all
 
-READY = b"GET /-/ready HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"
-DIAL_WITHIN = 1.0
-MOST_OPEN = 2000  # requests of one crowd at once; more are dropped and counted
-KEPT_FOR = 1.5  # seconds that a kept connection is used again after its last answer
+READINESS_REQUEST = b"GET /-/ready HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"
+CONNECT_TIMEOUT_SECONDS = 1.0
+MAX_OPEN_REQUESTS = 2000  # concurrent requests of one crowd; further ones are dropped and counted
+IDLE_REUSE_SECONDS = 1.5  # an idle connection is not reused later than this after its last response
 
 
 @dataclass(slots=True, frozen=True)
 class Asked:
-    """A category as clients ask it. Times in seconds."""
+    """A category of requests as clients send them. Times are in seconds.
+
+    ``due`` is the response time up to which a request earns its ``credit``."""
 
     name: str
     share: float
@@ -41,44 +43,46 @@
 
 @dataclass(slots=True)
 class Habits:
-    """How clients behave."""
+    """Retry, connection and key behaviour of the clients."""
 
     retries: int = 2
-    wait: float = 0.0  # before a retry, give or take half; 0: at once
-    patience: float = 1.0  # part of the expiry after which a try is given up
-    one_off: float = 0.0  # part of the requests on a connection of their own, closed after it
-    halves: float = 0.0  # part of the requests of which only a half is sent
+    wait: float = 0.0  # mean pause before a retry, varied by up to half; 0: no pause
+    patience: float = 1.0  # time-out of an attempt as a fraction of the expiry
+    one_off: float = 0.0  # fraction of requests sent on a new connection, and of connections closed after a response
+    halves: float = 0.0  # fraction of requests of which only the first half is sent
     zipf: float = 0.9
     keys: int = 400
 
 
 @dataclass(slots=True, eq=False)
 class Door:
-    """A router as a crowd sees it."""
+    """A router as seen by a crowd."""
 
     name: str
     address: Address
     site: int
-    up: bool = True  # takes new connections
-    idle: list[tuple[float, Connection, str]] = field(default_factory=list)  # since, and what it last carried
+    up: bool = True  # accepts new connections
+    idle: list[tuple[float, Connection, str]] = field(default_factory=list)  # idle since, connection, last X-Txn
 
 
-class Keys:
-    """Zipf keys; a shift turns the order, so that others are popular."""
+class ZipfKeys:
+    """Draws keys by a Zipf distribution; ``shifted`` rotates the ranks, so that other keys become popular."""
 
     def __init__(self, count: int, exponent: float) -> None:
         self.count, self.shifted = count, 0
-        self.sums = list(accumulate((n + 1) ** -exponent for n in range(count)))
-        self.hot: tuple[str, float] | None = None  # one key, and the part of all reads that goes to it
+        self.cumulative_weights = list(accumulate((n + 1) ** -exponent for n in range(count)))
+        self.hot: tuple[str, float] | None = None  # a key, and the fraction of requests that use it
 
     def draw(self, random_source: random.Random) -> str:
         if self.hot is not None and random_source.random() < self.hot[1]:
             return self.hot[0]
-        n = bisect(self.sums, random_source.random() * self.sums[-1])
+        n = bisect(self.cumulative_weights, random_source.random() * self.cumulative_weights[-1])
         return f"k{(min(n, self.count - 1) + self.shifted) % self.count}"
 
 
 class Crowd:
+    """The clients of one site."""
+
     def __init__(
         self,
         host: Runtime,
@@ -88,7 +92,7 @@
         events: Events,
         random_source: random.Random,
         doors: list[Door],
-        asked: list[Asked],
+        categories: list[Asked],
         customers: dict[str, float],
         rate: float,
         habits: Habits,
@@ -101,18 +105,18 @@
             events,
             random_source,
         )
-        self.doors, self.asked, self.customers, self.habits = doors, asked, customers, habits
-        self.rate = rate  # first tries a second
-        self.keys = Keys(habits.keys, habits.zipf)
-        self.shares = list(accumulate(a.share for a in asked))
-        self.parts = list(accumulate(customers.values()))
+        self.doors, self.categories, self.customers, self.habits = doors, categories, customers, habits
+        self.rate = rate  # requests per second, without retries
+        self.keys = ZipfKeys(habits.keys, habits.zipf)
+        self.share_sums = list(accumulate(a.share for a in categories))
+        self.customer_sums = list(accumulate(customers.values()))
         self.memory = MemoryBudget(4096)
-        self.ids = self.open = 0
-        self.over = False  # asks nothing new
-        self.lean: str | None = None  # a router that gets everything
-        self.tries: dict[str, int] = {}  # by how they ended
-        self.first = self.credit = self.earned = 0.0  # first tries, and credit asked for and earned
-        self.times: list[float] = []  # of first tries that were finished in time, from when they were due
+        self.last_id = self.open = 0
+        self.over = False  # no new requests or retries
+        self.lean: str | None = None  # the router that receives all requests while it is up
+        self.tries: dict[str, int] = {}  # attempts by outcome
+        self.first = self.credit = self.earned = 0.0  # requests, their total credit, and the credit earned in time
+        self.times: list[float] = []  # response times of requests answered in time, from their scheduled start
         self.dropped = 0
 
     async def run(self) -> None:
@@ -121,115 +125,123 @@
             while not self.over:
                 due += self.random_source.expovariate(max(self.rate, 1e-9))
                 await self.host.pause(max(0.0, min(due - self.now(), 1.0)))
-                if due > self.now() + 0.5:  # the rate may change meanwhile
+                if due > self.now() + 0.5:  # draw a new arrival: the rate may have changed during the pause
                     due = self.now()
                     continue
-                if self.open >= MOST_OPEN:
+                if self.open >= MAX_OPEN_REQUESTS:
                     self.dropped += 1
                 else:
-                    self._begin(nursery, due)
+                    self._start_request(nursery, due)
 
-    def _begin(self, nursery: Nursery, due: float) -> None:
+    def _start_request(self, nursery: Nursery, due: float) -> None:
         draw = self.random_source.random
-        what = self.asked[min(bisect(self.shares, draw() * self.shares[-1]), len(self.asked) - 1)]
+        category = self.categories[min(bisect(self.share_sums, draw() * self.share_sums[-1]), len(self.categories) - 1)]
         customer = ""
         if self.customers:
-            names = [*self.customers]
-            customer = names[min(bisect(self.parts, draw() * self.parts[-1]), len(names) - 1)]
-        nursery.start_soon(self._ask, what, customer, self.keys.draw(self.random_source), due)
-
-    async def _ask(self, what: Asked, customer: str, key: str, due: float) -> None:
-        """One request with its retries."""
+            customer_names = [*self.customers]
+            customer = customer_names[
+                min(bisect(self.customer_sums, draw() * self.customer_sums[-1]), len(customer_names) - 1)
+            ]
+        nursery.start_soon(self._request_with_retries, category, customer, self.keys.draw(self.random_source), due)
+
+    async def _request_with_retries(self, category: Asked, customer: str, key: str, due: float) -> None:
+        """Send one request, with its retries."""
         self.open += 1
         self.first += 1
-        self.credit += what.credit
+        self.credit += category.credit
         try:
             for tries in range(self.habits.retries + 1):
-                how, back = await self._try(what, customer, key, due if not tries else self.now())
-                self.tries[how] = self.tries.get(how, 0) + 1
-                if how == "200":
+                outcome, retry_after = await self._attempt(category, customer, key, due if not tries else self.now())
+                self.tries[outcome] = self.tries.get(outcome, 0) + 1
+                if outcome == "200":
                     took = self.now() - due
-                    if took <= what.due:
-                        self.earned += what.credit
+                    if took <= category.due:
+                        self.earned += category.credit
                         self.times.append(took)
                     return
                 if self.over:
                     return
-                await self.host.pause(max(back, self.habits.wait * (0.5 + self.random_source.random())))
+                await self.host.pause(max(retry_after, self.habits.wait * (0.5 + self.random_source.random())))
         finally:
             self.open -= 1
 
-    def _door(self) -> Door | None:
+    def _choose_router(self) -> Door | None:
         up = [door for door in self.doors if door.up]
         if self.lean is not None and any(door.name == self.lean for door in up):
             return next(door for door in up if door.name == self.lean)
         near = [door for door in up if door.site == self.site]
         return self.random_source.choice(near or up) if up else None
 
-    async def _try(self, what: Asked, customer: str, key: str, since: float) -> tuple[str, float]:
-        """One try: how it ended, and when to come back."""
-        self.ids += 1
-        txn = f"{self.name}-{self.ids}"
-        if (door := self._door()) is None:
+    async def _attempt(self, category: Asked, customer: str, key: str, since: float) -> tuple[str, float]:
+        """One attempt: its outcome, and the seconds to wait before a retry.
+
+        A request that crossed the closing of a reused connection is sent once more on a new connection."""
+        self.last_id += 1
+        txn = f"{self.name}-{self.last_id}"
+        if (door := self._choose_router()) is None:
             return "nobody", 0.1
-        left = what.expiry - (self.now() - since)
-        for again in range(2):
-            how, back = await self._on_one(door, txn, what, customer, key, left, again > 0)
-            if how != "crossed":
+        left = category.expiry - (self.now() - since)
+        for attempt in range(2):
+            outcome, retry_after = await self._send_on_connection(door, txn, category, customer, key, left, attempt > 0)
+            if outcome != "crossed":
                 break
-        return how, back
+        return outcome, retry_after
 
-    async def _on_one(
-        self, door: Door, txn: str, what: Asked, customer: str, key: str, left: float, fresh: bool
+    async def _send_on_connection(
+        self, door: Door, txn: str, category: Asked, customer: str, key: str, left: float, fresh: bool
     ) -> tuple[str, float]:
-        connection = None if fresh or self.random_source.random() < self.habits.one_off else self._kept(door)
+        connection = (
+            None if fresh or self.random_source.random() < self.habits.one_off else self._reusable_connection(door)
+        )
         kept = connection is not None
         if connection is None:
             try:
                 connection = Connection(self.host.stream(), httptools.HttpResponseParser, self.memory)
             except OSError:
                 return "no descriptor", 0.1
-        asked = False
+        sent = False
         try:
-            with trio.move_on_after(min(left, what.expiry * self.habits.patience)):
+            with trio.move_on_after(min(left, category.expiry * self.habits.patience)):
                 if not kept:
-                    with trio.move_on_after(DIAL_WITHIN) as dialling:
+                    with trio.move_on_after(CONNECT_TIMEOUT_SECONDS) as connecting:
                         await connect(connection.stream, door.address)
-                    if dialling.cancelled_caught:
+                    if connecting.cancelled_caught:
                         return "no way", 0.0
-                request = self._request(txn, what, customer, key, left)
+                request = self._encode_request(txn, category, customer, key, left)
                 if self.habits.halves and self.random_source.random() < self.habits.halves:
                     await send_all(connection.stream, request[: len(request) // 2])
                     await self.host.pause(self.random_source.random() * 3)
                     return "half", 0.0
                 await send_all(connection.stream, request)
-                asked = True
-                self.events.tell("asked", txn, door.name, what.name, key, left)
-                message = await self._answer(connection)
+                sent = True
+                self.events.tell("asked", txn, door.name, category.name, key, left)
+                message = await self._read_response(connection)
                 if message is None:
-                    return self._broke(connection, txn, kept, fresh)
+                    return self._disconnect_outcome(connection, txn, kept, fresh)
                 at = sent_at(connection.stream, self.now())
-                made = message.body.startswith(f"{txn} ".encode())
-                self.events.tell("answered", txn, message.status, at, made)
-                self._second(connection, txn)
+                matches = message.body.startswith(f"{txn} ".encode())
+                self.events.tell("answered", txn, message.status, at, matches)
+                self._report_extra_response(connection, txn)
                 if message.keep and connection.clean() and self.random_source.random() >= self.habits.one_off:
                     door.idle.append((self.now(), connection, txn))
                     connection = None
-                back = field_of(message, b"retry-after")
-                return str(message.status), float(back) if back else 0.0
-            if asked:
+                retry_after = field_of(message, b"retry-after")
+                return str(message.status), float(retry_after) if retry_after else 0.0
+            if sent:
                 self.events.tell("ended", txn, "left")
             return "left", 0.0
         except (OSError, MalformedMessage):
-            if not asked:
+            if not sent:
                 return "no way" if not kept else "crossed", 0.0
-            return self._broke(connection, txn, kept, fresh)
+            return self._disconnect_outcome(connection, txn, kept, fresh)
         finally:
             if connection is not None:
                 connection.close()
 
-    def _broke(self, connection: Connection, txn: str, kept: bool, fresh: bool) -> tuple[str, float]:
-        """A connection that ended with no whole answer: it may have crossed the request, unread."""
+    def _disconnect_outcome(self, connection: Connection, txn: str, kept: bool, fresh: bool) -> tuple[str, float]:
+        """The outcome of a request whose connection ended without a complete response.
+
+        "crossed" means that the router closed an idle connection before it read the request."""
         taken = getattr(connection.stream, "taken", None)
         unread = not taken() if taken is not None else kept
         begun = connection.partial or connection.inbound.size
@@ -239,7 +251,7 @@
         self.events.tell("ended", txn, "lost")
         return "lost", 0.0
 
-    async def _answer(self, connection: Connection) -> Message | None:
+    async def _read_response(self, connection: Connection) -> Message | None:
         while (message := connection.next()) is None:
             await connection.stream.wait_readable()
             if not connection.receive():
@@ -247,52 +259,52 @@
         connection.release()
         return message
 
-    def _second(self, connection: Connection, txn: str) -> None:
-        """Looks for another answer behind the one that was read."""
+    def _report_extra_response(self, connection: Connection, txn: str) -> None:
+        """Report a second response that follows the one already read."""
         try:
             connection.receive()
             if (message := connection.next()) is not None:
                 self.events.tell("answered", txn, message.status, self.now(), True)
         except (OSError, MalformedMessage):
-            pass  # what is no answer is for the parser's tests
+            pass  # malformed data is covered by the parser's tests
 
-    def _kept(self, door: Door) -> Connection | None:
+    def _reusable_connection(self, door: Door) -> Connection | None:
         while door.idle:
             since, connection, txn = door.idle.pop()
             if connection.stream.readable():
-                self._second(connection, txn)
-            elif self.now() - since < KEPT_FOR:
+                self._report_extra_response(connection, txn)
+            elif self.now() - since < IDLE_REUSE_SECONDS:
                 return connection
             connection.close()
         return None
 
-    def _request(self, txn: str, what: Asked, customer: str, key: str, left: float) -> bytes:
-        method = "PUT" if what.write else "GET"
+    def _encode_request(self, txn: str, category: Asked, customer: str, key: str, left: float) -> bytes:
+        method = "PUT" if category.write else "GET"
         lines = [
-            f"{method} /{what.name}/{key} HTTP/1.1",
+            f"{method} /{category.name}/{key} HTTP/1.1",
             "Host: app.svc",
             f"X-Txn: {txn}",
-            f"X-Lane: {what.name}",
+            f"X-Lane: {category.name}",
             f"X-Remaining-Ms: {int(left * 1000)}",
         ]
         if customer:
             lines.append(f"X-Org: {customer}")
-        body = f"{key} by {txn}" if what.write else ""
-        if what.write:
+        body = f"{key} by {txn}" if category.write else ""
+        if category.write:
             lines.append(f"Content-Length: {len(body)}")
         return "\r\n".join([*lines, "", body]).encode()
 
-    # what is asked of routers besides -------------------------
+    # readiness and idle connections ---------------------------
 
     async def ready(self, door: Door, within: float = 0.5) -> bool:
-        """Whether a router says that it serves."""
+        """Whether a router answers its readiness check with 200."""
         with trio.move_on_after(within):
             connection = None
             try:
                 connection = Connection(self.host.stream(), httptools.HttpResponseParser, self.memory)
                 await connect(connection.stream, door.address)
-                await send_all(connection.stream, READY)
-                message = await self._answer(connection)
+                await send_all(connection.stream, READINESS_REQUEST)
+                message = await self._read_response(connection)
                 return message is not None and message.status == 200
             except (OSError, MalformedMessage):
                 return False
@@ -302,12 +314,12 @@
         return False
 
     async def flood(self, door: Door, count: int, hold_for: float) -> None:
-        """Opens connections that ask nothing, and lets them go after a while."""
+        """Open ``count`` idle connections and close them after ``hold_for`` seconds."""
         async with self.host.nursery() as nursery:
             for _ in range(count):
-                nursery.start_soon(self._idle, door, hold_for)
+                nursery.start_soon(self._hold_idle_connection, door, hold_for)
 
-    async def _idle(self, door: Door, hold_for: float) -> None:
+    async def _hold_idle_connection(self, door: Door, hold_for: float) -> None:
         try:
             stream = self.host.stream()
         except OSError:
--- a/rowanshift/emulation/discovery.py
+++ b/rowanshift/emulation/discovery.py
@@ -1,4 +1,5 @@
-"""The agent that tells a router which servers there are: late, silent, broken, or starting over."""
+"""Emulated discovery agent, which reports the list of servers to a router and can be silent, fail, send malformed
+data or lose its state."""
 
 from collections.abc import Callable
 from typing import Any
@@ -12,10 +13,10 @@
 from rowanshift.transport.runtime import Runtime
 from rowanshift.transport.streams import Address
 
-EMPTY_LINE_EVERY = 2.0
-TICK = 0.25
-HEALTH = {"active": "live", "leaving": "quiescing", "left": "dead"}
-HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+KEEPALIVE_INTERVAL_SECONDS = 2.0
+POLL_SECONDS = 0.25
+HEALTH_BY_LIFECYCLE = {"active": "live", "leaving": "quiescing", "left": "dead"}
+WATCH_RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 Row = dict[str, Any]
 
@@ -30,7 +31,7 @@
     weight: float = 1.0,
     cell: int = 0,
 ) -> Row:
-    """One entry of the list; ``started_at`` in Unix seconds, 0 for long ago."""
+    """One entry of the server list; ``started_at`` is in Unix seconds, 0 for long ago."""
     return {
         "instanceId": server,
         "hostPort": "{}:{}".format(*address),
@@ -48,7 +49,7 @@
 
 
 class Agent(HttpServer):
-    """Beside one router. ``rows`` is the list as it has been told the agent."""
+    """The discovery agent of one router. ``rows`` is the list of servers as the agent knows it."""
 
     def __init__(
         self, host: Runtime, address: Address, now: Callable[[], float], events: Events, router: str, rows: list[Row]
@@ -57,15 +58,15 @@
         self.router = router
         self.rows = {row["instanceId"]: row for row in rows}
         self.generation = 1
-        self.first = 1  # what came before it is not known any more
-        self.changes: list[tuple[int, Row]] = []
+        self.first = 1  # oldest generation from which changes can be sent
+        self.changes: list[tuple[int, Row]] = []  # generation, row
         self.changed = trio.Event()
         self.silent = False
-        self.broken = False  # answers with what is no list
-        self.failing = False  # ends each watch at once
+        self.broken = False  # answers watches with malformed JSON
+        self.failing = False  # ends each watch immediately
 
     def change(self, row: Row) -> None:
-        """Takes in one change of the fleet."""
+        """Apply a change of one server and notify the watches."""
         self.generation += 1
         if row["lifecycle"] == "left":
             self.rows.pop(row["instanceId"], None)
@@ -77,7 +78,7 @@
         self.wake()
 
     def start_over(self) -> None:
-        """Counts generations anew, as one that has lost its state."""
+        """Restart the generations at 1, as an agent that has lost its state does."""
         self.generation, self.first, self.changes = 1, 1, []
         self.wake()
 
@@ -85,55 +86,59 @@
         event, self.changed = self.changed, trio.Event()
         event.set()
 
-    def whole(self) -> bytes:
-        return self._object(True, [*self.rows.values()])
+    def full_list(self) -> bytes:
+        return self._encode_update(True, [*self.rows.values()])
 
-    def _object(self, reset: bool, rows: list[Row]) -> bytes:
+    def _encode_update(self, reset: bool, rows: list[Row]) -> bytes:
         return orjson.dumps({"generation": self.generation, "reset": reset, "instances": rows}) + b"\n"
 
-    def _tell(self, connection: Connection, rows: list[Row]) -> None:
+    def _record_rows(self, connection: Connection, rows: list[Row]) -> None:
         for row in rows if not deserted(connection.stream) else ():
-            self.events.tell("told", self.router, row["instanceId"], HEALTH[row["lifecycle"]])
+            self.events.tell("told", self.router, row["instanceId"], HEALTH_BY_LIFECYCLE[row["lifecycle"]])
 
     async def handle(self, connection: Connection, message: Message, first_at: float, fresh: bool) -> bool:
         path, _, query = message.target.decode("latin-1").partition("?")
         if path != "/api/targets":
             await self.reply(connection, 404)
             return True
-        asked = dict(part.partition("=")[::2] for part in query.split("&"))
+        parameters = dict(part.partition("=")[::2] for part in query.split("&"))
         while self.silent:
-            await self.host.pause(TICK)
-        if "follow" not in asked:
-            self._tell(connection, [*self.rows.values()])
-            await self.reply(connection, 200, self.whole())
+            await self.host.pause(POLL_SECONDS)
+        if "follow" not in parameters:
+            self._record_rows(connection, [*self.rows.values()])
+            await self.reply(connection, 200, self.full_list())
             return True
-        await self._watch(connection, int(asked.get("since") or 0))
+        await self._watch(connection, int(parameters.get("since") or 0))
         return False
 
     async def _watch(self, connection: Connection, since: int) -> None:
-        await self.send(connection, HEAD)
-        sent = since
-        if not self.first <= sent <= self.generation:
-            sent = -1
-        line_at = self.now() + EMPTY_LINE_EVERY
+        await self.send(connection, WATCH_RESPONSE_HEAD)
+        sent_generation = since
+        if not self.first <= sent_generation <= self.generation:
+            sent_generation = -1
+        keepalive_at = self.now() + KEEPALIVE_INTERVAL_SECONDS
         while not self.failing:
             if self.silent:
-                await self.host.pause(TICK)
+                await self.host.pause(POLL_SECONDS)
                 continue
             if self.broken:
                 await self.send(connection, chunk(b'{"generation": 12, "instances": [{\n'))
                 return
-            if sent > self.generation:  # it has started over
-                sent = -1
-            if sent != self.generation:
-                rows = [*self.rows.values()] if sent < 0 else [row for at, row in self.changes if at > sent]
-                data, sent = self._object(sent < 0, rows), self.generation
-                self._tell(connection, rows)
+            if sent_generation > self.generation:  # the agent has lost its state
+                sent_generation = -1
+            if sent_generation != self.generation:
+                rows = (
+                    [*self.rows.values()]
+                    if sent_generation < 0
+                    else [row for at, row in self.changes if at > sent_generation]
+                )
+                data, sent_generation = self._encode_update(sent_generation < 0, rows), self.generation
+                self._record_rows(connection, rows)
                 await self.send(connection, chunk(data))
-                line_at = self.now() + EMPTY_LINE_EVERY
-            elif self.now() >= line_at:
+                keepalive_at = self.now() + KEEPALIVE_INTERVAL_SECONDS
+            elif self.now() >= keepalive_at:
                 await self.send(connection, chunk(b"\n"))
-                line_at = self.now() + EMPTY_LINE_EVERY
+                keepalive_at = self.now() + KEEPALIVE_INTERVAL_SECONDS
             else:
-                with trio.move_on_after(min(TICK * 2, line_at - self.now())):
+                with trio.move_on_after(min(POLL_SECONDS * 2, keepalive_at - self.now())):
                     await self.changed.wait()
--- a/rowanshift/emulation/http.py
+++ b/rowanshift/emulation/http.py
@@ -1,4 +1,4 @@
-"""What all stand-ins share: a small HTTP/1.1 server, and what they know of each other."""
+"""HTTP/1.1 server and shared state of the emulated servers."""
 
 from collections import OrderedDict
 from collections.abc import Callable
@@ -14,7 +14,7 @@
 from rowanshift.transport.streams import Address, Stream, accepted
 
 BACKLOG = 512
-REMEMBERED = 20_000  # hand-offs and misses that the stand-ins know of at once
+MAX_TRACKED_REQUESTS = 20_000  # requests whose misses or deliveries are tracked at once
 REASONS = {
     200: b"OK",
     404: b"Not Found",
@@ -25,12 +25,13 @@
 
 
 def sent_at(stream: Stream, now: float) -> float:
-    """When the bytes that came last were sent: known in the virtual network, else when they were read."""
+    """When the last received bytes were sent. Only the virtual network knows this; otherwise it is ``now``, the time of
+    the read."""
     return getattr(stream, "sent_at", now)
 
 
 def other(stream: Stream) -> str:
-    """Who is at the other side, by name or by address."""
+    """Name (in the virtual network) or address of the peer."""
     if hasattr(stream, "other"):
         return stream.other()
     try:
@@ -40,69 +41,72 @@
 
 
 def deserted(stream: Stream) -> bool:
-    """Whether the other side has given the connection up; on real sockets, whether anything says so."""
+    """Whether the peer has closed the connection.
+
+    On real sockets any readable data counts, because a client sends nothing before its response."""
     if stream.closed():
         return True
     return stream.deserted() if hasattr(stream, "deserted") else stream.readable()
 
 
-class Limited(OrderedDict):
-    """A dictionary that forgets what was put in first."""
+class BoundedDict(OrderedDict):
+    """A dictionary that evicts its oldest entry beyond ``MAX_TRACKED_REQUESTS``."""
 
     def __setitem__(self, key: Any, value: Any) -> None:
         super().__setitem__(key, value)
-        if len(self) > REMEMBERED:
+        if len(self) > MAX_TRACKED_REQUESTS:
             self.popitem(last=False)
 
 
 class Ledger:
-    """What the stand-ins know together: the values of keys, who missed what, and which hand-offs are out."""
+    """State that the emulated servers share: versions of keys, misses and unanswered requests."""
 
     def __init__(self) -> None:
         self.versions: dict[str, int] = {}
-        self.missed: Limited = Limited()  # by X-Txn: stores that lacked the key, and whether they were cold
-        self.out: Limited = Limited()  # by X-Txn: servers and streams of hand-offs without a reply
-        self.stores: list[dict[str, int]] = []  # of all caches: key to version
+        self.missed: BoundedDict = BoundedDict()  # by X-Txn: caches without the key, and whether they were warming up
+        self.out: BoundedDict = BoundedDict()  # by X-Txn: servers and streams of unanswered requests
+        self.stores: list[dict[str, int]] = []  # of all caches: version by key
 
     def void(self, key: str) -> None:
+        """Start a new version of a key and remove the key from all caches."""
         self.versions[key] = self.versions.get(key, 0) + 1
         for store in self.stores:
             store.pop(key, None)
 
 
 def body_of(txn: str, server: str, key: str, version: int, size: int = 0) -> bytes:
-    """An answer that tells for which request it was made, and by whom."""
+    """A response body that names its request and the server that made it, padded to ``size`` bytes."""
     return f"{txn} {server} {key} v{version}\n".encode().ljust(size, b".")
 
 
 class HttpServer:
-    """Serves each connection in a task of its own. ``handle`` says whether the connection may be kept."""
+    """Serves each connection in its own task. ``handle`` returns whether the connection stays open."""
 
     idle_for = 60.0
-    most_connections = 10_000
+    max_connections = 10_000
 
     def __init__(self, host: Runtime, address: Address, now: Callable[[], float], events: Events) -> None:
         self.host, self.address, self.now, self.events = host, address, now, events
         self.memory = MemoryBudget(4096)
         self.connections = 0
-        self.idle: dict[Connection, float] = {}  # and since when
+        self.idle: dict[Connection, float] = {}  # time since which each is idle
 
     async def run(self) -> None:
         listener = self.host.listen(self.address, BACKLOG)
         try:
             async with self.host.nursery() as nursery:
-                nursery.start_soon(self._sweep)
+                nursery.start_soon(self._close_idle_connections)
                 while True:
                     nursery.start_soon(self._serve, await accepted(listener, self.host.pause))
         finally:
             listener.close()
 
-    async def _sweep(self) -> None:
-        """Closes connections that have stood idle too long."""
+    async def _close_idle_connections(self) -> None:
+        """Close connections that have been idle for more than ``idle_for`` seconds."""
         while True:
             await self.host.pause(min(1.0, self.idle_for / 2))
-            long_ago = self.now() - self.idle_for
-            for connection in [c for c, since in self.idle.items() if since < long_ago]:
+            oldest_allowed = self.now() - self.idle_for
+            for connection in [c for c, since in self.idle.items() if since < oldest_allowed]:
                 connection.close()
 
     async def _serve(self, stream: Stream) -> None:
@@ -110,8 +114,8 @@
         self.connections += 1
         try:
             fresh = True
-            while (got := await self._next(connection)) is not None:
-                if not await self.handle(connection, *got, fresh):
+            while (received := await self._next_request(connection)) is not None:
+                if not await self.handle(connection, *received, fresh):
                     break
                 fresh = False
         except (OSError, MalformedMessage, trio.ClosedResourceError):
@@ -121,8 +125,8 @@
             self.idle.pop(connection, None)
             connection.close()
 
-    async def _next(self, connection: Connection) -> tuple[Message, float] | None:
-        """The next request and when its first byte was sent; none at the end of the connection."""
+    async def _next_request(self, connection: Connection) -> tuple[Message, float] | None:
+        """The next request and when its first byte was sent; ``None`` at the end of the connection."""
         stream, first_at = connection.stream, self.now()
         self.idle[connection] = first_at
         while (message := connection.next()) is None:
@@ -154,4 +158,5 @@
 
 
 def field_of(message: Message, name: bytes) -> str:
+    """The value of the first field of that name, in lower case; empty if there is none."""
     return next((value.decode("latin-1") for n, value in message.fields if n == name), "")
