--- a/rowanshift/emulation/demo.py
+++ b/rowanshift/emulation/demo.py
@@ -1,4 +1,4 @@
-"""``rowanshift demo``: stand-ins and a router on loopback in one process, and some reads shown."""
+"""``rowanshift demo --router``: emulated servers and a cache router on loopback in one process, and a few requests."""
 
 import random
 import signal
@@ -22,22 +22,24 @@
 from rowanshift.transport.runtime import SYSTEM_RUNTIME
 from rowanshift.transport.streams import Address, connect, send_all
 
-CACHES, ORIGIN = (9001, 9002, 9003), 9000
-KEYS = ("hello", "hello", "perfume", "hello", "perfume", "lamp")
+CACHE_PORTS, ORIGIN_PORT = (9001, 9002, 9003), 9000
+READ_KEYS = ("hello", "hello", "perfume", "hello", "perfume", "lamp")
 
-say = partial(print, flush=True)  # also into a pipe, while it goes on
+say = partial(print, flush=True)  # flushed so that a pipe shows the progress
 
 
-class Fleet:
-    """Stand-ins on real loopback sockets, as the router's configuration expects them."""
+class EmulatedServers:
+    """Three caches, an origin and a discovery agent on loopback sockets.
+
+    ``works`` is the mean work of a cache by category, ``origin_seconds`` that of the origin."""
 
     def __init__(
-        self, discovery: Address, works: dict[str, float], fetch: float = 0.2, host: str = "127.0.0.1"
+        self, discovery: Address, works: dict[str, float], origin_seconds: float = 0.2, host: str = "127.0.0.1"
     ) -> None:
         self.events, ledger = Events(time.monotonic), Ledger()
-        caches = {f"cache-{port}": (host, port) for port in CACHES}
+        caches = {f"cache-{port}": (host, port) for port in CACHE_PORTS}
         rows = [row_of(name, address, "here", "cache") for name, address in caches.items()]
-        rows.append(row_of("origin", (host, ORIGIN), "here", "origin"))
+        rows.append(row_of("origin", (host, ORIGIN_PORT), "here", "origin"))
         common = time.monotonic, self.events
         self.servers = [
             Cache(SYSTEM_RUNTIME, address, *common, name, Kind(works), ledger, random.Random(name))
@@ -46,10 +48,10 @@
         self.servers.append(
             Origin(
                 SYSTEM_RUNTIME,
-                (host, ORIGIN),
+                (host, ORIGIN_PORT),
                 *common,
                 "origin",
-                Kind(dict.fromkeys(works, fetch)),
+                Kind(dict.fromkeys(works, origin_seconds)),
                 ledger,
                 random.Random(0),
             )
@@ -63,7 +65,7 @@
 
 
 async def ask(address: Address, method: str, target: str, txn: str, body: bytes = b"") -> Message:
-    """One request on a connection of its own."""
+    """Send one request on a new connection."""
     connection = Connection(SYSTEM_RUNTIME.stream(), httptools.HttpResponseParser, MemoryBudget(64))
     try:
         await connect(connection.stream, address)
@@ -75,7 +77,7 @@
         while (message := connection.next()) is None:
             await connection.stream.wait_readable()
             if not connection.receive():
-                raise ConnectionResetError("the router ended the connection")
+                raise ConnectionResetError("the router closed the connection before the end of its response")
         return message
     finally:
         connection.close()
@@ -84,31 +86,31 @@
 async def show(address: Address, service: Service) -> None:
     while service.phase is not Phase.SERVING or not service.driver.router.ready:
         await trio.sleep(0.02)
-    for n, key in enumerate(KEYS):
-        began = trio.current_time()
-        message = await ask(address, "GET", f"/read/{key}", f"demo-{n}")
-        found = field_of(message, b"x-found") or "from the origin"
-        took = 1000 * (trio.current_time() - began)
-        say(f"GET /read/{key:8} {message.status}  {took:6.1f} ms  {found:16}{message.body.decode().strip()}")
+    for index, key in enumerate(READ_KEYS):
+        started_at = trio.current_time()
+        message = await ask(address, "GET", f"/read/{key}", f"demo-{index}")
+        source = field_of(message, b"x-found") or "from the origin"
+        took = 1000 * (trio.current_time() - started_at)
+        say(f"GET /read/{key:8} {message.status}  {took:6.1f} ms  {source:16}{message.body.decode().strip()}")
     message = await ask(address, "PUT", "/write/hello", "demo-put", b"new")
     say(f"PUT /write/hello   {message.status}  {message.body.decode().strip()}")
     message = await ask(address, "GET", "/read/hello", "demo-again")
     say(f"GET /read/hello    {message.status}  {message.body.decode().strip()}")
 
 
-async def stand_by(config_path: Path) -> None:
-    """The stand-ins alone, for routers that are started beside them."""
+async def run_servers_only(config_path: Path) -> None:
+    """Run the emulated servers without a router."""
     config = load(config_path)
     say(
-        "Stand-ins of three caches, an origin and discovery; Ctrl-C ends them. A router for them:\n"
+        "Emulated: three caches, an origin and discovery; Ctrl-C stops them. To start a router for them:\n"
         f"  rowanshift serve -c {config_path}"
     )
-    await Fleet(config.discovery, {name.decode(): 0.002 for name in config.names.categories}).run()
+    await EmulatedServers(config.discovery, {name.decode(): 0.002 for name in config.names.categories}).run()
 
 
 async def play(config_path: Path, stay: bool) -> None:
     config = load(config_path)
-    fleet = Fleet(config.discovery, {name.decode(): 0.002 for name in config.names.categories})
+    fleet = EmulatedServers(config.discovery, {name.decode(): 0.002 for name in config.names.categories})
     service = Service(config, config_path)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(fleet.run)
@@ -118,7 +120,7 @@
         if stay:
             host, port = config.listen
             say(
-                "The router goes on; Ctrl-C ends it. To ask it yourself:\n  curl -i -H 'X-Txn: 1' -H "
+                "The router keeps running until Ctrl-C. To send a request:\n  curl -i -H 'X-Txn: 1' -H "
                 f"'X-Org: demo' -H 'X-Remaining-Ms: 2000' http://{host}:{port}/read/hello"
             )
         else:
@@ -129,7 +131,7 @@
 
 
 def demo(config: Path, stay: bool, router: bool) -> int:
-    """Shows some reads of a router between stand-ins, or runs the stand-ins alone; the exit status."""
+    """Show requests through a router to emulated servers, or run only the servers. Returns the exit status."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     try:
         load(config)
@@ -141,7 +143,7 @@
         if router:
             trio.run(play, config, stay)
         else:
-            trio.run(stand_by, config)
+            trio.run(run_servers_only, config)
     except* KeyboardInterrupt:
         pass
     except* OSError as group:
--- a/rowanshift/emulation/platform.py
+++ b/rowanshift/emulation/platform.py
@@ -1,4 +1,4 @@
-"""The platform's list of servers: paged, late, and with a bound on calls."""
+"""Emulated platform API that lists the servers: paged, delayed and rate-limited."""
 
 from collections import deque
 from collections.abc import Callable
@@ -18,7 +18,9 @@
 
 
 class PlatformList(HttpServer):
-    """Shows each change ``lag_ms`` after it was made, and the servers' versions as old as that."""
+    """Lists each change ``lag_ms`` after it was made; the model versions it lists are as old.
+
+    Calls beyond ``rate_per_s`` are answered with 429."""
 
     def __init__(
         self,
@@ -32,63 +34,65 @@
     ) -> None:
         super().__init__(host, address, clock, Events(clock))
         self.rate, self.lag, self.facts, self.page = rate_per_s, lag_ms / 1000, facts, page
-        self.changes: list[tuple[float, str, ModelServer | None, str]] = []  # shown at, id, server, state
-        self.calls: deque[float] = deque()  # of the last second
-        self.down = False  # answers 503
-        self.frozen_at: float | None = None  # shows nothing newer than this
+        self.changes: list[
+            tuple[float, str, ModelServer | None, str]
+        ] = []  # visible from, instance id, server (None: removed), state
+        self.recent_calls: deque[float] = deque()  # times of the calls within the last second
+        self.down = False  # whether every call is answered with 503
+        self.frozen_at: float | None = None  # if set, later changes are not listed
 
-    # what happens to the fleet ----------------------------
+    # changes to the fleet ---------------------------------
 
     def add(self, server: ModelServer) -> None:
-        self._change(server.instance_id, server, "up")
+        self._add_change(server.instance_id, server, "up")
 
     def drain(self, server: ModelServer) -> None:
-        """Shows a server as draining, and tells the server."""
+        """Drain a server and list it as draining."""
         server.drain()
-        self._change(server.instance_id, server, "draining")
+        self._add_change(server.instance_id, server, "draining")
 
-    def remove(self, instance: str) -> None:
-        self._change(instance, None, "gone")
+    def remove(self, instance_id: str) -> None:
+        self._add_change(instance_id, None, "gone")
 
-    def _change(self, instance: str, server: ModelServer | None, state: str) -> None:
+    def _add_change(self, instance_id: str, server: ModelServer | None, state: str) -> None:
         shown_at = self.now() + self.lag
-        self.changes.append((shown_at, instance, server, state))
-        self.facts.append(Listed(shown_at, instance, state))
+        self.changes.append((shown_at, instance_id, server, state))
+        self.facts.append(Listed(shown_at, instance_id, state))
 
-    # what it tells ----------------------------------------
+    # responses --------------------------------------------
 
     def rows(self) -> list[dict[str, Any]]:
-        """The list as it is shown now, the longest-known first."""
+        """The entries that are visible now, in the order in which the instances were added."""
         now = self.now() if self.frozen_at is None else self.frozen_at
-        shown: dict[str, tuple[ModelServer, str]] = {}
-        for at, instance, server, state in self.changes:
+        visible: dict[str, tuple[ModelServer, str]] = {}
+        for at, instance_id, server, state in self.changes:
             if at > now:
                 continue
             if server is None:
-                shown.pop(instance, None)
+                visible.pop(instance_id, None)
             else:
-                shown[instance] = server, state
-        return [server.row(instance, state, now - self.lag) for instance, (server, state) in shown.items()]
+                visible[instance_id] = server, state
+        return [server.row(instance_id, state, now - self.lag) for instance_id, (server, state) in visible.items()]
 
     async def handle(self, connection: Connection, message: Message, first_at: float, fresh: bool) -> bool:
-        path, asked = query_of(message)
+        path, parameters = query_of(message)
         status, body, now = 200, b"", self.now()
-        while self.calls and self.calls[0] <= now - 1:
-            self.calls.popleft()
+        while self.recent_calls and self.recent_calls[0] <= now - 1:
+            self.recent_calls.popleft()
         if self.down:
             status = 503
         elif path != "/instances" or message.method != b"GET":
             status = 404
-        elif len(self.calls) >= self.rate:
+        elif len(self.recent_calls) >= self.rate:
             status = 429
         else:
-            self.calls.append(now)
-            rows = [row for row in self.rows() if asked.get("zone") in (None, row["zone"])]
-            token = asked.get("pageToken", "p-0").removeprefix("p-")
+            self.recent_calls.append(now)
+            rows = [row for row in self.rows() if parameters.get("zone") in (None, row["zone"])]
+            token = parameters.get("pageToken", "p-0").removeprefix("p-")
             start = int(token) if token.isdigit() else 0
             end = start + self.page
-            more = f"p-{end}" if end < len(rows) else None
-            body = orjson.dumps({"instances": rows[start:end], "nextToken": more})
+            next_token = f"p-{end}" if end < len(rows) else None
+            body = orjson.dumps({"instances": rows[start:end], "nextToken": next_token})
         self.facts.append(Listing(now, other(connection.stream), status))
         await self.reply(connection, status, body, *([JSON] if body else ()))
         return True
--- a/rowanshift/emulation/servers.py
+++ b/rowanshift/emulation/servers.py
@@ -1,5 +1,4 @@
-"""Cache servers and the origin: cores, a queue, speed, cold starts, falling over, and answers that are
-spoilt."""
+"""Emulated cache servers and origin: cores, a bounded queue, cold starts, overload and faulty responses."""
 
 import random
 from collections import deque
@@ -15,68 +14,70 @@
 from rowanshift.transport.runtime import Runtime
 from rowanshift.transport.streams import Address
 
-PARTS = 5  # an overload lasts once so many equal parts of its time in a row were over
-MISS_WORK = 0.25  # of a read's, that a miss takes
-SPREAD = 0.4  # a work item's work is its mean, give or take so much
+PARTS = 5  # number of consecutive intervals of an overload period that must all exceed the limit
+MISS_COST_RATIO = 0.25  # work of a cache miss relative to a hit
+WORK_VARIATION = 0.4  # work varies by up to this fraction of its mean
 
 
 @dataclass(slots=True)
 class Meter:
-    """Tells when more than ``factor`` times the capacity came in for ``span`` seconds on end."""
+    """Detects an overload: incoming work above ``factor`` times the capacity for ``span`` seconds without a break."""
 
     factor: float
     span: float
-    part: int = -1  # the current part of the span
-    work: float = 0.0
-    room: float = 0.0
-    streak: int = 0
+    interval: int = -1  # number of the current interval; a span has ``PARTS`` of them
+    work: float = 0.0  # of the current interval
+    limit: float = 0.0  # of work per interval
+    streak: int = 0  # consecutive intervals above the limit
 
     def add(self, now: float, work: float, capacity: float) -> bool:
-        """Takes work in, in seconds of one core at speed 1; the capacity is what a second could take."""
+        """Add incoming work and return whether the server is overloaded.
+
+        ``work`` is in seconds of one core at speed 1, ``capacity`` is the work that can be done per second."""
         step = self.span / PARTS
-        part = int(now / step)
-        if part != self.part:
-            over = self.work > self.room > 0
-            self.streak = self.streak + 1 if over and part == self.part + 1 else 0
-            self.part, self.work = part, 0.0
+        interval = int(now / step)
+        if interval != self.interval:
+            over = self.work > self.limit > 0
+            self.streak = self.streak + 1 if over and interval == self.interval + 1 else 0
+            self.interval, self.work = interval, 0.0
         self.work += work
-        self.room = self.factor * capacity * step
+        self.limit = self.factor * capacity * step
         return self.streak >= PARTS
 
 
 @dataclass(slots=True)
 class Kind:
-    """What a server can do. Works are in seconds of a core at speed 1."""
+    """Capacity and limits of a server. Work is in seconds of one core at speed 1."""
 
-    works: dict[str, float]  # by category: mean
+    works: dict[str, float]  # mean work by category
     cores: int = 2
     speed: float = 1.0
-    queue: int = 64  # work items that wait for a core; more are turned away
+    queue: int = 64  # requests waiting for a core; further ones are rejected
     connections: int = 600
-    handshake: float = 0.001  # work of a new connection
-    throws_away: bool = True  # waiting work whose connection was given up
+    handshake: float = 0.001  # work of accepting a connection
+    throws_away: bool = True  # drop waiting requests whose client has disconnected
     idle_for: float = 60.0
-    size: int = 0  # bytes of an answer at least
+    size: int = 0  # minimum size of a response body in bytes
     overload_factor: float = 3.0
     overload_for: float = 3.0
 
 
 @dataclass(slots=True)
 class Spoiling:
-    """The part of answers that go wrong, each way as likely as the others."""
+    """The share of successful responses that are replaced by a fault, drawn evenly from ``ways``."""
 
-    part: float = 0.0
+    share: float = 0.0
     ways: tuple[str, ...] = ("half", "behind", "noise", "reset", "error")
 
 
 @dataclass(slots=True, eq=False)
-class Core:
-    """A server's cores and who waits for them, in order."""
+class CorePool:
+    """The cores of a server, granted to waiting requests in order of arrival."""
 
     free: int
     waiting: deque[trio.Event] = field(default_factory=deque)
 
-    async def take(self) -> None:
+    async def acquire(self) -> None:
         if self.free:
             self.free -= 1
             return
@@ -86,12 +87,12 @@
             await event.wait()
         except trio.Cancelled:
             if event.is_set():
-                self.give()
+                self.release()
             else:
                 self.waiting.remove(event)
             raise
 
-    def give(self) -> None:
+    def release(self) -> None:
         if self.waiting:
             self.waiting.popleft().set()
         else:
@@ -99,7 +100,7 @@
 
 
 class Server(HttpServer):
-    """What caches and the origin share."""
+    """Base class of caches and the origin: queueing, rejection and faulty responses."""
 
     def __init__(
         self,
@@ -116,15 +117,15 @@
         super().__init__(host, address, now, events)
         self.name, self.kind, self.ledger, self.random_source, self.zone = name, kind, ledger, random_source, zone
         self.idle_for = kind.idle_for
-        self.core = Core(kind.cores)
-        self.slowed = 1.0  # factor of its speed
+        self.core_pool = CorePool(kind.cores)
+        self.slowed = 1.0  # factor of the speed; below 1 the server is slow
         self.draining = False
         self.spoiling = Spoiling()
         self.meter = Meter(kind.overload_factor, kind.overload_for)
         self.served = 0
 
     def capacity(self) -> float:
-        """Seconds of work that a second takes."""
+        """Work that can be done per second."""
         return self.kind.cores * self.kind.speed * self.slowed
 
     def speed(self) -> float:
@@ -145,63 +146,63 @@
         self.events.tell("reached", txn, self.name, other(stream), first_at, self.zone)
         if (given_up_at := getattr(stream, "given_up_at", lambda: inf)()) < inf:
             self.events.tell("given_up", txn, self.name, given_up_at)
-        work = self.kind.works[category] * (1 - SPREAD + 2 * SPREAD * self.random_source.random())
+        work = self.kind.works[category] * (1 - WORK_VARIATION + 2 * WORK_VARIATION * self.random_source.random())
         work += self.kind.handshake if fresh else 0.0
-        if self.overloaded(txn, work):
+        if self.add_load(txn, work):
             return False
         expiry = self.now() + int(field_of(message, b"x-remaining-ms") or 0) / 1000
-        full = len(self.core.waiting) >= self.kind.queue or self.connections > self.kind.connections
-        if self.draining or full:
+        queue_full = len(self.core_pool.waiting) >= self.kind.queue or self.connections > self.kind.connections
+        if self.draining or queue_full:
             return await self._turn_away(connection, txn)
-        await self.core.take()
+        await self.core_pool.acquire()
         try:
             if self.now() > expiry:
                 return await self._turn_away(connection, txn)
             if self.kind.throws_away and deserted(stream):
                 return False
-            status, body, found = self.look(message, txn, key)
-            work = work * MISS_WORK if status == 404 else work
-            await self.busy(work)
+            status, body, extra_fields = self.find_response(message, txn, key)
+            work = work * MISS_COST_RATIO if status == 404 else work
+            await self.do_work(work)
         finally:
-            self.core.give()
-        if status == 200 and self.spoiling.part and self.random_source.random() < self.spoiling.part:
-            return await self._spoil(connection, txn, body)
+            self.core_pool.release()
+        if status == 200 and self.spoiling.share and self.random_source.random() < self.spoiling.share:
+            return await self._send_spoilt(connection, txn, body)
         if status == 200:
-            body = self.done(message, txn, key) or body
-        self._told(connection, txn, "served" if status == 200 else "miss")
-        await self.reply(connection, status, body, *found)
+            body = self.finish(message, txn, key) or body
+        self._record_reply(connection, txn, "served" if status == 200 else "miss")
+        await self.reply(connection, status, body, *extra_fields)
         self.served += 1
         return True
 
-    async def busy(self, work: float) -> None:
+    async def do_work(self, work: float) -> None:
         await self.host.pause(work / max(1e-6, self.speed()))
 
-    def overloaded(self, txn: str, work: float) -> bool:
-        """Takes note of work that came in; whether the server is gone for it."""
+    def add_load(self, txn: str, work: float) -> bool:
+        """Record incoming work and return whether the server has failed under its load."""
         return False
 
-    def look(self, message: Message, txn: str, key: str) -> tuple[int, bytes, tuple[bytes, ...]]:
-        """Status, body and fields of the answer, by what the server has when it begins."""
+    def find_response(self, message: Message, txn: str, key: str) -> tuple[int, bytes, tuple[bytes, ...]]:
+        """Status, body and extra header fields of the response, determined when the work begins."""
         raise NotImplementedError
 
-    def done(self, message: Message, txn: str, key: str) -> bytes:
-        """What the work does when it is done; the body, where only that tells it."""
+    def finish(self, message: Message, txn: str, key: str) -> bytes:
+        """Apply the effects of completed work. Returns the response body if it is known only now, else nothing."""
         return b""
 
-    def _told(self, connection: Connection, txn: str, outcome: str) -> None:
+    def _record_reply(self, connection: Connection, txn: str, outcome: str) -> None:
         out = self.ledger.out.get(txn, [])
         out[:] = [row for row in out if row[1] is not connection.stream]
         self.events.tell("replied", txn, self.name, outcome, self.now())
 
     async def _turn_away(self, connection: Connection, txn: str) -> bool:
-        self._told(connection, txn, "away")
+        self._record_reply(connection, txn, "away")
         await self.reply(connection, 503, b"", b"X-Turned-Away: 1")
         return True
 
-    async def _spoil(self, connection: Connection, txn: str, body: bytes) -> bool:
+    async def _send_spoilt(self, connection: Connection, txn: str, body: bytes) -> bool:
         way = self.random_source.choice(self.spoiling.ways)
-        self._told(connection, txn, "spoilt")
-        whole = answer(200, body, b"X-Found: hit")
+        self._record_reply(connection, txn, "spoilt")
+        response = answer(200, body, b"X-Found: hit")
         if way == "reset":
             return False
         if way == "error":
@@ -210,20 +211,23 @@
         await self.send(
             connection,
             {
-                "half": whole[: -max(1, len(body) // 2)],
-                "noise": b"\x83\x00" + whole,
-                "behind": whole + answer(200, b"stale\n"),
+                "half": response[: -max(1, len(body) // 2)],
+                "noise": b"\x83\x00" + response,
+                "behind": response + answer(200, b"stale\n"),
             }[way],
         )
         if way == "behind":
             return True
         if way == "half" and self.random_source.random() < 0.5:
-            await self.host.pause(5)  # neither more nor an end
+            await self.host.pause(5)  # stall: neither more data nor the end of the connection
         return False
 
 
 class Cache(Server):
-    """Keeps what it was filled with; one that lacks a key says so."""
+    """A cache server: answers 404 for a key that it does not hold, and is filled after reads from the origin.
+
+    After its start it warms up from ``start_share`` of its capacity to all of it within ``warm_within`` seconds.
+    ``fall`` is called when it fails under overload while it warms up. It holds up to ``keeps`` keys."""
 
     def __init__(
         self,
@@ -236,16 +240,16 @@
     ) -> None:
         super().__init__(*args)
         self.came_up, self.start_share, self.warm_within = came_up, start_share, warm_within
-        self.fall, self.keeps = fall, keeps  # the last: keys; beyond them the oldest goes
+        self.fall, self.keeps = fall, keeps
         self.store: dict[str, int] = {}
         self.ledger.stores.append(self.store)
 
     def warmth(self) -> float:
-        """The part of its capacity that it has; ``came_up`` is by this clock, 0 for long ago."""
+        """The share of its capacity that is available; ``came_up`` is by the server's clock, 0 for long ago."""
         if not self.came_up:
             return 1.0
-        part = (self.now() - self.came_up) / self.warm_within
-        return min(1.0, self.start_share + (1 - self.start_share) * part)
+        elapsed_share = (self.now() - self.came_up) / self.warm_within
+        return min(1.0, self.start_share + (1 - self.start_share) * elapsed_share)
 
     def capacity(self) -> float:
         return super().capacity() * self.warmth()
@@ -253,22 +257,25 @@
     def speed(self) -> float:
         return super().speed() * self.warmth()
 
-    def overloaded(self, txn: str, work: float) -> bool:
+    def add_load(self, txn: str, work: float) -> bool:
         warmth = self.warmth()
-        plain = self.kind.cores * self.kind.speed * warmth  # as if it were not slowed besides
-        if warmth >= 1 or not self.meter.add(self.now(), work, plain):
+        unslowed_capacity = (
+            self.kind.cores * self.kind.speed * warmth
+        )  # an injected slowdown does not count as overload
+        if warmth >= 1 or not self.meter.add(self.now(), work, unslowed_capacity):
             return False
         self.events.tell("fell", self.name, round(warmth, 3))
         self.fall(self)
         return True
 
     def fill(self, key: str, version: int) -> None:
+        """Store a key, and evict the oldest one when there are more than ``keeps``."""
         self.store.pop(key, None)
         self.store[key] = version
         if len(self.store) > self.keeps:
             del self.store[next(iter(self.store))]
 
-    def look(self, message: Message, txn: str, key: str) -> tuple[int, bytes, tuple[bytes, ...]]:
+    def find_response(self, message: Message, txn: str, key: str) -> tuple[int, bytes, tuple[bytes, ...]]:
         version = self.store.get(key)
         if version is not None:
             return 200, body_of(txn, self.name, key, version, self.kind.size), (b"X-Found: hit",)
@@ -277,35 +284,35 @@
 
 
 class Origin(Server):
-    """Has every key; stops for a while when it is sent far more than it can take."""
+    """The origin, which has every key. Under overload it stalls for ``stops_for`` seconds."""
 
     stops_for = 4.0
     stopped_until = 0.0
-    part = -1  # of time, in which it counts
-    cold, came = 0, 0  # misses at cold caches among what came of late
+    interval = -1  # number of the time interval that the counts belong to
+    cold_misses, requests = 0, 0  # requests in this interval, and those of them that missed at a cache still warming up
 
-    def overloaded(self, txn: str, work: float) -> bool:
+    def add_load(self, txn: str, work: float) -> bool:
         now, step = self.now(), self.kind.overload_for
-        part = int(now / step)
-        if part != self.part:
-            self.part, self.cold, self.came = part, 0, 0
-        self.came += 1
-        self.cold += any(cold for _, cold in self.ledger.missed.get(txn, ()))
+        interval = int(now / step)
+        if interval != self.interval:
+            self.interval, self.cold_misses, self.requests = interval, 0, 0
+        self.requests += 1
+        self.cold_misses += any(cold for _, cold in self.ledger.missed.get(txn, ()))
         if self.meter.add(now, work, self.capacity()) and now >= self.stopped_until:
             self.stopped_until, self.meter.streak = now + self.stops_for, 0
-            self.events.tell("stopped", self.name, round(self.cold / self.came, 3))
+            self.events.tell("stopped", self.name, round(self.cold_misses / self.requests, 3))
         return False
 
-    async def busy(self, work: float) -> None:
-        await super().busy(work)
+    async def do_work(self, work: float) -> None:
+        await super().do_work(work)
         while (left := self.stopped_until - self.now()) > 0:
             await self.host.pause(left)
 
-    def look(self, message: Message, txn: str, key: str) -> tuple[int, bytes, tuple[bytes, ...]]:
+    def find_response(self, message: Message, txn: str, key: str) -> tuple[int, bytes, tuple[bytes, ...]]:
         version = self.ledger.versions.get(key, 0)
         return 200, body_of(txn, self.name, key, version, self.kind.size), ()
 
-    def done(self, message: Message, txn: str, key: str) -> bytes:
+    def finish(self, message: Message, txn: str, key: str) -> bytes:
         if message.method == b"PUT":
             self.ledger.void(key)
             return body_of(txn, self.name, key, self.ledger.versions[key])
