--- a/rowanshift/emulation/platform.py
+++ b/rowanshift/emulation/platform.py
@@ -7,7 +7,7 @@
 import orjson
 
 from rowanshift.emulation.http import HttpServer, other
-from rowanshift.emulation.model_server import ModelServer, query_of
+from rowanshift.emulation.model_server import ModelServer, parse_target
 from rowanshift.invariants.events import Events
 from rowanshift.invariants.system import Fact, Listed, Listing
 from rowanshift.transport.http_connection import Connection, Message
@@ -75,7 +75,7 @@
         return [server.row(instance_id, state, now - self.lag) for instance_id, (server, state) in visible.items()]
 
     async def handle(self, connection: Connection, message: Message, first_at: float, fresh: bool) -> bool:
-        path, parameters = query_of(message)
+        path, parameters = parse_target(message)
         status, body, now = 200, b"", self.now()
         while self.recent_calls and self.recent_calls[0] <= now - 1:
             self.recent_calls.popleft()
--- a/rowanshift/emulation/servers.py
+++ b/rowanshift/emulation/servers.py
@@ -153,11 +153,11 @@
         expiry = self.now() + int(field_of(message, b"x-remaining-ms") or 0) / 1000
         queue_full = len(self.core_pool.waiting) >= self.kind.queue or self.connections > self.kind.connections
         if self.draining or queue_full:
-            return await self._turn_away(connection, txn)
+            return await self._reject(connection, txn)
         await self.core_pool.acquire()
         try:
             if self.now() > expiry:
-                return await self._turn_away(connection, txn)
+                return await self._reject(connection, txn)
             if self.kind.throws_away and deserted(stream):
                 return False
             status, body, extra_fields = self.find_response(message, txn, key)
@@ -194,7 +194,7 @@
         out[:] = [row for row in out if row[1] is not connection.stream]
         self.events.tell("replied", txn, self.name, outcome, self.now())
 
-    async def _turn_away(self, connection: Connection, txn: str) -> bool:
+    async def _reject(self, connection: Connection, txn: str) -> bool:
         self._record_reply(connection, txn, "away")
         await self.reply(connection, 503, b"", b"X-Turned-Away: 1")
         return True
@@ -259,10 +259,8 @@
 
     def add_load(self, txn: str, work: float) -> bool:
         warmth = self.warmth()
-        unslowed_capacity = (
-            self.kind.cores * self.kind.speed * warmth
-        )  # an injected slowdown does not count as overload
-        if warmth >= 1 or not self.meter.add(self.now(), work, unslowed_capacity):
+        nominal_capacity = self.kind.cores * self.kind.speed * warmth  # without an injected slowdown
+        if warmth >= 1 or not self.meter.add(self.now(), work, nominal_capacity):
             return False
         self.events.tell("fell", self.name, round(warmth, 3))
         self.fall(self)
@@ -289,7 +287,7 @@
     stops_for = 4.0
     stopped_until = 0.0
     interval = -1  # number of the time interval that the counts belong to
-    cold_misses, requests = 0, 0  # requests in this interval, and those of them that missed at a cache still warming up
+    cold_misses, requests = 0, 0  # this interval's misses at caches still warming up, and requests
 
     def add_load(self, txn: str, work: float) -> bool:
         now, step = self.now(), self.kind.overload_for
--- a/tests/emulation/test_emulation_system.py
+++ b/tests/emulation/test_emulation_system.py
@@ -300,7 +300,7 @@
 
     def test_events_are_waited_for_and_a_gap_is_told(self):
         async def main(world):
-            server = world.server(events_kept=2, held_calls=1)
+            server = world.server(max_events=2, max_long_polls=1)
             answers = []
 
             async def watch():
@@ -643,7 +643,7 @@
             early = await shown()
             await trio.sleep(1.5)
             world.servers[0].models["m"] = 2
-            world.servers[0]._note()
+            world.servers[0]._record_report()
             listing.drain(world.servers[0])
             listing.remove("i-2")
             before = listing.rows()[0]["models"][0]["revision"]
