--- a/rowanshift/emulation/__init__.py
+++ b/rowanshift/emulation/__init__.py
@@ -1,2 +1,1 @@
-"""Stand-ins of what a router meets: one implementation each, on real loopback sockets and the virtual
-network."""
+"""Emulated servers, platform API and clients, which run on loopback sockets and in the simulated network."""
--- a/rowanshift/emulation/cluster.py
+++ b/rowanshift/emulation/cluster.py
@@ -1,7 +1,7 @@
-"""``rowanshift demo``: a small whole system on loopback in one process, and one streamed request shown.
+"""``rowanshift demo``: a small system on loopback in one process, and one streamed request to it.
 
-Three core machines, two routers, three stand-in model servers and the platform's list, each at an address
-of its own within 127.0.0.0/8, so that they can have the same ports as machines have.
+Three core machines, two routers, three emulated model servers and the platform API, each at its own address within
+127.0.0.0/8, so that they can use the same ports as separate machines.
 """
 
 import random
@@ -33,9 +33,9 @@
 from rowanshift.transport.streams import Address, Listener, Stream, connect, send_all
 from rowanshift.wire.machine_ids import ip_from_machine_id
 
-NET = "127.0.0."  # the addresses' beginning
-CORE, ROUTERS, SERVERS, PLATFORM = (1, 2, 3), (11, 12), (21, 22, 23), 31  # their last numbers
-INNER, CONTROL, FRONT, READINESS, SERVER, LIST = (7400, 7401), 8500, 8080, 8081, 8082, 8083  # ports
+NETWORK_PREFIX = "127.0.0."  # first three bytes of the addresses
+CORE, ROUTERS, SERVERS, PLATFORM = (1, 2, 3), (11, 12), (21, 22, 23), 31  # last bytes of the addresses
+INNER, CONTROL, FRONT, READINESS, SERVER, LIST_PORT = (7400, 7401), 8500, 8080, 8081, 8082, 8083  # ports
 LIST_RATE, LIST_LAG_MS = 4.0, 100.0
 MODEL, HOST, PREFIX, KEY = "demo-model", "demo.example", "/chat/", "demo-key"
 CONFIG: dict[str, Any] = {
@@ -67,16 +67,17 @@
     "limits": {"maxHeaderBytes": 16384, "maxBodyBytes": 1 << 20, "headerTimeoutMs": 3000, "idleTimeoutMs": 15000},
     "tenants": [{"name": "demo", "apiKeys": [KEY]}],
 }
-PROMPT, OUT = "a1:40,b2:10", 20  # parts with their tokens; tokens out
-START_WITHIN = 20.0  # seconds until everything serves
-LOOK = 0.01  # seconds
-FACTS = 1000  # of the stand-ins that are kept
+PROMPT, OUTPUT_TOKENS = "a1:40,b2:10", 20  # prompt parts and their tokens; output tokens
+START_TIMEOUT_SECONDS = 20.0  # until the streamed request is answered
+POLL_SECONDS = 0.01
+MAX_FACTS = 1000  # recorded events kept in memory
 
-say = partial(print, flush=True)  # also into a pipe, while it goes on
+say = partial(print, flush=True)  # flushed so that a pipe shows the progress
 
 
 class Inside(SystemCoreRuntime):
-    """The machine, for services that share a process and are ended by it; ``close`` closes what they left."""
+    """A runtime for services that share a process, which handles the signals. ``close`` closes their streams and
+    listeners."""
 
     def __init__(self) -> None:
         self.opened: WeakSet = WeakSet()  # streams and listeners
@@ -90,8 +91,8 @@
         return made
 
     def close(self) -> None:
-        for thing in [*self.opened]:
-            thing.close()
+        for resource in [*self.opened]:
+            resource.close()
 
     @contextmanager
     def signals(self) -> Iterator[AsyncIterator[int]]:
@@ -102,20 +103,20 @@
         yield none()
 
     def settled(self) -> None:
-        """The process is not one service's alone."""
+        """Do nothing: the process is shared by several services."""
 
 
 class SmallSystem:
-    """All parts on real loopback sockets. ``folder`` gets settings files and the core's data."""
+    """A complete system on loopback sockets. ``folder`` receives the settings files and the core machines' data."""
 
-    def __init__(self, folder: Path, net: str = NET, clock: Callable[[], float] = trio.current_time) -> None:
+    def __init__(self, folder: Path, net: str = NETWORK_PREFIX, clock: Callable[[], float] = trio.current_time) -> None:
         self.folder, self.net = folder, net
         self.host = Inside()
-        self.facts: deque = deque(maxlen=FACTS)
+        self.facts: deque = deque(maxlen=MAX_FACTS)
         self.registry = Registry()
         self.random_source = random.Random()
         common = clock, self.facts
-        self.platform = PlatformList(self.host, (f"{net}{PLATFORM}", LIST), LIST_RATE, LIST_LAG_MS, *common)
+        self.platform = PlatformList(self.host, (f"{net}{PLATFORM}", LIST_PORT), LIST_RATE, LIST_LAG_MS, *common)
         self.servers = [
             ModelServer(self.host, (f"{net}{n}", SERVER), f"server-{n}", "chat", *common, self.registry, {MODEL: 1})
             for n in SERVERS
@@ -129,7 +130,7 @@
         self.operator = Operator(self.host, "operator", *common, self.controls, self.random_source, self.registry)
 
     def settings(self, kind: str, number: int) -> Path:
-        """Writes the settings file of a machine, as the platform does."""
+        """Write the settings file of a machine."""
         ip = f"{self.net}{number}"
         listen = (
             {"controlPlane": f"{ip}:{CONTROL}"}
@@ -147,7 +148,11 @@
             "bootstrap": kind == "core",
             "seedNodes": [f"{self.net}{n}:{CONTROL}" for n in CORE],
             "faultTolerance": {"machines": 1},
-            "cloudApi": {"address": f"{self.net}{PLATFORM}:{LIST}", "ratePerS": LIST_RATE, "maxLagMs": LIST_LAG_MS},
+            "cloudApi": {
+                "address": f"{self.net}{PLATFORM}:{LIST_PORT}",
+                "ratePerS": LIST_RATE,
+                "maxLagMs": LIST_LAG_MS,
+            },
         }
         if kind == "core":
             made["dataDir"] = str(self.folder / f"core-{number}")
@@ -170,68 +175,68 @@
                     core_service.coordination.replica_runner.disk.close()
             self.host.close()
 
-    # what to wait for -------------------------------------
+    # waiting ----------------------------------------------
 
     async def primary(self) -> ControlPlaneService:
-        """The core machine that is primary, once there is one that may also order."""
+        """Wait for a primary that holds a lease, and return it."""
         while True:
             for core_service in self.core_services:
                 if (node := getattr(core_service, "replica_runner", None)) is not None and node.lease_remaining():
                     return core_service
-            await trio.sleep(LOOK)
+            await trio.sleep(POLL_SECONDS)
 
-    async def serving(self) -> None:
-        """Until each router is ready: it has a configuration and knows of servers."""
+    async def wait_until_serving(self) -> None:
+        """Wait until each router is ready: it has a configuration and knows servers."""
         while not all(hasattr(router, "control_client") and router.ready() for router in self.routers):
-            await trio.sleep(LOOK)
+            await trio.sleep(POLL_SECONDS)
 
 
-class Printed(StreamReader):
-    """Prints each event as it comes."""
+class PrintingStreamReader(StreamReader):
+    """Prints each event when it arrives."""
 
-    def _event(self, event: bytes) -> None:
-        super()._event(event)
+    def _handle_event(self, event: bytes) -> None:
+        super()._handle_event(event)
         piece = self.attempt.pieces[-1]
         took = 1000 * (piece.at - self.attempt.asked_at)
         made = f"tokens {piece.first + 1} to {piece.last} of run {piece.run}"
         say(f"  {took:7.1f} ms  id {piece.last:3}  {made}" + ("  (the last)" if piece.final else ""))
 
 
-async def stream(system: SmallSystem, front: Address) -> Try:
-    """One streamed request at a router, printed event by event."""
+async def stream_request(system: SmallSystem, front: Address) -> Try:
+    """Send one request to a router and print each event of its response."""
     now = trio.current_time
     attempt = Try("demo-1", front, now())
-    reader = Printed(attempt, now, system.facts)
+    reader = PrintingStreamReader(attempt, now, system.facts)
     body, sock, space = b"{}", system.host.stream(), memoryview(bytearray(1 << 16))
     head = (
         f"POST {PREFIX}hello HTTP/1.1\r\nHost: {HOST}\r\nRequest-Id: {attempt.id}\r\n"
-        f"Authorization: Bearer {KEY}\r\nModel-Name: {MODEL}\r\nToken-Count: 50,{OUT}\r\n"
+        f"Authorization: Bearer {KEY}\r\nModel-Name: {MODEL}\r\nToken-Count: 50,{OUTPUT_TOKENS}\r\n"
         f"Prompt-Prefix: {PROMPT}\r\nDeadline-Remaining: 5000\r\nContent-Length: {len(body)}\r\n\r\n"
     )
     try:
         await connect(sock, front)
         await send_all(sock, head.encode() + body)
-        while not reader.whole:
+        while not reader.complete:
             await sock.wait_readable()
             try:
                 n = sock.recv_into(space)
             except BlockingIOError:
                 continue
             if not n:
-                raise ConnectionResetError("the router ended the connection")
+                raise ConnectionResetError("the router closed the connection before the end of its response")
             reader.feed(bytes(space[:n]))
     except httptools.HttpParserError as error:
-        raise ConnectionResetError(f"no answer that can be read: {error}") from error
+        raise ConnectionResetError(f"malformed HTTP response from the router: {error}") from error
     finally:
         sock.close()
     return attempt
 
 
-async def show(system: SmallSystem) -> None:
-    began = trio.current_time()
+async def show_request(system: SmallSystem) -> None:
+    started_at = trio.current_time()
     say(
-        f"{len(CORE)} core machines, {len(ROUTERS)} routers, {len(SERVERS)} stand-in model servers and the "
-        f"platform's list start at {system.net}x"
+        f"{len(CORE)} core machines, {len(ROUTERS)} routers, {len(SERVERS)} emulated model servers and the "
+        f"platform API start at {system.net}x"
     )
     core_service = await system.primary()
     record = core_service.replica_runner.replica.record
@@ -242,55 +247,55 @@
     )
     status = await system.operator.put_config(CONFIG, 0)
     if status != 200:
-        raise ConnectionRefusedError(f"the configuration was answered {status}")
+        raise ConnectionRefusedError(f"PUT /config returned status {status}")
     say(f"The operator's PUT /config: {status}; revision 1 is on {len(record.in_sync)} disks")
-    await system.serving()
+    await system.wait_until_serving()
     fronts = " and ".join("{}:{}".format(*front) for front in system.fronts)
-    say(f"Ready after {trio.current_time() - began:.1f} s: {fronts}")
+    say(f"Ready after {trio.current_time() - started_at:.1f} s: {fronts}")
     say("POST {}hello at {}:{}".format(PREFIX, *system.fronts[0]))
-    attempt = await stream(system, system.fronts[0])
+    attempt = await stream_request(system, system.fronts[0])
     say(f"  {attempt.status}, {len(attempt.pieces)} events")
     if attempt.status != 200:
-        raise ConnectionRefusedError(f"the request was answered {attempt.status}")
+        raise ConnectionRefusedError(f"the streamed request returned status {attempt.status}")
 
 
-def hints(system: SmallSystem) -> str:
+def usage_hints(system: SmallSystem) -> str:
     controls = ",".join("{}:{}".format(*control) for control in system.controls)
     ip, port = system.fronts[1]
     return (
-        "It goes on until Ctrl-C. In another shell:\n"
+        "The system keeps running until Ctrl-C. In another shell:\n"
         f"  curl -N -d '{{}}' -H 'Host: {HOST}' -H 'Request-Id: 2' -H 'Authorization: Bearer {KEY}' "
-        f"-H 'Model-Name: {MODEL}' -H 'Token-Count: 50,{OUT}' -H 'Prompt-Prefix: {PROMPT}' "
+        f"-H 'Model-Name: {MODEL}' -H 'Token-Count: 50,{OUTPUT_TOKENS}' -H 'Prompt-Prefix: {PROMPT}' "
         f"http://{ip}:{port}{PREFIX}hello\n"
         f"  rowanshift status --at {controls}\n  rowanshift duties --at {controls}"
     )
 
 
-async def end_on_sigterm(scope: trio.CancelScope, task_status=trio.TASK_STATUS_IGNORED) -> None:
+async def cancel_on_sigterm(scope: trio.CancelScope, task_status=trio.TASK_STATUS_IGNORED) -> None:
     with trio.open_signal_receiver(signal.SIGTERM) as signals:
         task_status.started()
         async for _ in signals:
             scope.cancel()
 
 
-async def play(folder: Path, stay: bool, net: str = NET) -> None:
+async def play(folder: Path, stay: bool, net: str = NETWORK_PREFIX) -> None:
     system = SmallSystem(folder, net)
     async with trio.open_nursery() as nursery:
-        await nursery.start(end_on_sigterm, nursery.cancel_scope)
+        await nursery.start(cancel_on_sigterm, nursery.cancel_scope)
         nursery.start_soon(system.run)
-        with trio.fail_after(START_WITHIN):
-            await show(system)
+        with trio.fail_after(START_TIMEOUT_SECONDS):
+            await show_request(system)
         if stay:
-            say(hints(system))
+            say(usage_hints(system))
             await trio.sleep_forever()
         nursery.cancel_scope.cancel()
 
 
-def demo(stay: bool, net: str = NET) -> int:
-    """Shows one streamed request of a whole system between stand-ins; the exit status."""
+def demo(stay: bool, net: str = NETWORK_PREFIX) -> int:
+    """Run a small system with emulated servers and show one streamed request. Returns the exit status."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     log_to_stderr("WARNING")
-    why: BaseException | None = None
+    error: BaseException | None = None
     try:
         with tempfile.TemporaryDirectory(prefix="rowanshift-demo-") as folder:
             try:
@@ -298,12 +303,14 @@
             except* KeyboardInterrupt:
                 pass
             except* (OSError, trio.TooSlowError) as group:
-                why = group
+                error = group
     finally:
         logger.remove()
-    if why is None:
+    if error is None:
         return 0
-    why = first_of(why)
-    said = f"nothing serves after {START_WITHIN} s" if isinstance(why, trio.TooSlowError) else why
-    print(f"rowanshift: {said}", file=sys.stderr)
+    error = first_of(error)
+    message = (
+        f"no streamed response within {START_TIMEOUT_SECONDS} s" if isinstance(error, trio.TooSlowError) else error
+    )
+    print(f"rowanshift: {message}", file=sys.stderr)
     return 1
--- a/rowanshift/emulation/system_clients.py
+++ b/rowanshift/emulation/system_clients.py
@@ -1,4 +1,4 @@
-"""Who calls the fleet from outside: patrons, who read streams event by event, and the operator."""
+"""Emulated clients of the system: clients that read event streams, and the operator."""
 
 import random
 from collections.abc import Callable, Sequence
@@ -30,26 +30,26 @@
 from rowanshift.transport.runtime import Runtime
 from rowanshift.transport.streams import Address, Stream, connect, send_all
 
-DIAL_WITHIN = 1.0
-PROMISES = (408, 421, 429, 503)
-NO_MORE = (400, 401, 404, 413, 431)  # clients do not come back after these
-SETTLED = (400, 409, 412, 413, 422)  # nor the operator after these
-MOST_REDIRECTS = 2
-FIRST_BACKOFF, LONGEST_BACKOFF = 0.1, 2.0
+CONNECT_TIMEOUT_SECONDS = 1.0
+NOT_EXECUTED_STATUSES = (408, 421, 429, 503)  # the request did not run, so it may be retried
+CLIENT_FINAL_STATUSES = (400, 401, 404, 413, 431)  # no retry by clients
+OPERATOR_FINAL_STATUSES = (400, 409, 412, 413, 422)  # no retry by the operator
+MAX_REDIRECTS = 2
+FIRST_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS = 0.1, 2.0
 
 
 @dataclass(slots=True)
 class Work:
-    """What a patron asks for. ``within``, ``aim`` and ``gap`` are in seconds: the deadline, the objective up
-    to the first event, and the longest pause that is in time."""
+    """A request of a client. ``within`` is its deadline, ``aim`` the target latency of the first event and ``gap`` that
+    between events, all in seconds."""
 
     host: str
     target: str
     model: str = ""
-    prompt: Sequence[tuple[str, int]] = ()  # parts and their tokens
+    prompt: Sequence[tuple[str, int]] = ()  # names of parts and their tokens
     out: int = 20  # tokens
-    key: str = ""
-    tenant: str = ""  # that holds the key
+    key: str = ""  # API key
+    tenant: str = ""  # owner of the API key
     repeatable: bool = False  # idempotent, or resumable
     resumable: bool = False
     within: float = 5.0
@@ -57,82 +57,89 @@
     gap: float = 0.25
     method: str = "POST"
     body: bytes = b"{}"
-    fields: Sequence[str] = ()  # more lines of the head
+    fields: Sequence[str] = ()  # additional header lines
 
     def patience(self) -> float:
+        """Seconds without data after which the client disconnects."""
         return max(2.0, 4 * self.aim, 8 * self.gap)
 
 
 @dataclass(slots=True)
 class Try:
-    """How one try went. Times in seconds."""
+    """The outcome of one attempt. Times are in seconds.
+
+    ``how`` is one of: whole (complete response), broken (ended after its head), closed (ended before its head),
+    left (the client timed out), no way (no connection) and garbled (not HTTP)."""
 
     id: str
     front: Address
     asked_at: float
-    how: str = "left"  # whole, broken (off after its head), no way, closed, left (by the client), garbled
+    how: str = "left"
     status: int = 0
     stamp: str = ""
     fields: list[tuple[bytes, bytes]] = field(default_factory=list)  # names in lower case
     pieces: list[Piece] = field(default_factory=list)
-    versions: list[int] = field(default_factory=list)  # as the head and the events told
+    versions: list[int] = field(default_factory=list)  # from the header and the events
     first_at: float = inf
     ended_at: float = inf
-    taken: bool = True  # whether the router may have read it
+    taken: bool = True  # whether the router may have read the request
 
     def field(self, name: bytes) -> str:
         return next((value.decode("latin-1") for n, value in self.fields if n == name), "")
 
     def done(self) -> bool:
+        """Whether a complete successful response was received."""
         return self.how == "whole" and 200 <= self.status < 300
 
 
 class StreamReader:
-    """Reads one answer and its events as they come; what ``httptools`` calls is told to a ``Try``."""
+    """Parses one response and its events, and records them in a ``Try``. ``on_*`` methods are ``httptools`` callbacks.
+
+    ``surplus`` is what follows the complete response."""
 
     def __init__(self, attempt: Try, now: Callable[[], float], facts: list[Fact]) -> None:
         self.attempt, self.now, self.facts = attempt, now, facts
         self.parser = httptools.HttpResponseParser(self)
-        self.text = b""
-        self.headed = self.whole = False
+        self.buffer = b""
+        self.headers_complete = self.complete = False
         self.surplus = b""
 
     def feed(self, data: bytes) -> None:
-        if self.whole:
+        if self.complete:
             self.surplus += data
             return
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
-            if not self.whole:  # else it is what came behind the answer
+            if not self.complete:  # otherwise the malformed data follows the response
                 raise
 
     def on_message_begin(self) -> None:
-        if self.whole:
+        if self.complete:
             self.surplus += b"an answer"
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        if not self.headed:
+        if not self.headers_complete:
             self.attempt.fields.append((name.lower(), value))
 
     def on_headers_complete(self) -> None:
-        if self.whole:
+        if self.complete:
             return
-        self.headed, attempt = True, self.attempt
+        self.headers_complete, attempt = True, self.attempt
         attempt.status, attempt.stamp = self.parser.get_status_code(), attempt.field(b"response-seal")
-        if (told := attempt.field(b"versions")).isdigit():
-            attempt.versions.append(int(told))
+        if (versions := attempt.field(b"versions")).isdigit():
+            attempt.versions.append(int(versions))
 
     def on_body(self, data: bytes) -> None:
-        if self.whole:
+        if self.complete:
             return
-        self.text += data
-        while b"\n\n" in self.text:
-            event, _, self.text = self.text.partition(b"\n\n")
+        self.buffer += data
+        while b"\n\n" in self.buffer:
+            event, _, self.buffer = self.buffer.partition(b"\n\n")
             if self.attempt.status == 200:
-                self._event(event)
+                self._handle_event(event)
 
-    def _event(self, event: bytes) -> None:
+    def _handle_event(self, event: bytes) -> None:
         lines = dict(line.partition(b": ")[::2] for line in event.split(b"\n"))
         if b"versions" in lines:
             self.attempt.versions.append(int(lines[b"versions"]))
@@ -142,17 +149,17 @@
                 self.now(), self.attempt.id, data["first"], int(lines[b"id"]), data["of"], data["run"], data["final"]
             )
         except (KeyError, ValueError, TypeError):
-            piece = Piece(self.now(), self.attempt.id, -1, -1, "", "")  # no event that a server made
+            piece = Piece(self.now(), self.attempt.id, -1, -1, "", "")  # not an event of a model server
         self.attempt.pieces.append(piece)
         self.attempt.first_at = min(self.attempt.first_at, piece.at)
         self.facts.append(piece)
 
     def on_message_complete(self) -> None:
-        self.whole = True
+        self.complete = True
 
 
 class Patron:
-    """A client. With ``keeps``, a connection is used again after a whole answer."""
+    """A client. With ``keeps``, it reuses a connection after a complete response."""
 
     def __init__(
         self,
@@ -167,27 +174,30 @@
         self.host, self.name, self.now, self.facts = host, name, clock, facts
         self.fronts, self.random_source, self.keeps = list(fronts), random_source, keeps
         self.ids = self.calls = 0
-        self.kept: dict[Address, tuple[Stream, str]] = {}  # and the id that it last carried
+        self.kept: dict[Address, tuple[Stream, str]] = {}  # with the id of the last request on it
         self.tries: list[Try] = []
 
     async def call(self, work: Work, tries: int = 3, since: int = 0) -> Try:
-        """One request with its retries, within its deadline, as clients do; resumes a stream where it may."""
+        """Send one request, with retries within its deadline; a resumable stream continues after its last event."""
         self.calls += 1
-        call, ends = f"{self.name}-{self.calls}", self.now() + work.within
+        call, deadline = f"{self.name}-{self.calls}", self.now() + work.within
         for n in range(tries):
             front = self.random_source.choice(self.fronts)
-            last = await self.ask(work, front, since, ends - self.now(), call, fresh=n > 0)
+            last = await self.ask(work, front, since, deadline - self.now(), call, fresh=n > 0)
             again = (
-                work.repeatable or work.resumable or (last.how == "whole" and last.status in PROMISES) or not last.taken
+                work.repeatable
+                or work.resumable
+                or (last.how == "whole" and last.status in NOT_EXECUTED_STATUSES)
+                or not last.taken
             )
-            if last.done() or last.status in NO_MORE or not again or n + 1 == tries:
+            if last.done() or last.status in CLIENT_FINAL_STATUSES or not again or n + 1 == tries:
                 break
             if work.resumable and last.pieces:
                 since = last.pieces[-1].last
-            left = ends - self.now()
-            told = last.field(b"retry-after")
-            await self.host.pause(min(float(told), left / 3) if told and left > 0 else 0.0)
-            if self.now() >= ends:
+            left = deadline - self.now()
+            retry_after = last.field(b"retry-after")
+            await self.host.pause(min(float(retry_after), left / 3) if retry_after and left > 0 else 0.0)
+            if self.now() >= deadline:
                 break
         return last
 
@@ -200,13 +210,13 @@
         call: str = "",
         fresh: bool = False,
     ) -> Try:
-        """One try under an id of its own, at one router."""
+        """Make one attempt at one router, under a new request id."""
         self.ids += 1
         front = front or self.random_source.choice(self.fronts)
         attempt = Try(f"{self.name}.{self.ids}", front, self.now())
         left = work.within if left is None else left
         self.tries.append(attempt)
-        stream = None if fresh else self._again(front)
+        stream = None if fresh else self._reusable_stream(front)
         self.facts.append(
             Asked(
                 self.now(),
@@ -232,51 +242,51 @@
                     attempt.taken = False
                     attempt.how = "no way"
                     stream = self.host.stream()
-                    with trio.move_on_after(DIAL_WITHIN) as dialling:
+                    with trio.move_on_after(CONNECT_TIMEOUT_SECONDS) as connecting:
                         await connect(stream, front)
-                    if dialling.cancelled_caught:
+                    if connecting.cancelled_caught:
                         return attempt
                 attempt.how, attempt.taken = "left", True
                 await send_all(stream, self._request(work, attempt.id, since, left))
-                await self._read(reader, stream, work.patience())
+                await self._read_response(reader, stream, work.patience())
         except httptools.HttpParserError:
             attempt.how = "broken" if attempt.pieces else "garbled"
         except OSError:
             if attempt.how != "no way":
-                attempt.how = "broken" if reader.headed else "closed"
+                attempt.how = "broken" if reader.headers_complete else "closed"
         finally:
             if stream is not None:
-                self._end(attempt, reader, stream)
+                self._finish_attempt(attempt, reader, stream)
         return attempt
 
-    async def _read(self, reader: StreamReader, stream: Stream, patience: float) -> None:
-        space = memoryview(bytearray(65536))
-        while not reader.whole:
+    async def _read_response(self, reader: StreamReader, stream: Stream, patience: float) -> None:
+        buffer = memoryview(bytearray(65536))
+        while not reader.complete:
             with trio.move_on_after(patience) as silence:
                 await stream.wait_readable()
             if silence.cancelled_caught:
                 return
             try:
-                n = stream.recv_into(space)
+                n = stream.recv_into(buffer)
             except BlockingIOError:
                 continue
             if n == 0:
-                if reader.headed and not {b"content-length", b"transfer-encoding"} & {
+                if reader.headers_complete and not {b"content-length", b"transfer-encoding"} & {
                     name for name, _ in reader.attempt.fields
                 }:
-                    reader.whole = True  # it ends with its connection
+                    reader.complete = True  # the end of the connection ends the response
                     break
-                reader.attempt.how = "broken" if reader.headed else "closed"
+                reader.attempt.how = "broken" if reader.headers_complete else "closed"
                 return
-            reader.feed(bytes(space[:n]))
+            reader.feed(bytes(buffer[:n]))
         reader.attempt.how = "whole"
 
-    def _end(self, attempt: Try, reader: StreamReader, stream: Stream) -> None:
+    def _finish_attempt(self, attempt: Try, reader: StreamReader, stream: Stream) -> None:
         now = attempt.ended_at = self.now()
         taken = getattr(stream, "taken", None)
         if attempt.how == "closed" and taken is not None:
             attempt.taken = taken()
-        if reader.headed:
+        if reader.headers_complete:
             echoed = attempt.field(b"request-id")
             self.facts.append(
                 Answered(
@@ -301,15 +311,15 @@
         else:
             stream.close()
 
-    def _again(self, front: Address) -> Stream | None:
-        """A kept connection, if nothing came on it since; what did belongs to no request."""
+    def _reusable_stream(self, front: Address) -> Stream | None:
+        """A kept connection, unless it is closed or has unsolicited data, which is recorded as surplus."""
         stream, id = self.kept.pop(front, (None, ""))
         if stream is None or not stream.readable():
             return stream
         try:
-            space = memoryview(bytearray(4096))
-            if n := stream.recv_into(space):
-                self.facts.append(Surplus(self.now(), id, bytes(space[:n])))
+            buffer = memoryview(bytearray(4096))
+            if n := stream.recv_into(buffer):
+                self.facts.append(Surplus(self.now(), id, bytes(buffer[:n])))
         except OSError:
             pass
         stream.close()
@@ -348,18 +358,18 @@
 
 @dataclass(slots=True, frozen=True)
 class Reply:
-    status: int  # 0: no clear answer in time
+    status: int  # 0: no conclusive response in time
     body: bytes = b""
-    sent_at: float = 0.0  # when the sending began that it answers
+    sent_at: float = 0.0  # start of the attempt that was answered
 
 
-def address_of(text: str) -> Address:
+def parse_address(text: str) -> Address:
     host, _, port = text.rpartition(":")
     return host, int(port)
 
 
 class Operator:
-    """Calls whoever serves ``control``: follows 307 twice, moves on after a failure, an error or silence."""
+    """A client of the control API. It follows redirects, and tries the next address after an error or time-out."""
 
     def __init__(
         self,
@@ -374,8 +384,8 @@
         self.host, self.name, self.now, self.facts = host, name, clock, facts
         self.controls, self.random_source, self.registry = list(controls), random_source, registry
         self.memory = MemoryBudget(4096)
-        self.silence = 1.0  # seconds after which it moves on; longer for large bodies
-        self.lost_acknowledgements = 0.0  # part of the 200s to orders that are lost on their way
+        self.response_timeout = 1.0  # seconds; large bodies add to it
+        self.lost_acknowledgements = 0.0  # fraction of 200 responses to changes that are treated as lost
         self.calls = 0
 
     async def put_config(
@@ -386,8 +396,9 @@
         valid: bool = True,
         patch: dict[str, Any] | None = None,
     ) -> int:
-        """Sends a configuration until it is settled, whole or as the ``patch`` that makes it of the base; its status,
-        0 if that stayed unclear for ``within`` seconds."""
+        """Send a configuration, with retries, complete or as the ``patch`` from its base.
+
+        Returns the status, or 0 without a conclusive response within ``within`` seconds."""
         self.calls += 1
         call, revision = f"{self.name}-{self.calls}", config.get("revision", 0)
         self.facts.append(ConfigSent(self.now(), call, base, revision, config, valid, patch))
@@ -397,6 +408,7 @@
         return reply.status
 
     async def name_version(self, model: str, revision: int, within: float = 10.0) -> int:
+        """Announce a revision of a model; returns the status as ``put_config`` does."""
         if self.registry is not None:
             self.registry.newest[model] = max(revision, self.registry.newest.get(model, 1))
         body = orjson.dumps({"model": model, "revision": revision})
@@ -407,6 +419,7 @@
         return reply.status
 
     async def read_config(self, within: float = 10.0) -> dict[str, Any] | None:
+        """Read and record the configuration; ``None`` without a 200, empty if it is not JSON."""
         since = self.now()
         reply = await self.call("GET", "/config", b"", within)
         try:
@@ -417,46 +430,49 @@
         return config
 
     async def call(self, method: str, target: str, body: bytes, within: float, *fields: str, name: str = "") -> Reply:
-        """One call, sent again as it was until it is settled or ``within`` seconds are over. With a ``name`` it is
-        an order, whose answers are facts and may be lost."""
-        ends, backoff, others = self.now() + within, FIRST_BACKOFF, 0
-        order = self.random_source.sample(self.controls, len(self.controls))
-        n = 0
-        while self.now() < ends:
-            reply = await self._follow(order[n % len(order)], method, target, body, fields, ends, name)
-            n += 1
-            if 200 <= reply.status < 300 or reply.status in SETTLED:
+        """Send a call, with retries until a conclusive status or for ``within`` seconds.
+
+        A call with a ``name`` is a change, whose responses are recorded and may be treated as lost."""
+        deadline, backoff, client_errors = self.now() + within, FIRST_BACKOFF_SECONDS, 0
+        addresses = self.random_source.sample(self.controls, len(self.controls))
+        attempts = 0
+        while self.now() < deadline:
+            reply = await self._call_with_redirects(
+                addresses[attempts % len(addresses)], method, target, body, fields, deadline, name
+            )
+            attempts += 1
+            if 200 <= reply.status < 300 or reply.status in OPERATOR_FINAL_STATUSES:
                 return reply
             if 400 <= reply.status < 500 and reply.status not in (408, 429):
-                others += 1
-                if others == 3:
+                client_errors += 1
+                if client_errors == 3:
                     return reply
-            await self.host.pause(min(backoff * (0.5 + self.random_source.random()), max(0.0, ends - self.now())))
-            backoff = min(2 * backoff, LONGEST_BACKOFF)
+            await self.host.pause(min(backoff * (0.5 + self.random_source.random()), max(0.0, deadline - self.now())))
+            backoff = min(2 * backoff, MAX_BACKOFF_SECONDS)
         return Reply(0)
 
-    async def _follow(
-        self, address: Address, method: str, target: str, body: bytes, fields: Sequence[str], ends: float, name: str
+    async def _call_with_redirects(
+        self, address: Address, method: str, target: str, body: bytes, fields: Sequence[str], deadline: float, name: str
     ) -> Reply:
-        silence = self.silence + len(body) / 1e6
-        for _ in range(MOST_REDIRECTS + 1):
+        response_timeout = self.response_timeout + len(body) / 1e6
+        for _ in range(MAX_REDIRECTS + 1):
             message, sent_at = None, self.now()
-            with trio.move_on_after(min(silence, max(0.0, ends - self.now()))):
-                message = await self._once(address, method, target, body, fields)
+            with trio.move_on_after(min(response_timeout, max(0.0, deadline - self.now()))):
+                message = await self._send_once(address, method, target, body, fields)
             if message is None:
                 return Reply(0)
             if message.status != 307:
-                lost = self._heard(name, sent_at, address, message.status)
+                lost = self._record_reply(name, sent_at, address, message.status)
                 return Reply(0) if lost else Reply(message.status, message.body, sent_at)
             place, slash, path = field_of(message, b"location").removeprefix("http://").partition("/")
             try:
-                address, target = address_of(place), slash + path
+                address, target = parse_address(place), slash + path
             except ValueError:
                 return Reply(0)
         return Reply(0)
 
-    def _heard(self, name: str, sent_at: float, address: Address, status: int) -> bool:
-        """Takes down the answer to an order; whether it is lost."""
+    def _record_reply(self, name: str, sent_at: float, address: Address, status: int) -> bool:
+        """Record the response to a change and return whether it is to be treated as lost."""
         if not name:
             return False
         share = self.lost_acknowledgements if status == 200 else 0.0
@@ -464,7 +480,7 @@
         self.facts.append(OrderReplied(self.now(), name, sent_at, "{}:{}".format(*address), status, lost))
         return lost
 
-    async def _once(
+    async def _send_once(
         self, address: Address, method: str, target: str, body: bytes, fields: Sequence[str]
     ) -> Message | None:
         try:
