--- a/rowanshift/emulation/http.py
+++ b/rowanshift/emulation/http.py
@@ -43,7 +43,7 @@
 def deserted(stream: Stream) -> bool:
     """Whether the peer has closed the connection.
 
-    On real sockets any readable data counts, because a client sends nothing before its response."""
+    On a real socket this is not told apart from unread data: either counts as closed."""
     if stream.closed():
         return True
     return stream.deserted() if hasattr(stream, "deserted") else stream.readable()
@@ -158,5 +158,5 @@
 
 
 def field_of(message: Message, name: bytes) -> str:
-    """The value of the first field of that name, in lower case; empty if there is none."""
+    """The value of the first header field of that name, or an empty string. ``name`` is in lower case."""
     return next((value.decode("latin-1") for n, value in message.fields if n == name), "")
--- a/rowanshift/emulation/model_server.py
+++ b/rowanshift/emulation/model_server.py
@@ -208,7 +208,9 @@
         event.set()
 
     def events_since(self, number: int) -> dict[str, Any]:
-        """The response to /kv-events: visible events after ``number``; ``lost`` if earlier ones are missing."""
+        """The response to /kv-events: visible events after ``number``.
+
+        ``lost`` means that events after it are no longer kept, or that it is from before a restart."""
         shown = [event for at, event in self.events if at <= self.now()]
         oldest = self.events[0][1][0] if self.events else self.last_event_number + 1
         full = len(self.events) == self.traits.max_events
