--- a/rowanshift/emulation/servers.py
+++ b/rowanshift/emulation/servers.py
@@ -227,7 +227,7 @@
     """A cache server: answers 404 for a key that it does not hold, and is filled after reads from the origin.
 
     After its start it warms up from ``start_share`` of its capacity to all of it within ``warm_within`` seconds.
-    ``fall`` is called when it fails under overload while it warms up. It holds up to ``keeps`` keys."""
+    ``fall`` is called when it fails under overload while it warms up. It holds up to ``max_keys`` keys."""
 
     def __init__(
         self,
@@ -236,11 +236,11 @@
         start_share: float = 0.15,
         warm_within: float = 20.0,
         fall: Callable[["Cache"], None] = lambda cache: None,
-        keeps: int = 10_000,
+        max_keys: int = 10_000,
     ) -> None:
         super().__init__(*args)
         self.came_up, self.start_share, self.warm_within = came_up, start_share, warm_within
-        self.fall, self.keeps = fall, keeps
+        self.fall, self.max_keys = fall, max_keys
         self.store: dict[str, int] = {}
         self.ledger.stores.append(self.store)
 
@@ -267,10 +267,10 @@
         return True
 
     def fill(self, key: str, version: int) -> None:
-        """Store a key, and evict the oldest one when there are more than ``keeps``."""
+        """Store a key, and evict the oldest one when there are more than ``max_keys``."""
         self.store.pop(key, None)
         self.store[key] = version
-        if len(self.store) > self.keeps:
+        if len(self.store) > self.max_keys:
             del self.store[next(iter(self.store))]
 
     def find_response(self, message: Message, txn: str, key: str) -> tuple[int, bytes, tuple[bytes, ...]]:
