--- a/rowanshift/emulation/demo.py
+++ b/rowanshift/emulation/demo.py
@@ -102,7 +102,7 @@
     """Run the emulated servers without a router."""
     config = load(config_path)
     say(
-        "Emulated: three caches, an origin and discovery; Ctrl-C stops them. To start a router for them:\n"
+        "Stand-ins for three caches, an origin and discovery; Ctrl-C stops them. To start a router for them:\n"
         f"  rowanshift serve -c {config_path}"
     )
     await EmulatedServers(config.discovery, {name.decode(): 0.002 for name in config.names.categories}).run()
