--- a/rowanshift/soak/command.py
+++ b/rowanshift/soak/command.py
@@ -22,115 +22,115 @@
 from rowanshift.soak.plan import BadPlan, Plan
 from rowanshift.soak.processes import LogTooLarge
 from rowanshift.soak.records import Lagged, Stalled, TroubleMet
-from rowanshift.soak.run import Run, TooManyFacts
+from rowanshift.soak.run import Run, TooManyEvents
 
-WELL, BROKEN, UNUSABLE, INTERRUPTED = 0, 1, 2, 130  # exit codes
-MOST_SEEDS = 10_000
-MOST_SHOWN = 20  # breaches of a seed that are printed
-PLAN, RECORDS, COMMAND, BREACHES = "plan.json", "records.jsonl", "command.txt", "breaches.txt"
+EXIT_OK, EXIT_VIOLATIONS, EXIT_UNUSABLE, EXIT_INTERRUPTED = 0, 1, 2, 130  # exit codes
+MAX_SEEDS = 10_000
+MAX_VIOLATIONS_SHOWN = 20  # breaches of a seed that are printed
+PLAN_FILE, RECORDS_FILE, COMMAND_FILE, BREACHES_FILE = "plan.json", "records.jsonl", "command.txt", "breaches.txt"
 
 
-class Told(Exception):
+class Interrupted(Exception):
     """SIGTERM came to the soak itself."""
 
 
 @dataclass(frozen=True, slots=True)
-class Result:
+class RunResult:
     """What a run showed."""
 
     plan: Plan
     seconds: float  # of wall time
-    facts: Facts
-    breaches: list[Breach]
+    events: Facts
+    violations: list[Breach]
 
-    def line(self) -> str:
+    def summary_line(self) -> str:
         """The run in a line of key=value pairs."""
-        met = Counter(str(one.trouble) for one in of_kind(self.facts, TroubleMet))
-        ends = of_kind(self.facts, Answered)
-        whole = sum(end.whole and 200 <= end.status < 300 for end in ends)
+        injected = Counter(str(one.trouble) for one in of_kind(self.events, TroubleMet))
+        ends = of_kind(self.events, Answered)
+        complete = sum(end.whole and 200 <= end.status < 300 for end in ends)
         refused = sum(end.whole and not 200 <= end.status < 300 for end in ends)
-        changes = of_kind(self.facts, ConfigAnswered)
-        rules = Counter(breach.rule for breach in self.breaches)
+        changes = of_kind(self.events, ConfigAnswered)
+        rules = Counter(violation.rule for violation in self.violations)
         pairs = {
             "seed": self.plan.seed,
             "wall_s": f"{self.seconds:.1f}",
-            "troubles": shown(met),
-            "overlap": overlap(self.facts),
-            "coordination": len(of_kind(self.facts, CoordinationAsked)),
-            "settled": sum(end.answer is not None for end in of_kind(self.facts, CoordinationAnswered)),
-            "requests": len(of_kind(self.facts, Asked)),
-            "whole": whole,
+            "troubles": format_counts(injected),
+            "overlap": max_overlap(self.events),
+            "coordination": len(of_kind(self.events, CoordinationAsked)),
+            "settled": sum(end.answer is not None for end in of_kind(self.events, CoordinationAnswered)),
+            "requests": len(of_kind(self.events, Asked)),
+            "whole": complete,
             "refused": refused,
-            "changes": len(of_kind(self.facts, ConfigSent)),
+            "changes": len(of_kind(self.events, ConfigSent)),
             "acknowledged": sum(answer.status == 200 for answer in changes),
-            "lag_ms": round(1000 * max((one.seconds for one in of_kind(self.facts, Lagged)), default=0.0)),
-            "breaches": shown(rules),
+            "lag_ms": round(1000 * max((one.seconds for one in of_kind(self.events, Lagged)), default=0.0)),
+            "breaches": format_counts(rules),
         }
         return " ".join(f"{name}={value}" for name, value in pairs.items())
 
 
-def shown(counts: Counter) -> str:
+def format_counts(counts: Counter) -> str:
     """A sum and its parts, without blanks."""
     parts = ",".join(f"{name.replace(' ', '-')}:{count}" for name, count in sorted(counts.items()))
     return f"{counts.total()}({parts})" if parts else "0"
 
 
-def overlap(facts: Facts) -> int:
+def max_overlap(events: Facts) -> int:
     """The most troubles that there were at one moment."""
-    met = of_kind(facts, TroubleMet)
-    return max((sum(one.at <= moment.at < one.until for one in met) for moment in met), default=0)
+    injected = of_kind(events, TroubleMet)
+    return max((sum(one.at <= moment.at < one.until for one in injected) for moment in injected), default=0)
 
 
-async def _until_told(run: Run) -> None:
+async def _run_until_signal(run: Run) -> None:
     async with trio.open_nursery() as nursery:
-        await nursery.start(_on_signals)
-        await run.play()
+        await nursery.start(_raise_on_signal)
+        await run.execute()
         nursery.cancel_scope.cancel()
 
 
-async def _on_signals(task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED) -> None:
+async def _raise_on_signal(task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED) -> None:
     """Ends the run at a signal. A KeyboardInterrupt would be lost where it is raised in a callback, as those of a fork
     are."""
     with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         task_status.started()
         async for _ in signals:
-            raise Told
+            raise Interrupted
 
 
-def play(drawn: Plan, folder: Path, net: str) -> Result:
+def run_plan(to_run: Plan, folder: Path, net: str) -> RunResult:
     """Plays a plan with all its files under a folder, and checks what was recorded."""
-    facts: list = []
+    events: list = []
 
-    async def all_of_it() -> None:
-        run = Run(drawn, folder, net)
+    async def main() -> None:
+        run = Run(to_run, folder, net)
         try:
-            await _until_told(run)
+            await _run_until_signal(run)
         finally:
-            facts.extend(run.facts)
+            events.extend(run.events)
 
     began = time.monotonic()
-    (folder / PLAN).write_bytes(plan.to_json(drawn))
+    (folder / PLAN_FILE).write_bytes(plan.to_json(to_run))
     try:
-        trio.run(all_of_it)
-    except* (LogTooLarge, TooManyFacts, trio.TooSlowError) as group:
+        trio.run(main)
+    except* (LogTooLarge, TooManyEvents, trio.TooSlowError) as group:
         why = repr(first_of(group))
-        facts.append(Stalled(facts[-1].at if facts else 0.0, f"the run was ended: {why}"))
+        events.append(Stalled(events[-1].at if events else 0.0, f"the run was ended: {why}"))
     finally:
-        records.write(folder / RECORDS, facts)
+        records.write(folder / RECORDS_FILE, events)
     seconds = time.monotonic() - began
-    return Result(drawn, seconds, facts, checker.check(facts, folder / "logs"))
+    return RunResult(to_run, seconds, events, checker.check(events, folder / "logs"))
 
 
-def keep(result: Result, folder: Path, found: Path, net: str) -> Path:
+def keep_files(result: RunResult, folder: Path, found: Path, net: str) -> Path:
     """Moves what a failing run left to where it is kept, with its plan and command line."""
-    place = found / f"soak-{result.plan.seed}-{time.strftime('%Y%m%d-%H%M%S')}-{os.getpid()}"
-    place.mkdir(parents=True)
-    for name in (PLAN, RECORDS, "logs"):
-        shutil.move(folder / name, place / name)
-    (place / BREACHES).write_text("".join(f"{breach}\n" for breach in result.breaches))
-    command = ["rowanshift", "soak", "--plan", str(place / PLAN), "--net", net]
-    (place / COMMAND).write_text(shlex.join(command) + "\n")
-    return place
+    kept = found / f"soak-{result.plan.seed}-{time.strftime('%Y%m%d-%H%M%S')}-{os.getpid()}"
+    kept.mkdir(parents=True)
+    for name in (PLAN_FILE, RECORDS_FILE, "logs"):
+        shutil.move(folder / name, kept / name)
+    (kept / BREACHES_FILE).write_text("".join(f"{violation}\n" for violation in result.violations))
+    command = ["rowanshift", "soak", "--plan", str(kept / PLAN_FILE), "--net", net]
+    (kept / COMMAND_FILE).write_text(shlex.join(command) + "\n")
+    return kept
 
 
 def own_net() -> str:
@@ -152,37 +152,37 @@
         numbers = range(int(first), int(last)) if colon else range(int(first))
     except ValueError:
         raise BadPlan(f"--seeds: N or FIRST:LAST expected, not {seeds!r}") from None
-    if not 0 < len(numbers) <= MOST_SEEDS or numbers[0] < 0:
-        raise BadPlan(f"--seeds: 1 to {MOST_SEEDS} seeds of 0 or more expected, not {seeds!r}")
+    if not 0 < len(numbers) <= MAX_SEEDS or numbers[0] < 0:
+        raise BadPlan(f"--seeds: 1 to {MAX_SEEDS} seeds of 0 or more expected, not {seeds!r}")
     if arguments.short:
         return [plan.draw_short(seed) for seed in numbers]
     return [plan.draw(seed, arguments.seconds, arguments.routers) for seed in numbers]
 
 
-def soak(wanted: list[Plan], net: str, found: Path) -> int:
+def soak(requested: list[Plan], net: str, found: Path) -> int:
     """Plays plans one after another and prints a line for each; the exit code."""
-    code, ended = WELL, None
+    code, ended = EXIT_OK, None
     try:
-        for drawn in wanted:
-            code = max(code, soak_one(drawn, net, found))
-    except* (KeyboardInterrupt, Told):
-        ended = INTERRUPTED
+        for to_run in requested:
+            code = max(code, run_and_report(to_run, net, found))
+    except* (KeyboardInterrupt, Interrupted):
+        ended = EXIT_INTERRUPTED
     except* OSError as group:
         print(f"rowanshift: {first_of(group)}", file=sys.stderr)
-        ended = UNUSABLE
+        ended = EXIT_UNUSABLE
     return code if ended is None else ended
 
 
-def soak_one(drawn: Plan, net: str, found: Path) -> int:
+def run_and_report(to_run: Plan, net: str, found: Path) -> int:
     """Plays one plan, prints its line and keeps what it left if it failed; the exit code."""
     with tempfile.TemporaryDirectory(prefix="rowanshift-soak-") as temporary:
         folder = Path(temporary)
-        result = play(drawn, folder, net)
-        print(result.line(), flush=True)
-        if not result.breaches:
-            return WELL
-        place = keep(result, folder, found, net)
-        for breach in result.breaches[:MOST_SHOWN]:
-            print(f"  {breach}", flush=True)
-        print(f"  kept: {place}; again: {(place / COMMAND).read_text().strip()}", flush=True)
-        return BROKEN
+        result = run_plan(to_run, folder, net)
+        print(result.summary_line(), flush=True)
+        if not result.violations:
+            return EXIT_OK
+        kept = keep_files(result, folder, found, net)
+        for violation in result.violations[:MAX_VIOLATIONS_SHOWN]:
+            print(f"  {violation}", flush=True)
+        print(f"  kept: {kept}; again: {(kept / COMMAND_FILE).read_text().strip()}", flush=True)
+        return EXIT_VIOLATIONS
--- a/rowanshift/soak/layout.py
+++ b/rowanshift/soak/layout.py
@@ -23,7 +23,7 @@
     Link,
     Plan,
     core_name,
-    names,
+    numbered_names,
     router_name,
     server_name,
 )
@@ -31,20 +31,25 @@
 from rowanshift.transport.runtime import Runtime
 from rowanshift.transport.streams import Address
 
-FIRST_CORE, FIRST_ROUTER, FIRST_SERVER, PLATFORM_NUMBER = 1, 11, 81, 91  # last numbers of the addresses
-INTERNAL, CONTROL = 7400, 8500  # ports; a machine's own is so much above as its last number
-OPERATORS_CONTROL = 8699  # where operators call core machines
-FRONT, CLIENTS_FRONT, READINESS = 8080, 8180, 8081
-SERVED, SYSTEM_SERVED = 8082, 8182
-LISTED, SYSTEM_LISTED = 8083, 8183
-LIST_RATE, LIST_LAG_MS = 40.0, 800.0
+FIRST_CORE_NUMBER, FIRST_ROUTER_NUMBER, FIRST_SERVER_NUMBER, PLATFORM_NUMBER = (
+    1,
+    11,
+    81,
+    91,
+)  # last numbers of the addresses
+INTERNAL_PORT_BASE, CONTROL_PORT_BASE = 7400, 8500  # ports; a machine's own is so much above as its last number
+OPERATORS_CONTROL_PORT = 8699  # where operators call core machines
+FRONT_PORT, CLIENTS_FRONT_PORT, READINESS_PORT = 8080, 8180, 8081
+SERVER_PORT, SYSTEM_SERVER_PORT = 8082, 8182
+PLATFORM_PORT, SYSTEM_PLATFORM_PORT = 8083, 8183
+LIST_RATE_PER_S, LIST_LAG_MS = 40.0, 800.0
 FAULT_TOLERANCE = 1  # machines
-GRACE = float(BOUNDS["graceS"])  # seconds
-MEMORY_MB, DESCRIPTORS = 300, 4100
+GRACE_S = float(BOUNDS["graceS"])  # seconds
+MEMORY_MB, MAX_DESCRIPTORS = 300, 4100
 
 
 @dataclass(frozen=True, slots=True)
-class Wire:
+class LinkRelay:
     """A relay and the link that it carries."""
 
     link: Link
@@ -57,12 +62,12 @@
     def __init__(self, plan: Plan, folder: Path, net: str) -> None:
         self.folder, self.net = folder, net
         self.contracts = [COORDINATION_CONTRACT] if plan.applications else []
-        self.cores, self.routers = names(core_name, plan.cores), names(router_name, plan.routers)
-        self.servers = names(server_name, plan.servers)
+        self.cores, self.routers = numbered_names(core_name, plan.cores), numbered_names(router_name, plan.routers)
+        self.servers = numbered_names(server_name, plan.servers)
         self.numbers = {
-            **{name: FIRST_CORE + n for n, name in enumerate(self.cores)},
-            **{name: FIRST_ROUTER + n for n, name in enumerate(self.routers)},
-            **{name: FIRST_SERVER + n for n, name in enumerate(self.servers)},
+            **{name: FIRST_CORE_NUMBER + n for n, name in enumerate(self.cores)},
+            **{name: FIRST_ROUTER_NUMBER + n for n, name in enumerate(self.routers)},
+            **{name: FIRST_SERVER_NUMBER + n for n, name in enumerate(self.servers)},
             PLATFORM: PLATFORM_NUMBER,
         }
 
@@ -77,35 +82,35 @@
 
     def internal(self, name: str, caller: str | None = None) -> Address:
         """A machine's internal address, or where a caller dials it."""
-        return self.ip(name), INTERNAL + self.numbers[caller or name]
+        return self.ip(name), INTERNAL_PORT_BASE + self.numbers[caller or name]
 
     def control(self, name: str, caller: str | None = None) -> Address:
         """A core machine's control address, or the one that another core machine redirects to."""
-        return self.ip(name), CONTROL + self.numbers[caller or name]
+        return self.ip(name), CONTROL_PORT_BASE + self.numbers[caller or name]
 
     def front(self, name: str) -> Address:
         """Where clients call a router."""
-        return self.ip(name), CLIENTS_FRONT
+        return self.ip(name), CLIENTS_FRONT_PORT
 
     def readiness(self, name: str) -> Address:
         """Where a router says whether it is ready; no relay stands there."""
-        return self.ip(name), READINESS
+        return self.ip(name), READINESS_PORT
 
     def server(self, name: str) -> Address:
         """Where a model server listens."""
-        return self.ip(name), SERVED
+        return self.ip(name), SERVER_PORT
 
-    def listed(self, name: str) -> Address:
+    def listed_server(self, name: str) -> Address:
         """Where the platform's list says that a model server is."""
-        return self.ip(name), SYSTEM_SERVED
+        return self.ip(name), SYSTEM_SERVER_PORT
 
     def platform(self) -> Address:
         """Where the platform's list listens."""
-        return self.ip(PLATFORM), LISTED
+        return self.ip(PLATFORM), PLATFORM_PORT
 
     def controls(self) -> list[Address]:
         """Where operators call the core."""
-        return [(self.ip(name), OPERATORS_CONTROL) for name in self.cores]
+        return [(self.ip(name), OPERATORS_CONTROL_PORT) for name in self.cores]
 
     # files ------------------------------------------------
 
@@ -119,9 +124,9 @@
 
     def write_settings(self, name: str, bootstrap: bool, random_source: random.Random) -> None:
         """Writes a machine's settings file; the seeds come in any order."""
-        made = self.folder / f"{name}.json.new"
-        made.write_bytes(orjson.dumps(self.settings(name, bootstrap, random_source), option=orjson.OPT_INDENT_2))
-        made.replace(self.settings_path(name))
+        temporary = self.folder / f"{name}.json.new"
+        temporary.write_bytes(orjson.dumps(self.settings(name, bootstrap, random_source), option=orjson.OPT_INDENT_2))
+        temporary.replace(self.settings_path(name))
 
     def settings(self, name: str, bootstrap: bool, random_source: random.Random) -> dict[str, Any]:
         """What a machine's settings file holds."""
@@ -130,7 +135,7 @@
         listen = (
             {"controlPlane": "{}:{}".format(*self.control(name))}
             if core
-            else {"frontend": f"{ip}:{FRONT}", "readiness": f"{ip}:{READINESS}"}
+            else {"frontend": f"{ip}:{FRONT_PORT}", "readiness": f"{ip}:{READINESS_PORT}"}
         )
         seeds = random_source.sample(self.cores, len(self.cores))
         return {
@@ -145,53 +150,53 @@
             "quorumMember": core,
             "seedNodes": ["{}:{}".format(*self.control(seed)) for seed in seeds],
             "dataDir": str(self.disk(name)) if core else None,
-            "limits": {"memoryMb": MEMORY_MB, "maxFds": DESCRIPTORS},
+            "limits": {"memoryMb": MEMORY_MB, "maxFds": MAX_DESCRIPTORS},
             "faultTolerance": {"machines": FAULT_TOLERANCE},
             "bounds": BOUNDS,
             "contracts": self.contracts,
             "cloudApi": {
-                "address": f"{self.ip(PLATFORM)}:{SYSTEM_LISTED}",
-                "ratePerS": LIST_RATE,
+                "address": f"{self.ip(PLATFORM)}:{SYSTEM_PLATFORM_PORT}",
+                "ratePerS": LIST_RATE_PER_S,
                 "maxLagMs": LIST_LAG_MS,
             },
         }
 
     # relays -----------------------------------------------
 
-    def wires(self, host: Runtime) -> Iterator[Wire]:
+    def link_relays(self, host: Runtime) -> Iterator[LinkRelay]:
         """All relays of the run, not running yet."""
 
-        def relay(link: Link, address: Address, target: Address) -> Wire:
-            return Wire(link, Relay(host, address, target))
+        def stream_relay(link: Link, address: Address, target: Address) -> LinkRelay:
+            return LinkRelay(link, Relay(host, address, target))
 
         for router in self.routers:
-            yield relay(Link(CLIENTS, router), self.front(router), (self.ip(router), FRONT))
+            yield stream_relay(Link(CLIENTS, router), self.front(router), (self.ip(router), FRONT_PORT))
         for core, address in zip(self.cores, self.controls(), strict=True):
-            yield relay(Link(OPERATORS, core), address, self.control(core))
+            yield stream_relay(Link(OPERATORS, core), address, self.control(core))
         for core in self.cores:
             for caller in self.machines:
                 if caller == core:
                     continue
-                yield relay(Link(caller, core), self.internal(core, caller), self.internal(core))
+                yield stream_relay(Link(caller, core), self.internal(core, caller), self.internal(core))
                 if caller in self.cores:  # an operator whom the caller has redirected
-                    yield relay(Link(OPERATORS, core), self.control(core, caller), self.control(core))
+                    yield stream_relay(Link(OPERATORS, core), self.control(core, caller), self.control(core))
         for server in self.servers:
-            yield relay(Link(SYSTEM, server), self.listed(server), self.server(server))
-        yield relay(Link(SYSTEM, PLATFORM), (self.ip(PLATFORM), SYSTEM_LISTED), self.platform())
-        yield from self._datagrams(host)
+            yield stream_relay(Link(SYSTEM, server), self.listed_server(server), self.server(server))
+        yield stream_relay(Link(SYSTEM, PLATFORM), (self.ip(PLATFORM), SYSTEM_PLATFORM_PORT), self.platform())
+        yield from self._datagram_relays(host)
 
-    def _datagrams(self, host: Runtime) -> Iterator[Wire]:
+    def _datagram_relays(self, host: Runtime) -> Iterator[LinkRelay]:
         for caller in self.routers:
             for target in self.routers:
                 if caller != target:
                     address = self.internal(target, caller)
                     relay = DatagramRelay(host, address, self.internal(caller), self.internal(target))
-                    yield Wire(Link(caller, target), relay)
+                    yield LinkRelay(Link(caller, target), relay)
 
 
-def relays_by_link(wires: list[Wire]) -> Callable[[Link], list[Relay | DatagramRelay]]:
+def relays_by_link(link_relays: list[LinkRelay]) -> Callable[[Link], list[Relay | DatagramRelay]]:
     """What gives the relays that carry a link."""
-    carried: dict[Link, list[Relay | DatagramRelay]] = {}
-    for wire in wires:
-        carried.setdefault(wire.link, []).append(wire.relay)
-    return lambda link: carried[link]
+    relays: dict[Link, list[Relay | DatagramRelay]] = {}
+    for link_relay in link_relays:
+        relays.setdefault(link_relay.link, []).append(link_relay.relay)
+    return lambda link: relays[link]
--- a/rowanshift/soak/load.py
+++ b/rowanshift/soak/load.py
@@ -31,20 +31,23 @@
 from rowanshift.transport.runtime import Runtime
 from rowanshift.transport.streams import Address
 
-OTHER = "other"  # the second service
-PROBE, MISSES = 0.5, 4  # seconds between looks whether a router is ready, and failures until clients leave it
-PAUSE = 0.15  # seconds between two requests of a client, on average
-LENGTHS, LENGTH_WEIGHTS = (40, 200, 600), (6, 3, 1)  # tokens of an answer
-KEEPING = 1, 2  # of each four clients
-DEADLINE = 6.0  # seconds of a request
-MOST_REQUESTS = 200_000  # of a run; no more are sent
-MOST_ROUTES = 24  # beside the first
-CHANGE_WITHIN = 6.0  # seconds for an operator's call
-SERIES_EVERY = 6.0  # seconds between series of named versions
-NAMES_IN_SERIES = 1, 8  # the least and the most
-REPEAT_SHARE = 0.05  # of changes are sent again as they were
-RACE_SHARE = 0.05  # of changes are sent at once with another operator's of the same number, on the same base
-READ_EVERY = 1.0  # seconds between an operator's readings of the configuration
+OTHER_SERVICE = "other"  # the second service
+PROBE_INTERVAL_S, MAX_MISSES = (
+    0.5,
+    4,
+)  # seconds between looks whether a router is ready, and failures until clients leave it
+MEAN_PAUSE_S = 0.15  # seconds between two requests of a client, on average
+ANSWER_TOKENS, ANSWER_TOKEN_WEIGHTS = (40, 200, 600), (6, 3, 1)  # tokens of an answer
+KEEP_ALIVE_CLIENTS = 1, 2  # of each four clients
+DEADLINE_S = 6.0  # seconds of a request
+MAX_REQUESTS = 200_000  # of a run; no more are sent
+MAX_EXTRA_ROUTES = 24  # beside the first
+OPERATOR_TIMEOUT_S = 6.0  # seconds for an operator's call
+SERIES_INTERVAL_S = 6.0  # seconds between series of named versions
+NAMES_PER_SERIES_RANGE = 1, 8  # the least and the most
+REPEAT_PROBABILITY = 0.05  # of changes are sent again as they were
+RACE_PROBABILITY = 0.05  # of changes are sent at once with another operator's of the same number, on the same base
+READ_INTERVAL_S = 1.0  # seconds between an operator's readings of the configuration
 
 
 class Balancer:
@@ -53,37 +56,39 @@
     def __init__(self, host: Runtime, layout: Layout) -> None:
         self.host, self.layout, self.memory = host, layout, MemoryBudget(4096)
         self.ready: list[Address] = []
-        self.says_ready: dict[str, bool] = dict.fromkeys(layout.routers, False)  # as each said last
+        self.reported_ready: dict[str, bool] = dict.fromkeys(layout.routers, False)  # as each said last
 
     async def probe(self, name: str) -> None:
         """Ask one router again and again, for good."""
-        front, missed = self.layout.front(name), 0
+        front, misses = self.layout.front(name), 0
         while True:
-            self.says_ready[name] = await self._is_ready(name)
-            missed = 0 if self.says_ready[name] else missed + 1
-            if not missed and front not in self.ready:
+            self.reported_ready[name] = await self._is_ready(name)
+            misses = 0 if self.reported_ready[name] else misses + 1
+            if not misses and front not in self.ready:
                 self.ready.append(front)
-            elif missed >= MISSES and front in self.ready and len(self.ready) > 1:
+            elif misses >= MAX_MISSES and front in self.ready and len(self.ready) > 1:
                 self.ready.remove(front)
-            await trio.sleep(PROBE)
+            await trio.sleep(PROBE_INTERVAL_S)
 
     async def _is_ready(self, name: str) -> bool:
         address = self.layout.readiness(name)
         try:
-            answer = await call(self.host, self.memory, address, b"GET", b"/readiness", timeout_seconds=PROBE)
+            answer = await call(
+                self.host, self.memory, address, b"GET", b"/readiness", timeout_seconds=PROBE_INTERVAL_S
+            )
         except CallFailed:
             return False
         return answer.status == 200
 
 
 def applications_of(
-    plan: Plan, host: Runtime, layout: Layout, now: Callable[[], float], facts: list[Fact]
+    plan: Plan, host: Runtime, layout: Layout, now: Callable[[], float], events: list[Fact]
 ) -> Applications:
     """The applications of a run, which call where operators do."""
     controls = layout.controls()
 
     def make(name: str) -> Application:
-        return Application(host, name, now, facts, controls, random.Random(f"{plan.seed}/{name}"))
+        return Application(host, name, now, events, controls, random.Random(f"{plan.seed}/{name}"))
 
     return Applications(make, Names(), plan.applications)
 
@@ -97,15 +102,21 @@
     """
 
     def __init__(
-        self, plan: Plan, host: Runtime, layout: Layout, balancer: Balancer, now: Callable[[], float], facts: list[Fact]
+        self,
+        plan: Plan,
+        host: Runtime,
+        layout: Layout,
+        balancer: Balancer,
+        now: Callable[[], float],
+        events: list[Fact],
     ) -> None:
-        self.plan, self.host, self.layout, self.balancer, self.now, self.facts = (
+        self.plan, self.host, self.layout, self.balancer, self.now, self.events = (
             plan,
             host,
             layout,
             balancer,
             now,
-            facts,
+            events,
         )
         self.fronts = [layout.front(name) for name in layout.routers]
         self.requests = 0
@@ -114,77 +125,85 @@
         """All clients, for good."""
         async with trio.open_nursery() as nursery:
             for number in range(self.plan.clients):
-                nursery.start_soon(self._ask, number)
+                nursery.start_soon(self._send_requests, number)
 
-    async def _ask(self, number: int) -> None:
+    async def _send_requests(self, number: int) -> None:
         random_source = random.Random(f"{self.plan.seed}/client/{number}")
         name = f"c{number}"
-        patron = Patron(self.host, name, self.now, self.facts, self.fronts, random_source, keeps=number % 4 in KEEPING)
-        key = [held[0] for held in KEYS.values()][(number + number // 4) % len(KEYS)]
+        client = Patron(
+            self.host, name, self.now, self.events, self.fronts, random_source, keeps=number % 4 in KEEP_ALIVE_CLIENTS
+        )
+        key = [keys[0] for keys in KEYS.values()][(number + number // 4) % len(KEYS)]
         prefix = (RESUMED, ONCE, REPEATED)[number % 3]
         try:
-            while self.requests < MOST_REQUESTS:
+            while self.requests < MAX_REQUESTS:
                 self.requests += 1
-                patron.fronts = self._choices(number, patron)
-                await patron.call(work_of(prefix, key, f"{name}-own-{patron.calls}", random_source))
-                await trio.sleep(PAUSE * (0.5 + random_source.random()))
+                client.fronts = self._candidate_fronts(number, client)
+                await client.call(make_work(prefix, key, f"{name}-own-{client.calls}", random_source))
+                await trio.sleep(MEAN_PAUSE_S * (0.5 + random_source.random()))
         finally:
-            patron.close()
+            client.close()
 
-    def _choices(self, number: int, patron: Patron) -> list[Address]:
+    def _candidate_fronts(self, number: int, client: Patron) -> list[Address]:
         if number % 4 == 3:
             return self.fronts
-        if patron.kept:
-            return [*patron.kept]
+        if client.kept:
+            return [*client.kept]
         return self.balancer.ready or self.fronts
 
 
-def work_of(prefix: str, key: str, own: str, random_source: random.Random) -> Work:
+def make_work(prefix: str, key: str, unique: str, random_source: random.Random) -> Work:
     """One request: a shared prompt, a part of its own, and an answer of some length."""
-    tenant = next(name for name, held in KEYS.items() if key in held)
-    prompt = ("preamble", 200), (f"catalogue-{random_source.randrange(CATALOGUES)}", 100), (own, 30)
+    tenant = next(name for name, keys in KEYS.items() if key in keys)
+    prompt = ("preamble", 200), (f"catalogue-{random_source.randrange(CATALOGUES)}", 100), (unique, 30)
     return Work(
         HOST,
         f"{prefix}x",
         MODEL,
         prompt,
-        random_source.choices(LENGTHS, LENGTH_WEIGHTS)[0],
+        random_source.choices(ANSWER_TOKENS, ANSWER_TOKEN_WEIGHTS)[0],
         key,
         tenant,
         repeatable=prefix != ONCE,
         resumable=prefix == RESUMED,
-        within=DEADLINE,
-        body=orjson.dumps({"own": own}),
+        within=DEADLINE_S,
+        body=orjson.dumps({"own": unique}),
     )
 
 
-def config_at(revision: int) -> dict[str, Any]:
+def make_config(revision: int) -> dict[str, Any]:
     """The configuration of a revision: one route moves between two services, and further ones come and go."""
     routes = routes_of()
-    routes[1]["backend"] = (SERVICE, OTHER)[revision % 2]
-    more = [
-        routes[0] | {"name": f"more-{n}", "pathPrefix": f"/more-{n}/", "timeoutMs": 5000 + revision % 100}
-        for n in range(revision % (MOST_ROUTES + 1))
+    routes[1]["backend"] = (SERVICE, OTHER_SERVICE)[revision % 2]
+    extra_routes = [
+        routes[0] | {"name": f"more-{index}", "pathPrefix": f"/more-{index}/", "timeoutMs": 5000 + revision % 100}
+        for index in range(revision % (MAX_EXTRA_ROUTES + 1))
     ]
-    return config_of(revision, routes=[*routes, *more])
+    return config_of(revision, routes=[*routes, *extra_routes])
 
 
 class Changes:
     """The operators' calls: one configuration after another, now and then one again as it was, and versions."""
 
     def __init__(
-        self, plan: Plan, host: Runtime, layout: Layout, registry: Registry, now: Callable[[], float], facts: list[Fact]
+        self,
+        plan: Plan,
+        host: Runtime,
+        layout: Layout,
+        registry: Registry,
+        now: Callable[[], float],
+        events: list[Fact],
     ) -> None:
-        self.plan, self.facts = plan, facts
+        self.plan, self.events = plan, events
         self.random_source = random.Random(f"{plan.seed}/operators")
         self.operator, self.second = (
-            Operator(host, name, now, facts, layout.controls(), random.Random(f"{plan.seed}/{name}"), registry)
+            Operator(host, name, now, events, layout.controls(), random.Random(f"{plan.seed}/{name}"), registry)
             for name in ("op1", "op2")
         )
         self.acknowledged = self.sent = 0  # revisions
-        self.taken = 0  # configurations that were acknowledged
+        self.acknowledged_count = 0  # configurations that were acknowledged
 
-    async def first(self, within: float) -> bool:
+    async def put_first(self, within: float) -> bool:
         """Send the first configuration; whether it was acknowledged."""
         return await self._put(1, within) == 200
 
@@ -193,70 +212,72 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._change)
             nursery.start_soon(self._name_versions)
-            nursery.start_soon(self._read_on)
+            nursery.start_soon(self._read_repeatedly)
 
-    async def _read_on(self) -> None:
+    async def _read_repeatedly(self) -> None:
         while True:
-            await trio.sleep(READ_EVERY * self.random_source.uniform(0.5, 1.5))
-            await self.read(CHANGE_WITHIN)
+            await trio.sleep(READ_INTERVAL_S * self.random_source.uniform(0.5, 1.5))
+            await self.read(OPERATOR_TIMEOUT_S)
 
     async def read(self, within: float) -> dict[str, Any] | None:
         """The configuration as the core has it; what did not come is no fact."""
         config = await self.operator.read_config(within)
-        if config is None and self.facts and type(self.facts[-1]) is ConfigRead:
-            self.facts.pop()
+        if config is None and self.events and type(self.events[-1]) is ConfigRead:
+            self.events.pop()
         return config
 
     async def _change(self) -> None:
         while True:
             drawn = self.random_source.random()
-            if drawn < RACE_SHARE:
+            if drawn < RACE_PROBABILITY:
                 await self._race()
-            elif await self._put(self.sent + 1, CHANGE_WITHIN) != 200:
-                await self._learn()
-            elif drawn > 1 - REPEAT_SHARE:
-                await self._send_again()
+            elif await self._put(self.sent + 1, OPERATOR_TIMEOUT_S) != 200:
+                await self._refresh_acknowledged()
+            elif drawn > 1 - REPEAT_PROBABILITY:
+                await self._resend()
             await trio.sleep(self.random_source.uniform(0.5, 1.5) / self.plan.changes_per_second)
 
     async def _put(self, revision: int, within: float) -> int:
         self.sent = revision
-        status = await self.operator.put_config(config_at(revision), self.acknowledged, within)
+        status = await self.operator.put_config(make_config(revision), self.acknowledged, within)
         if status == 200:
             self.acknowledged = revision
-            self.taken += 1
+            self.acknowledged_count += 1
         return status
 
     async def _race(self) -> None:
         """Two operators send different configurations of one number on top of the same one."""
         self.sent += 1
-        ours = config_at(self.sent)
-        theirs = ours | {"routes": [*ours["routes"][:-1], ours["routes"][-1] | {"targetLatencyMs": 700}]}
+        first_config = make_config(self.sent)
+        second_config = first_config | {
+            "routes": [*first_config["routes"][:-1], first_config["routes"][-1] | {"targetLatencyMs": 700}]
+        }
         base = self.acknowledged
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self.operator.put_config, ours, base, CHANGE_WITHIN)
-            nursery.start_soon(self.second.put_config, theirs, base, CHANGE_WITHIN)
-        await self._learn()
+            nursery.start_soon(self.operator.put_config, first_config, base, OPERATOR_TIMEOUT_S)
+            nursery.start_soon(self.second.put_config, second_config, base, OPERATOR_TIMEOUT_S)
+        await self._refresh_acknowledged()
 
-    async def _learn(self) -> None:
+    async def _refresh_acknowledged(self) -> None:
         """Which revision is in force, after an answer that did not tell."""
-        if (config := await self.read(CHANGE_WITHIN)) is not None:
+        if (config := await self.read(OPERATOR_TIMEOUT_S)) is not None:
             self.acknowledged = max(self.acknowledged, config.get("revision", 0))
 
-    async def _send_again(self) -> None:
-        taken = [fact for fact in self.facts[-500:] if type(fact) is ConfigAnswered and fact.status == 200]
-        if not taken:
+    async def _resend(self) -> None:
+        accepted = [event for event in self.events[-500:] if type(event) is ConfigAnswered and event.status == 200]
+        if not accepted:
             return
-        for fact in reversed(self.facts):
-            if type(fact) is ConfigSent and fact.call == taken[-1].call:
-                await self.second.put_config(fact.config, fact.base, CHANGE_WITHIN)
+        for event in reversed(self.events):
+            if type(event) is ConfigSent and event.call == accepted[-1].call:
+                await self.second.put_config(event.config, event.base, OPERATOR_TIMEOUT_S)
                 return
 
     async def _name_versions(self) -> None:
         """Name versions in series, faster than their bound, for good."""
         revision = 2
         while True:
-            await trio.sleep(SERIES_EVERY * self.random_source.uniform(0.5, 1.5))
-            for _ in range(self.random_source.randint(*NAMES_IN_SERIES)):
-                if 200 <= await self.second.name_version(MODEL, revision, CHANGE_WITHIN) < 300:
+            await trio.sleep(SERIES_INTERVAL_S * self.random_source.uniform(0.5, 1.5))
+            for _ in range(self.random_source.randint(*NAMES_PER_SERIES_RANGE)):
+                if 200 <= await self.second.name_version(MODEL, revision, OPERATOR_TIMEOUT_S) < 300:
                     revision += 1
                 await trio.sleep(self.plan.names_apart)
--- a/rowanshift/soak/plan.py
+++ b/rowanshift/soak/plan.py
@@ -11,24 +11,27 @@
 
 import msgspec
 
-CORES, SERVERS = 3, 4
-LEAST_ROUTERS, MOST_ROUTERS = 2, 60  # with the core at most 63 processes
-LEAST_SECONDS, MOST_SECONDS = 3.0, 1800.0
-MOST_CLIENTS, MOST_TROUBLES = 64, 2000
-MOST_CHANGES_PER_SECOND = 20.0
-CHANGES_PER_SECOND = 8.0, 14.0  # the least and the most that are drawn; troubles hold some up
-NAMES_APART = 0.3, 3.0  # seconds, the least and the most that are drawn; far less than the bound of a version
-LONGEST_GAP, MOST_ROUNDS = 5.0, 5  # of a roll
-DISKS_LOST_AT_MOST = 1  # in a run, of the core's three: the fault tolerance in the settings
-
-CALM_FROM, CALM_LASTS = 40.0, 16.0  # seconds: the least run with a calm in it, in which named versions come into force
+CORE_COUNT, SERVER_COUNT = 3, 4
+MIN_ROUTERS, MAX_ROUTERS = 2, 60  # with the core at most 63 processes
+MIN_SECONDS, MAX_SECONDS = 3.0, 1800.0
+MAX_CLIENTS, MAX_FAULTS = 64, 2000
+MAX_CHANGES_PER_SECOND = 20.0
+CHANGES_PER_SECOND_RANGE = 8.0, 14.0  # the least and the most that are drawn; troubles hold some up
+NAMES_APART_RANGE_S = 0.3, 3.0  # seconds, the least and the most that are drawn; far less than the bound of a version
+MAX_GAP_S, MAX_ROUNDS = 5.0, 5  # of a roll
+MAX_DISKS_LOST = 1  # in a run, of the core's three: the fault tolerance in the settings
+
+FAULT_FREE_MIN_RUN_S, FAULT_FREE_S = (
+    40.0,
+    16.0,
+)  # seconds: the least run with a calm in it, in which named versions come into force
 SHORT_SECONDS, SHORT_ROUTERS, SHORT_TRACKS = 6.0, 4, 2  # of the short form
 
-CORE_NAME = "core-"  # how the names of core machines begin
+CORE_NAME_PREFIX = "core-"  # how the names of core machines begin
 CLIENTS, OPERATORS, SYSTEM, PLATFORM = "clients", "operators", "system", "platform"  # ends of links beside machines
 
 
-class TroubleKind(StrEnum):
+class FaultKind(StrEnum):
     """What happens to machines or links."""
 
     KILL = "kill"  # SIGKILL, started again after the trouble's time
@@ -41,10 +44,10 @@
     WIPE = "wipe"  # every process is killed at once, and one core machine's disk is empty as they start again
 
 
-PLANNED = frozenset([TroubleKind.STOP, TroubleKind.ROLL, TroubleKind.RELOAD])  # work that operators do on purpose
+PLANNED_WORK = frozenset([FaultKind.STOP, FaultKind.ROLL, FaultKind.RELOAD])  # work that operators do on purpose
 
 
-APPLICATIONS, MOST_APPLICATIONS = 2, 20  # of each kind: drawn, and the most
+APPLICATIONS_PER_KIND, MAX_APPLICATIONS_PER_KIND = 2, 20  # of each kind: drawn, and the most
 
 
 class Direction(StrEnum):
@@ -62,10 +65,10 @@
     target: str
 
 
-class Trouble(msgspec.Struct, frozen=True):
+class Fault(msgspec.Struct, frozen=True):
     """One trouble, from ``at`` for ``lasts`` seconds. A wipe names the core machine whose disk is lost."""
 
-    kind: TroubleKind
+    kind: FaultKind
     at: float
     lasts: float
     machines: tuple[str, ...] = ()
@@ -88,22 +91,24 @@
     routers: int
     clients: int
     changes_per_second: float
-    troubles: tuple[Trouble, ...] = ()
-    cores: int = CORES
-    servers: int = SERVERS
-    names_apart: float = NAMES_APART[1]  # seconds between the named versions of a series
+    troubles: tuple[Fault, ...] = ()
+    cores: int = CORE_COUNT
+    servers: int = SERVER_COUNT
+    names_apart: float = NAMES_APART_RANGE_S[1]  # seconds between the named versions of a series
     applications: int = 0  # of each kind that call for locks, numbers and keys; 0: there is no coordination
 
     def kinds(self) -> dict[str, int]:
         """How many troubles there are of each kind."""
-        return dict(Counter(str(trouble.kind) for trouble in self.troubles))
+        return dict(Counter(str(fault.kind) for fault in self.troubles))
 
     def overlap(self) -> int:
         """The most troubles that are drawn for one moment."""
-        return max((sum(one.at <= moment < one.until for one in self.troubles) for moment in self._starts()), default=0)
+        return max(
+            (sum(one.at <= moment < one.until for one in self.troubles) for moment in self._start_times()), default=0
+        )
 
-    def _starts(self) -> Iterator[float]:
-        return (trouble.at for trouble in self.troubles)
+    def _start_times(self) -> Iterator[float]:
+        return (fault.at for fault in self.troubles)
 
 
 class BadPlan(ValueError):
@@ -112,7 +117,7 @@
 
 def core_name(number: int) -> str:
     """The name of a core machine, from 1 on."""
-    return f"{CORE_NAME}{number}"
+    return f"{CORE_NAME_PREFIX}{number}"
 
 
 def router_name(number: int) -> str:
@@ -125,9 +130,9 @@
     return f"server-{number}"
 
 
-def names(make: Callable[[int], str], count: int) -> list[str]:
+def numbered_names(name_of: Callable[[int], str], count: int) -> list[str]:
     """All names of a kind."""
-    return [make(number) for number in range(1, count + 1)]
+    return [name_of(number) for number in range(1, count + 1)]
 
 
 # drawing ----------------------------------------------------
@@ -138,55 +143,55 @@
     random_source = random.Random(f"soak/{seed}")
     routers = routers if routers is not None else random_source.randint(4, 6)
     _check_sizes(seconds, routers)
-    drawn = _Draw(random_source, seconds, routers, tracks).troubles()
+    drawn = _FaultDraw(random_source, seconds, routers, tracks).draw_all()
     plan = Plan(
         seed,
         seconds,
         routers,
-        clients=min(MOST_CLIENTS, 4 * routers),
-        changes_per_second=round(random_source.uniform(*CHANGES_PER_SECOND), 1),
-        troubles=tuple(sorted(_outside(calm_of(seed, seconds), drawn), key=lambda trouble: trouble.at)),
-        names_apart=round(random_source.uniform(*NAMES_APART), 2),
-        applications=APPLICATIONS,
+        clients=min(MAX_CLIENTS, 4 * routers),
+        changes_per_second=round(random_source.uniform(*CHANGES_PER_SECOND_RANGE), 1),
+        troubles=tuple(sorted(_without_window(fault_free_window(seed, seconds), drawn), key=lambda fault: fault.at)),
+        names_apart=round(random_source.uniform(*NAMES_APART_RANGE_S), 2),
+        applications=APPLICATIONS_PER_KIND,
     )
     check(plan)
     return plan
 
 
-def calm_of(seed: int, seconds: float) -> tuple[float, float] | None:
+def fault_free_window(seed: int, seconds: float) -> tuple[float, float] | None:
     """When a run is without trouble, from and to in seconds; none in a short one."""
-    if seconds < CALM_FROM:
+    if seconds < FAULT_FREE_MIN_RUN_S:
         return None
-    since = random.Random(f"soak/{seed}/calm").uniform(0.0, seconds - CALM_LASTS)
-    return since, since + CALM_LASTS
+    since = random.Random(f"soak/{seed}/calm").uniform(0.0, seconds - FAULT_FREE_S)
+    return since, since + FAULT_FREE_S
 
 
-def _outside(calm: tuple[float, float] | None, troubles: list[Trouble]) -> list[Trouble]:
+def _without_window(window: tuple[float, float] | None, faults: list[Fault]) -> list[Fault]:
     """The troubles that leave the calm alone."""
-    if calm is None:
-        return troubles
-    since, until = calm
-    return [trouble for trouble in troubles if trouble.until < since or trouble.at > until]
-
-
-WEIGHTS = {  # how often each kind is drawn in a track
-    TroubleKind.KILL: 3,
-    TroubleKind.PAUSE: 3,
-    TroubleKind.STOP: 3,
-    TroubleKind.ROLL: 4,
-    TroubleKind.RELOAD: 2,
-    TroubleKind.CUT: 4,
-    TroubleKind.LOSE_ANSWERS: 2,
+    if window is None:
+        return faults
+    since, until = window
+    return [fault for fault in faults if fault.until < since or fault.at > until]
+
+
+KIND_WEIGHTS = {  # how often each kind is drawn in a track
+    FaultKind.KILL: 3,
+    FaultKind.PAUSE: 3,
+    FaultKind.STOP: 3,
+    FaultKind.ROLL: 4,
+    FaultKind.RELOAD: 2,
+    FaultKind.CUT: 4,
+    FaultKind.LOSE_ANSWERS: 2,
 }
-LASTS = {  # seconds, the least and the most
-    TroubleKind.KILL: (0.2, 2.0),
-    TroubleKind.PAUSE: (0.3, 4.0),
-    TroubleKind.STOP: (0.1, 1.0),
-    TroubleKind.ROLL: (0.1, 1.0),
-    TroubleKind.RELOAD: (0.0, 0.5),
-    TroubleKind.CUT: (0.3, 4.0),
-    TroubleKind.LOSE_ANSWERS: (0.3, 2.0),
-    TroubleKind.WIPE: (0.2, 1.0),
+DURATION_RANGES_S = {  # seconds, the least and the most
+    FaultKind.KILL: (0.2, 2.0),
+    FaultKind.PAUSE: (0.3, 4.0),
+    FaultKind.STOP: (0.1, 1.0),
+    FaultKind.ROLL: (0.1, 1.0),
+    FaultKind.RELOAD: (0.0, 0.5),
+    FaultKind.CUT: (0.3, 4.0),
+    FaultKind.LOSE_ANSWERS: (0.3, 2.0),
+    FaultKind.WIPE: (0.2, 1.0),
 }
 
 
@@ -195,101 +200,112 @@
     return draw(seed, SHORT_SECONDS, SHORT_ROUTERS, SHORT_TRACKS)
 
 
-STOP_TAKES = (
+STOP_DURATION_S = (
     4.0  # seconds from a SIGTERM to the end of most processes, before which a track goes on to no other trouble
 )
 
 
-STOPS = frozenset([TroubleKind.STOP, TroubleKind.ROLL])
+STOPPING_KINDS = frozenset([FaultKind.STOP, FaultKind.ROLL])
 
 
-class _Draw:
+class _FaultDraw:
     """Draws the troubles of one plan."""
 
-    FIRST_WITHIN = 1.0  # seconds from the start of the load to each track's first trouble
-    PAUSES = 0.2, 1.5  # seconds between two troubles of a track
-    WIPE_SHARE = 0.7  # of plans have a wipe
-    WIPE_FROM = 0.5  # part of the run before which none is wiped
-    GAPS = 0.05, 0.5  # seconds between the machines of a roll
-    ROUNDS = 3  # of a roll, at most
+    FIRST_FAULT_WITHIN_S = 1.0  # seconds from the start of the load to each track's first trouble
+    PAUSE_RANGE_S = 0.2, 1.5  # seconds between two troubles of a track
+    WIPE_PROBABILITY = 0.7  # of plans have a wipe
+    WIPE_EARLIEST_FRACTION = 0.5  # part of the run before which none is wiped
+    GAP_RANGE_S = 0.05, 0.5  # seconds between the machines of a roll
+    MAX_DRAWN_ROUNDS = 3  # of a roll, at most
 
     def __init__(self, random_source: random.Random, seconds: float, routers: int, tracks: int) -> None:
         self.random_source, self.seconds, self.tracks = random_source, seconds, tracks
-        self.cores, self.routers = names(core_name, CORES), names(router_name, routers)
-        self.servers = names(server_name, SERVERS)
+        self.cores, self.routers = numbered_names(core_name, CORE_COUNT), numbered_names(router_name, routers)
+        self.servers = numbered_names(server_name, SERVER_COUNT)
 
-    def troubles(self) -> list[Trouble]:
-        drawn = [trouble for _ in range(self.tracks) for trouble in self._track()]
-        if self.random_source.random() < self.WIPE_SHARE:
+    def draw_all(self) -> list[Fault]:
+        drawn = [fault for _ in range(self.tracks) for fault in self._draw_track()]
+        if self.random_source.random() < self.WIPE_PROBABILITY:
             drawn.append(
-                self._trouble(TroubleKind.WIPE, self.random_source.uniform(self.WIPE_FROM, 1.0) * self.seconds)
+                self._draw_fault(
+                    FaultKind.WIPE, self.random_source.uniform(self.WIPE_EARLIEST_FRACTION, 1.0) * self.seconds
+                )
             )
         return drawn
 
-    def _track(self) -> Iterator[Trouble]:
-        at = self.random_source.uniform(0.0, self.FIRST_WITHIN)
+    def _draw_track(self) -> Iterator[Fault]:
+        at = self.random_source.uniform(0.0, self.FIRST_FAULT_WITHIN_S)
         while at < self.seconds:
-            kind = self.random_source.choices([*WEIGHTS], [*WEIGHTS.values()])[0]
-            yield (trouble := self._trouble(kind, at))
-            at = trouble.until + self.random_source.uniform(*self.PAUSES) + (STOP_TAKES if kind in STOPS else 0.0)
+            kind = self.random_source.choices([*KIND_WEIGHTS], [*KIND_WEIGHTS.values()])[0]
+            yield (fault := self._draw_fault(kind, at))
+            at = (
+                fault.until
+                + self.random_source.uniform(*self.PAUSE_RANGE_S)
+                + (STOP_DURATION_S if kind in STOPPING_KINDS else 0.0)
+            )
 
-    def _trouble(self, kind: TroubleKind, at: float) -> Trouble:
-        lasts = round(self.random_source.uniform(*LASTS[kind]), 3)
+    def _draw_fault(self, kind: FaultKind, at: float) -> Fault:
+        lasts = round(self.random_source.uniform(*DURATION_RANGES_S[kind]), 3)
         machines: tuple[str, ...] = ()
         links: tuple[Link, ...] = ()
         direction = Direction.BOTH
-        if kind is TroubleKind.CUT:
-            links, direction = self._cut_links(), self.random_source.choice([*Direction])
-        elif kind is TroubleKind.LOSE_ANSWERS:
-            links = self._asked_links()
-        elif kind is TroubleKind.WIPE:
+        if kind is FaultKind.CUT:
+            links, direction = self._draw_cut_links(), self.random_source.choice([*Direction])
+        elif kind is FaultKind.LOSE_ANSWERS:
+            links = self._draw_answer_loss_links()
+        elif kind is FaultKind.WIPE:
             machines = (self.random_source.choice(self.cores),)
         else:
-            machines = self._machines(kind in PLANNED)
-        if kind is not TroubleKind.ROLL:
-            return Trouble(kind, round(at, 3), lasts, machines, links, direction)
-        gap, rounds = round(self.random_source.uniform(*self.GAPS), 3), self.random_source.randint(1, self.ROUNDS)
-        return Trouble(kind, round(at, 3), lasts, machines, gap=gap, rounds=rounds)
-
-    def _machines(self, planned: bool) -> tuple[str, ...]:
+            machines = self._draw_machines(kind in PLANNED_WORK)
+        if kind is not FaultKind.ROLL:
+            return Fault(kind, round(at, 3), lasts, machines, links, direction)
+        gap, rounds = (
+            round(self.random_source.uniform(*self.GAP_RANGE_S), 3),
+            self.random_source.randint(1, self.MAX_DRAWN_ROUNDS),
+        )
+        return Fault(kind, round(at, 3), lasts, machines, gap=gap, rounds=rounds)
+
+    def _draw_machines(self, is_planned: bool) -> tuple[str, ...]:
         """One core machine or some routers; planned work befalls larger groups."""
         if self.random_source.random() < 0.35:
-            most = 2 if planned else 1
-            return self._some(self.cores, most)
-        most = len(self.routers) if planned else max(1, len(self.routers) // 2)
-        return self._some(self.routers, most)
+            max_count = 2 if is_planned else 1
+            return self._sample(self.cores, max_count)
+        max_count = len(self.routers) if is_planned else max(1, len(self.routers) // 2)
+        return self._sample(self.routers, max_count)
 
-    def _some(self, among: list[str], most: int) -> tuple[str, ...]:
-        return tuple(sorted(self.random_source.sample(among, self.random_source.randint(1, most))))
+    def _sample(self, candidates: list[str], max_count: int) -> tuple[str, ...]:
+        return tuple(sorted(self.random_source.sample(candidates, self.random_source.randint(1, max_count))))
 
-    def _cut_links(self) -> tuple[Link, ...]:
-        draws = [
+    def _draw_cut_links(self) -> tuple[Link, ...]:
+        link_draws = [
             self._clients_to_routers,
             self._router_to_cores,
-            self._core_from_the_others,
+            self._isolated_core,
             self._operators_to_cores,
             self._system_to_server,
             self._system_to_platform,
         ]
-        return self.random_source.choice(draws)()
+        return self.random_source.choice(link_draws)()
 
-    def _asked_links(self) -> tuple[Link, ...]:
-        draws = [self._clients_to_routers, self._router_to_cores, self._operators_to_cores, self._system_to_server]
-        return self.random_source.choice(draws)()
+    def _draw_answer_loss_links(self) -> tuple[Link, ...]:
+        link_draws = [self._clients_to_routers, self._router_to_cores, self._operators_to_cores, self._system_to_server]
+        return self.random_source.choice(link_draws)()
 
     def _clients_to_routers(self) -> tuple[Link, ...]:
-        return tuple(Link(CLIENTS, name) for name in self._some(self.routers, max(1, len(self.routers) // 2)))
+        return tuple(Link(CLIENTS, name) for name in self._sample(self.routers, max(1, len(self.routers) // 2)))
 
     def _router_to_cores(self) -> tuple[Link, ...]:
         router = self.random_source.choice(self.routers)
-        return tuple(Link(router, name) for name in self._some(self.cores, len(self.cores)))
+        return tuple(Link(router, name) for name in self._sample(self.cores, len(self.cores)))
 
-    def _core_from_the_others(self) -> tuple[Link, ...]:
-        alone = self.random_source.choice(self.cores)
-        return tuple(link for name in self.cores if name != alone for link in (Link(alone, name), Link(name, alone)))
+    def _isolated_core(self) -> tuple[Link, ...]:
+        isolated = self.random_source.choice(self.cores)
+        return tuple(
+            link for name in self.cores if name != isolated for link in (Link(isolated, name), Link(name, isolated))
+        )
 
     def _operators_to_cores(self) -> tuple[Link, ...]:
-        return tuple(Link(OPERATORS, name) for name in self._some(self.cores, len(self.cores)))
+        return tuple(Link(OPERATORS, name) for name in self._sample(self.cores, len(self.cores)))
 
     def _system_to_server(self) -> tuple[Link, ...]:
         return (Link(SYSTEM, self.random_source.choice(self.servers)),)
@@ -304,66 +320,68 @@
 def check(plan: Plan) -> None:
     """Raises ``BadPlan`` if the plan is out of bounds, names what isn't there or loses too many disks."""
     _check_sizes(plan.seconds, plan.routers)
-    if plan.cores != CORES or plan.servers != SERVERS:
-        raise BadPlan(f"cores and servers: {CORES} and {SERVERS} expected")
-    if not 1 <= plan.clients <= MOST_CLIENTS:
-        raise BadPlan(f"clients: {plan.clients} is not within 1 and {MOST_CLIENTS}")
-    if not NAMES_APART[0] <= plan.names_apart <= NAMES_APART[1]:
-        raise BadPlan(f"names_apart: {plan.names_apart} is not within {NAMES_APART[0]} and {NAMES_APART[1]}")
-    if not 0 < plan.changes_per_second <= MOST_CHANGES_PER_SECOND:
-        raise BadPlan(f"changes_per_second: {plan.changes_per_second} is not within 0 and {MOST_CHANGES_PER_SECOND}")
-    if not 0 <= plan.applications <= MOST_APPLICATIONS:
-        raise BadPlan(f"applications: {plan.applications} is not within 0 and {MOST_APPLICATIONS}")
-    if len(plan.troubles) > MOST_TROUBLES:
-        raise BadPlan(f"troubles: {len(plan.troubles)}, {MOST_TROUBLES} at most")
-    for number, trouble in enumerate(plan.troubles):
-        _check_trouble(plan, trouble, f"troubles[{number}]")
-    wipes = plan.kinds().get(TroubleKind.WIPE, 0)
-    if wipes > DISKS_LOST_AT_MOST:
-        raise BadPlan(f"troubles: {wipes} disks are lost, {DISKS_LOST_AT_MOST} at most")
+    if plan.cores != CORE_COUNT or plan.servers != SERVER_COUNT:
+        raise BadPlan(f"cores and servers: {CORE_COUNT} and {SERVER_COUNT} expected")
+    if not 1 <= plan.clients <= MAX_CLIENTS:
+        raise BadPlan(f"clients: {plan.clients} is not within 1 and {MAX_CLIENTS}")
+    if not NAMES_APART_RANGE_S[0] <= plan.names_apart <= NAMES_APART_RANGE_S[1]:
+        raise BadPlan(
+            f"names_apart: {plan.names_apart} is not within {NAMES_APART_RANGE_S[0]} and {NAMES_APART_RANGE_S[1]}"
+        )
+    if not 0 < plan.changes_per_second <= MAX_CHANGES_PER_SECOND:
+        raise BadPlan(f"changes_per_second: {plan.changes_per_second} is not within 0 and {MAX_CHANGES_PER_SECOND}")
+    if not 0 <= plan.applications <= MAX_APPLICATIONS_PER_KIND:
+        raise BadPlan(f"applications: {plan.applications} is not within 0 and {MAX_APPLICATIONS_PER_KIND}")
+    if len(plan.troubles) > MAX_FAULTS:
+        raise BadPlan(f"troubles: {len(plan.troubles)}, {MAX_FAULTS} at most")
+    for number, fault in enumerate(plan.troubles):
+        _check_fault(plan, fault, f"troubles[{number}]")
+    wipe_count = plan.kinds().get(FaultKind.WIPE, 0)
+    if wipe_count > MAX_DISKS_LOST:
+        raise BadPlan(f"troubles: {wipe_count} disks are lost, {MAX_DISKS_LOST} at most")
 
 
 def _check_sizes(seconds: float, routers: int) -> None:
-    if not LEAST_SECONDS <= seconds <= MOST_SECONDS:
-        raise BadPlan(f"seconds: {seconds} is not within {LEAST_SECONDS} and {MOST_SECONDS}")
-    if not LEAST_ROUTERS <= routers <= MOST_ROUTERS:
-        raise BadPlan(f"routers: {routers} is not within {LEAST_ROUTERS} and {MOST_ROUTERS}")
-
-
-def _check_trouble(plan: Plan, trouble: Trouble, place: str) -> None:
-    if not (0 <= trouble.at <= plan.seconds and 0 <= trouble.lasts <= plan.seconds):
-        raise BadPlan(f"{place}: it does not lie within the run's {plan.seconds} s")
-    rolls = trouble.kind is TroubleKind.ROLL
-    if not (0 <= trouble.gap <= LONGEST_GAP and 1 <= trouble.rounds <= MOST_ROUNDS) or (trouble.gap and not rolls):
-        raise BadPlan(f"{place}: a gap up to {LONGEST_GAP:g} s and 1 to {MOST_ROUNDS} rounds are for a roll")
-    on_links = trouble.kind in (TroubleKind.CUT, TroubleKind.LOSE_ANSWERS)
-    if bool(trouble.links) != on_links or bool(trouble.machines) == on_links:
-        raise BadPlan(f"{place}: {trouble.kind} befalls {'links' if on_links else 'machines'}")
-    cores, machines = names(core_name, plan.cores), known_machines(plan)
-    allowed = cores if trouble.kind is TroubleKind.WIPE else machines
-    if unknown := set(trouble.machines) - set(allowed):
-        raise BadPlan(f"{place}: no such machine for {trouble.kind}: {', '.join(sorted(unknown))}")
-    if trouble.kind is TroubleKind.WIPE and len(trouble.machines) > DISKS_LOST_AT_MOST:
-        raise BadPlan(f"{place}: {len(trouble.machines)} disks are lost, {DISKS_LOST_AT_MOST} at most")
-    for link in trouble.links:
+    if not MIN_SECONDS <= seconds <= MAX_SECONDS:
+        raise BadPlan(f"seconds: {seconds} is not within {MIN_SECONDS} and {MAX_SECONDS}")
+    if not MIN_ROUTERS <= routers <= MAX_ROUTERS:
+        raise BadPlan(f"routers: {routers} is not within {MIN_ROUTERS} and {MAX_ROUTERS}")
+
+
+def _check_fault(plan: Plan, fault: Fault, location: str) -> None:
+    if not (0 <= fault.at <= plan.seconds and 0 <= fault.lasts <= plan.seconds):
+        raise BadPlan(f"{location}: it does not lie within the run's {plan.seconds} s")
+    is_roll = fault.kind is FaultKind.ROLL
+    if not (0 <= fault.gap <= MAX_GAP_S and 1 <= fault.rounds <= MAX_ROUNDS) or (fault.gap and not is_roll):
+        raise BadPlan(f"{location}: a gap up to {MAX_GAP_S:g} s and 1 to {MAX_ROUNDS} rounds are for a roll")
+    acts_on_links = fault.kind in (FaultKind.CUT, FaultKind.LOSE_ANSWERS)
+    if bool(fault.links) != acts_on_links or bool(fault.machines) == acts_on_links:
+        raise BadPlan(f"{location}: {fault.kind} befalls {'links' if acts_on_links else 'machines'}")
+    cores, machines = numbered_names(core_name, plan.cores), known_machines(plan)
+    allowed = cores if fault.kind is FaultKind.WIPE else machines
+    if unknown := set(fault.machines) - set(allowed):
+        raise BadPlan(f"{location}: no such machine for {fault.kind}: {', '.join(sorted(unknown))}")
+    if fault.kind is FaultKind.WIPE and len(fault.machines) > MAX_DISKS_LOST:
+        raise BadPlan(f"{location}: {len(fault.machines)} disks are lost, {MAX_DISKS_LOST} at most")
+    for link in fault.links:
         if link not in known_links(plan):
-            raise BadPlan(f"{place}: no such link: {link.caller} to {link.target}")
+            raise BadPlan(f"{location}: no such link: {link.caller} to {link.target}")
 
 
 def known_machines(plan: Plan) -> list[str]:
     """The machines that run a process, core first."""
-    return [*names(core_name, plan.cores), *names(router_name, plan.routers)]
+    return [*numbered_names(core_name, plan.cores), *numbered_names(router_name, plan.routers)]
 
 
 def known_links(plan: Plan) -> set[Link]:
     """All links that may be cut."""
-    cores, routers = names(core_name, plan.cores), names(router_name, plan.routers)
+    cores, routers = numbered_names(core_name, plan.cores), numbered_names(router_name, plan.routers)
     return {
         *(Link(CLIENTS, name) for name in routers),
         *(Link(OPERATORS, name) for name in cores),
         *(Link(router, core) for router in routers for core in cores),
         *(Link(*pair) for pair in [*permutations(cores, 2), *permutations(routers, 2)]),
-        *(Link(SYSTEM, name) for name in names(server_name, plan.servers)),
+        *(Link(SYSTEM, name) for name in numbered_names(server_name, plan.servers)),
         Link(SYSTEM, PLATFORM),
     }
 
--- a/rowanshift/soak/processes.py
+++ b/rowanshift/soak/processes.py
@@ -21,14 +21,14 @@
 from rowanshift.soak.layout import Layout
 from rowanshift.soak.records import ProcessEnded, ProcessSignalled, ProcessStarted
 
-ROOT = Path(__file__).parents[2]  # of the project
+PROJECT_ROOT = Path(__file__).parents[2]  # of the project
 PROGRAM = "rowanshift.py"
-PASSED_ON = ("PATH", "HOME", "LANG")  # of the environment
-LOOK = 0.02  # seconds between looks whether processes have ended
-LEVEL = "DEBUG"  # of the logs
-BORN_WITHIN = 10.0  # seconds from a start in which the interpreter comes up; no program can heed a signal before
-REAPED_WITHIN = 5.0  # seconds in which a killed process is over
-LARGEST_LOG = 16 << 20  # bytes of a life's log; a larger one ends the run
+PASSED_VARIABLES = ("PATH", "HOME", "LANG")  # of the environment
+POLL_INTERVAL_S = 0.02  # seconds between looks whether processes have ended
+LOG_LEVEL = "DEBUG"  # of the logs
+HANDLER_TIMEOUT_S = 10.0  # seconds from a start in which the interpreter comes up; no program can heed a signal before
+REAP_TIMEOUT_S = 5.0  # seconds in which a killed process is over
+MAX_LOG_BYTES = 16 << 20  # bytes of a life's log; a larger one ends the run
 PR_SET_PDEATHSIG = 1  # of prctl: the signal that the end of the parent brings
 
 _libc = ctypes.CDLL(None, use_errno=True)
@@ -51,15 +51,15 @@
         status = Path(f"/proc/{pid}/status").read_text()
     except FileNotFoundError:
         return True
-    caught = next((line.split()[1] for line in status.splitlines() if line.startswith("SigCgt:")), "0")
-    return bool(int(caught, 16) >> (number - 1) & 1)
+    handled_mask = next((line.split()[1] for line in status.splitlines() if line.startswith("SigCgt:")), "0")
+    return bool(int(handled_mask, 16) >> (number - 1) & 1)
 
 
 class Process:
     """A machine's process, one life after another."""
 
-    def __init__(self, name: str, layout: Layout, now: Callable[[], float], facts: list[Fact]) -> None:
-        self.name, self.layout, self.now, self.facts = name, layout, now, facts
+    def __init__(self, name: str, layout: Layout, now: Callable[[], float], events: list[Fact]) -> None:
+        self.name, self.layout, self.now, self.events = name, layout, now, events
         self.is_router = name in layout.routers
         self.role = "dataplane" if self.is_router else "controlplane"
         self.life = 0
@@ -89,13 +89,13 @@
             return
         self.life += 1
         self.ended = trio.Event()
-        environment = {name: os.environ[name] for name in PASSED_ON if name in os.environ}
+        environment = {name: os.environ[name] for name in PASSED_VARIABLES if name in os.environ}
         settings = str(self.layout.settings_path(self.name))
-        command = [sys.executable, PROGRAM, self.role, "--boot", settings, "--level", LEVEL]
+        command = [sys.executable, PROGRAM, self.role, "--boot", settings, "--level", LOG_LEVEL]
         with self.log.open("wb") as log:
             self.popen = subprocess.Popen(
                 command,
-                cwd=ROOT,
+                cwd=PROJECT_ROOT,
                 env=environment,
                 stdin=subprocess.DEVNULL,
                 stdout=log,
@@ -103,26 +103,26 @@
                 preexec_fn=partial(_die_with_parent, os.getpid()),
             )
         self.started_at = self.now()
-        self.facts.append(ProcessStarted(self.now(), self.name, self.life, self.log.name, self.front))
+        self.events.append(ProcessStarted(self.now(), self.name, self.life, self.log.name, self.front))
         if self.is_router:
-            self.facts.append(RouterStarted(self.now(), self.name, self.front))
+            self.events.append(RouterStarted(self.now(), self.name, self.front))
 
-    async def born(self) -> None:
+    async def wait_for_handler(self) -> None:
         """Wait until this life heeds SIGTERM, as the system says, or it is over, or ``BORN_WITHIN`` has passed."""
-        while self.popen is not None and self.now() < self.started_at + BORN_WITHIN:
+        while self.popen is not None and self.now() < self.started_at + HANDLER_TIMEOUT_S:
             if heeds(self.popen.pid, signal.SIGTERM):
                 return
-            await trio.sleep(LOOK)
-            self.look()
+            await trio.sleep(POLL_INTERVAL_S)
+            self.poll()
 
     def send(self, number: signal.Signals) -> bool:
         """Signal it; whether there was a process to signal."""
-        self.look()
+        self.poll()
         if self.popen is None:
             return False
-        self.facts.append(ProcessSignalled(self.now(), self.name, self.life, number.name))
+        self.events.append(ProcessSignalled(self.now(), self.name, self.life, number.name))
         if self.is_router and number in (signal.SIGTERM, signal.SIGHUP):
-            self.facts.append(Signalled(self.now(), self.name, self.front, number.name))
+            self.events.append(Signalled(self.now(), self.name, self.front, number.name))
         self.popen.send_signal(number)
         return True
 
@@ -130,19 +130,19 @@
         """Kill it and wait for its end, which takes milliseconds; whether there was a process to kill."""
         killed = self.send(signal.SIGKILL)
         if self.popen is not None:
-            self.popen.wait(REAPED_WITHIN)
-            self.look()
+            self.popen.wait(REAP_TIMEOUT_S)
+            self.poll()
         return killed
 
-    def look(self) -> None:
+    def poll(self) -> None:
         """Notice whether it is over."""
         if self.popen is None or (code := self.popen.poll()) is None:
             return
         self.popen = None
-        self.facts.append(ProcessEnded(self.now(), self.name, self.life, code))
+        self.events.append(ProcessEnded(self.now(), self.name, self.life, code))
         self.ended.set()
 
-    def wipe(self) -> None:
+    def wipe_disk(self) -> None:
         """Lose the disk of a machine that does not run."""
         shutil.rmtree(self.layout.disk(self.name), ignore_errors=True)
 
@@ -150,9 +150,9 @@
 class Processes:
     """All processes of a run. Whoever leaves the ``with`` block leaves none behind."""
 
-    def __init__(self, layout: Layout, now: Callable[[], float], facts: list[Fact]) -> None:
+    def __init__(self, layout: Layout, now: Callable[[], float], events: list[Fact]) -> None:
         (layout.folder / "logs").mkdir(parents=True, exist_ok=True)
-        self.by_name = {name: Process(name, layout, now, facts) for name in layout.machines}
+        self.by_name = {name: Process(name, layout, now, events) for name in layout.machines}
 
     def __enter__(self) -> "Processes":
         return self
@@ -163,13 +163,13 @@
                 process.popen.kill()
         for process in self.by_name.values():
             if process.popen is not None:
-                process.popen.wait(REAPED_WITHIN)
+                process.popen.wait(REAP_TIMEOUT_S)
 
     async def watch(self) -> None:
         """Notice ends as they come, and logs that grow too large, for good."""
         while True:
             for process in self.by_name.values():
-                process.look()
-                if process.running and process.log.stat().st_size > LARGEST_LOG:
+                process.poll()
+                if process.running and process.log.stat().st_size > MAX_LOG_BYTES:
                     raise LogTooLarge(process.log.name)
-            await trio.sleep(LOOK)
+            await trio.sleep(POLL_INTERVAL_S)
--- a/rowanshift/soak/records.py
+++ b/rowanshift/soak/records.py
@@ -13,11 +13,11 @@
 import orjson
 
 from rowanshift.invariants import coordination_facts
-from rowanshift.invariants import facts as known_facts
+from rowanshift.invariants import facts as fact_module
 from rowanshift.invariants.facts import Fact
-from rowanshift.soak.plan import Link, TroubleKind
+from rowanshift.soak.plan import FaultKind, Link
 
-KIND = "kind"  # the field of a line that names the fact's class
+KIND_FIELD = "kind"  # the field of a line that names the fact's class
 
 
 class BadRecords(ValueError):
@@ -57,7 +57,7 @@
     """A trouble that was brought about, from ``at`` to ``until``."""
 
     until: float
-    trouble: TroubleKind
+    trouble: FaultKind
     machines: tuple[str, ...] = ()
     links: tuple[Link, ...] = ()
 
@@ -93,31 +93,31 @@
     what: str
 
 
-def kinds() -> dict[str, type[Fact]]:
+def event_classes() -> dict[str, type[Fact]]:
     """All classes of facts by their names."""
-    own = globals().values()
+    own_values = globals().values()
     return {
-        made.__name__: made
-        for made in (*vars(known_facts).values(), *vars(coordination_facts).values(), *own)
-        if inspect.isclass(made) and issubclass(made, Fact)
+        candidate.__name__: candidate
+        for candidate in (*vars(fact_module).values(), *vars(coordination_facts).values(), *own_values)
+        if inspect.isclass(candidate) and issubclass(candidate, Fact)
     }
 
 
-def write(path: Path, facts: Iterable[Fact]) -> None:
+def write(path: Path, events: Iterable[Fact]) -> None:
     """Writes facts as JSON lines."""
     with path.open("wb") as file:
-        for fact in facts:
-            file.write(orjson.dumps({KIND: type(fact).__name__} | msgspec.to_builtins(fact)) + b"\n")
+        for event in events:
+            file.write(orjson.dumps({KIND_FIELD: type(event).__name__} | msgspec.to_builtins(event)) + b"\n")
 
 
 def read(path: Path) -> list[Fact]:
     """Facts out of a file that ``write`` made."""
-    known, found = kinds(), []
+    classes, decoded = event_classes(), []
     with path.open("rb") as file:
         for number, line in enumerate(file, 1):
             try:
-                row = orjson.loads(line)
-                found.append(msgspec.convert(row, known[row.pop(KIND)]))
+                fields = orjson.loads(line)
+                decoded.append(msgspec.convert(fields, classes[fields.pop(KIND_FIELD)]))
             except (KeyError, TypeError, AttributeError, orjson.JSONDecodeError, msgspec.ValidationError) as error:
                 raise BadRecords(f"{path.name}, line {number}: {error}") from error
-    return found
+    return decoded
--- a/rowanshift/soak/relay.py
+++ b/rowanshift/soak/relay.py
@@ -18,10 +18,10 @@
 from rowanshift.transport.streams import Address, Stream, accepted, connect, send_all
 
 BACKLOG = 128
-MOST_CONNECTIONS = 512  # of a relay at once; more are reset
-DIAL_WITHIN = 1.0  # seconds
-CHUNK = 65536  # bytes
-DATAGRAM = 2048  # bytes
+MAX_CONNECTIONS = 512  # of a relay at once; more are reset
+DIAL_TIMEOUT_S = 1.0  # seconds
+CHUNK_BYTES = 65536  # bytes
+MAX_DATAGRAM_BYTES = 2048  # bytes
 
 
 class Gate:
@@ -44,25 +44,25 @@
         if not self.holders:
             self.opened.set()
 
-    async def passed(self) -> None:
+    async def wait_released(self) -> None:
         """Wait until nobody holds it."""
         while self.holders:
             await self.opened.wait()
 
 
-class Cuttable:
+class CuttableRelay:
     """What relays of streams and of datagrams share: the two directions, and whether answers are lost."""
 
     def __init__(self) -> None:
         self.towards, self.back = Gate(), Gate()
-        self.losing = 0  # troubles that lose answers now
+        self.answer_losses = 0  # troubles that lose answers now
 
     def cut(self, direction: Direction) -> None:
         """Hold a direction, or both."""
         for gate in self._gates(direction):
             gate.hold()
 
-    def join(self, direction: Direction) -> None:
+    def restore(self, direction: Direction) -> None:
         """Take one ``cut`` back."""
         for gate in self._gates(direction):
             gate.release()
@@ -77,13 +77,13 @@
     """The answer that comes back is dropped."""
 
 
-class Relay(Cuttable):
+class Relay(CuttableRelay):
     """Passes the connections made to one address on to another."""
 
     def __init__(self, host: Runtime, address: Address, target: Address) -> None:
         super().__init__()
         self.host, self.address, self.target = host, address, target
-        self.open = 0
+        self.open_connections = 0
 
     async def run(self, task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED) -> None:
         """Take connections, for good; started once it listens."""
@@ -97,14 +97,14 @@
             listener.close()
 
     async def _serve(self, caller: Stream) -> None:
-        if self.open >= MOST_CONNECTIONS:
+        if self.open_connections >= MAX_CONNECTIONS:
             return caller.reset()
-        self.open += 1
+        self.open_connections += 1
         target: Stream | None = None
         try:
-            await self.towards.passed()
-            await self.back.passed()
-            target = await self._dialled()
+            await self.towards.wait_released()
+            await self.back.wait_released()
+            target = await self._dial()
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self._pump, caller, target, self.towards)
                 nursery.start_soon(self._pump, target, caller, self.back)
@@ -114,15 +114,15 @@
         except* (OSError, trio.ClosedResourceError):
             caller.reset()
         finally:
-            self.open -= 1
+            self.open_connections -= 1
             caller.close()
             if target is not None:
                 target.reset()
 
-    async def _dialled(self) -> Stream:
+    async def _dial(self) -> Stream:
         stream = self.host.stream()
         try:
-            with trio.fail_after(DIAL_WITHIN):
+            with trio.fail_after(DIAL_TIMEOUT_S):
                 await connect(stream, self.target)
         except trio.TooSlowError:
             stream.close()
@@ -133,24 +133,24 @@
         return stream
 
     async def _pump(self, source: Stream, sink: Stream, gate: Gate) -> None:
-        space = memoryview(bytearray(CHUNK))
+        buffer = memoryview(bytearray(CHUNK_BYTES))
         while True:
             await source.wait_readable()
-            await gate.passed()
+            await gate.wait_released()
             try:
-                count = source.recv_into(space)
+                count = source.recv_into(buffer)
             except BlockingIOError:
                 continue
             if not count:
                 with suppress(OSError):  # the other side has ended as well
                     sink.end()
                 return
-            if gate is self.back and self.losing:
+            if gate is self.back and self.answer_losses:
                 raise AnswerLost
-            await send_all(sink, space[:count])
+            await send_all(sink, buffer[:count])
 
 
-class DatagramRelay(Cuttable):
+class DatagramRelay(CuttableRelay):
     """Passes datagrams between two addresses. The caller sends to the relay's address as to the target's."""
 
     def __init__(self, host: Runtime, address: Address, caller: Address, target: Address) -> None:
@@ -164,10 +164,10 @@
             task_status.started()
             while True:
                 with suppress(OSError):  # a port that is closed at the other side
-                    payload, sender = await port.receive(DATAGRAM)
-                    back = sender == self.target
-                    gate = self.back if back else self.towards
+                    payload, sender = await port.receive(MAX_DATAGRAM_BYTES)
+                    is_answer = sender == self.target
+                    gate = self.back if is_answer else self.towards
                     if not gate.holders:
-                        await port.send(payload, self.caller if back else self.target)
+                        await port.send(payload, self.caller if is_answer else self.target)
         finally:
             port.close()
--- a/rowanshift/soak/versions.py
+++ b/rowanshift/soak/versions.py
@@ -11,57 +11,57 @@
 from rowanshift.invariants.facts import Asked
 from rowanshift.invariants.server_rules import version_in_one_stretch, version_sums
 from rowanshift.simulation.fleet_settings import CONTACT, VERSION, VERSION_ALL
-from rowanshift.soak.plan import CORE_NAME, TroubleKind
+from rowanshift.soak.plan import CORE_NAME_PREFIX, FaultKind
 from rowanshift.soak.records import Lagged, LoadEnded, ProcessStarted, TroubleMet
 
-Spans = list[tuple[float, float]]  # seconds, from and to
+Intervals = list[tuple[float, float]]  # seconds, from and to
 
 
-def calm_stretches(facts: Facts) -> Spans:
+def undisturbed_intervals(events: Facts) -> Intervals:
     """The stretches of the load in which nothing but routers was in trouble, for ``CONTACT`` at least."""
-    rough = [(met.at, met.until + CONTACT) for met in of_kind(facts, TroubleMet) if _unsettles(met)]
-    rough += [(one.at - one.seconds, one.at) for one in of_kind(facts, Lagged)]
-    rough += [(one.at, one.at + CONTACT) for one in of_kind(facts, ProcessStarted) if _is_core(one.machine)]
-    ends = [one.at for one in of_kind(facts, LoadEnded)]
-    until = min(ends, default=max((fact.at for fact in facts), default=0.0))
-    calm, since = [], 0.0
-    for begins, over in sorted(rough):
-        if begins > since:
-            calm.append((since, min(begins, until)))
-        since = max(since, over)
-    return [*calm, (since, until)] if since < until else calm
+    disturbed = [(fault.at, fault.until + CONTACT) for fault in of_kind(events, TroubleMet) if _disturbs(fault)]
+    disturbed += [(one.at - one.seconds, one.at) for one in of_kind(events, Lagged)]
+    disturbed += [(one.at, one.at + CONTACT) for one in of_kind(events, ProcessStarted) if _is_core(one.machine)]
+    ends = [one.at for one in of_kind(events, LoadEnded)]
+    until = min(ends, default=max((event.at for event in events), default=0.0))
+    undisturbed, since = [], 0.0
+    for began, ended in sorted(disturbed):
+        if began > since:
+            undisturbed.append((since, min(began, until)))
+        since = max(since, ended)
+    return [*undisturbed, (since, until)] if since < until else undisturbed
 
 
 def _is_core(machine: str) -> bool:
-    return machine.startswith(CORE_NAME)
+    return machine.startswith(CORE_NAME_PREFIX)
 
 
-def _unsettles(met: TroubleMet) -> bool:
-    return bool(met.links) or met.trouble is TroubleKind.WIPE or any(map(_is_core, met.machines))
+def _disturbs(fault: TroubleMet) -> bool:
+    return bool(fault.links) or fault.trouble is FaultKind.WIPE or any(map(_is_core, fault.machines))
 
 
-def versions(facts: Facts) -> list[Breach]:
+def version_violations(events: Facts) -> list[Breach]:
     """VERSION: a request that a router in touch passed on began on an older version, in a calm stretch that has lasted
     for the bound since a newer one was acknowledged, or once such stretches add up to the bound of their sum."""
-    calm = calm_stretches(facts)
-    found = [*version_in_one_stretch(facts, VERSION, calm), *version_sums(facts, VERSION_ALL, calm)]
-    asked = by_id(facts, Asked)
-    routers = {one.front: one.machine for one in of_kind(facts, ProcessStarted) if one.front}
-    away = _away(facts)
-    broken: dict[tuple[str, ...], Breach] = {}
-    for breach in sorted(found, key=lambda breach: breach.at):
-        router = routers.get(asked[breach.ids[0]][0].front) if breach.ids[0] in asked else None
-        if not any(since <= breach.at <= until for since, until in away.get(router, ())):
-            broken.setdefault(breach.ids, breach)
-    return [*broken.values()]
+    undisturbed = undisturbed_intervals(events)
+    found = [*version_in_one_stretch(events, VERSION, undisturbed), *version_sums(events, VERSION_ALL, undisturbed)]
+    asked = by_id(events, Asked)
+    routers = {one.front: one.machine for one in of_kind(events, ProcessStarted) if one.front}
+    unreachable = _unreachable_intervals(events)
+    violations: dict[tuple[str, ...], Breach] = {}
+    for violation in sorted(found, key=lambda violation: violation.at):
+        router = routers.get(asked[violation.ids[0]][0].front) if violation.ids[0] in asked else None
+        if not any(since <= violation.at <= until for since, until in unreachable.get(router, ())):
+            violations.setdefault(violation.ids, violation)
+    return [*violations.values()]
 
 
-def _away(facts: Facts) -> dict[str, Spans]:
+def _unreachable_intervals(events: Facts) -> dict[str, Intervals]:
     """When each machine was not in touch, by its own troubles and starts."""
-    spans: dict[str, Spans] = defaultdict(list)
-    for met in of_kind(facts, TroubleMet):
-        for machine in met.machines:
-            spans[machine].append((met.at, met.until + CONTACT))
-    for started in of_kind(facts, ProcessStarted):
-        spans[started.machine].append((started.at, started.at + CONTACT))
-    return spans
+    intervals: dict[str, Intervals] = defaultdict(list)
+    for fault in of_kind(events, TroubleMet):
+        for machine in fault.machines:
+            intervals[machine].append((fault.at, fault.until + CONTACT))
+    for started in of_kind(events, ProcessStarted):
+        intervals[started.machine].append((started.at, started.at + CONTACT))
+    return intervals
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -34,9 +34,9 @@
     digest_of,
 )
 from rowanshift.soak import checker, command, plan, records
-from rowanshift.soak.layout import GRACE, Layout
-from rowanshift.soak.plan import BadPlan, Direction, Link, Trouble, TroubleKind
-from rowanshift.soak.processes import BORN_WITHIN, Process, heeds
+from rowanshift.soak.layout import GRACE_S, Layout
+from rowanshift.soak.plan import BadPlan, Direction, Fault, FaultKind, Link
+from rowanshift.soak.processes import HANDLER_TIMEOUT_S, Process, heeds
 from rowanshift.soak.records import (
     BadRecords,
     Lagged,
@@ -49,13 +49,13 @@
     TroubleMet,
 )
 from rowanshift.soak.relay import DatagramRelay, Relay
-from rowanshift.soak.run import RECOVER_WITHIN, SERVE_ON, Run
+from rowanshift.soak.run import RECOVERY_TIMEOUT_S, SERVE_STRETCH_S, Run
 from rowanshift.transport.runtime import SYSTEM_RUNTIME
 from rowanshift.transport.streams import connect, send_all
 
 ROOT = Path(__file__).parents[2]
-SHORT_SEEDS = 1, 2, 4, 5, 15  # played in CI
-SEEDS = range(60)  # that are drawn without being played
+CI_SEEDS = 1, 2, 4, 5, 15  # played in CI
+DRAWN_SEEDS = range(60)  # that are drawn without being played
 
 
 class Plans(unittest.TestCase):
@@ -64,26 +64,26 @@
         self.assertNotEqual(plan.draw(3, 30.0).troubles, plan.draw(4, 30.0).troubles)
 
     def test_what_is_drawn(self) -> None:
-        plans = [plan.draw(seed, 60.0) for seed in SEEDS]
+        plans = [plan.draw(seed, 60.0) for seed in DRAWN_SEEDS]
         for drawn in plans:
             self.assertIn(drawn.routers, (4, 5, 6))
             self.assertGreaterEqual(drawn.overlap(), 2)
             self.assertLessEqual(drawn.overlap(), 4)
             self.assertLessEqual(drawn.kinds().get("wipe", 0), 1)
             self.assertGreater(drawn.changes_per_second * drawn.seconds, 400)
-        self.assertEqual({kind for drawn in plans for kind in drawn.kinds()}, {*map(str, TroubleKind)})
+        self.assertEqual({kind for drawn in plans for kind in drawn.kinds()}, {*map(str, FaultKind)})
         links = {link for drawn in plans for one in drawn.troubles for link in one.links}
         self.assertTrue({"clients", "operators", "system", "core-1", "router-1"} <= {link.caller for link in links})
-        directions = {one.direction for drawn in plans for one in drawn.troubles if one.kind is TroubleKind.CUT}
+        directions = {one.direction for drawn in plans for one in drawn.troubles if one.kind is FaultKind.CUT}
         self.assertEqual(directions, {*Direction})
 
     def test_what_is_played_in_ci(self) -> None:
         """Signals in series: routers three times round, core machines, and all processes killed with a disk lost."""
-        troubles = [one for seed in SHORT_SEEDS for one in plan.draw_short(seed).troubles]
-        rolls = [one for one in troubles if one.kind is TroubleKind.ROLL]
+        faults = [one for seed in CI_SEEDS for one in plan.draw_short(seed).troubles]
+        rolls = [one for one in faults if one.kind is FaultKind.ROLL]
         self.assertTrue(any(one.rounds == 3 and len(one.machines) == 3 for one in rolls))
         self.assertTrue(any("core-2" in one.machines for one in rolls))
-        self.assertLessEqual({"kill", "pause", "stop", "roll", "reload", "wipe"}, {str(one.kind) for one in troubles})
+        self.assertLessEqual({"kill", "pause", "stop", "roll", "reload", "wipe"}, {str(one.kind) for one in faults})
 
     def test_a_plan_in_a_file(self) -> None:
         drawn = plan.draw(5, 20.0)
@@ -91,30 +91,30 @@
 
     def test_plans_that_can_not_be_played(self) -> None:
         drawn = plan.draw_short(1)
-        wipe = Trouble(TroubleKind.WIPE, 1.0, 0.5, ("core-1",))
-        for broken, why in (
+        wipe = Fault(FaultKind.WIPE, 1.0, 0.5, ("core-1",))
+        for changes, why in (
             (dict(seconds=1.0), "seconds"),
             (dict(seconds=float("nan")), "seconds"),
             (dict(seconds=1e6), "seconds"),
             (dict(routers=61), "routers"),
             (dict(names_apart=9.0), "names_apart"),
-            (dict(troubles=(Trouble(TroubleKind.STOP, 1.0, 0.5, ("core-1",), gap=0.1),)), "for a roll"),
-            (dict(troubles=(Trouble(TroubleKind.ROLL, 1.0, 0.5, ("core-1",), rounds=9),)), "for a roll"),
+            (dict(troubles=(Fault(FaultKind.STOP, 1.0, 0.5, ("core-1",), gap=0.1),)), "for a roll"),
+            (dict(troubles=(Fault(FaultKind.ROLL, 1.0, 0.5, ("core-1",), rounds=9),)), "for a roll"),
             (dict(cores=5), "cores"),
             (dict(clients=1000), "clients"),
             (dict(changes_per_second=0.0), "changes_per_second"),
             (dict(troubles=(wipe, wipe)), "disks"),
-            (dict(troubles=(replace_struct(wipe, machines=("core-1", "core-2")),)), "disks"),
-            (dict(troubles=(replace_struct(wipe, machines=("router-1",)),)), "no such machine"),
-            (dict(troubles=(replace_struct(wipe, at=7.0),)), "within"),
-            (dict(troubles=(replace_struct(wipe, lasts=-1.0),)), "within"),
-            (dict(troubles=(Trouble(TroubleKind.KILL, 1.0, 1.0),)), "machines"),
-            (dict(troubles=(Trouble(TroubleKind.CUT, 1.0, 1.0, ("core-1",)),)), "links"),
-            (dict(troubles=(Trouble(TroubleKind.CUT, 1.0, 1.0, links=(Link("a", "b"),)),)), "no such link"),
-            (dict(troubles=(Trouble(TroubleKind.RELOAD, 1.0, 0.0, ("core-1",)),) * 3000), "at most"),
+            (dict(troubles=(replace_fields(wipe, machines=("core-1", "core-2")),)), "disks"),
+            (dict(troubles=(replace_fields(wipe, machines=("router-1",)),)), "no such machine"),
+            (dict(troubles=(replace_fields(wipe, at=7.0),)), "within"),
+            (dict(troubles=(replace_fields(wipe, lasts=-1.0),)), "within"),
+            (dict(troubles=(Fault(FaultKind.KILL, 1.0, 1.0),)), "machines"),
+            (dict(troubles=(Fault(FaultKind.CUT, 1.0, 1.0, ("core-1",)),)), "links"),
+            (dict(troubles=(Fault(FaultKind.CUT, 1.0, 1.0, links=(Link("a", "b"),)),)), "no such link"),
+            (dict(troubles=(Fault(FaultKind.RELOAD, 1.0, 0.0, ("core-1",)),) * 3000), "at most"),
         ):
-            with self.subTest(broken=broken), self.assertRaisesRegex(BadPlan, why):
-                plan.check(replace_struct(drawn, **broken))
+            with self.subTest(changes=changes), self.assertRaisesRegex(BadPlan, why):
+                plan.check(replace_fields(drawn, **changes))
         for data in (b"", b"[]", b'{"seed": 1}', b"\xff", plan.to_json(drawn).replace(b'"seed"', b'"sead"')):
             with self.subTest(data=data), self.assertRaises(BadPlan):
                 plan.from_json(data)
@@ -123,33 +123,33 @@
                 plan.draw(1, seconds)
 
 
-def replace_struct(struct, **changes):
+def replace_fields(struct, **changes):
     return msgspec.structs.replace(struct, **changes)
 
 
 class Layouts(unittest.TestCase):
     def test_each_listener_has_an_address_of_its_own(self) -> None:
-        drawn = replace_struct(plan.draw_short(1), routers=plan.MOST_ROUTERS, troubles=())
+        drawn = replace_fields(plan.draw_short(1), routers=plan.MAX_ROUTERS, troubles=())
         layout = Layout(drawn, Path("/none"), "127.92.9.")
-        wires = [*layout.wires(SYSTEM_RUNTIME)]
-        streams = [wire.relay.address for wire in wires if isinstance(wire.relay, Relay)]
+        link_relays = [*layout.link_relays(SYSTEM_RUNTIME)]
+        streams = [one.relay.address for one in link_relays if isinstance(one.relay, Relay)]
         streams += [layout.internal(name) for name in layout.cores]
         streams += [layout.control(name) for name in layout.cores]
         streams += [layout.readiness(name) for name in layout.routers]
         streams += [layout.server(name) for name in layout.servers]
         self.assertEqual(len(streams), len(set(streams)))
-        datagrams = [wire.relay.address for wire in wires if isinstance(wire.relay, DatagramRelay)]
+        datagrams = [one.relay.address for one in link_relays if isinstance(one.relay, DatagramRelay)]
         datagrams += [layout.internal(name) for name in layout.routers]
         self.assertEqual(len(datagrams), len(set(datagrams)))
-        self.assertEqual({wire.link for wire in wires}, plan.known_links(drawn))
+        self.assertEqual({one.link for one in link_relays}, plan.known_links(drawn))
 
 
-HEEDS_LATE = "import signal, time; time.sleep(0.4); signal.signal(15, lambda *_: None); time.sleep(30)"
-HEEDS_NEVER = "import time; time.sleep(30)"
+HANDLES_LATE = "import signal, time; time.sleep(0.4); signal.signal(15, lambda *_: None); time.sleep(30)"
+HANDLES_NEVER = "import time; time.sleep(30)"
 
 
 class Signals(unittest.TestCase):
-    def waited(self, code: str, age: float) -> tuple[bool, bool]:
+    def handled_before_and_after(self, code: str, age: float) -> tuple[bool, bool]:
         """Whether a process that is so old heeds SIGTERM before and after the soak has waited for that."""
         layout = Layout(plan.draw_short(1), Path("/none"), "127.92.9.")
 
@@ -158,7 +158,7 @@
             process = Process("router-1", layout, lambda: age + trio.current_time() - began, [])
             process.popen = child
             before = heeds(child.pid, signal.SIGTERM)
-            await process.born()
+            await process.wait_for_handler()
             return before, heeds(child.pid, signal.SIGTERM)
 
         with subprocess.Popen([sys.executable, "-c", code]) as child:
@@ -168,20 +168,20 @@
                 child.kill()
 
     def test_none_comes_before_the_program_heeds_it(self) -> None:
-        self.assertEqual(self.waited(HEEDS_LATE, 0.0), (False, True))
+        self.assertEqual(self.handled_before_and_after(HANDLES_LATE, 0.0), (False, True))
 
     def test_one_that_never_heeds_it_is_not_waited_for_without_end(self) -> None:
-        self.assertEqual(self.waited(HEEDS_NEVER, BORN_WITHIN - 0.1), (False, False))
+        self.assertEqual(self.handled_before_and_after(HANDLES_NEVER, HANDLER_TIMEOUT_S - 0.1), (False, False))
 
     def test_one_that_is_over_is_not_waited_for(self) -> None:
-        self.assertEqual(self.waited("", 0.0)[1], True)
+        self.assertEqual(self.handled_before_and_after("", 0.0)[1], True)
 
     def test_the_program_heeds_them_before_its_imports(self) -> None:
         """Between its first line and the package's there is only the standard library."""
         lines = (ROOT / "rowanshift.py").read_text().splitlines()
-        heeded = next(n for n, line in enumerate(lines) if "signal.signal(signal.SIGTERM" in line)
+        handler_line = next(n for n, line in enumerate(lines) if "signal.signal(signal.SIGTERM" in line)
         imported = [n for n, line in enumerate(lines) if line.strip().startswith(("import ", "from "))]
-        self.assertEqual([lines[n] for n in imported if n < heeded], ["import os", "import signal", "import sys"])
+        self.assertEqual([lines[n] for n in imported if n < handler_line], ["import os", "import signal", "import sys"])
 
 
 # the relay --------------------------------------------------
@@ -191,7 +191,7 @@
     """Sends back what comes in, and keeps it."""
 
     def __init__(self, address):
-        self.address, self.got = address, b""
+        self.address, self.received = address, b""
 
     async def run(self, task_status=trio.TASK_STATUS_IGNORED):
         listeners = await trio.open_tcp_listeners(self.address[1], host=self.address[0])
@@ -200,7 +200,7 @@
     async def _serve(self, stream):
         with suppress(trio.BrokenResourceError):
             async for data in stream:
-                self.got += data
+                self.received += data
                 await stream.send_all(data)
 
 
@@ -208,7 +208,7 @@
     def setUp(self) -> None:
         """Addresses that tests in other processes do not have."""
         self.port = 9301
-        self.listen, self.target, self.nobody = ((f"{command.own_net()}{last}", self.port) for last in (1, 2, 3))
+        self.listen, self.target, self.unused = ((f"{command.own_net()}{last}", self.port) for last in (1, 2, 3))
 
     def play(self, main) -> None:
         async def run():
@@ -232,23 +232,23 @@
             stream.close()
 
     @staticmethod
-    async def heard(stream, within: float = 0.3) -> bytes | None:
+    async def receive(stream, within: float = 0.3) -> bytes | None:
         """What comes next; none: nothing within the time."""
-        space = memoryview(bytearray(1 << 16))
+        buffer = memoryview(bytearray(1 << 16))
         with trio.move_on_after(within):
             await stream.wait_readable()
-            return bytes(space[: stream.recv_into(space)])
+            return bytes(buffer[: stream.recv_into(buffer)])
         return None
 
     def test_it_passes_both_ways_and_the_end(self) -> None:
         async def main(relay, echo):
             async with self.caller() as stream:
                 await send_all(stream, b"hello")
-                self.assertEqual(await self.heard(stream), b"hello")
+                self.assertEqual(await self.receive(stream), b"hello")
                 stream.end()
-                self.assertEqual(await self.heard(stream), b"")
+                self.assertEqual(await self.receive(stream), b"")
             await trio.sleep(0.05)
-            self.assertEqual(relay.open, 0)
+            self.assertEqual(relay.open_connections, 0)
 
         self.play(main)
 
@@ -256,13 +256,13 @@
         async def main(relay, echo):
             async with self.caller() as stream:
                 await send_all(stream, b"1")
-                self.assertEqual(await self.heard(stream), b"1")
+                self.assertEqual(await self.receive(stream), b"1")
                 relay.cut(Direction.TOWARDS)
                 await send_all(stream, b"2")
-                self.assertIsNone(await self.heard(stream))
-                self.assertEqual(echo.got, b"1")
-                relay.join(Direction.TOWARDS)
-                self.assertEqual(await self.heard(stream), b"2")
+                self.assertIsNone(await self.receive(stream))
+                self.assertEqual(echo.received, b"1")
+                relay.restore(Direction.TOWARDS)
+                self.assertEqual(await self.receive(stream), b"2")
 
         self.play(main)
 
@@ -270,13 +270,13 @@
         async def main(relay, echo):
             async with self.caller() as stream:
                 await send_all(stream, b"1")
-                self.assertEqual(await self.heard(stream), b"1")
+                self.assertEqual(await self.receive(stream), b"1")
                 relay.cut(Direction.BACK)
                 await send_all(stream, b"2")
-                self.assertIsNone(await self.heard(stream))
-                self.assertEqual(echo.got, b"12")
-                relay.join(Direction.BACK)
-                self.assertEqual(await self.heard(stream), b"2")
+                self.assertIsNone(await self.receive(stream))
+                self.assertEqual(echo.received, b"12")
+                relay.restore(Direction.BACK)
+                self.assertEqual(await self.receive(stream), b"2")
 
         self.play(main)
 
@@ -286,54 +286,54 @@
             relay.cut(Direction.TOWARDS)
             async with self.caller() as stream:
                 await send_all(stream, b"1")
-                relay.join(Direction.BOTH)
-                self.assertIsNone(await self.heard(stream))
-                self.assertEqual(echo.got, b"")
-                relay.join(Direction.TOWARDS)
-                self.assertEqual(await self.heard(stream), b"1")
+                relay.restore(Direction.BOTH)
+                self.assertIsNone(await self.receive(stream))
+                self.assertEqual(echo.received, b"")
+                relay.restore(Direction.TOWARDS)
+                self.assertEqual(await self.receive(stream), b"1")
 
         self.play(main)
 
     def test_an_answer_is_lost_after_the_question_came(self) -> None:
         async def main(relay, echo):
             async with self.caller() as stream:
-                relay.losing += 1
+                relay.answer_losses += 1
                 await send_all(stream, b"1")
-                self.assertEqual(await self.heard(stream), b"")
-                self.assertEqual(echo.got, b"1")
-                relay.losing -= 1
+                self.assertEqual(await self.receive(stream), b"")
+                self.assertEqual(echo.received, b"1")
+                relay.answer_losses -= 1
             async with self.caller() as stream:
                 await send_all(stream, b"2")
-                self.assertEqual(await self.heard(stream), b"2")
+                self.assertEqual(await self.receive(stream), b"2")
 
         self.play(main)
 
     def test_nobody_listens_behind_it(self) -> None:
         async def main(relay, echo):
-            relay.target = self.nobody
+            relay.target = self.unused
             async with self.caller() as stream:
                 with self.assertRaises(OSError):
-                    self.assertEqual(await self.heard(stream, 2.0), b"an error")
+                    self.assertEqual(await self.receive(stream, 2.0), b"an error")
 
         self.play(main)
 
     def test_datagrams(self) -> None:
         caller, target = self.listen, (self.target[0], self.port + 1)
-        between = self.target
+        relay_address = self.target
 
         async def main():
-            relay = DatagramRelay(SYSTEM_RUNTIME, between, caller, target)
+            relay = DatagramRelay(SYSTEM_RUNTIME, relay_address, caller, target)
             ports = SYSTEM_RUNTIME.port(caller), SYSTEM_RUNTIME.port(target)
             with trio.fail_after(10):
                 async with trio.open_nursery() as nursery:
                     await nursery.start(relay.run)
-                    await ports[0].send(b"ask", between)
+                    await ports[0].send(b"ask", relay_address)
                     payload, sender = await ports[1].receive(100)
-                    self.assertEqual((payload, sender), (b"ask", between))
+                    self.assertEqual((payload, sender), (b"ask", relay_address))
                     relay.cut(Direction.BACK)
                     await ports[1].send(b"lost", sender)
                     await trio.sleep(0.05)
-                    relay.join(Direction.BACK)
+                    relay.restore(Direction.BACK)
                     await ports[1].send(b"told", sender)
                     self.assertEqual((await ports[0].receive(100))[0], b"told")
                     nursery.cancel_scope.cancel()
@@ -349,7 +349,7 @@
 CONFIG = {"revision": 1, "routes": [], "backends": []}
 
 
-def a_run(code: int = 0, took: float = 3.0) -> list:
+def router_events(code: int = 0, took: float = 3.0) -> list:
     """A router's life, told to stop at 20 s, and a configuration that is there at the end."""
     return [
         ProcessStarted(0.0, "router-1", 1, "router-1.1.log", FRONT),
@@ -361,7 +361,7 @@
     ]
 
 
-def a_request(at: float = 10.0, id: str = "r1", within: float = 6.0, repeatable: bool = False) -> list:
+def request_events(at: float = 10.0, id: str = "r1", within: float = 6.0, repeatable: bool = False) -> list:
     """A request that reached a server, which began to work on it."""
     asked = Asked(at, id, "h", "POST", "/x", b"{}", front=FRONT, within=within, repeatable=repeatable)
     return [
@@ -371,7 +371,7 @@
     ]
 
 
-def cut_off(at: float, id: str = "r1") -> Answered:
+def truncated_answer(at: float, id: str = "r1") -> Answered:
     return Answered(at, id, 200, f"seal-{id}", id, whole=False)
 
 
@@ -382,14 +382,14 @@
         core-3 life 4 started at 26.921 s, SIGTERM at 27.001 s, ended with 0 at 27.015 s; not ready within 12 s
     """
 
-    class QuickProcess(Process):
+    class ImmediateExitProcess(Process):
         """A process that ends at once when it is told to, and takes a while to heed signals."""
 
         def start(self) -> None:
             if self.popen is None:
                 self.life, self.popen, self.ended = self.life + 1, mock.Mock(), trio.Event()
 
-        async def born(self) -> None:
+        async def wait_for_handler(self) -> None:
             await trio.sleep(0.1)
 
         def send(self, number: signal.Signals) -> bool:
@@ -404,10 +404,10 @@
         async def main() -> list[str]:
             run = Run(plan.draw_short(1), Path("unused"), "127.92.9.")
             names = run.layout.cores
-            run.processes = {name: self.QuickProcess(name, run.layout, run.now, run.facts) for name in names}
+            run.processes = {name: self.ImmediateExitProcess(name, run.layout, run.now, run.events) for name in names}
             for process in run.processes.values():
                 process.start()
-            await run._roll(Trouble(TroubleKind.ROLL, 0.0, 0.01, tuple(names), gap=0.05, rounds=2))
+            await run._roll(Fault(FaultKind.ROLL, 0.0, 0.01, tuple(names), gap=0.05, rounds=2))
             return [name for name, process in run.processes.items() if not process.running]
 
         self.assertEqual(trio.run(main, clock=MockClock(autojump_threshold=0.0)), [])
@@ -423,18 +423,18 @@
             run = Run(plan.draw_short(1), self.folder, "127.92.9.")
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self.ask, run, answered_from)
-                await run._serve_on(RECOVER_WITHIN)
+                await run._serve_until_recovered(RECOVERY_TIMEOUT_S)
                 nursery.cancel_scope.cancel()
             run.host.close()
-            return next(fact.at for fact in run.facts if isinstance(fact, Recovered))
+            return next(event.at for event in run.events if isinstance(event, Recovered))
 
         return trio.run(main, clock=MockClock(autojump_threshold=0))
 
     async def ask(self, run: Run, answered_from: float) -> None:
         for number in itertools.count():
-            run.facts += a_request(run.now(), id=f"r{number}")[:1]
+            run.events += request_events(run.now(), id=f"r{number}")[:1]
             if run.now() >= answered_from:
-                run.facts.append(Answered(run.now(), f"r{number}", 200, "", f"r{number}"))
+                run.events.append(Answered(run.now(), f"r{number}", 200, "", f"r{number}"))
             await trio.sleep(0.1)
 
     def setUp(self) -> None:
@@ -444,10 +444,10 @@
         self.assertEqual(self.began(0.0), 0.0)
 
     def test_until_it_is_served(self) -> None:
-        self.assertAlmostEqual(self.began(3 * SERVE_ON - 0.01), 3 * SERVE_ON)
+        self.assertAlmostEqual(self.began(3 * SERVE_STRETCH_S - 0.01), 3 * SERVE_STRETCH_S)
 
     def test_no_longer_than_a_recovery_may_take(self) -> None:
-        self.assertAlmostEqual(self.began(100.0), RECOVER_WITHIN - SERVE_ON)
+        self.assertAlmostEqual(self.began(100.0), RECOVERY_TIMEOUT_S - SERVE_STRETCH_S)
 
 
 class Checks(unittest.TestCase):
@@ -456,205 +456,225 @@
         self.addCleanup(folder.cleanup)
         self.folder = Path(folder.name)
 
-    def rules(self, facts: list) -> list[str]:
+    def violated_rules(self, events: list) -> list[str]:
         """The rules that are broken. Configurations of these facts have no routes, so that rules on routes are
         not asked."""
-        found = checker.check(facts, self.folder)
-        return [breach.rule for breach in found if breach.rule not in ("ROUTE", "CONFIG")]
+        found = checker.check(events, self.folder)
+        return [violation.rule for violation in found if violation.rule not in ("ROUTE", "CONFIG")]
 
-    def well(self, *more) -> None:
-        self.assertEqual(self.rules([*a_run(), *more]), [])
+    def assert_no_violation(self, *more) -> None:
+        self.assertEqual(self.violated_rules([*router_events(), *more]), [])
 
-    def broken(self, rule: str, *more) -> None:
-        self.assertEqual(self.rules([*a_run(), *more]), [rule])
+    def assert_violation(self, rule: str, *more) -> None:
+        self.assertEqual(self.violated_rules([*router_events(), *more]), [rule])
 
     # processes
 
     def test_a_calm_run(self) -> None:
-        whole = Answered(10.5, "r1", 200, "seal-r1", "r1")
-        self.well(*a_request(), Finished(10.5, "r1", "run-r1", "done"), whole)
+        complete_answer = Answered(10.5, "r1", 200, "seal-r1", "r1")
+        self.assert_no_violation(*request_events(), Finished(10.5, "r1", "run-r1", "done"), complete_answer)
 
     def test_exit_codes_after_sigterm(self) -> None:
-        self.assertEqual(self.rules(a_run()), [])
+        self.assertEqual(self.violated_rules(router_events()), [])
         for code in (1, 2, -15, -9, -11):
             with self.subTest(code=code):
-                self.assertEqual(self.rules(a_run(code)), ["EXIT"])
-        self.assertEqual(self.rules(a_run(took=GRACE - 0.1)), [])
-        self.assertEqual(self.rules(a_run(took=GRACE + 0.5)), ["EXIT"])
-        self.assertEqual(self.rules(a_run()[:-1]), ["EXIT"])
+                self.assertEqual(self.violated_rules(router_events(code)), ["EXIT"])
+        self.assertEqual(self.violated_rules(router_events(took=GRACE_S - 0.1)), [])
+        self.assertEqual(self.violated_rules(router_events(took=GRACE_S + 0.5)), ["EXIT"])
+        self.assertEqual(self.violated_rules(router_events()[:-1]), ["EXIT"])
 
     def test_what_excuses_an_end_after_sigterm(self) -> None:
         killed = ProcessSignalled(22.9, "router-1", 1, "SIGKILL")
-        self.assertEqual(self.rules([*a_run(-9), killed]), [])
-        self.assertEqual(self.rules([*a_run(1), killed]), ["EXIT"])
+        self.assertEqual(self.violated_rules([*router_events(-9), killed]), [])
+        self.assertEqual(self.violated_rules([*router_events(1), killed]), ["EXIT"])
         late = ProcessSignalled(29.0, "router-1", 1, "SIGKILL")  # the soak's own, after the grace
-        self.assertEqual(self.rules([*a_run(-9, 9.1), late]), ["EXIT"])
+        self.assertEqual(self.violated_rules([*router_events(-9, 9.1), late]), ["EXIT"])
         paused = [ProcessSignalled(21.0, "router-1", 1, "SIGSTOP"), ProcessSignalled(24.0, "router-1", 1, "SIGCONT")]
-        self.assertEqual(self.rules([*a_run(0, 10.0), *paused]), [])
-        self.assertEqual(self.rules([*a_run(-9, 9.1), *paused, late]), [])
-        self.assertEqual(self.rules([*a_run(1, 5.0), *paused]), ["EXIT"])
+        self.assertEqual(self.violated_rules([*router_events(0, 10.0), *paused]), [])
+        self.assertEqual(self.violated_rules([*router_events(-9, 9.1), *paused, late]), [])
+        self.assertEqual(self.violated_rules([*router_events(1, 5.0), *paused]), ["EXIT"])
         before = [replace(one, at=one.at - 10) for one in paused]
-        self.assertEqual(self.rules([*a_run(0, 10.0), *before]), ["EXIT"])
+        self.assertEqual(self.violated_rules([*router_events(0, 10.0), *before]), ["EXIT"])
 
     def test_a_process_that_ends_by_itself(self) -> None:
         ended = [ProcessStarted(0.0, "core-1", 1, "core-1.1.log"), ProcessEnded(5.0, "core-1", 1, 0)]
-        self.broken("OWN END", *ended)
-        self.broken("OWN END", *ended[:1], replace(ended[1], code=-11))
-        self.broken("OWN END", *ended[:1], replace(ended[1], code=-9))  # nobody here killed it
+        self.assert_violation("OWN END", *ended)
+        self.assert_violation("OWN END", *ended[:1], replace(ended[1], code=-11))
+        self.assert_violation("OWN END", *ended[:1], replace(ended[1], code=-9))  # nobody here killed it
         kill = ProcessSignalled(4.99, "core-1", 1, "SIGKILL")
-        self.well(ended[0], kill, replace(ended[1], code=-9))
-        self.broken("OWN END", ended[0], kill, replace(ended[1], code=1))
+        self.assert_no_violation(ended[0], kill, replace(ended[1], code=-9))
+        self.assert_violation("OWN END", ended[0], kill, replace(ended[1], code=1))
 
     def test_logs(self) -> None:
         log = self.folder / "router-1.1.log"
         log.write_text("12:00 level=INFO event=stopped counts=1\n")
-        self.well()
+        self.assert_no_violation()
         for line in ("Traceback (most recent call last):", "  | Traceback (most recent call last):"):
             log.write_text(f"event=started\n{line}\n")
-            self.broken("LOG")
+            self.assert_violation("LOG")
         for line in ("event=request_cut id=r1", "event=call_cut target=/config"):
             log.write_text(f"12:00 level=ERROR {line}\n")
-            self.broken("LOG")
-            self.well(TroubleMet(5.0, 6.0, TroubleKind.KILL, ("router-1",)))
-            self.broken("LOG", TroubleMet(5.0, 6.0, TroubleKind.STOP, ("router-1",)))
-            self.broken("LOG", TroubleMet(5.0, 6.0, TroubleKind.KILL, ("router-2",)))
+            self.assert_violation("LOG")
+            self.assert_no_violation(TroubleMet(5.0, 6.0, FaultKind.KILL, ("router-1",)))
+            self.assert_violation("LOG", TroubleMet(5.0, 6.0, FaultKind.STOP, ("router-1",)))
+            self.assert_violation("LOG", TroubleMet(5.0, 6.0, FaultKind.KILL, ("router-2",)))
         log.write_text("Traceback (most recent call last):\n")
-        self.broken("LOG", TroubleMet(5.0, 6.0, TroubleKind.KILL, ("router-1",)))
+        self.assert_violation("LOG", TroubleMet(5.0, 6.0, FaultKind.KILL, ("router-1",)))
 
     # configuration
 
     def test_a_lost_configuration(self) -> None:
         newer = CONFIG | {"revision": 2}
         sent = [ConfigSent(2.0, "op-2", 1, 2, newer), ConfigAnswered(2.1, "op-2", 1, 2, 200)]
-        self.broken("LOST CONFIGURATION", *sent)
-        self.broken("LOST CONFIGURATION", *sent, ReadBack(19.5, None))
-        self.broken("LOST CONFIGURATION", *sent, ReadBack(19.5, newer | {"backends": [1]}))
-        self.broken("LOST CONFIGURATION", *sent, ReadBack(19.5, {}))
-        self.well(*sent, ReadBack(19.5, newer))
+        self.assert_violation("LOST CONFIGURATION", *sent)
+        self.assert_violation("LOST CONFIGURATION", *sent, ReadBack(19.5, None))
+        self.assert_violation("LOST CONFIGURATION", *sent, ReadBack(19.5, newer | {"backends": [1]}))
+        self.assert_violation("LOST CONFIGURATION", *sent, ReadBack(19.5, {}))
+        self.assert_no_violation(*sent, ReadBack(19.5, newer))
         unclear = replace(sent[1], status=0)
-        self.well(sent[0], unclear)
-        self.well(sent[0], unclear, ReadBack(19.5, newer))
+        self.assert_no_violation(sent[0], unclear)
+        self.assert_no_violation(sent[0], unclear, ReadBack(19.5, newer))
 
     def test_an_old_configuration_that_is_read_between(self) -> None:
         newer = CONFIG | {"revision": 2}
-        facts = [
-            *a_run(),
+        events = [
+            *router_events(),
             ConfigSent(2.0, "op-2", 1, 2, newer),
             ConfigAnswered(2.1, "op-2", 1, 2, 200),
             ReadBack(19.5, newer),
         ]
-        self.assertEqual(checker.check([*facts, ConfigRead(3.0, 2.2, newer)], self.folder), [])
-        found = checker.check([*facts, ConfigRead(3.0, 2.2, CONFIG)], self.folder)
-        self.assertEqual([breach.rule for breach in found], ["CONFIG"])
+        self.assertEqual(checker.check([*events, ConfigRead(3.0, 2.2, newer)], self.folder), [])
+        found = checker.check([*events, ConfigRead(3.0, 2.2, CONFIG)], self.folder)
+        self.assertEqual([violation.rule for violation in found], ["CONFIG"])
 
     # requests
 
     def test_a_cut_in_the_answer(self) -> None:
-        self.broken("CUT", *a_request(), cut_off(10.5))
+        self.assert_violation("CUT", *request_events(), truncated_answer(10.5))
 
     def test_a_cut_without_an_answer(self) -> None:
-        self.broken("CUT", *a_request(), Lost(10.05, "r1", "closed"))
-        asked = a_request()[:1]
-        self.broken("CUT", *asked, Lost(10.5, "r1", "closed"))
-        self.well(*asked, Lost(10.1, "r1", "closed"))  # it crossed the close
-        self.well(*asked, Lost(10.5, "r1", "closed"), Lagged(10.45, 0.4))  # the soak itself was late
-        self.well(*asked, Lost(10.5, "r1", "no way"))
-        self.well(*asked, Lost(13.0, "r1", "left"))
+        self.assert_violation("CUT", *request_events(), Lost(10.05, "r1", "closed"))
+        asked = request_events()[:1]
+        self.assert_violation("CUT", *asked, Lost(10.5, "r1", "closed"))
+        self.assert_no_violation(*asked, Lost(10.1, "r1", "closed"))  # it crossed the close
+        self.assert_no_violation(*asked, Lost(10.5, "r1", "closed"), Lagged(10.45, 0.4))  # the soak itself was late
+        self.assert_no_violation(*asked, Lost(10.5, "r1", "no way"))
+        self.assert_no_violation(*asked, Lost(13.0, "r1", "left"))
 
     def test_a_request_counts_as_read_where_a_router_says_so(self) -> None:
-        log = self.folder / next(fact.log for fact in a_run() if isinstance(fact, ProcessStarted) and fact.front)
-        lost = [*a_run(), *a_request()[:1], Lost(10.5, "r1", "closed")]
+        log = self.folder / next(
+            event.log for event in router_events() if isinstance(event, ProcessStarted) and event.front
+        )
+        lost = [*router_events(), *request_events()[:1], Lost(10.5, "r1", "closed")]
         for text, found in (("event=request_read request=r1\n", ["CUT"]), ("event=request_read request=r11\n", [])):
             log.write_text(text)
-            self.assertEqual(self.rules(lost), found)
-        passed_on = [*a_run(), *a_request(), Lost(10.5, "r1", "closed")]
-        self.assertEqual(self.rules(passed_on), ["CUT"])  # a server got it, so that it was read
+            self.assertEqual(self.violated_rules(lost), found)
+        passed_on = [*router_events(), *request_events(), Lost(10.5, "r1", "closed")]
+        self.assertEqual(self.violated_rules(passed_on), ["CUT"])  # a server got it, so that it was read
 
     def test_cuts_around_sigterm(self) -> None:
-        told = 20.0
-        for sent, cut in ((told - 1, told + 1), (told + 5.5, told + 7.33), (told - 1, told + 6.5)):
+        sigterm_at = 20.0
+        for sent, cut in (
+            (sigterm_at - 1, sigterm_at + 1),
+            (sigterm_at + 5.5, sigterm_at + 7.33),
+            (sigterm_at - 1, sigterm_at + 6.5),
+        ):
             with self.subTest(sent=sent, cut=cut):
-                facts = [*a_run(took=7.4), *a_request(sent, within=60.0), cut_off(cut)]
-                self.assertEqual(self.rules(facts), ["CUT"])
-        facts = [*a_run(took=7.4), *a_request(told + 2.9, within=60.0), cut_off(told + 7.3)]
-        self.assertEqual(self.rules(facts), [])  # a server at work in the last sixth, sent within 3 s
-        ended = Finished(told + 6.5, "r1", "run-r1", "done")
-        self.assertEqual(self.rules([*facts, ended]), ["CUT"])
-        facts = [*a_run(took=7.4), *a_request(told + 3.1, within=60.0), cut_off(told + 7.3)]
-        self.assertEqual(self.rules(facts), ["CUT"])
+                events = [*router_events(took=7.4), *request_events(sent, within=60.0), truncated_answer(cut)]
+                self.assertEqual(self.violated_rules(events), ["CUT"])
+        events = [
+            *router_events(took=7.4),
+            *request_events(sigterm_at + 2.9, within=60.0),
+            truncated_answer(sigterm_at + 7.3),
+        ]
+        self.assertEqual(self.violated_rules(events), [])  # a server at work in the last sixth, sent within 3 s
+        ended = Finished(sigterm_at + 6.5, "r1", "run-r1", "done")
+        self.assertEqual(self.violated_rules([*events, ended]), ["CUT"])
+        events = [
+            *router_events(took=7.4),
+            *request_events(sigterm_at + 3.1, within=60.0),
+            truncated_answer(sigterm_at + 7.3),
+        ]
+        self.assertEqual(self.violated_rules(events), ["CUT"])
 
     def test_a_request_that_a_process_could_not_read_any_more(self) -> None:
-        told, over = 20.0, 27.4
+        sigterm_at, ended_at = 20.0, 27.4
         for sent, cut, found in (
-            (over - 0.6, over + 0.3, []),  # it came as the process closed its sockets
-            (over - 0.8, over + 0.3, ["CUT"]),
-            (over + 0.1, over + 0.6, []),  # nothing listened there
-            (told + 1.0, told + 1.3, ["CUT"]),
+            (ended_at - 0.6, ended_at + 0.3, []),  # it came as the process closed its sockets
+            (ended_at - 0.8, ended_at + 0.3, ["CUT"]),
+            (ended_at + 0.1, ended_at + 0.6, []),  # nothing listened there
+            (sigterm_at + 1.0, sigterm_at + 1.3, ["CUT"]),
         ):
             with self.subTest(sent=sent, cut=cut):
-                facts = [*a_run(took=over - told), *a_request(sent, within=60.0)[:1], Lost(cut, "r1", "closed")]
-                self.assertEqual(self.rules(facts), found)
+                events = [
+                    *router_events(took=ended_at - sigterm_at),
+                    *request_events(sent, within=60.0)[:1],
+                    Lost(cut, "r1", "closed"),
+                ]
+                self.assertEqual(self.violated_rules(events), found)
 
     def test_a_second_sigterm_gives_no_more_grace(self) -> None:
         again = ProcessSignalled(21.0, "router-1", 1, "SIGTERM")
-        facts = [*a_run(took=8.0), again, *a_request(23.5, within=60.0), cut_off(27.8)]
-        self.assertEqual(self.rules(facts), ["CUT"])
+        events = [*router_events(took=8.0), again, *request_events(23.5, within=60.0), truncated_answer(27.8)]
+        self.assertEqual(self.violated_rules(events), ["CUT"])
 
     def test_what_excuses_a_cut(self) -> None:
-        cut = [*a_request(), cut_off(10.5)]
-        self.well(*a_request(within=0.4), cut_off(10.5))
-        self.well(*cut, Finished(10.4, "r1", "run-r1", "crash"))
-        for kind in (TroubleKind.KILL, TroubleKind.PAUSE):
-            self.well(*cut, TroubleMet(6.0, 7.5, kind, ("router-1",)))
-            self.broken("CUT", *cut, TroubleMet(6.0, 6.9, kind, ("router-1",)))
-            self.broken("CUT", *cut, TroubleMet(6.0, 11.0, kind, ("router-2", "core-1")))
-            self.broken("CUT", *cut, TroubleMet(10.6, 11.0, kind, ("router-1",)))
-        self.well(*cut, TroubleMet(6.0, 7.5, TroubleKind.WIPE, ("core-1",)))
-        for kind in (TroubleKind.CUT, TroubleKind.LOSE_ANSWERS):
+        cut = [*request_events(), truncated_answer(10.5)]
+        self.assert_no_violation(*request_events(within=0.4), truncated_answer(10.5))
+        self.assert_no_violation(*cut, Finished(10.4, "r1", "run-r1", "crash"))
+        for kind in (FaultKind.KILL, FaultKind.PAUSE):
+            self.assert_no_violation(*cut, TroubleMet(6.0, 7.5, kind, ("router-1",)))
+            self.assert_violation("CUT", *cut, TroubleMet(6.0, 6.9, kind, ("router-1",)))
+            self.assert_violation("CUT", *cut, TroubleMet(6.0, 11.0, kind, ("router-2", "core-1")))
+            self.assert_violation("CUT", *cut, TroubleMet(10.6, 11.0, kind, ("router-1",)))
+        self.assert_no_violation(*cut, TroubleMet(6.0, 7.5, FaultKind.WIPE, ("core-1",)))
+        for kind in (FaultKind.CUT, FaultKind.LOSE_ANSWERS):
             for link in (Link("clients", "router-1"), Link("router-1", "core-2"), Link("system", "server-1")):
-                self.well(*cut, TroubleMet(9.0, 11.0, kind, links=(link,)))
+                self.assert_no_violation(*cut, TroubleMet(9.0, 11.0, kind, links=(link,)))
             for link in (Link("clients", "router-2"), Link("core-1", "core-2"), Link("system", "server-2")):
-                self.broken("CUT", *cut, TroubleMet(9.0, 11.0, kind, links=(link,)))
-        for kind in (TroubleKind.STOP, TroubleKind.RELOAD):
-            self.broken("CUT", *cut, TroubleMet(9.0, 11.0, kind, ("router-1",)))
+                self.assert_violation("CUT", *cut, TroubleMet(9.0, 11.0, kind, links=(link,)))
+        for kind in (FaultKind.STOP, FaultKind.RELOAD):
+            self.assert_violation("CUT", *cut, TroubleMet(9.0, 11.0, kind, ("router-1",)))
 
     def test_a_request_that_runs_twice(self) -> None:
-        whole = Answered(10.5, "r1", 200, "seal-r1", "r1")
-        asked, reached, began = a_request()
+        complete_answer = Answered(10.5, "r1", 200, "seal-r1", "r1")
+        asked, reached, began = request_events()
         again = replace(began, run="run-2", at=10.3, instance="server-2")
-        self.broken("TWICE", asked, reached, began, again, whole)
-        self.well(replace(asked, repeatable=True), reached, began, again, whole)
+        self.assert_violation("TWICE", asked, reached, began, again, complete_answer)
+        self.assert_no_violation(replace(asked, repeatable=True), reached, began, again, complete_answer)
 
     def test_a_mixed_answer(self) -> None:
-        self.broken("MIXED", *a_request(), Answered(10.5, "r1", 200, "seal-r1", "r2"))
-        self.broken("MIXED", *a_request(), Answered(10.5, "r1", 200, "another", "r1"))
+        self.assert_violation("MIXED", *request_events(), Answered(10.5, "r1", 200, "seal-r1", "r2"))
+        self.assert_violation("MIXED", *request_events(), Answered(10.5, "r1", 200, "another", "r1"))
         of = digest_of("POST", "/x", b"{}")
-        whole = Answered(10.5, "r1", 200, "seal-r1", "r1")
-        self.well(*a_request(), Piece(10.2, "r1", 0, 4, of, "run-r1", True), whole)
-        self.broken("MIXED", *a_request(), Piece(10.2, "r1", 0, 4, "other", "run-r1", True), whole)
+        complete_answer = Answered(10.5, "r1", 200, "seal-r1", "r1")
+        self.assert_no_violation(*request_events(), Piece(10.2, "r1", 0, 4, of, "run-r1", True), complete_answer)
+        self.assert_violation(
+            "MIXED", *request_events(), Piece(10.2, "r1", 0, 4, "other", "run-r1", True), complete_answer
+        )
 
     def test_a_run_that_does_not_come_so_far(self) -> None:
-        self.broken("STALLED", Stalled(5.0, "not ready"))
+        self.assert_violation("STALLED", Stalled(5.0, "not ready"))
 
     def test_a_system_that_does_not_serve_again(self) -> None:
         end = Lost(19.0, "r1", "no way")
-        self.broken("RECOVER", Recovered(17.0), ReadBack(19.2, CONFIG), *a_request(18.0)[:1], end)
-        whole = Answered(18.5, "r1", 200, "seal-r1", "r1")
-        self.well(Recovered(17.0), ReadBack(19.2, CONFIG), *a_request(18.0), whole)
+        self.assert_violation("RECOVER", Recovered(17.0), ReadBack(19.2, CONFIG), *request_events(18.0)[:1], end)
+        complete_answer = Answered(18.5, "r1", 200, "seal-r1", "r1")
+        self.assert_no_violation(Recovered(17.0), ReadBack(19.2, CONFIG), *request_events(18.0), complete_answer)
 
     # records
 
     def test_records_as_they_are_written_and_read(self) -> None:
-        facts = [
-            *a_run(),
-            *a_request(),
-            cut_off(10.5),
-            TroubleMet(1.0, 2.0, TroubleKind.CUT, (), (Link("clients", "router-1"),)),
+        events = [
+            *router_events(),
+            *request_events(),
+            truncated_answer(10.5),
+            TroubleMet(1.0, 2.0, FaultKind.CUT, (), (Link("clients", "router-1"),)),
         ]
         path = self.folder / "records.jsonl"
-        records.write(path, facts)
-        self.assertEqual(records.read(path), facts)
-        self.assertEqual(self.rules(records.read(path)), ["CUT"])
+        records.write(path, events)
+        self.assertEqual(records.read(path), events)
+        self.assertEqual(self.violated_rules(records.read(path)), ["CUT"])
         for line in ("{", "[]", "{}", '{"kind": "Nothing"}', '{"kind": "Lost", "at": "x"}'):
             path.write_text(line + "\n")
             with self.subTest(line=line), self.assertRaisesRegex(BadRecords, r"records.jsonl, line 1"):
@@ -664,7 +684,7 @@
 # the command ------------------------------------------------
 
 
-def soak(*arguments: object) -> int:
+def run_soak(*arguments: object) -> int:
     with pytest.raises(SystemExit) as ended:
         cli.main(["soak", *map(str, arguments)])
     return ended.value.code
@@ -692,7 +712,7 @@
             ["--net", "x"],
         ):
             with self.subTest(arguments=arguments):
-                self.assertEqual(soak(*arguments), 2)
+                self.assertEqual(run_soak(*arguments), 2)
 
     def test_an_address_that_is_taken(self) -> None:
         drawn = plan.draw_short(1)
@@ -701,23 +721,23 @@
         with socket.socket() as taken:
             taken.bind(address)
             taken.listen()
-            self.assertEqual(soak("--short", "--net", net, "--found", self.folder / "found"), 2)
+            self.assertEqual(run_soak("--short", "--net", net, "--found", self.folder / "found"), 2)
 
     def test_a_failing_run_is_kept(self) -> None:
         found, plan_file = self.folder / "found", self.folder / "plan.json"
-        drawn = replace_struct(plan.draw_short(1), seconds=3.0, troubles=())
+        drawn = replace_fields(plan.draw_short(1), seconds=3.0, troubles=())
         plan_file.write_bytes(plan.to_json(drawn))
 
         async def fails(run: Run) -> None:
             (run.layout.folder / "logs").mkdir()
             (run.layout.folder / "logs" / "router-1.1.log").write_text("Traceback (most recent call last):\n")
-            run.facts += a_run(1)
+            run.events += router_events(1)
 
-        with mock.patch.object(Run, "play", fails):
-            self.assertEqual(soak("--plan", plan_file, "--net", "127.92.4", "--found", found), 1)
+        with mock.patch.object(Run, "execute", fails):
+            self.assertEqual(run_soak("--plan", plan_file, "--net", "127.92.4", "--found", found), 1)
         (kept,) = found.iterdir()
         self.assertEqual(plan.from_json((kept / "plan.json").read_bytes()), drawn)
-        self.assertEqual(records.read(kept / "records.jsonl"), a_run(1))
+        self.assertEqual(records.read(kept / "records.jsonl"), router_events(1))
         self.assertEqual((kept / "logs" / "router-1.1.log").read_text(), "Traceback (most recent call last):\n")
         self.assertIn("EXIT", (kept / "breaches.txt").read_text())
         self.assertIn(f"soak --plan {kept}/plan.json", (kept / "command.txt").read_text())
@@ -728,8 +748,8 @@
             with trio.fail_after(0.01):
                 await trio.sleep_forever()
 
-        with mock.patch.object(Run, "play", hangs):
-            self.assertEqual(soak("--short", "--found", self.folder / "found"), 1)
+        with mock.patch.object(Run, "execute", hangs):
+            self.assertEqual(run_soak("--short", "--found", self.folder / "found"), 1)
 
 
 # real processes ---------------------------------------------
@@ -760,16 +780,16 @@
         text=True,
         env=os.environ | {"TMPDIR": str(tmp_path)},
     ) as process:
-        ends = time.monotonic() + 20
-        while len(started := children(process.pid)) < 7 and time.monotonic() < ends:
+        deadline = time.monotonic() + 20
+        while len(started := children(process.pid)) < 7 and time.monotonic() < deadline:
             time.sleep(0.05)
         process.send_signal(number)
-        said = process.communicate(timeout=20)
+        output = process.communicate(timeout=20)
     assert len(started) == 7
     assert process.returncode == (-number if number == signal.SIGKILL else 130)
-    assert said == ("", "")
-    ends = time.monotonic() + 5
-    while any(map(alive, started)) and time.monotonic() < ends:
+    assert output == ("", "")
+    deadline = time.monotonic() + 5
+    while any(map(alive, started)) and time.monotonic() < deadline:
         time.sleep(0.05)
     assert [pid for pid in started if alive(pid)] == []
 
@@ -791,20 +811,20 @@
     )
     done = subprocess.run([sys.executable, "-c", program], cwd=ROOT, capture_output=True, text=True, check=True)
     child = int(done.stdout)
-    ends = time.monotonic() + 5
-    while alive(child) and time.monotonic() < ends:
+    deadline = time.monotonic() + 5
+    while alive(child) and time.monotonic() < deadline:
         time.sleep(0.01)
     assert not alive(child)
     assert not (tmp_path / "lived_on").exists()
 
 
-@pytest.mark.parametrize("seed", SHORT_SEEDS)
+@pytest.mark.parametrize("seed", CI_SEEDS)
 def test_the_short_form(seed: int, capsys: pytest.CaptureFixture) -> None:
     """All that the processes promise, under the troubles of these seeds. A failure is kept under ``found/``."""
     code = command.soak([plan.draw_short(seed)], command.own_net(), ROOT / "found")
-    said, errors = capsys.readouterr()
-    assert code == 0, said + errors
-    figures = dict(pair.split("=") for pair in said.split())
+    output, errors = capsys.readouterr()
+    assert code == 0, output + errors
+    figures = dict(pair.split("=") for pair in output.split())
     assert figures["seed"] == str(seed)
     assert int(figures["whole"]) > 50
     assert int(figures["acknowledged"]) > 5
--- a/tests/soak/test_soak_versions.py
+++ b/tests/soak/test_soak_versions.py
@@ -12,7 +12,7 @@
 from rowanshift.simulation.fleet import ONCE, Fleet, play
 from rowanshift.simulation.fleet_settings import CONTACT, MODEL, VERSION, VERSION_ALL
 from rowanshift.soak import plan, versions
-from rowanshift.soak.plan import Link, TroubleKind
+from rowanshift.soak.plan import FaultKind, Link
 from rowanshift.soak.records import Lagged, LoadEnded, ProcessStarted, TroubleMet
 
 FRONT = "127.0.0.11:8180"
@@ -28,7 +28,7 @@
     logger.enable("rowanshift")
 
 
-def request(at: float, revision: int = 1) -> list:
+def request_events(at: float, revision: int = 1) -> list:
     """A request by the router that begins at once on weights of a version."""
     name = f"r{at}"
     asked = Asked(at, name, "h", "POST", "/once/x", b"", front=FRONT)
@@ -36,39 +36,43 @@
 
 
 class Check(unittest.TestCase):
-    def broken(self, *facts) -> int:
-        return len(versions.versions([STARTED, NAMED, LoadEnded(60.0), *facts]))
+    def violation_count(self, *events) -> int:
+        return len(versions.version_violations([STARTED, NAMED, LoadEnded(60.0), *events]))
 
     def test_the_bound(self) -> None:
-        self.assertEqual(self.broken(*request(10.0 + VERSION - 0.1)), 0)
-        self.assertEqual(self.broken(*request(10.0 + VERSION + 0.1)), 1)
-        self.assertEqual(self.broken(*request(10.0 + VERSION + 0.1, revision=2)), 0)
+        self.assertEqual(self.violation_count(*request_events(10.0 + VERSION - 0.1)), 0)
+        self.assertEqual(self.violation_count(*request_events(10.0 + VERSION + 0.1)), 1)
+        self.assertEqual(self.violation_count(*request_events(10.0 + VERSION + 0.1, revision=2)), 0)
 
     def test_trouble_of_the_core_or_of_a_link_begins_it_anew(self) -> None:
-        late = request(10.0 + VERSION + 2.0)
-        for trouble in (
-            TroubleMet(11.0, 11.5, TroubleKind.KILL, ("core-2",)),
-            TroubleMet(11.0, 11.5, TroubleKind.ROLL, ("core-2", "router-2")),
-            TroubleMet(11.0, 11.5, TroubleKind.WIPE, ("core-1",)),
-            TroubleMet(11.0, 11.5, TroubleKind.CUT, links=(Link("system", "server-1"),)),
+        late = request_events(10.0 + VERSION + 2.0)
+        for fault in (
+            TroubleMet(11.0, 11.5, FaultKind.KILL, ("core-2",)),
+            TroubleMet(11.0, 11.5, FaultKind.ROLL, ("core-2", "router-2")),
+            TroubleMet(11.0, 11.5, FaultKind.WIPE, ("core-1",)),
+            TroubleMet(11.0, 11.5, FaultKind.CUT, links=(Link("system", "server-1"),)),
             ProcessStarted(11.0, "core-1", 2, "core-1.2.log"),
             Lagged(12.0, 0.5),
         ):
-            self.assertEqual(self.broken(trouble, *late), 0, trouble)
-            self.assertEqual(self.broken(trouble, *request(15.0 + VERSION + CONTACT)), 1, trouble)
+            self.assertEqual(self.violation_count(fault, *late), 0, fault)
+            self.assertEqual(self.violation_count(fault, *request_events(15.0 + VERSION + CONTACT)), 1, fault)
 
     def test_a_router_out_of_touch_is_excused_and_no_other(self) -> None:
-        late = request(10.0 + VERSION + 4.0)
-        self.assertEqual(self.broken(TroubleMet(20.0, 20.5, TroubleKind.PAUSE, ("router-1",)), *late), 0)
-        self.assertEqual(self.broken(TroubleMet(18.0, 18.5, TroubleKind.PAUSE, ("router-1",)), *late), 1)
-        self.assertEqual(self.broken(TroubleMet(20.0, 20.5, TroubleKind.PAUSE, ("router-2",)), *late), 1)
-        self.assertEqual(self.broken(ProcessStarted(20.0, "router-1", 2, "l", FRONT), *late), 0)
+        late = request_events(10.0 + VERSION + 4.0)
+        self.assertEqual(self.violation_count(TroubleMet(20.0, 20.5, FaultKind.PAUSE, ("router-1",)), *late), 0)
+        self.assertEqual(self.violation_count(TroubleMet(18.0, 18.5, FaultKind.PAUSE, ("router-1",)), *late), 1)
+        self.assertEqual(self.violation_count(TroubleMet(20.0, 20.5, FaultKind.PAUSE, ("router-2",)), *late), 1)
+        self.assertEqual(self.violation_count(ProcessStarted(20.0, "router-1", 2, "l", FRONT), *late), 0)
 
     def test_stretches_add_up(self) -> None:
-        troubles = [TroubleMet(at, at + 0.1, TroubleKind.KILL, ("core-1",)) for at in (16.0, 25.0, 34.0)]
-        since_second = 16.0 + 0.1 + CONTACT  # 6 s were calm before the first
-        self.assertEqual(self.broken(*troubles, *request(since_second + VERSION_ALL - 6.0 - 0.1)), 0)
-        self.assertEqual(self.broken(*troubles, *request(since_second + VERSION_ALL - 6.0 + 0.1)), 1)
+        faults = [TroubleMet(at, at + 0.1, FaultKind.KILL, ("core-1",)) for at in (16.0, 25.0, 34.0)]
+        second_interval_at = 16.0 + 0.1 + CONTACT  # 6 s were calm before the first
+        self.assertEqual(
+            self.violation_count(*faults, *request_events(second_interval_at + VERSION_ALL - 6.0 - 0.1)), 0
+        )
+        self.assertEqual(
+            self.violation_count(*faults, *request_events(second_interval_at + VERSION_ALL - 6.0 + 0.1)), 1
+        )
 
 
 class PlantedFault(unittest.TestCase):
@@ -84,7 +88,7 @@
         with mock.patch.object(VersionRollout, "_may_order", lambda rollout: False):
             fleet = play(main, "planted", routers=1, strict=False)[1]
         started = [ProcessStarted(0.0, "router-1", 1, "router-1.1.log", unit.front) for unit in fleet.routers]
-        return {breach.rule for breach in versions.versions([*started, *fleet.facts])}
+        return {violation.rule for violation in versions.version_violations([*started, *fleet.facts])}
 
     def test_it_is_found(self) -> None:
         with mock.patch.object(ControlCache, "required_version", lambda cache, model, now: 0):
@@ -94,15 +98,15 @@
 
 class Plans(unittest.TestCase):
     def test_a_long_run_has_a_calm_that_outlasts_the_bounds(self) -> None:
-        self.assertGreater(plan.CALM_LASTS, CONTACT + VERSION_ALL)
+        self.assertGreater(plan.FAULT_FREE_S, CONTACT + VERSION_ALL)
         for seed in range(50):
-            since, until = plan.calm_of(seed, 60.0)
+            since, until = plan.fault_free_window(seed, 60.0)
             drawn = plan.draw(seed, 60.0)
             self.assertFalse([one for one in drawn.troubles if one.at <= until and one.until >= since])
             self.assertTrue(drawn.troubles)
 
     def test_a_short_one_has_none(self) -> None:
-        self.assertIsNone(plan.calm_of(1, plan.CALM_FROM - 0.1))
+        self.assertIsNone(plan.fault_free_window(1, plan.FAULT_FREE_MIN_RUN_S - 0.1))
 
 
 if __name__ == "__main__":
