--- a/rowanshift/soak/__init__.py
+++ b/rowanshift/soak/__init__.py
@@ -1,1 +1,1 @@
-"""The soak: real processes of the whole system under drawn troubles, and a checker over what was recorded."""
+"""Soak test: runs real processes of the whole system under randomly drawn faults and checks the recorded events."""
--- a/rowanshift/soak/checker.py
+++ b/rowanshift/soak/checker.py
@@ -1,9 +1,9 @@
-"""Decides over the records of a soak run whether the system kept its promises. No clock and no question to the system.
+"""Checks the recorded events of a soak run against the system's guarantees, without a clock or calls to the system.
 
-The checks of ``rowanshift.invariants`` that hold for every machine at any time run as they are. Rules with a time
-bound for machines in touch are left to the simulated fleets, which know exactly who was in touch, but for VERSION in
-calm stretches (``versions``). What real processes add is checked here: their ends, their logs, each request around
-troubles, and the configuration at the end.
+The checks of ``rowanshift.invariants`` that hold for every machine at any time run unchanged. Rules with a time bound
+that applies only to reachable machines are left to the fleet simulation, which knows exactly which machines were
+reachable; the exception is VERSION, which is checked in undisturbed intervals (``versions``). This module adds the
+checks that need real processes: exit codes, logs, each request around a fault, and the configuration at the end.
 """
 
 import re
@@ -32,18 +32,18 @@
 )
 from rowanshift.soak.versions import version_violations
 
-MAX_SENT_AFTER_SIGTERM_S = 3.0  # seconds after a SIGTERM within which a request must be sent whose cut may be excused
-GRACE_END_FRACTION = 1 / 6  # of the grace, in which a server that is still at work excuses a cut
-CUT_AFTER_GRACE_S = 1.0  # seconds after the grace until which a cut belongs to a SIGTERM
-DEADLINE_ROUNDING_S = 0.002  # seconds that a deadline loses as it is told in whole milliseconds
-MIN_SERVED_FRACTION = 0.25  # part of the requests after the last trouble that is served
-EXIT_SLACK_S = 0.25  # seconds by which an end may be noticed late
-CLOSE_TO_EXIT_S = 0.5  # seconds from the close of a process's sockets until its end is noticed
+MAX_SENT_AFTER_SIGTERM_S = 3.0  # a shutdown may cut a request only if it was sent at most this long after SIGTERM
+GRACE_END_FRACTION = 1 / 6  # last part of the grace; a request that a server still processes then may be cut
+CUT_AFTER_GRACE_S = 1.0  # a cut up to this long after the grace is attributed to the SIGTERM
+DEADLINE_ROUNDING_S = 0.002  # a deadline is sent in whole milliseconds and may lose this much by rounding
+MIN_SERVED_FRACTION = 0.25  # of the requests after the last fault that must be answered with success
+EXIT_SLACK_S = 0.25  # delay with which the exit of a process may be noticed
+CLOSE_TO_EXIT_S = 0.5  # from the closing of a process's sockets until its exit is noticed
 SIGKILL_EXIT_CODE = -9
 TRACEBACK = "Traceback (most recent call last)"
 REQUEST_READ = re.compile(r"event=request_read request=(\S+)")
-SELF_REPORTED = re.compile(r"event=(request_cut|call_cut)")  # what a process says of its own breaches
-MAX_LINE_CHARACTERS = 200  # characters of a log line
+SELF_REPORTED = re.compile(r"event=(request_cut|call_cut)")  # violations that a process logs about itself
+MAX_LINE_CHARACTERS = 200  # of a log line quoted in a violation
 
 OWN_END, EXIT, LOG, CUT = "OWN END", "EXIT", "LOG", "CUT"
 LOST_CONFIGURATION, STALLED, RECOVER = "LOST CONFIGURATION", "STALLED", "RECOVER"
@@ -51,22 +51,22 @@
 
 @dataclass(slots=True)
 class Life:
-    """One life of a process, with the signals that it got."""
+    """One life of a machine's process, from start to exit, with the signals sent to it."""
 
     started: ProcessStarted
     signals: list[ProcessSignalled] = field(default_factory=list)
     ended: ProcessEnded | None = None
 
     def first_signal_at(self, name: str) -> float | None:
-        """When it first got a signal; none: never."""
+        """The time at which a signal was first sent to it; ``None`` if never."""
         return next((one.at for one in self.signals if one.signal == name), None)
 
     def was_killed(self, since: float, until: float) -> bool:
-        """Whether it was killed within this."""
+        """Whether it was killed between the two times."""
         return any(one.signal == "SIGKILL" and since <= one.at <= until for one in self.signals)
 
     def was_paused(self, since: float, until: float) -> bool:
-        """Whether it stood still at any time within this."""
+        """Whether it was stopped by SIGSTOP at any moment between the two times."""
         stopped_at = None
         for one in self.signals:
             if one.signal == "SIGSTOP" and stopped_at is None:
@@ -79,12 +79,12 @@
 
     @property
     def until(self) -> float:
-        """When it ended."""
+        """The time of its exit; infinite while it runs."""
         return self.ended.at if self.ended is not None else float("inf")
 
 
 def process_lives(events: Facts) -> list[Life]:
-    """All lives of all processes, in the order of their starts."""
+    """All lives of all processes, in order of their starts."""
     lives = {(one.machine, one.life): Life(one) for one in of_kind(events, ProcessStarted)}
     for signalled in of_kind(events, ProcessSignalled):
         lives[signalled.machine, signalled.life].signals.append(signalled)
@@ -94,17 +94,17 @@
 
 
 class UnplannedFaults:
-    """The unplanned troubles of a run, and which routers and servers they befell."""
+    """The unplanned faults of a run, and the routers and servers that they affected."""
 
     def __init__(self, events: Facts) -> None:
         self.faults = [one for one in of_kind(events, TroubleMet) if one.trouble not in PLANNED_WORK]
 
     def affected_machine(self, name: str, since: float, until: float) -> bool:
-        """Whether any befell a machine or a link of its within this or ``CONTACT`` before."""
+        """Whether a fault affected a machine or one of its links between the two times or up to ``CONTACT`` before."""
         return any(self._affects(one, name) for one in self._within(since - CONTACT, until))
 
     def affected_server_link(self, name: str, since: float, until: float) -> bool:
-        """Whether the link to a model server was harmed within this or ``CONTACT`` before."""
+        """Whether a fault affected the link to a model server between the two times or up to ``CONTACT`` before."""
         return any(
             link.caller == SYSTEM and link.target == name
             for one in self._within(since - CONTACT, until)
@@ -126,10 +126,10 @@
 
 
 def exit_violations(events: Facts) -> list[Breach]:
-    """EXIT: a process that got SIGTERM does not end with exit code 0 within the grace; a kill or a pause before the
-    grace is over excuses the time, and a kill excuses its own code.
+    """EXIT: a process does not exit with code 0 within the grace after SIGTERM. If it was killed or paused before the
+    end of the grace, the time limit does not apply, and the exit code of SIGKILL is accepted.
 
-    OWN END: a process ends that got neither SIGTERM nor SIGKILL."""
+    OWN END: a process exits without having been sent SIGTERM or SIGKILL."""
     violations: list[Breach] = []
     for life in process_lives(events):
         name = f"{life.started.machine}.{life.started.life}"
@@ -138,17 +138,17 @@
             why = _bad_exit(life, sigterm_at)
             violations += [Breach(EXIT, sigterm_at, (name,), why)] if why else []
         elif life.ended is not None and not (killed is not None and life.ended.code == SIGKILL_EXIT_CODE):
-            violations.append(Breach(OWN_END, life.ended.at, (name,), f"it ended by itself with {life.ended.code}"))
+            violations.append(Breach(OWN_END, life.ended.at, (name,), f"exited unprompted with code {life.ended.code}"))
     return violations
 
 
 def _bad_exit(life: Life, sigterm_at: float) -> str:
-    """What is wrong with the end of a process that was told to stop; empty: nothing, or trouble excuses it."""
+    """Why the exit of a process after SIGTERM is a violation; empty if it is none or a fault explains it."""
     age = f"{sigterm_at - life.started.at:.2f} s after its start"
     killed = life.was_killed(sigterm_at, sigterm_at + GRACE_S)
     paused = life.was_paused(sigterm_at, sigterm_at + GRACE_S)
     if life.ended is None:
-        return f"it did not end; SIGTERM came {age}"
+        return f"did not exit; SIGTERM came {age}"
     took, code = life.ended.at - sigterm_at, life.ended.code
     again = [one.at for one in life.signals if one.signal == "SIGTERM"][1:]
     if again:
@@ -158,12 +158,12 @@
     if code != 0:
         return f"ended with {code} after {took:.2f} s; SIGTERM came {age}"
     if took > GRACE_S + EXIT_SLACK_S and not paused:
-        return f"ended after {took:.2f} s, the grace is {GRACE_S:g} s"
+        return f"exited {took:.2f} s after SIGTERM, the grace is {GRACE_S:g} s"
     return ""
 
 
 def log_violations(events: Facts, folder: Path) -> list[Breach]:
-    """LOG: a traceback in any log, or a breach that a process without unplanned trouble reports of itself."""
+    """LOG: a log holds a traceback, or a process that no unplanned fault affected logs a violation of its own."""
     faults, violations = UnplannedFaults(events), []
     for life in process_lives(events):
         path = folder / life.started.log
@@ -173,7 +173,7 @@
             line for line in text.splitlines() if TRACEBACK in line or (undisturbed and SELF_REPORTED.search(line))
         ]
         if found:
-            why = f"{len(found)} lines, the first: {found[0].strip()[:MAX_LINE_CHARACTERS]}"
+            why = f"{len(found)} matching lines, the first: {found[0].strip()[:MAX_LINE_CHARACTERS]}"
             violations.append(Breach(LOG, life.started.at, (life.started.log,), why))
     return violations
 
@@ -182,20 +182,20 @@
 
 
 def configuration_violations(events: Facts) -> list[Breach]:
-    """LOST CONFIGURATION: at the end the newest acknowledged configuration or a newer one is not there, or it is
-    not as it was sent."""
+    """LOST CONFIGURATION: at the end of the run the configuration is older than the newest acknowledged one, can not be
+    read, or differs from what was sent under its revision."""
     configs, reads = Configs.among(events), of_kind(events, ReadBack)
     if not reads:
-        return []  # the run did not come so far, which is a breach of its own
+        return []  # the run ended before the configuration was read back, which is a violation of its own
     read = reads[-1]
     newest = configs.newest_acked(read.at)
     if read.config is None:
-        return [Breach(LOST_CONFIGURATION, read.at, (), f"it could not be read; {newest} was acknowledged")]
+        return [Breach(LOST_CONFIGURATION, read.at, (), f"not readable, although revision {newest} was acknowledged")]
     revision = read.config.get("revision", 0)
     if revision < newest:
-        return [Breach(LOST_CONFIGURATION, read.at, (str(revision),), f"{newest} was acknowledged")]
+        return [Breach(LOST_CONFIGURATION, read.at, (str(revision),), f"older than the acknowledged revision {newest}")]
     if read.config not in [one.config for one in of_kind(events, ConfigSent) if one.revision == revision]:
-        return [Breach(LOST_CONFIGURATION, read.at, (str(revision),), "it is not as it was sent")]
+        return [Breach(LOST_CONFIGURATION, read.at, (str(revision),), "differs from what was sent as this revision")]
     return []
 
 
@@ -203,14 +203,15 @@
 
 
 def requests_read(events: Facts, folder: Path) -> set[str] | None:
-    """The requests that any router says it has read whole; None without the log of a router."""
+    """The ids of the requests that a router logged as fully read; ``None`` if there is no router log."""
     names = [folder / life.started.log for life in process_lives(events) if life.started.front]
     texts = [name.read_text(errors="replace") for name in names if name.exists()]
     return {id for text in texts for id in REQUEST_READ.findall(text)} if texts else None
 
 
 class RequestHistory:
-    """What is known of each request, by its id; ``read``: those that a router has read whole, if that is known."""
+    """The recorded events of each request, by its id. ``read`` holds the ids of the requests that a router has fully
+    read; ``None`` if that is unknown."""
 
     def __init__(self, events: Facts, read: set[str] | None = None) -> None:
         self.read = read
@@ -220,17 +221,16 @@
         self.routers = {one.front: one.machine for one in of_kind(events, ProcessStarted) if one.front}
         self.lags = of_kind(events, Lagged)
         self.lives: dict[str, list[Life]] = defaultdict(list)
-        self.sigterms: dict[str, list[float]] = defaultdict(
-            list
-        )  # the first of each life: a second gives no more grace
+        # Only the first SIGTERM of each life counts, as a second one does not extend the grace.
+        self.sigterms: dict[str, list[float]] = defaultdict(list)
         for life in process_lives(events):
             self.lives[life.started.machine].append(life)
             if (sigterm_at := life.first_signal_at("SIGTERM")) is not None:
                 self.sigterms[life.started.machine].append(sigterm_at)
 
     def cut_violations(self) -> list[Breach]:
-        """CUT: a router without unplanned trouble ends the connection of a request that it has read with no
-        complete answer, and neither the server nor the request's time is the reason."""
+        """CUT: a router that no unplanned fault affected closes the connection of a request that it has read before the
+        answer is complete, and neither the server nor the request's deadline is the cause."""
         violations = []
         for end in [*of_kind(self.events, Lost), *of_kind(self.events, Answered)]:
             if (request := self.asked.get(end.id, [None])[0]) is None or not self._ended_early(end, request):
@@ -242,7 +242,7 @@
         return violations
 
     def _ended_early(self, end: Lost | Answered, request: Asked) -> bool:
-        """Whether the router ended the connection too early, after it had read the request."""
+        """Whether the router closed the connection before a complete answer, although it had read the request."""
         if isinstance(end, Answered):
             return not end.whole and not end.left
         slack = RULES.loss_slack + sum(one.seconds for one in self.lags if request.at <= one.at <= end.at + one.seconds)
@@ -255,7 +255,8 @@
         return self._readable_seconds(end, request) > slack
 
     def _readable_seconds(self, end: Lost, request: Asked) -> float:
-        """Seconds from its sending to its end in which a process was there to read it: none reads after its end."""
+        """The longest time, between the sending of a request and the end of its connection, in which one life of the
+        router could have read it. A process reads nothing once it has closed its sockets."""
         lives = self.lives[self.routers[request.front]]
         spans = [min(end.at, life.until - CLOSE_TO_EXIT_S) - max(request.at, life.started.at) for life in lives]
         return max([0.0, *spans])
@@ -268,15 +269,16 @@
         return self._server_broke_off(end, request) or self._worked_until_grace_end(end, request, router)
 
     def _server_broke_off(self, end: Lost | Answered, request: Asked) -> bool:
-        if any(over.how in SERVER_ENDED and over.at <= end.at for over in self.finished.get(end.id, ())):
+        if any(finish.how in SERVER_ENDED and finish.at <= end.at for finish in self.finished.get(end.id, ())):
             return True
         servers = {reached.instance for reached in self.reached.get(end.id, ())}
         return any(self.faults.affected_server_link(server, request.at, end.at) for server in servers)
 
     def _worked_until_grace_end(self, end: Lost | Answered, request: Asked, router: str) -> bool:
-        """Whether a server was at work on it in the last part of the grace, and it was sent soon after SIGTERM."""
-        over = [one.at for one in self.finished.get(end.id, ())]
-        work_until = min([end.at, *over]) if self.began.get(end.id) else float("-inf")
+        """Whether a server still processed the request in the last part of the grace, and the request was sent early
+        enough: at most ``MAX_SENT_AFTER_SIGTERM_S`` after SIGTERM."""
+        finish_times = [one.at for one in self.finished.get(end.id, ())]
+        work_until = min([end.at, *finish_times]) if self.began.get(end.id) else float("-inf")
         return any(
             sigterm_at + GRACE_S * (1 - GRACE_END_FRACTION) <= work_until <= sigterm_at + GRACE_S + CUT_AFTER_GRACE_S
             and request.at <= sigterm_at + MAX_SENT_AFTER_SIGTERM_S
@@ -299,13 +301,14 @@
 
 
 def stall_violations(events: Facts) -> list[Breach]:
-    """STALLED: the system did not come up, or did not come back after its troubles."""
+    """STALLED: the system did not reach a required state in time, for example ready after its start or after faults."""
     return [Breach(STALLED, one.at, (), one.what) for one in of_kind(events, Stalled)]
 
 
 def recovery_violations(events: Facts) -> list[Breach]:
-    """RECOVER: less than a quarter of the requests is served in the last stretch of load, the first that begins once
-    all is ready again in which so much was served, or that in which the time to recover is up."""
+    """RECOVER: in the last stretch of load less than ``MIN_SERVED_FRACTION`` of the requests are served. After all
+    routers are ready again, that is the first stretch which reaches this fraction, or the one in which the recovery
+    timeout expires."""
     ready, read_back = of_kind(events, Recovered), of_kind(events, ReadBack)
     if not ready or not read_back:
         return []
@@ -316,19 +319,20 @@
 
 
 def served_fraction(events: Facts, since: float, until: float) -> float:
-    """The part of the requests sent within this that were answered whole, with success; 0 if none was sent."""
+    """The fraction of the requests sent between the two times that got a complete, successful answer; 0 if none was
+    sent."""
     sent = {one.id for one in of_kind(events, Asked) if since <= one.at < until}
     complete_ids = {end.id for end in of_kind(events, Answered) if end.whole and 200 <= end.status < 300}
     return len(complete_ids & sent) / len(sent) if sent else 0.0
 
 
 def shared_rule_violations(events: Facts) -> list[Breach]:
-    """The rules of ``rowanshift.invariants`` that need no knowledge of who was in touch."""
+    """Violations of the rules of ``rowanshift.invariants`` that apply whether or not a machine was reachable."""
     return [found for found in rules.check(events, RULES) if not found.bounded and found.rule != "LOST"]
 
 
 def check(events: Facts, log_folder: Path) -> list[Breach]:
-    """Every check over a run's records and logs, in the order of the times."""
+    """Runs every check over a run's recorded events and logs; the violations in order of time."""
     found = [
         *exit_violations(events),
         *log_violations(events, log_folder),
--- a/rowanshift/soak/command.py
+++ b/rowanshift/soak/command.py
@@ -1,4 +1,4 @@
-"""``rowanshift soak``: plays plans, prints a line for each, and keeps what a failing one left."""
+"""``rowanshift soak``: runs plans, prints a summary line for each, and keeps the files of failing runs."""
 
 import argparse
 import os
@@ -26,17 +26,17 @@
 
 EXIT_OK, EXIT_VIOLATIONS, EXIT_UNUSABLE, EXIT_INTERRUPTED = 0, 1, 2, 130  # exit codes
 MAX_SEEDS = 10_000
-MAX_VIOLATIONS_SHOWN = 20  # breaches of a seed that are printed
+MAX_VIOLATIONS_SHOWN = 20  # per run
 PLAN_FILE, RECORDS_FILE, COMMAND_FILE, BREACHES_FILE = "plan.json", "records.jsonl", "command.txt", "breaches.txt"
 
 
 class Interrupted(Exception):
-    """SIGTERM came to the soak itself."""
+    """SIGTERM or SIGINT was sent to the soak process itself."""
 
 
 @dataclass(frozen=True, slots=True)
 class RunResult:
-    """What a run showed."""
+    """The recorded events of a run and the violations found in them."""
 
     plan: Plan
     seconds: float  # of wall time
@@ -44,7 +44,7 @@
     violations: list[Breach]
 
     def summary_line(self) -> str:
-        """The run in a line of key=value pairs."""
+        """The run as one line of key=value pairs."""
         injected = Counter(str(one.trouble) for one in of_kind(self.events, TroubleMet))
         ends = of_kind(self.events, Answered)
         complete = sum(end.whole and 200 <= end.status < 300 for end in ends)
@@ -70,13 +70,13 @@
 
 
 def format_counts(counts: Counter) -> str:
-    """A sum and its parts, without blanks."""
+    """The total and the count of each name, without blanks, for example ``3(kill:1,stop:2)``."""
     parts = ",".join(f"{name.replace(' ', '-')}:{count}" for name, count in sorted(counts.items()))
     return f"{counts.total()}({parts})" if parts else "0"
 
 
 def max_overlap(events: Facts) -> int:
-    """The most troubles that there were at one moment."""
+    """The largest number of faults that were in force at the same time."""
     injected = of_kind(events, TroubleMet)
     return max((sum(one.at <= moment.at < one.until for one in injected) for moment in injected), default=0)
 
@@ -89,8 +89,8 @@
 
 
 async def _raise_on_signal(task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED) -> None:
-    """Ends the run at a signal. A KeyboardInterrupt would be lost where it is raised in a callback, as those of a fork
-    are."""
+    """Ends the run at a signal. Signals are received here because a KeyboardInterrupt is lost if it is raised in a
+    callback, such as those that run at a fork."""
     with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         task_status.started()
         async for _ in signals:
@@ -98,7 +98,7 @@
 
 
 def run_plan(to_run: Plan, folder: Path, net: str) -> RunResult:
-    """Plays a plan with all its files under a folder, and checks what was recorded."""
+    """Runs a plan with all its files in ``folder``, and checks the recorded events."""
     events: list = []
 
     async def main() -> None:
@@ -114,7 +114,7 @@
         trio.run(main)
     except* (LogTooLarge, TooManyEvents, trio.TooSlowError) as group:
         why = repr(first_of(group))
-        events.append(Stalled(events[-1].at if events else 0.0, f"the run was ended: {why}"))
+        events.append(Stalled(events[-1].at if events else 0.0, f"run aborted: {why}"))
     finally:
         records.write(folder / RECORDS_FILE, events)
     seconds = time.monotonic() - began
@@ -122,7 +122,8 @@
 
 
 def keep_files(result: RunResult, folder: Path, found: Path, net: str) -> Path:
-    """Moves what a failing run left to where it is kept, with its plan and command line."""
+    """Moves the files of a failing run to a folder of its own under ``found``, and adds the violations and the command
+    line that repeats the run."""
     kept = found / f"soak-{result.plan.seed}-{time.strftime('%Y%m%d-%H%M%S')}-{os.getpid()}"
     kept.mkdir(parents=True)
     for name in (PLAN_FILE, RECORDS_FILE, "logs"):
@@ -134,13 +135,13 @@
 
 
 def own_net() -> str:
-    """Addresses that two soaks at once do not share, as far as their process ids tell."""
+    """An address prefix derived from the process id, so that soaks which run at the same time rarely share one."""
     number = os.getpid()
     return f"127.{100 + number % 100}.{number // 100 % 250}."
 
 
 def plans(arguments: argparse.Namespace) -> list[Plan]:
-    """The plans that are asked for; ``BadPlan`` if they can't be used."""
+    """The plans that the command line requests; raises ``BadPlan`` if the file or the seeds are not usable."""
     file, seeds = arguments.plan, arguments.seeds
     if file is not None:
         try:
@@ -151,16 +152,16 @@
     try:
         numbers = range(int(first), int(last)) if colon else range(int(first))
     except ValueError:
-        raise BadPlan(f"--seeds: N or FIRST:LAST expected, not {seeds!r}") from None
+        raise BadPlan(f"--seeds: expected N or FIRST:LAST, got {seeds!r}") from None
     if not 0 < len(numbers) <= MAX_SEEDS or numbers[0] < 0:
-        raise BadPlan(f"--seeds: 1 to {MAX_SEEDS} seeds of 0 or more expected, not {seeds!r}")
+        raise BadPlan(f"--seeds: expected 1 to {MAX_SEEDS} seeds, none below 0, got {seeds!r}")
     if arguments.short:
         return [plan.draw_short(seed) for seed in numbers]
     return [plan.draw(seed, arguments.seconds, arguments.routers) for seed in numbers]
 
 
 def soak(requested: list[Plan], net: str, found: Path) -> int:
-    """Plays plans one after another and prints a line for each; the exit code."""
+    """Runs plans one after another and prints a summary line for each; returns the exit code."""
     code, ended = EXIT_OK, None
     try:
         for to_run in requested:
@@ -174,7 +175,7 @@
 
 
 def run_and_report(to_run: Plan, net: str, found: Path) -> int:
-    """Plays one plan, prints its line and keeps what it left if it failed; the exit code."""
+    """Runs one plan, prints its summary line, and keeps its files if it failed; returns the exit code."""
     with tempfile.TemporaryDirectory(prefix="rowanshift-soak-") as temporary:
         folder = Path(temporary)
         result = run_plan(to_run, folder, net)
@@ -184,5 +185,5 @@
         kept = keep_files(result, folder, found, net)
         for violation in result.violations[:MAX_VIOLATIONS_SHOWN]:
             print(f"  {violation}", flush=True)
-        print(f"  kept: {kept}; again: {(kept / COMMAND_FILE).read_text().strip()}", flush=True)
+        print(f"  files kept in {kept}; repeat with: {(kept / COMMAND_FILE).read_text().strip()}", flush=True)
         return EXIT_VIOLATIONS
--- a/rowanshift/soak/layout.py
+++ b/rowanshift/soak/layout.py
@@ -1,8 +1,9 @@
-"""Which addresses the machines of a soak run have, their settings files, and where relays stand between them.
+"""The addresses and settings files of the machines of a soak run, and the relays on the links between them.
 
-Each machine has an address of its own within 127.0.0.0/8, and internal and control ports of its own. A process
-dials other machines at its own ports, as all machines of a real deployment have the same; here a relay stands there.
-So the address tells a relay's target, the port tells its caller, and each link can be cut by itself.
+Each machine has its own address within 127.0.0.0/8, and its own internal and control ports. A process connects to other
+machines at its own port numbers, because in a real deployment all machines use the same ones; here a relay listens at
+that address and port. The address thus identifies a relay's target and the port its caller, so that each link can be
+cut separately.
 """
 
 import random
@@ -31,33 +32,29 @@
 from rowanshift.transport.runtime import Runtime
 from rowanshift.transport.streams import Address
 
-FIRST_CORE_NUMBER, FIRST_ROUTER_NUMBER, FIRST_SERVER_NUMBER, PLATFORM_NUMBER = (
-    1,
-    11,
-    81,
-    91,
-)  # last numbers of the addresses
-INTERNAL_PORT_BASE, CONTROL_PORT_BASE = 7400, 8500  # ports; a machine's own is so much above as its last number
-OPERATORS_CONTROL_PORT = 8699  # where operators call core machines
+# The last numbers of the addresses.
+FIRST_CORE_NUMBER, FIRST_ROUTER_NUMBER, FIRST_SERVER_NUMBER, PLATFORM_NUMBER = 1, 11, 81, 91
+INTERNAL_PORT_BASE, CONTROL_PORT_BASE = 7400, 8500  # a machine's port is this plus the last number of its address
+OPERATORS_CONTROL_PORT = 8699  # relays from operators to core machines
 FRONT_PORT, CLIENTS_FRONT_PORT, READINESS_PORT = 8080, 8180, 8081
 SERVER_PORT, SYSTEM_SERVER_PORT = 8082, 8182
 PLATFORM_PORT, SYSTEM_PLATFORM_PORT = 8083, 8183
 LIST_RATE_PER_S, LIST_LAG_MS = 40.0, 800.0
 FAULT_TOLERANCE = 1  # machines
-GRACE_S = float(BOUNDS["graceS"])  # seconds
+GRACE_S = float(BOUNDS["graceS"])
 MEMORY_MB, MAX_DESCRIPTORS = 300, 4100
 
 
 @dataclass(frozen=True, slots=True)
 class LinkRelay:
-    """A relay and the link that it carries."""
+    """A relay and the link whose traffic it forwards."""
 
     link: Link
     relay: Relay | DatagramRelay
 
 
 class Layout:
-    """The addresses of a run under ``net``, the first three numbers of its addresses with their dots."""
+    """The addresses and files of a run. ``net`` is the prefix of its addresses: three numbers, each with a dot."""
 
     def __init__(self, plan: Plan, folder: Path, net: str) -> None:
         self.folder, self.net = folder, net
@@ -73,7 +70,7 @@
 
     @property
     def machines(self) -> list[str]:
-        """The machines that run a process, core first."""
+        """The machines that run a process, core machines first."""
         return [*self.cores, *self.routers]
 
     def ip(self, name: str) -> str:
@@ -81,55 +78,55 @@
         return f"{self.net}{self.numbers[name]}"
 
     def internal(self, name: str, caller: str | None = None) -> Address:
-        """A machine's internal address, or where a caller dials it."""
+        """A machine's internal address; with a caller, the relay at which that machine connects to it."""
         return self.ip(name), INTERNAL_PORT_BASE + self.numbers[caller or name]
 
     def control(self, name: str, caller: str | None = None) -> Address:
-        """A core machine's control address, or the one that another core machine redirects to."""
+        """A core machine's control address; with a caller, the relay to which that core machine redirects operators."""
         return self.ip(name), CONTROL_PORT_BASE + self.numbers[caller or name]
 
     def front(self, name: str) -> Address:
-        """Where clients call a router."""
+        """The relay at which clients reach a router."""
         return self.ip(name), CLIENTS_FRONT_PORT
 
     def readiness(self, name: str) -> Address:
-        """Where a router says whether it is ready; no relay stands there."""
+        """A router's readiness address, which is reached without a relay."""
         return self.ip(name), READINESS_PORT
 
     def server(self, name: str) -> Address:
-        """Where a model server listens."""
+        """The address on which a model server listens."""
         return self.ip(name), SERVER_PORT
 
     def listed_server(self, name: str) -> Address:
-        """Where the platform's list says that a model server is."""
+        """A model server's address in the platform's list, which is its relay."""
         return self.ip(name), SYSTEM_SERVER_PORT
 
     def platform(self) -> Address:
-        """Where the platform's list listens."""
+        """The address on which the platform's list of servers listens."""
         return self.ip(PLATFORM), PLATFORM_PORT
 
     def controls(self) -> list[Address]:
-        """Where operators call the core."""
+        """The relays at which operators reach the core machines."""
         return [(self.ip(name), OPERATORS_CONTROL_PORT) for name in self.cores]
 
     # files ------------------------------------------------
 
     def settings_path(self, name: str) -> Path:
-        """A machine's settings file."""
+        """The path of a machine's settings file."""
         return self.folder / f"{name}.json"
 
     def disk(self, name: str) -> Path:
-        """A core machine's disk."""
+        """The data folder of a core machine."""
         return self.folder / "disks" / name
 
     def write_settings(self, name: str, bootstrap: bool, random_source: random.Random) -> None:
-        """Writes a machine's settings file; the seeds come in any order."""
+        """Writes a machine's settings file, with its seed nodes in random order."""
         temporary = self.folder / f"{name}.json.new"
         temporary.write_bytes(orjson.dumps(self.settings(name, bootstrap, random_source), option=orjson.OPT_INDENT_2))
         temporary.replace(self.settings_path(name))
 
     def settings(self, name: str, bootstrap: bool, random_source: random.Random) -> dict[str, Any]:
-        """What a machine's settings file holds."""
+        """The content of a machine's settings file."""
         ip, core = self.ip(name), name in self.cores
         port = self.internal(name)[1]
         listen = (
@@ -164,7 +161,7 @@
     # relays -----------------------------------------------
 
     def link_relays(self, host: Runtime) -> Iterator[LinkRelay]:
-        """All relays of the run, not running yet."""
+        """All relays of the run; the caller has to start them."""
 
         def stream_relay(link: Link, address: Address, target: Address) -> LinkRelay:
             return LinkRelay(link, Relay(host, address, target))
@@ -178,7 +175,7 @@
                 if caller == core:
                     continue
                 yield stream_relay(Link(caller, core), self.internal(core, caller), self.internal(core))
-                if caller in self.cores:  # an operator whom the caller has redirected
+                if caller in self.cores:  # for operators that the caller redirects
                     yield stream_relay(Link(OPERATORS, core), self.control(core, caller), self.control(core))
         for server in self.servers:
             yield stream_relay(Link(SYSTEM, server), self.listed_server(server), self.server(server))
@@ -195,7 +192,7 @@
 
 
 def relays_by_link(link_relays: list[LinkRelay]) -> Callable[[Link], list[Relay | DatagramRelay]]:
-    """What gives the relays that carry a link."""
+    """Returns a function that gives the relays of a link."""
     relays: dict[Link, list[Relay | DatagramRelay]] = {}
     for link_relay in link_relays:
         relays.setdefault(link_relay.link, []).append(link_relay.relay)
--- a/rowanshift/soak/load.py
+++ b/rowanshift/soak/load.py
@@ -1,4 +1,4 @@
-"""Who asks the system of a soak run: clients on all kinds of routes, and operators that change its configuration."""
+"""The load of a soak run: clients on all kinds of routes, and operators that change the configuration."""
 
 import random
 from collections.abc import Callable
@@ -32,34 +32,31 @@
 from rowanshift.transport.streams import Address
 
 OTHER_SERVICE = "other"  # the second service
-PROBE_INTERVAL_S, MAX_MISSES = (
-    0.5,
-    4,
-)  # seconds between looks whether a router is ready, and failures until clients leave it
-MEAN_PAUSE_S = 0.15  # seconds between two requests of a client, on average
-ANSWER_TOKENS, ANSWER_TOKEN_WEIGHTS = (40, 200, 600), (6, 3, 1)  # tokens of an answer
-KEEP_ALIVE_CLIENTS = 1, 2  # of each four clients
-DEADLINE_S = 6.0  # seconds of a request
-MAX_REQUESTS = 200_000  # of a run; no more are sent
-MAX_EXTRA_ROUTES = 24  # beside the first
-OPERATOR_TIMEOUT_S = 6.0  # seconds for an operator's call
-SERIES_INTERVAL_S = 6.0  # seconds between series of named versions
-NAMES_PER_SERIES_RANGE = 1, 8  # the least and the most
-REPEAT_PROBABILITY = 0.05  # of changes are sent again as they were
-RACE_PROBABILITY = 0.05  # of changes are sent at once with another operator's of the same number, on the same base
-READ_INTERVAL_S = 1.0  # seconds between an operator's readings of the configuration
+PROBE_INTERVAL_S, MAX_MISSES = 0.5, 4  # of readiness probes; failures in a row until clients avoid the router
+MEAN_PAUSE_S = 0.15  # between two requests of a client
+ANSWER_TOKENS, ANSWER_TOKEN_WEIGHTS = (40, 200, 600), (6, 3, 1)  # lengths of answers and their relative frequency
+KEEP_ALIVE_CLIENTS = 1, 2  # client numbers modulo 4 that keep their connections open
+DEADLINE_S = 6.0  # of a request
+MAX_REQUESTS = 200_000  # per run
+MAX_EXTRA_ROUTES = 24  # beside the base routes
+OPERATOR_TIMEOUT_S = 6.0  # for a call
+SERIES_INTERVAL_S = 6.0  # mean interval between series of named versions
+NAMES_PER_SERIES_RANGE = 1, 8  # bounds of the draw
+REPEAT_PROBABILITY = 0.05  # that an accepted change is sent again unchanged
+RACE_PROBABILITY = 0.05  # that two operators send different changes with the same revision and base at the same time
+READ_INTERVAL_S = 1.0  # mean interval between an operator's reads of the configuration
 
 
 class Balancer:
-    """Which routers clients are sent to: those that say they are ready, known as late as a platform knows it."""
+    """Directs clients to the routers whose readiness probes succeed, with the delay of a platform's load balancer."""
 
     def __init__(self, host: Runtime, layout: Layout) -> None:
         self.host, self.layout, self.memory = host, layout, MemoryBudget(4096)
         self.ready: list[Address] = []
-        self.reported_ready: dict[str, bool] = dict.fromkeys(layout.routers, False)  # as each said last
+        self.reported_ready: dict[str, bool] = dict.fromkeys(layout.routers, False)  # the last answer of each
 
     async def probe(self, name: str) -> None:
-        """Ask one router again and again, for good."""
+        """Probes one router at regular intervals until cancelled."""
         front, misses = self.layout.front(name), 0
         while True:
             self.reported_ready[name] = await self._is_ready(name)
@@ -84,7 +81,7 @@
 def applications_of(
     plan: Plan, host: Runtime, layout: Layout, now: Callable[[], float], events: list[Fact]
 ) -> Applications:
-    """The applications of a run, which call where operators do."""
+    """The applications of a run. They call the core machines through the same relays as operators."""
     controls = layout.controls()
 
     def make(name: str) -> Application:
@@ -94,11 +91,11 @@
 
 
 class Clients:
-    """Clients that ask one request after another until they are told to end.
+    """Clients that send one request after another until they are cancelled.
 
-    A quarter choose anew among the ready routers each time; half keep to the router of a kept connection for as long as
-    that is open; a quarter know all routers and never ask which are ready. Of each four the key and the kind of route
-    differ.
+    A quarter chooses among the ready routers for each request. Half stays with the router of a kept connection for as
+    long as that is open. A quarter uses all routers, whether or not they are ready. Keys and kinds of routes are spread
+    over the clients.
     """
 
     def __init__(
@@ -122,7 +119,7 @@
         self.requests = 0
 
     async def run(self) -> None:
-        """All clients, for good."""
+        """Runs all clients until cancelled."""
         async with trio.open_nursery() as nursery:
             for number in range(self.plan.clients):
                 nursery.start_soon(self._send_requests, number)
@@ -153,7 +150,7 @@
 
 
 def make_work(prefix: str, key: str, unique: str, random_source: random.Random) -> Work:
-    """One request: a shared prompt, a part of its own, and an answer of some length."""
+    """Makes a request whose prompt has two shared parts and a unique one, with a random answer length."""
     tenant = next(name for name, keys in KEYS.items() if key in keys)
     prompt = ("preamble", 200), (f"catalogue-{random_source.randrange(CATALOGUES)}", 100), (unique, 30)
     return Work(
@@ -172,7 +169,8 @@
 
 
 def make_config(revision: int) -> dict[str, Any]:
-    """The configuration of a revision: one route moves between two services, and further ones come and go."""
+    """Makes the configuration of a revision. One route alternates between two services, and the number of extra routes
+    varies."""
     routes = routes_of()
     routes[1]["backend"] = (SERVICE, OTHER_SERVICE)[revision % 2]
     extra_routes = [
@@ -183,7 +181,7 @@
 
 
 class Changes:
-    """The operators' calls: one configuration after another, now and then one again as it was, and versions."""
+    """The operators' calls: a sequence of configurations, occasionally a repeated or conflicting one, and versions."""
 
     def __init__(
         self,
@@ -200,15 +198,15 @@
             Operator(host, name, now, events, layout.controls(), random.Random(f"{plan.seed}/{name}"), registry)
             for name in ("op1", "op2")
         )
-        self.acknowledged = self.sent = 0  # revisions
-        self.acknowledged_count = 0  # configurations that were acknowledged
+        self.acknowledged = self.sent = 0  # newest revisions
+        self.acknowledged_count = 0  # number of acknowledged configurations
 
     async def put_first(self, within: float) -> bool:
-        """Send the first configuration; whether it was acknowledged."""
+        """Sends the first configuration; returns whether it was acknowledged."""
         return await self._put(1, within) == 200
 
     async def run(self) -> None:
-        """Change the configuration and name versions, for good."""
+        """Changes and reads the configuration and names versions until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._change)
             nursery.start_soon(self._name_versions)
@@ -220,7 +218,7 @@
             await self.read(OPERATOR_TIMEOUT_S)
 
     async def read(self, within: float) -> dict[str, Any] | None:
-        """The configuration as the core has it; what did not come is no fact."""
+        """Reads the configuration from the core; a read without an answer is removed from the recorded events."""
         config = await self.operator.read_config(within)
         if config is None and self.events and type(self.events[-1]) is ConfigRead:
             self.events.pop()
@@ -246,7 +244,7 @@
         return status
 
     async def _race(self) -> None:
-        """Two operators send different configurations of one number on top of the same one."""
+        """Two operators concurrently send different configurations with the same revision and base."""
         self.sent += 1
         first_config = make_config(self.sent)
         second_config = first_config | {
@@ -259,7 +257,7 @@
         await self._refresh_acknowledged()
 
     async def _refresh_acknowledged(self) -> None:
-        """Which revision is in force, after an answer that did not tell."""
+        """Reads which revision is in force after an inconclusive answer."""
         if (config := await self.read(OPERATOR_TIMEOUT_S)) is not None:
             self.acknowledged = max(self.acknowledged, config.get("revision", 0))
 
@@ -273,7 +271,7 @@
                 return
 
     async def _name_versions(self) -> None:
-        """Name versions in series, faster than their bound, for good."""
+        """Names versions in series, at shorter intervals than their time bound, until cancelled."""
         revision = 2
         while True:
             await trio.sleep(SERIES_INTERVAL_S * self.random_source.uniform(0.5, 1.5))
--- a/rowanshift/soak/plan.py
+++ b/rowanshift/soak/plan.py
@@ -1,6 +1,6 @@
-"""The plan of a soak run: its size, its load and its troubles, drawn from a seed. No I/O and no clock.
+"""The plan of a soak run: its size, its load and its faults, drawn from a seed. No I/O and no clock.
 
-Times are in seconds since the load began. The same seed, time and size give the same plan.
+Times are in seconds since the load began. The same seed, duration and size give the same plan.
 """
 
 import random
@@ -12,61 +12,59 @@
 import msgspec
 
 CORE_COUNT, SERVER_COUNT = 3, 4
-MIN_ROUTERS, MAX_ROUTERS = 2, 60  # with the core at most 63 processes
+MIN_ROUTERS, MAX_ROUTERS = 2, 60  # at most 63 processes with the core machines
 MIN_SECONDS, MAX_SECONDS = 3.0, 1800.0
 MAX_CLIENTS, MAX_FAULTS = 64, 2000
 MAX_CHANGES_PER_SECOND = 20.0
-CHANGES_PER_SECOND_RANGE = 8.0, 14.0  # the least and the most that are drawn; troubles hold some up
-NAMES_APART_RANGE_S = 0.3, 3.0  # seconds, the least and the most that are drawn; far less than the bound of a version
+CHANGES_PER_SECOND_RANGE = 8.0, 14.0  # bounds of the draw; faults delay some changes
+NAMES_APART_RANGE_S = 0.3, 3.0  # bounds of the draw; far below the time bound of the rule VERSION
 MAX_GAP_S, MAX_ROUNDS = 5.0, 5  # of a roll
-MAX_DISKS_LOST = 1  # in a run, of the core's three: the fault tolerance in the settings
+MAX_DISKS_LOST = 1  # per run, of the three core machines, as the settings tolerate the fault of one machine
 
-FAULT_FREE_MIN_RUN_S, FAULT_FREE_S = (
-    40.0,
-    16.0,
-)  # seconds: the least run with a calm in it, in which named versions come into force
+# A run of at least the first length contains a window of the second without faults, so that named versions take effect.
+FAULT_FREE_MIN_RUN_S, FAULT_FREE_S = 40.0, 16.0
 SHORT_SECONDS, SHORT_ROUTERS, SHORT_TRACKS = 6.0, 4, 2  # of the short form
 
-CORE_NAME_PREFIX = "core-"  # how the names of core machines begin
-CLIENTS, OPERATORS, SYSTEM, PLATFORM = "clients", "operators", "system", "platform"  # ends of links beside machines
+CORE_NAME_PREFIX = "core-"
+CLIENTS, OPERATORS, SYSTEM, PLATFORM = "clients", "operators", "system", "platform"  # link ends other than machines
 
 
 class FaultKind(StrEnum):
-    """What happens to machines or links."""
-
-    KILL = "kill"  # SIGKILL, started again after the trouble's time
-    PAUSE = "pause"  # SIGSTOP, then SIGCONT
-    STOP = "stop"  # SIGTERM, started again after the trouble's time
-    ROLL = "roll"  # the same for one machine after another, ``gap`` seconds apart, ``rounds`` times in all
-    RELOAD = "reload"  # the settings file is written anew, and SIGHUP
-    CUT = "cut"  # links carry nothing
+    """The kinds of faults that are injected into machines or links."""
+
+    KILL = "kill"  # SIGKILL; restarted after the fault's duration
+    PAUSE = "pause"  # SIGSTOP; SIGCONT after the fault's duration
+    STOP = "stop"  # SIGTERM; restarted the fault's duration after the exit
+    ROLL = "roll"  # like STOP for one machine after another, ``gap`` seconds apart, repeated for ``rounds`` rounds
+    RELOAD = "reload"  # the settings file is rewritten, then SIGHUP
+    CUT = "cut"  # links forward nothing
     LOSE_ANSWERS = "lose-answers"  # links drop each answer and close its connection
-    WIPE = "wipe"  # every process is killed at once, and one core machine's disk is empty as they start again
+    WIPE = "wipe"  # all processes are killed at once and restarted, one core machine with an empty disk
 
 
-PLANNED_WORK = frozenset([FaultKind.STOP, FaultKind.ROLL, FaultKind.RELOAD])  # work that operators do on purpose
+PLANNED_WORK = frozenset([FaultKind.STOP, FaultKind.ROLL, FaultKind.RELOAD])  # operators do this in normal operation
 
 
-APPLICATIONS_PER_KIND, MAX_APPLICATIONS_PER_KIND = 2, 20  # of each kind: drawn, and the most
+APPLICATIONS_PER_KIND, MAX_APPLICATIONS_PER_KIND = 2, 20  # in drawn plans, and in any plan
 
 
 class Direction(StrEnum):
-    """Which way a cut link carries nothing."""
+    """The direction in which a cut link forwards nothing."""
 
     BOTH = "both"
     TOWARDS = "towards"  # from the caller to the target
-    BACK = "back"
+    BACK = "back"  # from the target to the caller
 
 
 class Link(msgspec.Struct, frozen=True):
-    """The connections that a caller dials to a target."""
+    """The connections that a caller opens to a target."""
 
     caller: str
     target: str
 
 
 class Fault(msgspec.Struct, frozen=True):
-    """One trouble, from ``at`` for ``lasts`` seconds. A wipe names the core machine whose disk is lost."""
+    """A fault that begins at ``at`` and lasts ``lasts`` seconds. A wipe names the core machine whose disk is lost."""
 
     kind: FaultKind
     at: float
@@ -79,12 +77,12 @@
 
     @property
     def until(self) -> float:
-        """When it is over."""
+        """The planned time of its end."""
         return self.at + self.lasts + self.gap * self.rounds * len(self.machines)
 
 
 class Plan(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A run: sizes, load and troubles in the order of their times."""
+    """A run: its sizes, its load, and its faults in order of time."""
 
     seed: int
     seconds: float
@@ -95,14 +93,14 @@
     cores: int = CORE_COUNT
     servers: int = SERVER_COUNT
     names_apart: float = NAMES_APART_RANGE_S[1]  # seconds between the named versions of a series
-    applications: int = 0  # of each kind that call for locks, numbers and keys; 0: there is no coordination
+    applications: int = 0  # per kind, that use locks, numbers and keys; 0: without the coordination service
 
     def kinds(self) -> dict[str, int]:
-        """How many troubles there are of each kind."""
+        """The number of faults of each kind."""
         return dict(Counter(str(fault.kind) for fault in self.troubles))
 
     def overlap(self) -> int:
-        """The most troubles that are drawn for one moment."""
+        """The largest number of faults that are planned for the same moment."""
         return max(
             (sum(one.at <= moment < one.until for one in self.troubles) for moment in self._start_times()), default=0
         )
@@ -112,26 +110,26 @@
 
 
 class BadPlan(ValueError):
-    """A plan that can't be played; the text says why."""
+    """A plan that can not be run; the text says why."""
 
 
 def core_name(number: int) -> str:
-    """The name of a core machine, from 1 on."""
+    """The name of a core machine; numbers begin at 1."""
     return f"{CORE_NAME_PREFIX}{number}"
 
 
 def router_name(number: int) -> str:
-    """The name of a router's machine, from 1 on."""
+    """The name of a router's machine; numbers begin at 1."""
     return f"router-{number}"
 
 
 def server_name(number: int) -> str:
-    """The name of a model server, from 1 on."""
+    """The name of a model server; numbers begin at 1."""
     return f"server-{number}"
 
 
 def numbered_names(name_of: Callable[[int], str], count: int) -> list[str]:
-    """All names of a kind."""
+    """The names with the numbers 1 to ``count``."""
     return [name_of(number) for number in range(1, count + 1)]
 
 
@@ -139,7 +137,8 @@
 
 
 def draw(seed: int, seconds: float, routers: int | None = None, tracks: int = 3) -> Plan:
-    """The plan of a seed. Each track is a sequence of troubles; as many overlap at most as there are tracks."""
+    """Draws the plan of a seed. Each track is a sequence of faults without overlap, so that, apart from a wipe, at most
+    ``tracks`` faults overlap."""
     random_source = random.Random(f"soak/{seed}")
     routers = routers if routers is not None else random_source.randint(4, 6)
     _check_sizes(seconds, routers)
@@ -159,7 +158,7 @@
 
 
 def fault_free_window(seed: int, seconds: float) -> tuple[float, float] | None:
-    """When a run is without trouble, from and to in seconds; none in a short one."""
+    """The start and end of the window without faults in a run; ``None`` if the run is too short for one."""
     if seconds < FAULT_FREE_MIN_RUN_S:
         return None
     since = random.Random(f"soak/{seed}/calm").uniform(0.0, seconds - FAULT_FREE_S)
@@ -167,14 +166,14 @@
 
 
 def _without_window(window: tuple[float, float] | None, faults: list[Fault]) -> list[Fault]:
-    """The troubles that leave the calm alone."""
+    """The faults that do not overlap the window."""
     if window is None:
         return faults
     since, until = window
     return [fault for fault in faults if fault.until < since or fault.at > until]
 
 
-KIND_WEIGHTS = {  # how often each kind is drawn in a track
+KIND_WEIGHTS = {  # relative frequency of each kind in a track; a wipe is drawn separately
     FaultKind.KILL: 3,
     FaultKind.PAUSE: 3,
     FaultKind.STOP: 3,
@@ -183,7 +182,7 @@
     FaultKind.CUT: 4,
     FaultKind.LOSE_ANSWERS: 2,
 }
-DURATION_RANGES_S = {  # seconds, the least and the most
+DURATION_RANGES_S = {  # bounds of the draw for each kind
     FaultKind.KILL: (0.2, 2.0),
     FaultKind.PAUSE: (0.3, 4.0),
     FaultKind.STOP: (0.1, 1.0),
@@ -196,27 +195,25 @@
 
 
 def draw_short(seed: int) -> Plan:
-    """The plan of a seed in the short form."""
+    """Draws the plan of a seed in the short form."""
     return draw(seed, SHORT_SECONDS, SHORT_ROUTERS, SHORT_TRACKS)
 
 
-STOP_DURATION_S = (
-    4.0  # seconds from a SIGTERM to the end of most processes, before which a track goes on to no other trouble
-)
+STOP_DURATION_S = 4.0  # most processes exit within this after SIGTERM; a track draws no other fault before
 
 
 STOPPING_KINDS = frozenset([FaultKind.STOP, FaultKind.ROLL])
 
 
 class _FaultDraw:
-    """Draws the troubles of one plan."""
+    """Draws the faults of one plan."""
 
-    FIRST_FAULT_WITHIN_S = 1.0  # seconds from the start of the load to each track's first trouble
-    PAUSE_RANGE_S = 0.2, 1.5  # seconds between two troubles of a track
-    WIPE_PROBABILITY = 0.7  # of plans have a wipe
-    WIPE_EARLIEST_FRACTION = 0.5  # part of the run before which none is wiped
-    GAP_RANGE_S = 0.05, 0.5  # seconds between the machines of a roll
-    MAX_DRAWN_ROUNDS = 3  # of a roll, at most
+    FIRST_FAULT_WITHIN_S = 1.0  # from the start of the load to the first fault of each track
+    PAUSE_RANGE_S = 0.2, 1.5  # between two faults of a track
+    WIPE_PROBABILITY = 0.7  # that a plan contains a wipe
+    WIPE_EARLIEST_FRACTION = 0.5  # of the run's duration, before which no wipe is drawn
+    GAP_RANGE_S = 0.05, 0.5  # between the machines of a roll
+    MAX_DRAWN_ROUNDS = 3  # of a roll
 
     def __init__(self, random_source: random.Random, seconds: float, routers: int, tracks: int) -> None:
         self.random_source, self.seconds, self.tracks = random_source, seconds, tracks
@@ -266,7 +263,7 @@
         return Fault(kind, round(at, 3), lasts, machines, gap=gap, rounds=rounds)
 
     def _draw_machines(self, is_planned: bool) -> tuple[str, ...]:
-        """One core machine or some routers; planned work befalls larger groups."""
+        """Core machines or routers; planned work affects larger groups than other faults."""
         if self.random_source.random() < 0.35:
             max_count = 2 if is_planned else 1
             return self._sample(self.cores, max_count)
@@ -318,63 +315,71 @@
 
 
 def check(plan: Plan) -> None:
-    """Raises ``BadPlan`` if the plan is out of bounds, names what isn't there or loses too many disks."""
+    """Raises ``BadPlan`` if a value is out of bounds, a machine or link does not exist, or too many disks are lost."""
     _check_sizes(plan.seconds, plan.routers)
     if plan.cores != CORE_COUNT or plan.servers != SERVER_COUNT:
-        raise BadPlan(f"cores and servers: {CORE_COUNT} and {SERVER_COUNT} expected")
+        raise BadPlan(
+            f"cores and servers: expected {CORE_COUNT} and {SERVER_COUNT}, got {plan.cores} and {plan.servers}"
+        )
     if not 1 <= plan.clients <= MAX_CLIENTS:
-        raise BadPlan(f"clients: {plan.clients} is not within 1 and {MAX_CLIENTS}")
+        raise BadPlan(f"clients: expected 1 to {MAX_CLIENTS}, got {plan.clients}")
     if not NAMES_APART_RANGE_S[0] <= plan.names_apart <= NAMES_APART_RANGE_S[1]:
         raise BadPlan(
-            f"names_apart: {plan.names_apart} is not within {NAMES_APART_RANGE_S[0]} and {NAMES_APART_RANGE_S[1]}"
+            f"names_apart: expected {NAMES_APART_RANGE_S[0]} to {NAMES_APART_RANGE_S[1]}, got {plan.names_apart}"
         )
     if not 0 < plan.changes_per_second <= MAX_CHANGES_PER_SECOND:
-        raise BadPlan(f"changes_per_second: {plan.changes_per_second} is not within 0 and {MAX_CHANGES_PER_SECOND}")
+        raise BadPlan(
+            f"changes_per_second: expected over 0 up to {MAX_CHANGES_PER_SECOND}, got {plan.changes_per_second}"
+        )
     if not 0 <= plan.applications <= MAX_APPLICATIONS_PER_KIND:
-        raise BadPlan(f"applications: {plan.applications} is not within 0 and {MAX_APPLICATIONS_PER_KIND}")
+        raise BadPlan(f"applications: expected 0 to {MAX_APPLICATIONS_PER_KIND}, got {plan.applications}")
     if len(plan.troubles) > MAX_FAULTS:
-        raise BadPlan(f"troubles: {len(plan.troubles)}, {MAX_FAULTS} at most")
+        raise BadPlan(f"troubles: expected at most {MAX_FAULTS} faults, got {len(plan.troubles)}")
     for number, fault in enumerate(plan.troubles):
         _check_fault(plan, fault, f"troubles[{number}]")
     wipe_count = plan.kinds().get(FaultKind.WIPE, 0)
     if wipe_count > MAX_DISKS_LOST:
-        raise BadPlan(f"troubles: {wipe_count} disks are lost, {MAX_DISKS_LOST} at most")
+        raise BadPlan(f"troubles: expected at most {MAX_DISKS_LOST} disks lost in a run, got {wipe_count}")
 
 
 def _check_sizes(seconds: float, routers: int) -> None:
     if not MIN_SECONDS <= seconds <= MAX_SECONDS:
-        raise BadPlan(f"seconds: {seconds} is not within {MIN_SECONDS} and {MAX_SECONDS}")
+        raise BadPlan(f"seconds: expected {MIN_SECONDS} to {MAX_SECONDS}, got {seconds}")
     if not MIN_ROUTERS <= routers <= MAX_ROUTERS:
-        raise BadPlan(f"routers: {routers} is not within {MIN_ROUTERS} and {MAX_ROUTERS}")
+        raise BadPlan(f"routers: expected {MIN_ROUTERS} to {MAX_ROUTERS}, got {routers}")
 
 
 def _check_fault(plan: Plan, fault: Fault, location: str) -> None:
     if not (0 <= fault.at <= plan.seconds and 0 <= fault.lasts <= plan.seconds):
-        raise BadPlan(f"{location}: it does not lie within the run's {plan.seconds} s")
+        raise BadPlan(f"{location}: at {fault.at} s for {fault.lasts} s is not within the run's {plan.seconds} s")
     is_roll = fault.kind is FaultKind.ROLL
     if not (0 <= fault.gap <= MAX_GAP_S and 1 <= fault.rounds <= MAX_ROUNDS) or (fault.gap and not is_roll):
-        raise BadPlan(f"{location}: a gap up to {MAX_GAP_S:g} s and 1 to {MAX_ROUNDS} rounds are for a roll")
+        raise BadPlan(
+            f"{location}: expected a gap of 0, or up to {MAX_GAP_S:g} s for a roll, and 1 to {MAX_ROUNDS} rounds"
+        )
     acts_on_links = fault.kind in (FaultKind.CUT, FaultKind.LOSE_ANSWERS)
     if bool(fault.links) != acts_on_links or bool(fault.machines) == acts_on_links:
-        raise BadPlan(f"{location}: {fault.kind} befalls {'links' if acts_on_links else 'machines'}")
+        raise BadPlan(
+            f"{location}: {fault.kind} needs {'links and no machines' if acts_on_links else 'machines and no links'}"
+        )
     cores, machines = numbered_names(core_name, plan.cores), known_machines(plan)
     allowed = cores if fault.kind is FaultKind.WIPE else machines
     if unknown := set(fault.machines) - set(allowed):
         raise BadPlan(f"{location}: no such machine for {fault.kind}: {', '.join(sorted(unknown))}")
     if fault.kind is FaultKind.WIPE and len(fault.machines) > MAX_DISKS_LOST:
-        raise BadPlan(f"{location}: {len(fault.machines)} disks are lost, {MAX_DISKS_LOST} at most")
+        raise BadPlan(f"{location}: expected at most {MAX_DISKS_LOST} disks lost in a wipe, got {len(fault.machines)}")
     for link in fault.links:
         if link not in known_links(plan):
             raise BadPlan(f"{location}: no such link: {link.caller} to {link.target}")
 
 
 def known_machines(plan: Plan) -> list[str]:
-    """The machines that run a process, core first."""
+    """The machines that run a process, core machines first."""
     return [*numbered_names(core_name, plan.cores), *numbered_names(router_name, plan.routers)]
 
 
 def known_links(plan: Plan) -> set[Link]:
-    """All links that may be cut."""
+    """All links on which faults can be injected."""
     cores, routers = numbered_names(core_name, plan.cores), numbered_names(router_name, plan.routers)
     return {
         *(Link(CLIENTS, name) for name in routers),
@@ -390,12 +395,12 @@
 
 
 def to_json(plan: Plan) -> bytes:
-    """A plan as it is kept in a file."""
+    """Encodes a plan for its file."""
     return msgspec.json.format(msgspec.json.encode(plan), indent=2) + b"\n"
 
 
 def from_json(data: bytes) -> Plan:
-    """A plan out of a file; ``BadPlan`` if there is none in it, or none that can be played."""
+    """Decodes a plan from its file; raises ``BadPlan`` if the data is not a plan or the plan can not be run."""
     try:
         plan = msgspec.json.decode(data, type=Plan)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
--- a/rowanshift/soak/processes.py
+++ b/rowanshift/soak/processes.py
@@ -1,8 +1,8 @@
-"""Starts, signals and ends the system's processes, and keeps their logs and exit codes.
+"""Starts, signals and stops the system's processes, and records their logs and exit codes.
 
-Each is started as the deployment's file says, ``python rowanshift.py ROLE --boot FILE`` at the project's root, with a
-log that names each request that was read. It is signalled by its own process id alone, and it dies with the soak's
-process, whatever ends that.
+Each process is started as in a deployment, with ``python rowanshift.py ROLE --boot FILE`` in the project's root, at a
+log level that names each request read. Signals go to that process id only. The kernel kills the process when the soak
+process ends, for whatever reason.
 """
 
 import ctypes
@@ -21,32 +21,33 @@
 from rowanshift.soak.layout import Layout
 from rowanshift.soak.records import ProcessEnded, ProcessSignalled, ProcessStarted
 
-PROJECT_ROOT = Path(__file__).parents[2]  # of the project
+PROJECT_ROOT = Path(__file__).parents[2]
 PROGRAM = "rowanshift.py"
-PASSED_VARIABLES = ("PATH", "HOME", "LANG")  # of the environment
-POLL_INTERVAL_S = 0.02  # seconds between looks whether processes have ended
-LOG_LEVEL = "DEBUG"  # of the logs
-HANDLER_TIMEOUT_S = 10.0  # seconds from a start in which the interpreter comes up; no program can heed a signal before
-REAP_TIMEOUT_S = 5.0  # seconds in which a killed process is over
-MAX_LOG_BYTES = 16 << 20  # bytes of a life's log; a larger one ends the run
-PR_SET_PDEATHSIG = 1  # of prctl: the signal that the end of the parent brings
+PASSED_VARIABLES = ("PATH", "HOME", "LANG")  # environment variables that the processes inherit
+POLL_INTERVAL_S = 0.02  # between checks whether processes have exited
+LOG_LEVEL = "DEBUG"  # the checker needs the event of each request read
+HANDLER_TIMEOUT_S = 10.0  # from a start until its signal handlers; none can exist before the interpreter has started
+REAP_TIMEOUT_S = 5.0  # for the exit of a killed process
+MAX_LOG_BYTES = 16 << 20  # per life; a larger log aborts the run
+PR_SET_PDEATHSIG = 1  # prctl option: the signal sent to this process when its parent ends
 
 _libc = ctypes.CDLL(None, use_errno=True)
 
 
 class LogTooLarge(Exception):
-    """A process wrote more than ``LARGEST_LOG`` bytes of log."""
+    """A process wrote more than ``MAX_LOG_BYTES`` to its log."""
 
 
 def _die_with_parent(parent: int) -> None:
-    """Have the kernel kill this process when its parent ends; end at once if the parent ended before it was asked."""
+    """Has the kernel kill this process when its parent ends. Exits at once if the parent has already ended, as the
+    kernel sends no signal then."""
     _libc.prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
     if os.getppid() != parent:
         os._exit(1)
 
 
 def heeds(pid: int, number: signal.Signals) -> bool:
-    """Whether a process has a handler for a signal, or is over."""
+    """Whether a process has a handler for a signal, or has ended."""
     try:
         status = Path(f"/proc/{pid}/status").read_text()
     except FileNotFoundError:
@@ -56,7 +57,7 @@
 
 
 class Process:
-    """A machine's process, one life after another."""
+    """The process of a machine, which may be restarted; each start begins a new life."""
 
     def __init__(self, name: str, layout: Layout, now: Callable[[], float], events: list[Fact]) -> None:
         self.name, self.layout, self.now, self.events = name, layout, now, events
@@ -65,26 +66,26 @@
         self.life = 0
         self.started_at = 0.0
         self.popen: subprocess.Popen | None = None
-        self.ended = trio.Event()  # this life
+        self.ended = trio.Event()  # set when the current life has exited
         self.ended.set()
 
     @property
     def running(self) -> bool:
-        """Whether a life of it is not known to be over."""
+        """Whether it was started and its exit has not been noticed."""
         return self.popen is not None
 
     @property
     def log(self) -> Path:
-        """The log of the newest life."""
+        """The path of the log of the newest life."""
         return self.layout.folder / "logs" / f"{self.name}.{self.life}.log"
 
     @property
     def front(self) -> str:
-        """IP:PORT that clients ask; empty for a core machine."""
+        """IP:PORT to which clients send requests; empty for a core machine."""
         return "{}:{}".format(*self.layout.front(self.name)) if self.is_router else ""
 
     def start(self) -> None:
-        """Begin a life, unless one goes on."""
+        """Starts a new life unless the process runs already."""
         if self.popen is not None:
             return
         self.life += 1
@@ -108,7 +109,8 @@
             self.events.append(RouterStarted(self.now(), self.name, self.front))
 
     async def wait_for_handler(self) -> None:
-        """Wait until this life heeds SIGTERM, as the system says, or it is over, or ``BORN_WITHIN`` has passed."""
+        """Waits until the operating system reports a SIGTERM handler for this life, until it has exited, or until
+        ``HANDLER_TIMEOUT_S`` after its start."""
         while self.popen is not None and self.now() < self.started_at + HANDLER_TIMEOUT_S:
             if heeds(self.popen.pid, signal.SIGTERM):
                 return
@@ -116,7 +118,7 @@
             self.poll()
 
     def send(self, number: signal.Signals) -> bool:
-        """Signal it; whether there was a process to signal."""
+        """Sends a signal to the process; returns whether one was running."""
         self.poll()
         if self.popen is None:
             return False
@@ -127,7 +129,7 @@
         return True
 
     def kill(self) -> bool:
-        """Kill it and wait for its end, which takes milliseconds; whether there was a process to kill."""
+        """Kills the process and waits for its exit, which takes milliseconds; returns whether one was running."""
         killed = self.send(signal.SIGKILL)
         if self.popen is not None:
             self.popen.wait(REAP_TIMEOUT_S)
@@ -135,7 +137,7 @@
         return killed
 
     def poll(self) -> None:
-        """Notice whether it is over."""
+        """Records the exit of the process if it has exited."""
         if self.popen is None or (code := self.popen.poll()) is None:
             return
         self.popen = None
@@ -143,12 +145,12 @@
         self.ended.set()
 
     def wipe_disk(self) -> None:
-        """Lose the disk of a machine that does not run."""
+        """Deletes the data folder of a machine whose process does not run."""
         shutil.rmtree(self.layout.disk(self.name), ignore_errors=True)
 
 
 class Processes:
-    """All processes of a run. Whoever leaves the ``with`` block leaves none behind."""
+    """All processes of a run. Leaving the ``with`` block kills those that still run."""
 
     def __init__(self, layout: Layout, now: Callable[[], float], events: list[Fact]) -> None:
         (layout.folder / "logs").mkdir(parents=True, exist_ok=True)
@@ -166,7 +168,7 @@
                 process.popen.wait(REAP_TIMEOUT_S)
 
     async def watch(self) -> None:
-        """Notice ends as they come, and logs that grow too large, for good."""
+        """Records exits as they happen and raises ``LogTooLarge`` for an oversized log; runs until cancelled."""
         while True:
             for process in self.by_name.values():
                 process.poll()
--- a/rowanshift/soak/records.py
+++ b/rowanshift/soak/records.py
@@ -1,6 +1,6 @@
-"""What a soak run records beside the facts of clients, operators and servers, and facts as JSON lines.
+"""The events that a soak run records itself, beside those of clients, operators and servers, and events as JSON lines.
 
-Every time is in seconds since the run began, by the clock of the soak's own process.
+Every time is in seconds since the run began, by the clock of the soak process.
 """
 
 import inspect
@@ -17,26 +17,26 @@
 from rowanshift.invariants.facts import Fact
 from rowanshift.soak.plan import FaultKind, Link
 
-KIND_FIELD = "kind"  # the field of a line that names the fact's class
+KIND_FIELD = "kind"  # the field of a line that names the event's class
 
 
 class BadRecords(ValueError):
-    """A file that holds no records; the text names the line and why."""
+    """A file of events that can not be read; the text names the line and the reason."""
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessStarted(Fact):
-    """A life of a machine's process begins; ``log`` is the name of its log file."""
+    """A machine's process was started, which begins a new life; ``log`` is the name of its log file."""
 
     machine: str
     life: int
     log: str
-    front: str = ""  # IP:PORT that clients ask, of a router
+    front: str = ""  # IP:PORT to which clients send requests; empty unless it is a router
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessSignalled(Fact):
-    """The soak sent a signal to a process."""
+    """The soak process sent a signal to a machine's process."""
 
     machine: str
     life: int
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessEnded(Fact):
-    """A process is over; ``code`` is minus the signal's number if a signal ended it."""
+    """A process exited; ``code`` is the negative signal number if a signal ended it."""
 
     machine: str
     life: int
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TroubleMet(Fact):
-    """A trouble that was brought about, from ``at`` to ``until``."""
+    """A fault that was in force from ``at`` to ``until``."""
 
     until: float
     trouble: FaultKind
@@ -64,37 +64,37 @@
 
 @dataclass(frozen=True, slots=True)
 class Recovered(Fact):
-    """After the last trouble, all processes run and all routers say that they are ready."""
+    """After the last fault, all processes run and all routers report that they are ready."""
 
 
 @dataclass(frozen=True, slots=True)
 class Lagged(Fact):
-    """The soak's own process came so many seconds too late to a moment that it waited for."""
+    """The soak process woke up this many seconds later than it was due, because its machine was busy."""
 
     seconds: float
 
 
 @dataclass(frozen=True, slots=True)
 class LoadEnded(Fact):
-    """Clients ask nothing more; what was still under way then is left by them."""
+    """Clients send no further requests and abandon those in flight."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReadBack(Fact):
-    """The operator's last reading of the configuration, after all troubles; none: none came."""
+    """The configuration that an operator read after all faults; ``None`` if it got no answer."""
 
     config: dict[str, Any] | None
 
 
 @dataclass(frozen=True, slots=True)
 class Stalled(Fact):
-    """The system did not reach a state within its time."""
+    """The system did not reach a required state in time."""
 
     what: str
 
 
 def event_classes() -> dict[str, type[Fact]]:
-    """All classes of facts by their names."""
+    """All event classes by name."""
     own_values = globals().values()
     return {
         candidate.__name__: candidate
@@ -104,14 +104,14 @@
 
 
 def write(path: Path, events: Iterable[Fact]) -> None:
-    """Writes facts as JSON lines."""
+    """Writes events as JSON lines."""
     with path.open("wb") as file:
         for event in events:
             file.write(orjson.dumps({KIND_FIELD: type(event).__name__} | msgspec.to_builtins(event)) + b"\n")
 
 
 def read(path: Path) -> list[Fact]:
-    """Facts out of a file that ``write`` made."""
+    """Reads the events from a file written by ``write``."""
     classes, decoded = event_classes(), []
     with path.open("rb") as file:
         for number, line in enumerate(file, 1):
--- a/rowanshift/soak/relay.py
+++ b/rowanshift/soak/relay.py
@@ -1,12 +1,12 @@
-"""A TCP relay, and one for datagrams, that stand between two parts of the system and cut the link between them.
+"""A TCP relay and a datagram relay between two parts of the system, which can cut the link between them.
 
-While a direction is held, its bytes stay where they are and go on afterwards, as TCP brings them after a cut; new
+While a direction is held, its bytes are kept and forwarded afterwards, as TCP retransmits them after a real cut. New
 connections wait at the relay until no direction is held. While answers are lost, the first bytes of each answer are
 dropped and its connection is closed.
 
-What it can't do: to a caller a connection comes up also during a cut, because the system's own backlog takes it; a
-target that does not listen shows as a reset after the connection came up, not as one refused; bytes already handed to
-the target's socket arrive during a cut; packets are neither lost, reordered nor delayed.
+Limits: a caller's connection is established even during a cut, because the kernel's backlog accepts it. A target that
+does not listen appears as a reset of an established connection rather than a refused one. Bytes already written to the
+target's socket arrive during a cut. Packets are never lost, reordered or delayed.
 """
 
 from contextlib import suppress
@@ -18,14 +18,14 @@
 from rowanshift.transport.streams import Address, Stream, accepted, connect, send_all
 
 BACKLOG = 128
-MAX_CONNECTIONS = 512  # of a relay at once; more are reset
-DIAL_TIMEOUT_S = 1.0  # seconds
-CHUNK_BYTES = 65536  # bytes
-MAX_DATAGRAM_BYTES = 2048  # bytes
+MAX_CONNECTIONS = 512  # open at a time per relay; further ones are reset
+DIAL_TIMEOUT_S = 1.0
+CHUNK_BYTES = 65536
+MAX_DATAGRAM_BYTES = 2048
 
 
 class Gate:
-    """Whether bytes may pass; held by as many as have said so and not taken it back."""
+    """Blocks one direction of a link for as long as at least one holder has not released it."""
 
     def __init__(self) -> None:
         self.holders = 0
@@ -33,37 +33,37 @@
         self.opened.set()
 
     def hold(self) -> None:
-        """Let nothing pass from now on."""
+        """Blocks the direction until the matching ``release``."""
         self.holders += 1
         if self.opened.is_set():
             self.opened = trio.Event()
 
     def release(self) -> None:
-        """Take one ``hold`` back."""
+        """Undoes one ``hold``."""
         self.holders -= 1
         if not self.holders:
             self.opened.set()
 
     async def wait_released(self) -> None:
-        """Wait until nobody holds it."""
+        """Waits until there is no holder."""
         while self.holders:
             await self.opened.wait()
 
 
 class CuttableRelay:
-    """What relays of streams and of datagrams share: the two directions, and whether answers are lost."""
+    """The state that stream and datagram relays share: a gate for each direction, and whether answers are lost."""
 
     def __init__(self) -> None:
         self.towards, self.back = Gate(), Gate()
-        self.answer_losses = 0  # troubles that lose answers now
+        self.answer_losses = 0  # number of faults in force that lose answers
 
     def cut(self, direction: Direction) -> None:
-        """Hold a direction, or both."""
+        """Cuts one direction or both, until the matching ``restore``."""
         for gate in self._gates(direction):
             gate.hold()
 
     def restore(self, direction: Direction) -> None:
-        """Take one ``cut`` back."""
+        """Undoes one ``cut``."""
         for gate in self._gates(direction):
             gate.release()
 
@@ -74,11 +74,11 @@
 
 
 class AnswerLost(Exception):
-    """The answer that comes back is dropped."""
+    """Raised to close a connection whose answer is dropped."""
 
 
 class Relay(CuttableRelay):
-    """Passes the connections made to one address on to another."""
+    """Forwards the connections made to one address to another."""
 
     def __init__(self, host: Runtime, address: Address, target: Address) -> None:
         super().__init__()
@@ -86,7 +86,7 @@
         self.open_connections = 0
 
     async def run(self, task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED) -> None:
-        """Take connections, for good; started once it listens."""
+        """Accepts connections until cancelled; reports that it has started once it listens."""
         listener = self.host.listen(self.address, BACKLOG)
         try:
             async with trio.open_nursery() as nursery:
@@ -126,7 +126,7 @@
                 await connect(stream, self.target)
         except trio.TooSlowError:
             stream.close()
-            raise TimeoutError(f"{self.target} does not answer") from None
+            raise TimeoutError(f"connection to {self.target} not established within {DIAL_TIMEOUT_S} s") from None
         except BaseException:
             stream.close()
             raise
@@ -142,7 +142,7 @@
             except BlockingIOError:
                 continue
             if not count:
-                with suppress(OSError):  # the other side has ended as well
+                with suppress(OSError):  # the sink's peer has closed the connection as well
                     sink.end()
                 return
             if gate is self.back and self.answer_losses:
@@ -151,19 +151,19 @@
 
 
 class DatagramRelay(CuttableRelay):
-    """Passes datagrams between two addresses. The caller sends to the relay's address as to the target's."""
+    """Forwards datagrams between a caller and a target. The caller uses the relay's address as the target's."""
 
     def __init__(self, host: Runtime, address: Address, caller: Address, target: Address) -> None:
         super().__init__()
         self.host, self.address, self.caller, self.target = host, address, caller, target
 
     async def run(self, task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED) -> None:
-        """Pass datagrams on, for good; those that come in a direction that is held are lost."""
+        """Forwards datagrams until cancelled; those in a direction that is held are dropped."""
         port = self.host.port(self.address)
         try:
             task_status.started()
             while True:
-                with suppress(OSError):  # a port that is closed at the other side
+                with suppress(OSError):  # the port at the other end is closed
                     payload, sender = await port.receive(MAX_DATAGRAM_BYTES)
                     is_answer = sender == self.target
                     gate = self.back if is_answer else self.towards
--- a/rowanshift/soak/run.py
+++ b/rowanshift/soak/run.py
@@ -1,6 +1,6 @@
-"""Plays one plan: starts the system between its emulated surroundings, brings the troubles about, records all.
+"""Runs one plan: starts the system with emulated clients, servers and platform, injects the faults, records all events.
 
-Nothing is left running when ``Run.execute`` returns or raises.
+No process is left running when ``Run.execute`` returns or raises.
 """
 
 import random
@@ -23,29 +23,29 @@
 from rowanshift.soak.processes import Processes
 from rowanshift.soak.records import Lagged, LoadEnded, ReadBack, Recovered, Stalled, TroubleMet
 
-START_SPREAD_S = 0.3  # seconds in which all processes start
-START_TIMEOUT_S = 20.0  # seconds until all is ready
-RECOVERY_TIMEOUT_S = 12.0  # seconds from the last start until all is ready again, and serves
-READ_TIMEOUT_S = 10.0  # seconds for the last reading
-KILL_DELAY_S = 1.0  # seconds beyond the grace; then a process that was told to stop is killed
-POLL_INTERVAL_S = 0.05  # seconds
-LAG_THRESHOLD_S = 0.05  # seconds by which the soak's own process may be late without a record of it
-SERVE_STRETCH_S = 1.5  # seconds of load once all is ready again, looked at together
-MIN_CHANGES = 6  # configurations that are acknowledged in a run, at least
-CHANGES_TIMEOUT_S = 15.0  # seconds beyond the plan's in which they are waited for
-OVERHEAD_S = (
+START_SPREAD_S = 0.3  # over which the starts of all processes are spread
+START_TIMEOUT_S = 20.0  # until the first configuration is acknowledged, and again until all routers are ready
+RECOVERY_TIMEOUT_S = 12.0  # from the last start until all routers are ready again and serve
+READ_TIMEOUT_S = 10.0  # for the read at the end
+KILL_DELAY_S = 1.0  # beyond the grace, after which a process that has not exited is killed
+POLL_INTERVAL_S = 0.05
+LAG_THRESHOLD_S = 0.05  # larger delays of the soak process itself are recorded
+SERVE_STRETCH_S = 1.5  # of load over which the served fraction is measured after the recovery
+MIN_CHANGES = 6  # acknowledged configurations per run
+CHANGES_TIMEOUT_S = 15.0  # to reach ``MIN_CHANGES`` after the plan's duration
+OVERHEAD_S = (  # of a run beside its load
     CHANGES_TIMEOUT_S + START_TIMEOUT_S + RECOVERY_TIMEOUT_S + READ_TIMEOUT_S + 2 * (GRACE_S + KILL_DELAY_S) + 30.0
-)  # seconds beside the load
+)
 MAX_EVENTS = 3_000_000
 SERVER_TRAITS = Traits(slots=8, queue=8, kv_tokens=20_000, load=0.4, gap=0.01, prefill=0.00002)
 
 
 class TooManyEvents(Exception):
-    """The run recorded more than ``MOST_FACTS``."""
+    """The run recorded more than ``MAX_EVENTS``."""
 
 
 class Run:
-    """One run of a plan under a folder, at the addresses that begin with ``net``."""
+    """One run of a plan, with its files in ``folder`` and the address prefix ``net``."""
 
     def __init__(self, plan: Plan, folder: Path, net: str) -> None:
         self.plan, self.random_source = plan, random.Random(f"{plan.seed}/run")
@@ -63,7 +63,7 @@
         self.platform = PlatformList(self.host, self.layout.platform(), 40.0, 800.0, self.now, self.events)
         self.servers = [self._server(name) for name in self.layout.servers]
         self.bootstrap = True
-        self.client_scope = trio.CancelScope()  # of the clients
+        self.client_scope = trio.CancelScope()
 
     def now(self) -> float:
         """Seconds since the run began."""
@@ -83,11 +83,13 @@
             SERVER_TRAITS,
             random_source=random.Random(f"{self.plan.seed}/{name}"),
         )
-        server.name = "{}:{}".format(*self.layout.listed_server(name))  # others reach it through its relay
+        server.name = "{}:{}".format(
+            *self.layout.listed_server(name)
+        )  # the address of its relay, through which others reach it
         return server
 
     async def execute(self) -> None:
-        """From the start of all processes to their end."""
+        """Runs the plan from the start of all processes to their exit."""
         try:
             limit = self.plan.seconds + OVERHEAD_S
             with trio.fail_after(limit), Processes(self.layout, self.now, self.events) as processes:
@@ -117,7 +119,7 @@
                 self.events.append(Lagged(self.now(), late))
 
     async def _start_surroundings(self, nursery: trio.Nursery) -> None:
-        """Servers, the platform's list, relays and the balancer's probes."""
+        """Starts the relays, the model servers, the platform's list and the balancer's probes."""
         for link_relay in self.link_relays:
             await nursery.start(link_relay.relay.run)
         for server in self.servers:
@@ -128,10 +130,10 @@
             nursery.start_soon(self.balancer.probe, name)
 
     async def _start(self, nursery: trio.Nursery) -> bool:
-        """Starts the system on empty disks and gives it a configuration; whether it became ready."""
+        """Starts the system on empty disks and sends it a configuration; returns whether it became ready."""
         await self._start_staggered(self.layout.machines)
         if not await self.changes.put_first(START_TIMEOUT_S):
-            self._record_stall(f"no configuration was acknowledged within {START_TIMEOUT_S:g} s of the start")
+            self._record_stall(f"no configuration acknowledged within {START_TIMEOUT_S:g} s of the start")
             return False
         if not await self._wait_until_ready(START_TIMEOUT_S):
             return False
@@ -141,7 +143,7 @@
         return True
 
     async def _start_staggered(self, names: list[str]) -> None:
-        """Starts machines in any order within ``START_APART``."""
+        """Starts machines in random order within ``START_SPREAD_S``."""
         order = self.random_source.sample(names, len(names))
         for name in order:
             self._write_settings(name)
@@ -152,20 +154,20 @@
         self.layout.write_settings(name, self.bootstrap, self.random_source)
 
     async def _wait_until_ready(self, within: float) -> bool:
-        """Waits until every router says that it is ready."""
+        """Waits until every router reports that it is ready; returns whether they did in time."""
         with trio.move_on_after(within):
             while not all(self.balancer.reported_ready.values()):
                 await trio.sleep(POLL_INTERVAL_S)
             return True
         late = [name for name, ready in self.balancer.reported_ready.items() if not ready]
-        self._record_stall(f"not ready within {within:g} s: {', '.join(late)}")
+        self._record_stall(f"routers not ready within {within:g} s: {', '.join(late)}")
         return False
 
     def _record_stall(self, what: str) -> None:
         self.events.append(Stalled(self.now(), what))
 
     async def _run_load(self) -> None:
-        """Clients, changes and troubles, then the end."""
+        """Runs the clients, the changes and the faults, then stops all processes."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._run_clients)
             async with trio.open_nursery() as applications:
@@ -179,7 +181,7 @@
             await self._stop_all()
 
     async def _change_and_inject(self) -> None:
-        """Changes and troubles, for the time of the plan."""
+        """Makes changes and injects the faults for the plan's duration."""
         async with trio.open_nursery() as changes:
             changes.start_soon(self.changes.run)
             async with trio.open_nursery() as faults:
@@ -190,25 +192,26 @@
             changes.cancel_scope.cancel()
 
     async def _wait_for_changes(self) -> None:
-        """Waits until so many changes were acknowledged that the run says something of them, however busy the machine
-        is; it is a stall if they don't come."""
+        """Waits until ``MIN_CHANGES`` are acknowledged, so that the run is meaningful even on a busy machine; records a
+        stall if they are not in time."""
         until = self.now() + CHANGES_TIMEOUT_S
         while self.changes.acknowledged_count < MIN_CHANGES:
             if self.now() > until:
                 self._record_stall(
-                    f"{self.changes.acknowledged_count} changes acknowledged {CHANGES_TIMEOUT_S:g} s after the troubles"
+                    f"{self.changes.acknowledged_count} of {MIN_CHANGES} changes acknowledged within the time limit"
                 )
                 return
             await trio.sleep(POLL_INTERVAL_S)
 
     async def _run_clients(self) -> None:
-        """Clients, until no router runs any more."""
+        """Runs the clients until no router runs any more."""
         with self.client_scope:
             await self.clients.run()
         self.events.append(LoadEnded(self.now()))
 
     async def _recover(self) -> None:
-        """All processes run again and are ready, and serve; the configuration is read back."""
+        """Starts all processes that do not run, waits until the routers are ready and serve, and reads the
+        configuration back."""
         restarted_at = self.now()
         for name in self.layout.machines:
             self.processes[name].start()
@@ -219,15 +222,15 @@
         self.events.append(ReadBack(self.now(), config))
 
     async def _read_back(self) -> None:
-        """The applications ask for all that was acknowledged to them."""
+        """The applications read back everything that was acknowledged to them."""
         for call in await self.applications.read_back():
-            self._record_stall(f"at the end no answer came to {call}")
+            self._record_stall(f"no answer to {call} while reading back at the end")
 
     async def _serve_until_recovered(self, until: float) -> None:
-        """Goes on with the load until so much of it is served as must be, or the time for that is up.
+        """Continues the load until the required fraction of it is served, or until the recovery timeout.
 
-        Being ready alone says less: servers may lack a version whose bound is over, and a new primary may give no order
-        yet.
+        Readiness alone is not enough: servers may lack a version whose time bound has passed, and a new primary may not
+        send orders yet.
         """
         while True:
             began = self.now()
@@ -237,7 +240,7 @@
         self.events.append(Recovered(began))
 
     async def _stop_all(self) -> None:
-        """Every process is told to stop, while clients go on until the last router has ended."""
+        """Stops every process; clients continue until the last router has exited."""
         async with trio.open_nursery() as cores:
             for name in self.layout.cores:
                 cores.start_soon(self._stop, name)
@@ -247,7 +250,7 @@
             self.client_scope.cancel()
 
     async def _stop(self, name: str) -> None:
-        """Tells a process to stop and waits for its end; one that is late is killed."""
+        """Sends SIGTERM to a process and waits for its exit; kills it if it does not exit in time."""
         process = self.processes[name]
         await process.wait_for_handler()
         life = process.life
@@ -259,7 +262,7 @@
         if process.life == life:
             process.kill()
 
-    # troubles ---------------------------------------------
+    # faults -----------------------------------------------
 
     async def _inject_fault(self, fault: Fault) -> None:
         await trio.sleep(fault.at)
@@ -278,7 +281,7 @@
         self.events.append(TroubleMet(injected_at, self.now(), fault.kind, machines, fault.links))
 
     def _affected_machines(self, fault: Fault) -> tuple[str, ...]:
-        """The machines that a trouble befalls: no signal reaches one whose process does not run."""
+        """The machines that a fault affects. A signal has no effect on a machine whose process does not run."""
         if fault.kind is FaultKind.WIPE:
             return fault.machines
         return tuple(name for name in fault.machines if self.processes[name].running)
@@ -305,7 +308,7 @@
         return self.processes[name].send(number)
 
     async def _signal_when_handled(self, name: str, number: signal.Signals) -> None:
-        """Signal a process once it heeds signals."""
+        """Sends a signal to a process once it has signal handlers."""
         await self.processes[name].wait_for_handler()
         self._send(name, number)
 
@@ -324,15 +327,15 @@
         self.processes[name].start()
 
     async def _roll(self, fault: Fault) -> None:
-        """One machine after another, whether the one before has ended or not; each second one is told to read its
-        settings again while it leaves, each third is told to stop a second time."""
+        """Stops and restarts one machine after another without waiting for the previous one. Every second machine also
+        gets SIGHUP during its shutdown, and every third a second SIGTERM."""
         async with trio.open_nursery() as nursery:
             for number, name in enumerate(fault.rounds * fault.machines):
                 nursery.start_soon(self._stop_and_restart_one, name, fault.lasts)
                 await trio.sleep(fault.gap)
                 if number % 2:
                     await self._signal_when_handled(name, signal.SIGHUP)
-                if number % 3 == 0:  # it may be the next life already that is told, so that it is started again too
+                if number % 3 == 0:  # restart it as well, as the signal may reach its next life
                     nursery.start_soon(self._stop_and_restart_one, name, fault.lasts)
 
     async def _reload(self, fault: Fault) -> None:
@@ -357,7 +360,7 @@
             await trio.sleep(fault.lasts)
 
     async def _wipe(self, fault: Fault) -> None:
-        """Every process is killed in one step of the soak's own process, and one disk is lost."""
+        """Kills all processes without yielding in between, deletes one data folder, and restarts them."""
         for process in self.processes.values():
             process.send(signal.SIGKILL)
         for process in self.processes.values():
@@ -370,7 +373,7 @@
 
 @contextmanager
 def dropping_answers(relays: list):
-    """Within it the relays drop all answers."""
+    """Makes the relays drop all answers within the ``with`` block."""
     for relay in relays:
         relay.answer_losses += 1
     try:
@@ -381,7 +384,7 @@
 
 
 async def execute_plan(plan: Plan, folder: Path, net: str) -> list[Fact]:
-    """Plays a plan and gives what was recorded."""
+    """Runs a plan and returns the recorded events."""
     run = Run(plan, folder, net)
     await run.execute()
     return run.events
--- a/rowanshift/soak/versions.py
+++ b/rowanshift/soak/versions.py
@@ -1,8 +1,8 @@
-"""Whether requests began on older weights than their bound allows: VERSION, over the records of a soak run.
+"""The rule VERSION over the recorded events of a soak run: no request begins on older weights than its bound allows.
 
-The bound counts in calm stretches alone: no core machine, no link and no server was in trouble, nor up to ``CONTACT``
-before, and the soak's own process was in time. Requests of a router that was told to stop, killed or paused don't count
-from then until ``CONTACT`` after it is back.
+The bound applies only in undisturbed intervals, in which no fault affected a core machine, a link or a server, nor
+within ``CONTACT`` before, and in which the soak process itself was not delayed. Requests of a router that was stopped,
+killed, paused or reloaded do not count from then until ``CONTACT`` after the fault is over.
 """
 
 from collections import defaultdict
@@ -14,11 +14,12 @@
 from rowanshift.soak.plan import CORE_NAME_PREFIX, FaultKind
 from rowanshift.soak.records import Lagged, LoadEnded, ProcessStarted, TroubleMet
 
-Intervals = list[tuple[float, float]]  # seconds, from and to
+Intervals = list[tuple[float, float]]  # start and end in seconds
 
 
 def undisturbed_intervals(events: Facts) -> Intervals:
-    """The stretches of the load in which nothing but routers was in trouble, for ``CONTACT`` at least."""
+    """The intervals of the load in which faults affected routers at most. Each begins ``CONTACT`` after any other
+    fault or the start of a core machine's process."""
     disturbed = [(fault.at, fault.until + CONTACT) for fault in of_kind(events, TroubleMet) if _disturbs(fault)]
     disturbed += [(one.at - one.seconds, one.at) for one in of_kind(events, Lagged)]
     disturbed += [(one.at, one.at + CONTACT) for one in of_kind(events, ProcessStarted) if _is_core(one.machine)]
@@ -41,8 +42,8 @@
 
 
 def version_violations(events: Facts) -> list[Breach]:
-    """VERSION: a request that a router in touch passed on began on an older version, in a calm stretch that has lasted
-    for the bound since a newer one was acknowledged, or once such stretches add up to the bound of their sum."""
+    """VERSION: a request forwarded by a reachable router began on an older version although a newer one had been
+    acknowledged for the bound within one undisturbed interval, or for the bound of their sum over several."""
     undisturbed = undisturbed_intervals(events)
     found = [*version_in_one_stretch(events, VERSION, undisturbed), *version_sums(events, VERSION_ALL, undisturbed)]
     asked = by_id(events, Asked)
@@ -57,7 +58,7 @@
 
 
 def _unreachable_intervals(events: Facts) -> dict[str, Intervals]:
-    """When each machine was not in touch, by its own troubles and starts."""
+    """The intervals in which each machine counts as unreachable because of its own faults and starts."""
     intervals: dict[str, Intervals] = defaultdict(list)
     for fault in of_kind(events, TroubleMet):
         for machine in fault.machines:
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak: its plan, relay, records, checker and command, and its short form with real processes."""
+"""Tests of the soak: its plan, relay, recorded events, checker and command, and short runs with real processes."""
 
 import itertools
 import os
@@ -54,8 +54,8 @@
 from rowanshift.transport.streams import connect, send_all
 
 ROOT = Path(__file__).parents[2]
-CI_SEEDS = 1, 2, 4, 5, 15  # played in CI
-DRAWN_SEEDS = range(60)  # that are drawn without being played
+CI_SEEDS = 1, 2, 4, 5, 15  # whose short runs are executed in CI
+DRAWN_SEEDS = range(60)  # whose plans are drawn but not run
 
 
 class Plans(unittest.TestCase):
@@ -63,7 +63,7 @@
         self.assertEqual(plan.draw(3, 30.0), plan.draw(3, 30.0))
         self.assertNotEqual(plan.draw(3, 30.0).troubles, plan.draw(4, 30.0).troubles)
 
-    def test_what_is_drawn(self) -> None:
+    def test_drawn_plans_cover_all_kinds_links_and_directions(self) -> None:
         plans = [plan.draw(seed, 60.0) for seed in DRAWN_SEEDS]
         for drawn in plans:
             self.assertIn(drawn.routers, (4, 5, 6))
@@ -77,19 +77,19 @@
         directions = {one.direction for drawn in plans for one in drawn.troubles if one.kind is FaultKind.CUT}
         self.assertEqual(directions, {*Direction})
 
-    def test_what_is_played_in_ci(self) -> None:
-        """Signals in series: routers three times round, core machines, and all processes killed with a disk lost."""
+    def test_plans_of_the_ci_seeds_cover_rolls_and_wipes(self) -> None:
+        """Rolls over three routers in three rounds, rolls over core machines, and a wipe of a core machine's disk."""
         faults = [one for seed in CI_SEEDS for one in plan.draw_short(seed).troubles]
         rolls = [one for one in faults if one.kind is FaultKind.ROLL]
         self.assertTrue(any(one.rounds == 3 and len(one.machines) == 3 for one in rolls))
         self.assertTrue(any("core-2" in one.machines for one in rolls))
         self.assertLessEqual({"kill", "pause", "stop", "roll", "reload", "wipe"}, {str(one.kind) for one in faults})
 
-    def test_a_plan_in_a_file(self) -> None:
+    def test_a_plan_survives_encoding_and_decoding(self) -> None:
         drawn = plan.draw(5, 20.0)
         self.assertEqual(plan.from_json(plan.to_json(drawn)), drawn)
 
-    def test_plans_that_can_not_be_played(self) -> None:
+    def test_invalid_plans_are_rejected(self) -> None:
         drawn = plan.draw_short(1)
         wipe = Fault(FaultKind.WIPE, 1.0, 0.5, ("core-1",))
         for changes, why in (
@@ -128,7 +128,7 @@
 
 
 class Layouts(unittest.TestCase):
-    def test_each_listener_has_an_address_of_its_own(self) -> None:
+    def test_no_two_listeners_share_an_address(self) -> None:
         drawn = replace_fields(plan.draw_short(1), routers=plan.MAX_ROUTERS, troubles=())
         layout = Layout(drawn, Path("/none"), "127.92.9.")
         link_relays = [*layout.link_relays(SYSTEM_RUNTIME)]
@@ -150,7 +150,8 @@
 
 class Signals(unittest.TestCase):
     def handled_before_and_after(self, code: str, age: float) -> tuple[bool, bool]:
-        """Whether a process that is so old heeds SIGTERM before and after the soak has waited for that."""
+        """Whether a process that was started ``age`` seconds ago handles SIGTERM before and after the soak has waited
+        for its handler."""
         layout = Layout(plan.draw_short(1), Path("/none"), "127.92.9.")
 
         async def main() -> tuple[bool, bool]:
@@ -167,17 +168,17 @@
             finally:
                 child.kill()
 
-    def test_none_comes_before_the_program_heeds_it(self) -> None:
+    def test_a_signal_waits_for_its_handler(self) -> None:
         self.assertEqual(self.handled_before_and_after(HANDLES_LATE, 0.0), (False, True))
 
-    def test_one_that_never_heeds_it_is_not_waited_for_without_end(self) -> None:
+    def test_the_wait_for_a_handler_times_out(self) -> None:
         self.assertEqual(self.handled_before_and_after(HANDLES_NEVER, HANDLER_TIMEOUT_S - 0.1), (False, False))
 
-    def test_one_that_is_over_is_not_waited_for(self) -> None:
+    def test_an_ended_process_is_not_waited_for(self) -> None:
         self.assertEqual(self.handled_before_and_after("", 0.0)[1], True)
 
-    def test_the_program_heeds_them_before_its_imports(self) -> None:
-        """Between its first line and the package's there is only the standard library."""
+    def test_the_program_installs_handlers_before_other_imports(self) -> None:
+        """Only modules of the standard library are imported before the SIGTERM handler is installed."""
         lines = (ROOT / "rowanshift.py").read_text().splitlines()
         handler_line = next(n for n, line in enumerate(lines) if "signal.signal(signal.SIGTERM" in line)
         imported = [n for n, line in enumerate(lines) if line.strip().startswith(("import ", "from "))]
@@ -188,7 +189,7 @@
 
 
 class Echo:
-    """Sends back what comes in, and keeps it."""
+    """A server that sends received data back and keeps a copy."""
 
     def __init__(self, address):
         self.address, self.received = address, b""
@@ -206,11 +207,11 @@
 
 class Relays(unittest.TestCase):
     def setUp(self) -> None:
-        """Addresses that tests in other processes do not have."""
+        """Chooses addresses that tests in other processes do not use."""
         self.port = 9301
         self.listen, self.target, self.unused = ((f"{command.own_net()}{last}", self.port) for last in (1, 2, 3))
 
-    def play(self, main) -> None:
+    def run_relay(self, main) -> None:
         async def run():
             echo, relay = Echo(self.target), Relay(SYSTEM_RUNTIME, self.listen, self.target)
             with trio.fail_after(10):
@@ -233,14 +234,14 @@
 
     @staticmethod
     async def receive(stream, within: float = 0.3) -> bytes | None:
-        """What comes next; none: nothing within the time."""
+        """The next data received; ``None`` if there is none within the time."""
         buffer = memoryview(bytearray(1 << 16))
         with trio.move_on_after(within):
             await stream.wait_readable()
             return bytes(buffer[: stream.recv_into(buffer)])
         return None
 
-    def test_it_passes_both_ways_and_the_end(self) -> None:
+    def test_data_and_end_of_stream_are_forwarded(self) -> None:
         async def main(relay, echo):
             async with self.caller() as stream:
                 await send_all(stream, b"hello")
@@ -250,9 +251,9 @@
             await trio.sleep(0.05)
             self.assertEqual(relay.open_connections, 0)
 
-        self.play(main)
+        self.run_relay(main)
 
-    def test_a_cut_towards_the_target_holds_the_question(self) -> None:
+    def test_a_cut_towards_the_target_holds_the_request(self) -> None:
         async def main(relay, echo):
             async with self.caller() as stream:
                 await send_all(stream, b"1")
@@ -264,9 +265,9 @@
                 relay.restore(Direction.TOWARDS)
                 self.assertEqual(await self.receive(stream), b"2")
 
-        self.play(main)
+        self.run_relay(main)
 
-    def test_a_cut_on_the_way_back_holds_the_answer(self) -> None:
+    def test_a_cut_back_to_the_caller_holds_the_answer(self) -> None:
         async def main(relay, echo):
             async with self.caller() as stream:
                 await send_all(stream, b"1")
@@ -278,9 +279,9 @@
                 relay.restore(Direction.BACK)
                 self.assertEqual(await self.receive(stream), b"2")
 
-        self.play(main)
+        self.run_relay(main)
 
-    def test_two_cuts_at_once_end_with_the_last(self) -> None:
+    def test_overlapping_cuts_last_until_both_are_restored(self) -> None:
         async def main(relay, echo):
             relay.cut(Direction.BOTH)
             relay.cut(Direction.TOWARDS)
@@ -292,9 +293,9 @@
                 relay.restore(Direction.TOWARDS)
                 self.assertEqual(await self.receive(stream), b"1")
 
-        self.play(main)
+        self.run_relay(main)
 
-    def test_an_answer_is_lost_after_the_question_came(self) -> None:
+    def test_an_answer_is_lost_after_the_request_arrived(self) -> None:
         async def main(relay, echo):
             async with self.caller() as stream:
                 relay.answer_losses += 1
@@ -306,18 +307,18 @@
                 await send_all(stream, b"2")
                 self.assertEqual(await self.receive(stream), b"2")
 
-        self.play(main)
+        self.run_relay(main)
 
-    def test_nobody_listens_behind_it(self) -> None:
+    def test_connections_to_a_closed_target_are_reset(self) -> None:
         async def main(relay, echo):
             relay.target = self.unused
             async with self.caller() as stream:
                 with self.assertRaises(OSError):
                     self.assertEqual(await self.receive(stream, 2.0), b"an error")
 
-        self.play(main)
+        self.run_relay(main)
 
-    def test_datagrams(self) -> None:
+    def test_datagrams_are_forwarded_and_dropped_during_a_cut(self) -> None:
         caller, target = self.listen, (self.target[0], self.port + 1)
         relay_address = self.target
 
@@ -334,8 +335,8 @@
                     await ports[1].send(b"lost", sender)
                     await trio.sleep(0.05)
                     relay.restore(Direction.BACK)
-                    await ports[1].send(b"told", sender)
-                    self.assertEqual((await ports[0].receive(100))[0], b"told")
+                    await ports[1].send(b"answer", sender)
+                    self.assertEqual((await ports[0].receive(100))[0], b"answer")
                     nursery.cancel_scope.cancel()
             for port in ports:
                 port.close()
@@ -350,7 +351,7 @@
 
 
 def router_events(code: int = 0, took: float = 3.0) -> list:
-    """A router's life, told to stop at 20 s, and a configuration that is there at the end."""
+    """The events of a router that gets SIGTERM at 20 s, and of a configuration that is read back at the end."""
     return [
         ProcessStarted(0.0, "router-1", 1, "router-1.1.log", FRONT),
         ConfigSent(1.0, "op-1", 0, 1, CONFIG),
@@ -362,7 +363,7 @@
 
 
 def request_events(at: float = 10.0, id: str = "r1", within: float = 6.0, repeatable: bool = False) -> list:
-    """A request that reached a server, which began to work on it."""
+    """The events of a request that reached a server, which began to process it."""
     asked = Asked(at, id, "h", "POST", "/x", b"{}", front=FRONT, within=within, repeatable=repeatable)
     return [
         asked,
@@ -375,15 +376,16 @@
     return Answered(at, id, 200, f"seal-{id}", id, whole=False)
 
 
-class SecondSignals(unittest.TestCase):
-    """A roll tells each third machine to stop a second time. Where that signal met the machine's next life, nobody
-    started it again: a core machine stayed down to the end of the run, and with another's disk lost none was primary.
+class RepeatedSigterm(unittest.TestCase):
+    """A roll sends every third machine a second SIGTERM. When that signal reached the machine's next life, nothing
+    restarted it: a core machine stayed down until the end of the run, and with another one's disk lost there was no
+    primary.
 
         core-3 life 4 started at 26.921 s, SIGTERM at 27.001 s, ended with 0 at 27.015 s; not ready within 12 s
     """
 
     class ImmediateExitProcess(Process):
-        """A process that ends at once when it is told to, and takes a while to heed signals."""
+        """A process that exits at once on SIGTERM, and needs some time to install its signal handlers."""
 
         def start(self) -> None:
             if self.popen is None:
@@ -400,7 +402,7 @@
                 self.ended.set()
             return True
 
-    def test_a_machine_that_is_told_twice_runs_again(self) -> None:
+    def test_a_machine_that_gets_sigterm_twice_is_restarted(self) -> None:
         async def main() -> list[str]:
             run = Run(plan.draw_short(1), Path("unused"), "127.92.9.")
             names = run.layout.cores
@@ -413,11 +415,12 @@
         self.assertEqual(trio.run(main, clock=MockClock(autojump_threshold=0.0)), [])
 
 
-class ServingOn(unittest.TestCase):
-    """How long the load goes on once all is ready again."""
+class LoadAfterRecovery(unittest.TestCase):
+    """How long the load continues once all routers are ready again."""
 
-    def began(self, answered_from: float) -> float:
-        """When the last stretch of load begins, in seconds from the return, if requests are answered from then on."""
+    def last_stretch_start(self, answered_from: float) -> float:
+        """When the last stretch of load begins if requests are answered from ``answered_from`` on; both in seconds
+        since the routers are ready again."""
 
         async def main() -> float:
             run = Run(plan.draw_short(1), self.folder, "127.92.9.")
@@ -440,14 +443,14 @@
     def setUp(self) -> None:
         self.folder = Path(self.enterContext(tempfile.TemporaryDirectory()))
 
-    def test_one_stretch_where_it_is_served_at_once(self) -> None:
-        self.assertEqual(self.began(0.0), 0.0)
+    def test_one_stretch_if_requests_are_served_at_once(self) -> None:
+        self.assertEqual(self.last_stretch_start(0.0), 0.0)
 
-    def test_until_it_is_served(self) -> None:
-        self.assertAlmostEqual(self.began(3 * SERVE_STRETCH_S - 0.01), 3 * SERVE_STRETCH_S)
+    def test_stretches_repeat_until_requests_are_served(self) -> None:
+        self.assertAlmostEqual(self.last_stretch_start(3 * SERVE_STRETCH_S - 0.01), 3 * SERVE_STRETCH_S)
 
-    def test_no_longer_than_a_recovery_may_take(self) -> None:
-        self.assertAlmostEqual(self.began(100.0), RECOVERY_TIMEOUT_S - SERVE_STRETCH_S)
+    def test_stretches_end_at_the_recovery_timeout(self) -> None:
+        self.assertAlmostEqual(self.last_stretch_start(100.0), RECOVERY_TIMEOUT_S - SERVE_STRETCH_S)
 
 
 class Checks(unittest.TestCase):
@@ -457,20 +460,19 @@
         self.folder = Path(folder.name)
 
     def violated_rules(self, events: list) -> list[str]:
-        """The rules that are broken. Configurations of these facts have no routes, so that rules on routes are
-        not asked."""
+        """The violated rules, without ROUTE and CONFIG, as the configurations of these events have no routes."""
         found = checker.check(events, self.folder)
         return [violation.rule for violation in found if violation.rule not in ("ROUTE", "CONFIG")]
 
-    def assert_no_violation(self, *more) -> None:
-        self.assertEqual(self.violated_rules([*router_events(), *more]), [])
+    def assert_no_violation(self, *extra_events) -> None:
+        self.assertEqual(self.violated_rules([*router_events(), *extra_events]), [])
 
-    def assert_violation(self, rule: str, *more) -> None:
-        self.assertEqual(self.violated_rules([*router_events(), *more]), [rule])
+    def assert_violation(self, rule: str, *extra_events) -> None:
+        self.assertEqual(self.violated_rules([*router_events(), *extra_events]), [rule])
 
     # processes
 
-    def test_a_calm_run(self) -> None:
+    def test_a_run_without_faults_has_no_violation(self) -> None:
         complete_answer = Answered(10.5, "r1", 200, "seal-r1", "r1")
         self.assert_no_violation(*request_events(), Finished(10.5, "r1", "run-r1", "done"), complete_answer)
 
@@ -483,11 +485,11 @@
         self.assertEqual(self.violated_rules(router_events(took=GRACE_S + 0.5)), ["EXIT"])
         self.assertEqual(self.violated_rules(router_events()[:-1]), ["EXIT"])
 
-    def test_what_excuses_an_end_after_sigterm(self) -> None:
+    def test_kills_and_pauses_explain_an_exit_after_sigterm(self) -> None:
         killed = ProcessSignalled(22.9, "router-1", 1, "SIGKILL")
         self.assertEqual(self.violated_rules([*router_events(-9), killed]), [])
         self.assertEqual(self.violated_rules([*router_events(1), killed]), ["EXIT"])
-        late = ProcessSignalled(29.0, "router-1", 1, "SIGKILL")  # the soak's own, after the grace
+        late = ProcessSignalled(29.0, "router-1", 1, "SIGKILL")  # sent by the soak after the grace
         self.assertEqual(self.violated_rules([*router_events(-9, 9.1), late]), ["EXIT"])
         paused = [ProcessSignalled(21.0, "router-1", 1, "SIGSTOP"), ProcessSignalled(24.0, "router-1", 1, "SIGCONT")]
         self.assertEqual(self.violated_rules([*router_events(0, 10.0), *paused]), [])
@@ -496,16 +498,16 @@
         before = [replace(one, at=one.at - 10) for one in paused]
         self.assertEqual(self.violated_rules([*router_events(0, 10.0), *before]), ["EXIT"])
 
-    def test_a_process_that_ends_by_itself(self) -> None:
+    def test_an_exit_without_a_signal(self) -> None:
         ended = [ProcessStarted(0.0, "core-1", 1, "core-1.1.log"), ProcessEnded(5.0, "core-1", 1, 0)]
         self.assert_violation("OWN END", *ended)
         self.assert_violation("OWN END", *ended[:1], replace(ended[1], code=-11))
-        self.assert_violation("OWN END", *ended[:1], replace(ended[1], code=-9))  # nobody here killed it
+        self.assert_violation("OWN END", *ended[:1], replace(ended[1], code=-9))  # without a recorded SIGKILL
         kill = ProcessSignalled(4.99, "core-1", 1, "SIGKILL")
         self.assert_no_violation(ended[0], kill, replace(ended[1], code=-9))
         self.assert_violation("OWN END", ended[0], kill, replace(ended[1], code=1))
 
-    def test_logs(self) -> None:
+    def test_tracebacks_and_reported_violations_in_logs(self) -> None:
         log = self.folder / "router-1.1.log"
         log.write_text("12:00 level=INFO event=stopped counts=1\n")
         self.assert_no_violation()
@@ -535,7 +537,7 @@
         self.assert_no_violation(sent[0], unclear)
         self.assert_no_violation(sent[0], unclear, ReadBack(19.5, newer))
 
-    def test_an_old_configuration_that_is_read_between(self) -> None:
+    def test_a_stale_read_of_the_configuration(self) -> None:
         newer = CONFIG | {"revision": 2}
         events = [
             *router_events(),
@@ -556,12 +558,12 @@
         self.assert_violation("CUT", *request_events(), Lost(10.05, "r1", "closed"))
         asked = request_events()[:1]
         self.assert_violation("CUT", *asked, Lost(10.5, "r1", "closed"))
-        self.assert_no_violation(*asked, Lost(10.1, "r1", "closed"))  # it crossed the close
-        self.assert_no_violation(*asked, Lost(10.5, "r1", "closed"), Lagged(10.45, 0.4))  # the soak itself was late
+        self.assert_no_violation(*asked, Lost(10.1, "r1", "closed"))  # the close may have preceded the arrival
+        self.assert_no_violation(*asked, Lost(10.5, "r1", "closed"), Lagged(10.45, 0.4))  # the soak process was delayed
         self.assert_no_violation(*asked, Lost(10.5, "r1", "no way"))
         self.assert_no_violation(*asked, Lost(13.0, "r1", "left"))
 
-    def test_a_request_counts_as_read_where_a_router_says_so(self) -> None:
+    def test_a_request_counts_as_read_if_a_router_logged_it(self) -> None:
         log = self.folder / next(
             event.log for event in router_events() if isinstance(event, ProcessStarted) and event.front
         )
@@ -570,7 +572,7 @@
             log.write_text(text)
             self.assertEqual(self.violated_rules(lost), found)
         passed_on = [*router_events(), *request_events(), Lost(10.5, "r1", "closed")]
-        self.assertEqual(self.violated_rules(passed_on), ["CUT"])  # a server got it, so that it was read
+        self.assertEqual(self.violated_rules(passed_on), ["CUT"])  # a server received it, so a router had read it
 
     def test_cuts_around_sigterm(self) -> None:
         sigterm_at = 20.0
@@ -587,7 +589,9 @@
             *request_events(sigterm_at + 2.9, within=60.0),
             truncated_answer(sigterm_at + 7.3),
         ]
-        self.assertEqual(self.violated_rules(events), [])  # a server at work in the last sixth, sent within 3 s
+        self.assertEqual(
+            self.violated_rules(events), []
+        )  # a server processed it in the last sixth of the grace; sent within 3 s
         ended = Finished(sigterm_at + 6.5, "r1", "run-r1", "done")
         self.assertEqual(self.violated_rules([*events, ended]), ["CUT"])
         events = [
@@ -597,12 +601,12 @@
         ]
         self.assertEqual(self.violated_rules(events), ["CUT"])
 
-    def test_a_request_that_a_process_could_not_read_any_more(self) -> None:
+    def test_a_request_that_arrives_when_the_process_no_longer_reads(self) -> None:
         sigterm_at, ended_at = 20.0, 27.4
         for sent, cut, found in (
-            (ended_at - 0.6, ended_at + 0.3, []),  # it came as the process closed its sockets
+            (ended_at - 0.6, ended_at + 0.3, []),  # arrived while the process closed its sockets
             (ended_at - 0.8, ended_at + 0.3, ["CUT"]),
-            (ended_at + 0.1, ended_at + 0.6, []),  # nothing listened there
+            (ended_at + 0.1, ended_at + 0.6, []),  # no process listened
             (sigterm_at + 1.0, sigterm_at + 1.3, ["CUT"]),
         ):
             with self.subTest(sent=sent, cut=cut):
@@ -613,12 +617,12 @@
                 ]
                 self.assertEqual(self.violated_rules(events), found)
 
-    def test_a_second_sigterm_gives_no_more_grace(self) -> None:
+    def test_a_second_sigterm_does_not_extend_the_grace(self) -> None:
         again = ProcessSignalled(21.0, "router-1", 1, "SIGTERM")
         events = [*router_events(took=8.0), again, *request_events(23.5, within=60.0), truncated_answer(27.8)]
         self.assertEqual(self.violated_rules(events), ["CUT"])
 
-    def test_what_excuses_a_cut(self) -> None:
+    def test_deadlines_server_failures_and_unplanned_faults_explain_a_cut(self) -> None:
         cut = [*request_events(), truncated_answer(10.5)]
         self.assert_no_violation(*request_events(within=0.4), truncated_answer(10.5))
         self.assert_no_violation(*cut, Finished(10.4, "r1", "run-r1", "crash"))
@@ -636,7 +640,7 @@
         for kind in (FaultKind.STOP, FaultKind.RELOAD):
             self.assert_violation("CUT", *cut, TroubleMet(9.0, 11.0, kind, ("router-1",)))
 
-    def test_a_request_that_runs_twice(self) -> None:
+    def test_a_request_that_is_executed_twice(self) -> None:
         complete_answer = Answered(10.5, "r1", 200, "seal-r1", "r1")
         asked, reached, began = request_events()
         again = replace(began, run="run-2", at=10.3, instance="server-2")
@@ -653,10 +657,10 @@
             "MIXED", *request_events(), Piece(10.2, "r1", 0, 4, "other", "run-r1", True), complete_answer
         )
 
-    def test_a_run_that_does_not_come_so_far(self) -> None:
+    def test_a_stalled_run(self) -> None:
         self.assert_violation("STALLED", Stalled(5.0, "not ready"))
 
-    def test_a_system_that_does_not_serve_again(self) -> None:
+    def test_a_system_that_does_not_serve_after_its_recovery(self) -> None:
         end = Lost(19.0, "r1", "no way")
         self.assert_violation("RECOVER", Recovered(17.0), ReadBack(19.2, CONFIG), *request_events(18.0)[:1], end)
         complete_answer = Answered(18.5, "r1", 200, "seal-r1", "r1")
@@ -664,7 +668,7 @@
 
     # records
 
-    def test_records_as_they_are_written_and_read(self) -> None:
+    def test_events_survive_writing_and_reading(self) -> None:
         events = [
             *router_events(),
             *request_events(),
@@ -696,7 +700,7 @@
         self.addCleanup(folder.cleanup)
         self.folder = Path(folder.name)
 
-    def test_input_that_can_not_be_used(self) -> None:
+    def test_unusable_arguments_exit_with_2(self) -> None:
         bad = self.folder / "bad.json"
         bad.write_text("{}")
         for arguments in (
@@ -714,7 +718,7 @@
             with self.subTest(arguments=arguments):
                 self.assertEqual(run_soak(*arguments), 2)
 
-    def test_an_address_that_is_taken(self) -> None:
+    def test_an_address_in_use_exits_with_2(self) -> None:
         drawn = plan.draw_short(1)
         net = command.own_net()
         address = Layout(drawn, self.folder, net).front("router-1")
@@ -723,7 +727,7 @@
             taken.listen()
             self.assertEqual(run_soak("--short", "--net", net, "--found", self.folder / "found"), 2)
 
-    def test_a_failing_run_is_kept(self) -> None:
+    def test_the_files_of_a_failing_run_are_kept(self) -> None:
         found, plan_file = self.folder / "found", self.folder / "plan.json"
         drawn = replace_fields(plan.draw_short(1), seconds=3.0, troubles=())
         plan_file.write_bytes(plan.to_json(drawn))
@@ -770,7 +774,7 @@
 
 
 @pytest.mark.parametrize("number", [signal.SIGINT, signal.SIGTERM, signal.SIGKILL])
-def test_nothing_is_left_running(number: signal.Signals, tmp_path: Path) -> None:
+def test_no_process_survives_the_soak(number: signal.Signals, tmp_path: Path) -> None:
     arguments = ["--short", "--found", tmp_path]
     with subprocess.Popen(
         [sys.executable, "-m", "rowanshift", "soak", *arguments],
@@ -794,8 +798,8 @@
     assert [pid for pid in started if alive(pid)] == []
 
 
-def test_a_process_whose_parent_ended_before_it_asked_for_its_end_ends_at_once(tmp_path: Path) -> None:
-    """The parent is killed between the fork and the child's request to the kernel."""
+def test_a_process_whose_parent_ended_before_the_death_signal_was_set_exits_at_once(tmp_path: Path) -> None:
+    """The parent ends between the fork and the child's call of prctl."""
     program = (
         "import os, time\n"
         "from rowanshift.soak import processes\n"
@@ -820,7 +824,7 @@
 
 @pytest.mark.parametrize("seed", CI_SEEDS)
 def test_the_short_form(seed: int, capsys: pytest.CaptureFixture) -> None:
-    """All that the processes promise, under the troubles of these seeds. A failure is kept under ``found/``."""
+    """No guarantee is violated under the faults of these seeds. The files of a failing run are kept in ``found/``."""
     code = command.soak([plan.draw_short(seed)], command.own_net(), ROOT / "found")
     output, errors = capsys.readouterr()
     assert code == 0, output + errors
--- a/tests/soak/test_soak_versions.py
+++ b/tests/soak/test_soak_versions.py
@@ -1,4 +1,4 @@
-"""The soak's check of VERSION: what it counts, what it leaves out, and a planted fault that it finds."""
+"""The soak's check of the rule VERSION: what it counts, what it leaves out, and an injected bug that it detects."""
 
 import unittest
 from unittest import mock
@@ -29,22 +29,22 @@
 
 
 def request_events(at: float, revision: int = 1) -> list:
-    """A request by the router that begins at once on weights of a version."""
+    """The events of a request that begins immediately on the weights of a version."""
     name = f"r{at}"
     asked = Asked(at, name, "h", "POST", "/once/x", b"", front=FRONT)
     return [asked, Began(at, name, "i", "s", f"run-{name}", "", "h", "POST", "/", b"", model=MODEL, revision=revision)]
 
 
-class Check(unittest.TestCase):
+class VersionRule(unittest.TestCase):
     def violation_count(self, *events) -> int:
         return len(versions.version_violations([STARTED, NAMED, LoadEnded(60.0), *events]))
 
-    def test_the_bound(self) -> None:
+    def test_older_weights_violate_the_rule_after_the_bound(self) -> None:
         self.assertEqual(self.violation_count(*request_events(10.0 + VERSION - 0.1)), 0)
         self.assertEqual(self.violation_count(*request_events(10.0 + VERSION + 0.1)), 1)
         self.assertEqual(self.violation_count(*request_events(10.0 + VERSION + 0.1, revision=2)), 0)
 
-    def test_trouble_of_the_core_or_of_a_link_begins_it_anew(self) -> None:
+    def test_a_fault_of_the_core_or_of_a_link_restarts_the_bound(self) -> None:
         late = request_events(10.0 + VERSION + 2.0)
         for fault in (
             TroubleMet(11.0, 11.5, FaultKind.KILL, ("core-2",)),
@@ -57,16 +57,16 @@
             self.assertEqual(self.violation_count(fault, *late), 0, fault)
             self.assertEqual(self.violation_count(fault, *request_events(15.0 + VERSION + CONTACT)), 1, fault)
 
-    def test_a_router_out_of_touch_is_excused_and_no_other(self) -> None:
+    def test_only_requests_of_unreachable_routers_are_exempt(self) -> None:
         late = request_events(10.0 + VERSION + 4.0)
         self.assertEqual(self.violation_count(TroubleMet(20.0, 20.5, FaultKind.PAUSE, ("router-1",)), *late), 0)
         self.assertEqual(self.violation_count(TroubleMet(18.0, 18.5, FaultKind.PAUSE, ("router-1",)), *late), 1)
         self.assertEqual(self.violation_count(TroubleMet(20.0, 20.5, FaultKind.PAUSE, ("router-2",)), *late), 1)
         self.assertEqual(self.violation_count(ProcessStarted(20.0, "router-1", 2, "l", FRONT), *late), 0)
 
-    def test_stretches_add_up(self) -> None:
+    def test_undisturbed_intervals_add_up(self) -> None:
         faults = [TroubleMet(at, at + 0.1, FaultKind.KILL, ("core-1",)) for at in (16.0, 25.0, 34.0)]
-        second_interval_at = 16.0 + 0.1 + CONTACT  # 6 s were calm before the first
+        second_interval_at = 16.0 + 0.1 + CONTACT  # 6 s were undisturbed before the first fault
         self.assertEqual(
             self.violation_count(*faults, *request_events(second_interval_at + VERSION_ALL - 6.0 - 0.1)), 0
         )
@@ -76,7 +76,7 @@
 
 
 class PlantedFault(unittest.TestCase):
-    """No server is ordered to load, and routers take any weights."""
+    """No server is ordered to load new weights, and routers accept servers with any weights."""
 
     def found(self, **planted) -> set[str]:
         async def main(fleet: Fleet) -> None:
@@ -90,14 +90,14 @@
         started = [ProcessStarted(0.0, "router-1", 1, "router-1.1.log", unit.front) for unit in fleet.routers]
         return {violation.rule for violation in versions.version_violations([*started, *fleet.facts])}
 
-    def test_it_is_found(self) -> None:
+    def test_the_planted_fault_is_detected(self) -> None:
         with mock.patch.object(ControlCache, "required_version", lambda cache, model, now: 0):
             self.assertEqual(self.found(), {"VERSION"})
         self.assertEqual(self.found(), set())
 
 
 class Plans(unittest.TestCase):
-    def test_a_long_run_has_a_calm_that_outlasts_the_bounds(self) -> None:
+    def test_the_fault_free_window_of_a_long_run_outlasts_the_bounds(self) -> None:
         self.assertGreater(plan.FAULT_FREE_S, CONTACT + VERSION_ALL)
         for seed in range(50):
             since, until = plan.fault_free_window(seed, 60.0)
@@ -105,7 +105,7 @@
             self.assertFalse([one for one in drawn.troubles if one.at <= until and one.until >= since])
             self.assertTrue(drawn.troubles)
 
-    def test_a_short_one_has_none(self) -> None:
+    def test_a_short_run_has_no_fault_free_window(self) -> None:
         self.assertIsNone(plan.fault_free_window(1, plan.FAULT_FREE_MIN_RUN_S - 0.1))
 
 
