--- a/rowanshift/soak/checker.py
+++ b/rowanshift/soak/checker.py
@@ -297,7 +297,7 @@
         return f"{router}: {outcome}, {destination}, {signalled}"
 
 
-# all --------------------------------------------------------
+# the whole run ---------------------------------------------
 
 
 def stall_violations(events: Facts) -> list[Breach]:
