--- a/rowanshift/soak/relay.py
+++ b/rowanshift/soak/relay.py
@@ -1,12 +1,12 @@
-"""A TCP relay, and one for datagrams, that stand between two parts of the system and cut the link between them.
+"""A TCP relay and a datagram relay between two parts of the system, which can cut the link between them.
 
-While a direction is held, its bytes stay where they are and go on afterwards, as TCP brings them after a cut; new
+While a direction is held, its bytes are kept and forwarded afterwards, as TCP retransmits them after a real cut. New
 connections wait at the relay until no direction is held. While answers are lost, the first bytes of each answer are
 dropped and its connection is closed.
 
-What it can't do: to a caller a connection comes up also during a cut, because the system's own backlog takes it; a
-target that does not listen shows as a reset after the connection came up, not as one refused; bytes already handed to
-the target's socket arrive during a cut; packets are neither lost, reordered nor delayed.
+Limits: a caller's connection is established even during a cut, because the kernel's backlog accepts it. A target that
+does not listen appears as a reset of an established connection rather than a refused one. Bytes already written to the
+target's socket arrive during a cut. Packets are never lost, reordered or delayed.
 """
 
 from contextlib import suppress
@@ -18,14 +18,14 @@
 from rowanshift.transport.streams import Address, Stream, accepted, connect, send_all
 
 BACKLOG = 128
-MOST_CONNECTIONS = 512  # of a relay at once; more are reset
-DIAL_WITHIN = 1.0  # seconds
-CHUNK = 65536  # bytes
-DATAGRAM = 2048  # bytes
+MAX_CONNECTIONS = 512  # open at a time per relay; further ones are reset
+DIAL_TIMEOUT_S = 1.0
+CHUNK_BYTES = 65536
+MAX_DATAGRAM_BYTES = 2048
 
 
 class Gate:
-    """Whether bytes may pass; held by as many as have said so and not taken it back."""
+    """Blocks one direction of a link for as long as at least one holder has not released it."""
 
     def __init__(self) -> None:
         self.holders = 0
@@ -33,37 +33,37 @@
         self.opened.set()
 
     def hold(self) -> None:
-        """Let nothing pass from now on."""
+        """Blocks the direction until the matching ``release``."""
         self.holders += 1
         if self.opened.is_set():
             self.opened = trio.Event()
 
     def release(self) -> None:
-        """Take one ``hold`` back."""
+        """Undoes one ``hold``."""
         self.holders -= 1
         if not self.holders:
             self.opened.set()
 
-    async def passed(self) -> None:
-        """Wait until nobody holds it."""
+    async def wait_released(self) -> None:
+        """Waits until there is no holder."""
         while self.holders:
             await self.opened.wait()
 
 
-class Cuttable:
-    """What relays of streams and of datagrams share: the two directions, and whether answers are lost."""
+class CuttableRelay:
+    """The state that stream and datagram relays share: a gate for each direction, and whether answers are lost."""
 
     def __init__(self) -> None:
         self.towards, self.back = Gate(), Gate()
-        self.losing = 0  # troubles that lose answers now
+        self.answer_losses = 0  # number of faults in force that lose answers
 
     def cut(self, direction: Direction) -> None:
-        """Hold a direction, or both."""
+        """Cuts one direction or both, until the matching ``restore``."""
         for gate in self._gates(direction):
             gate.hold()
 
-    def join(self, direction: Direction) -> None:
-        """Take one ``cut`` back."""
+    def restore(self, direction: Direction) -> None:
+        """Undoes one ``cut``."""
         for gate in self._gates(direction):
             gate.release()
 
@@ -74,19 +74,19 @@
 
 
 class AnswerLost(Exception):
-    """The answer that comes back is dropped."""
+    """Raised to close a connection whose answer is dropped."""
 
 
-class Relay(Cuttable):
-    """Passes the connections made to one address on to another."""
+class Relay(CuttableRelay):
+    """Forwards the connections made to one address to another."""
 
     def __init__(self, host: Runtime, address: Address, target: Address) -> None:
         super().__init__()
         self.host, self.address, self.target = host, address, target
-        self.open = 0
+        self.open_connections = 0
 
     async def run(self, task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED) -> None:
-        """Take connections, for good; started once it listens."""
+        """Accepts connections until cancelled; reports that it has started once it listens."""
         listener = self.host.listen(self.address, BACKLOG)
         try:
             async with trio.open_nursery() as nursery:
@@ -97,14 +97,14 @@
             listener.close()
 
     async def _serve(self, caller: Stream) -> None:
-        if self.open >= MOST_CONNECTIONS:
+        if self.open_connections >= MAX_CONNECTIONS:
             return caller.reset()
-        self.open += 1
+        self.open_connections += 1
         target: Stream | None = None
         try:
-            await self.towards.passed()
-            await self.back.passed()
-            target = await self._dialled()
+            await self.towards.wait_released()
+            await self.back.wait_released()
+            target = await self._dial()
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self._pump, caller, target, self.towards)
                 nursery.start_soon(self._pump, target, caller, self.back)
@@ -114,60 +114,60 @@
         except* (OSError, trio.ClosedResourceError):
             caller.reset()
         finally:
-            self.open -= 1
+            self.open_connections -= 1
             caller.close()
             if target is not None:
                 target.reset()
 
-    async def _dialled(self) -> Stream:
+    async def _dial(self) -> Stream:
         stream = self.host.stream()
         try:
-            with trio.fail_after(DIAL_WITHIN):
+            with trio.fail_after(DIAL_TIMEOUT_S):
                 await connect(stream, self.target)
         except trio.TooSlowError:
             stream.close()
-            raise TimeoutError(f"{self.target} does not answer") from None
+            raise TimeoutError(f"connection to {self.target} not established within {DIAL_TIMEOUT_S} s") from None
         except BaseException:
             stream.close()
             raise
         return stream
 
     async def _pump(self, source: Stream, sink: Stream, gate: Gate) -> None:
-        space = memoryview(bytearray(CHUNK))
+        buffer = memoryview(bytearray(CHUNK_BYTES))
         while True:
             await source.wait_readable()
-            await gate.passed()
+            await gate.wait_released()
             try:
-                count = source.recv_into(space)
+                count = source.recv_into(buffer)
             except BlockingIOError:
                 continue
             if not count:
-                with suppress(OSError):  # the other side has ended as well
+                with suppress(OSError):  # the sink's peer has closed the connection as well
                     sink.end()
                 return
-            if gate is self.back and self.losing:
+            if gate is self.back and self.answer_losses:
                 raise AnswerLost
-            await send_all(sink, space[:count])
+            await send_all(sink, buffer[:count])
 
 
-class DatagramRelay(Cuttable):
-    """Passes datagrams between two addresses. The caller sends to the relay's address as to the target's."""
+class DatagramRelay(CuttableRelay):
+    """Forwards datagrams between a caller and a target. The caller uses the relay's address as the target's."""
 
     def __init__(self, host: Runtime, address: Address, caller: Address, target: Address) -> None:
         super().__init__()
         self.host, self.address, self.caller, self.target = host, address, caller, target
 
     async def run(self, task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED) -> None:
-        """Pass datagrams on, for good; those that come in a direction that is held are lost."""
+        """Forwards datagrams until cancelled; those in a direction that is held are dropped."""
         port = self.host.port(self.address)
         try:
             task_status.started()
             while True:
-                with suppress(OSError):  # a port that is closed at the other side
-                    payload, sender = await port.receive(DATAGRAM)
-                    back = sender == self.target
-                    gate = self.back if back else self.towards
+                with suppress(OSError):  # the port at the other end is closed
+                    payload, sender = await port.receive(MAX_DATAGRAM_BYTES)
+                    is_answer = sender == self.target
+                    gate = self.back if is_answer else self.towards
                     if not gate.holders:
-                        await port.send(payload, self.caller if back else self.target)
+                        await port.send(payload, self.caller if is_answer else self.target)
         finally:
             port.close()
