--- a/rowanshift/controlplane/errors.py
+++ b/rowanshift/controlplane/errors.py
@@ -69,14 +69,14 @@
     """A change whose outcome is unknown: it may or may not be in force. It is safe to send it again."""
 
     def __init__(self) -> None:
-        super().__init__("the change was not stored on enough disks in time: it may or may not be in force")
+        super().__init__("not on enough disks in time: it may or may not be in force")
 
 
 class NotConfirmed(ControlPlaneError):
     """A majority did not confirm in time that this machine is the primary; nothing was changed. It is safe to retry."""
 
     def __init__(self) -> None:
-        super().__init__("a majority did not confirm in time that this machine is the primary")
+        super().__init__("this machine could not confirm that it is the primary")
 
 
 class BadEndpointList(ControlPlaneError, ValueError):
--- a/rowanshift/dataplane/forwarded_request.py
+++ b/rowanshift/dataplane/forwarded_request.py
@@ -21,10 +21,10 @@
 MIN_ATTEMPT_SECONDS = 0.02  # no attempt is made with less time left
 RETRY_AFTER_SECONDS = 0.1  # value of the Retry-After header of refusals
 REFUSAL_REASONS = {  # other outcomes give the reason that the request may have been executed
-    ExchangeOutcome.MISDIRECTED: "the request reached another server instance",
-    ExchangeOutcome.NOT_EXECUTED: "the servers are at capacity",
-    ExchangeOutcome.SERVER_ERROR: "the server failed to process the request",
-    ExchangeOutcome.RESUME_REJECTED: "the interrupted stream could not be resumed",
+    ExchangeOutcome.MISDIRECTED: "the server was another",
+    ExchangeOutcome.NOT_EXECUTED: "servers are full",
+    ExchangeOutcome.SERVER_ERROR: "it failed at a server",
+    ExchangeOutcome.RESUME_REJECTED: "it was not taken up",
 }
 
 
@@ -57,7 +57,7 @@
     retry_granted: bool = False  # the retry budget has already granted the next attempt
     reserved_connection: ServerConnection | None = None  # an open connection for the next attempt
     wait_ends_at: float = 0.0  # end of the wait for an available server; 0: not started
-    last_refusal: Refusal = field(default_factory=lambda: Refusal(503, "no server is available", RETRY_AFTER_SECONDS))
+    last_refusal: Refusal = field(default_factory=lambda: Refusal(503, "no server", RETRY_AFTER_SECONDS))
 
     @property
     def idempotency(self) -> RequestIdempotency:
@@ -102,7 +102,7 @@
             self.abandoned_silent_server = outcome is ExchangeOutcome.SERVER_SILENT
         self.may_have_run = self.may_have_run or decision.may_have_run
         response = self.progress.client_response(decision)
-        reason = REFUSAL_REASONS.get(outcome, "the request may have been executed")
+        reason = REFUSAL_REASONS.get(outcome, "it may have run")
         if response is ClientResponse.UNAVAILABLE:
             self.last_refusal = Refusal(response.status, reason, RETRY_AFTER_SECONDS)
         elif response is ClientResponse.CONNECTION_CLOSED:  # the response has started: this status is never sent
--- a/rowanshift/dataplane/frontend.py
+++ b/rowanshift/dataplane/frontend.py
@@ -307,7 +307,7 @@
             self.counts.failed += 1
             if not writer.started:
                 writer.keep_alive = False
-                await writer.refuse(Refusal(502, "internal error of the router"))
+                await writer.refuse(Refusal(502, "a fault of this router"))
             raise
         finally:
             self.open_requests -= 1
@@ -324,7 +324,7 @@
         finally:
             del self.writers[scope]
         if request.attempted_servers:
-            raise Refusal(502, f"{DRAINING_REASON}; the request may have been executed")
+            raise Refusal(502, f"{DRAINING_REASON}; it may have run")
         raise Refusal(503, DRAINING_REASON, RETRY_AFTER_SECONDS)
 
     async def _forward(self, request: Request, writer: ResponseWriter) -> None:
--- a/rowanshift/transport/call_server.py
+++ b/rowanshift/transport/call_server.py
@@ -200,12 +200,12 @@
         """The response to a call; 503 or 504 during a shutdown."""
         if self.shutting_down:
             message.keep = False
-            return unavailable("shutting down; the call was not executed")
+            return unavailable("this machine ends, and took nothing of the call")
         with self.calls_in_progress[connection] as scope:
             response = await self._dispatch(message)
         if scope.cancelled_caught:
             # not 503, which promises that the call was not executed
-            response = Response(504, error_body("shutting down; the call may or may not have taken effect"))
+            response = Response(504, error_body("this machine ends: what was asked for may or may not be in force"))
         message.keep = message.keep and not self.shutting_down
         return response
 
--- a/tests/controlplane/test_api.py
+++ b/tests/controlplane/test_api.py
@@ -37,10 +37,10 @@
 class Failures(unittest.TestCase):
     def test_a_change_that_cannot_be_made_now_is_answered_with_503_and_retry_after(self) -> None:
         cases = (
-            (NotConfirmed(), b"a majority did not confirm in time that this machine is the primary", b"0.3"),
+            (NotConfirmed(), b"this machine could not confirm that it is the primary", b"0.3"),
             (
                 OutcomeUnknown(),
-                b"the change was not stored on enough disks in time: it may or may not be in force",
+                b"not on enough disks in time: it may or may not be in force",
                 b"0.3",
             ),
             (OrderTooOld(3, 7), b"revision 3: the history of orders up to revision 7 has been dropped", b"1"),
