--- a/rowanshift/simulation/world.py
+++ b/rowanshift/simulation/world.py
@@ -1,8 +1,7 @@
-"""A fleet in one process: real routers between stand-ins on the virtual network, with its troubles and the
-rules.
+"""Simulation of a cache proxy fleet: real routers between emulated clients, caches and origin, with injected faults.
 
-One trio run on a ``VirtualClock``. Everything is drawn from the scenario's seed, so that a seed replays
-byte for byte.
+A simulation is one trio run on a ``VirtualClock``. All random choices depend on the seed of the scenario only, so that
+a seed reproduces a run byte for byte. The rules of ``invariants`` judge the recorded events.
 """
 
 import random
@@ -28,35 +27,35 @@
 from rowanshift.placement.hash_ring import stable_hash
 from rowanshift.simulation.clock import Determined, VirtualClock
 from rowanshift.simulation.machine import Machine
-from rowanshift.simulation.network import EPOCH, Network, Paths
-from rowanshift.simulation.scenario import Scenario, Trouble
+from rowanshift.simulation.network import START_UNIX_SECONDS, Network, Paths
+from rowanshift.simulation.scenario import Fault, Scenario
 
-PORT, PEERS, AGENT = 8080, 9100, 9500
-NOTICED = 1.5, 3.4  # seconds until clients know that a router died
-STOPS_DIALLING = 0.2, 0.4  # after a SIGTERM
-QUIET_FOR = 1.0  # after the last answer, before what is left over is counted
-MOST_TIMERS = 64  # of a quiet router
-STUTTER_EVERY = 2.5
+HTTP_PORT, PEER_PORT, AGENT_PORT = 8080, 9100, 9500
+CRASH_NOTICE_SECONDS = 1.5, 3.4  # range of the time until clients notice that a router was killed
+SIGTERM_NOTICE_SECONDS = 0.2, 0.4  # range of the time until clients stop opening connections
+QUIET_SECONDS = 1.0  # after the last response, before leaked resources are counted
+MAX_IDLE_TIMERS = 64  # of a router without open requests
+STUTTER_INTERVAL_SECONDS = 2.5
 
 
 @dataclass(slots=True)
-class Outcome:
-    """What a run came to."""
+class SimulationResult:
+    """The result of a run."""
 
     broken: list[Broken]
     facts: int
-    items: int  # first tries
+    items: int  # work items, without retries
     seconds: float  # simulated
-    finished: float  # part of the first tries that was finished in time
-    earned: float  # part of the credit
-    p99: float  # seconds, of those finished in time
+    finished: float  # fraction of the work items that finished in time
+    earned: float  # fraction of the credit
+    p99: float  # in seconds, of the work items that finished in time
     counts: dict[str, int]
     tries: dict[str, int]
     fetches: int
 
 
 class ConfigFile:
-    """A router's file, as ``Service`` reads it again at SIGHUP."""
+    """The configuration file of a router, which ``Service`` reads again at SIGHUP."""
 
     def __init__(self, data: dict[str, Any]) -> None:
         self.data = data
@@ -66,8 +65,8 @@
 
 
 @dataclass(eq=False)
-class RouterPlace:
-    """A router's machine, its agent, and the process on it, one after another."""
+class RouterHost:
+    """A router's machine, its discovery agent, and its current process."""
 
     n: int
     machine: Machine
@@ -75,15 +74,15 @@
     door: Door
     file: ConfigFile
     service: Service | None = None
-    restart_after: float | None = None  # once it has ended
-    begin: trio.Event = field(default_factory=trio.Event)
-    delay: float = 0.0  # of the list, besides what is usual
-    list_at: float = 0.0  # of the last change on its way
+    restart_after: float | None = None  # seconds from the end of the process until it is restarted
+    start_requested: trio.Event = field(default_factory=trio.Event)
+    extra_list_delay: float = 0.0  # seconds added to the usual delay of list changes
+    next_list_change: float = 0.0  # when the latest pending list change arrives
 
 
 @dataclass(eq=False)
-class CachePlace:
-    """A cache server by the name that the list has, the machine it is on, and its process."""
+class CacheHost:
+    """A cache server with its name in the list, its machine and its process."""
 
     name: str
     machine: Machine
@@ -100,11 +99,16 @@
 ServiceMaker = Callable[..., Service]
 
 
-class World:
+class CacheFleetSimulation:
+    """A fleet with its clients, caches, origin and agents, which runs one scenario."""
+
     def __init__(
-        self, scenario: Scenario, readers: list[Callable[[Fact], None]] | None = None, make: ServiceMaker = Service
+        self,
+        scenario: Scenario,
+        readers: list[Callable[[Fact], None]] | None = None,
+        make_service: ServiceMaker = Service,
     ) -> None:
-        self.scenario, self.make = scenario, make
+        self.scenario, self.make_service = scenario, make_service
         self.clock = VirtualClock()
         self.random_source = random.Random(f"{scenario.seed}/world")
         links = scenario.links
@@ -125,41 +129,45 @@
         )
         self.events = Events(self.clock.current_time)
         fleet = scenario.fleet
-        raw = self._settings(0)
+        raw = self._router_settings(0)
         self.categories = settings_of(raw).categories
         self.rules = Rules(
-            Terms(dict(zip((c.name for c in scenario.category), self.categories, strict=True)), fleet.grace_s)
+            Terms(
+                dict(zip((category.name for category in scenario.category), self.categories, strict=True)),
+                fleet.grace_s,
+            )
         )
         self.events.readers = [self.rules.see, *(readers or [])]
-        self.network.no_way = self._no_way
+        self.network.on_undeliverable = self._record_undeliverable
         self.ledger = Ledger()
-        self.caches: dict[str, CachePlace] = {}
-        self.routers: list[RouterPlace] = []
+        self.caches: dict[str, CacheHost] = {}
+        self.routers: list[RouterHost] = []
         self.crowds: list[Crowd] = []
-        self.names = 0
-        self.over = trio.Event()
-        self.errors: list[Exception] = []  # that ended a router
+        self.next_cache_number = 0
+        self.stopping = trio.Event()
+        self.errors: list[Exception] = []  # with which a router crashed
 
-    # building ---------------------------------------------
+    # construction -----------------------------------------
 
-    def _settings(self, ordinal: int) -> dict[str, Any]:
-        s, fleet = self.scenario, self.scenario.fleet
-        whole = sum(s.work.customers.values()) or 1.0
+    def _router_settings(self, ordinal: int) -> dict[str, Any]:
+        scenario, fleet = self.scenario, self.scenario.fleet
+        total_weight = sum(scenario.work.customers.values()) or 1.0
         return {
             "categories": [
                 {
-                    "name": c.name,
-                    "semantics": c.semantics,
-                    "group": c.group,
-                    "window_us": int(c.window_s * 1e6),
-                    "credit": c.credit,
-                    "due_time_us": int(c.due_s * 1e6),
-                    "expiry_us": int(c.expiry_s * 1e6),
+                    "name": category.name,
+                    "semantics": category.semantics,
+                    "group": category.group,
+                    "window_us": int(category.window_s * 1e6),
+                    "credit": category.credit,
+                    "due_time_us": int(category.due_s * 1e6),
+                    "expiry_us": int(category.expiry_s * 1e6),
                 }
-                for c in s.category
+                for category in scenario.category
             ],
             "tenants": [
-                {"name": name, "quota_rps": 1.3 * s.work.rate * part / whole} for name, part in s.work.customers.items()
+                {"name": name, "quota_rps": 1.3 * scenario.work.rate * weight / total_weight}
+                for name, weight in scenario.work.customers.items()
             ],
             "zones": [f"z{n}" for n in range(fleet.sites)],
             "kinds": ["cache", "origin"],
@@ -184,9 +192,11 @@
             },
         }
 
-    def _kind(self, origin: bool = False) -> Kind:
-        s, fleet = self.scenario, self.scenario.fleet
-        works = {c.name: s.work.origin_fetch_s if origin else c.work_s for c in s.category}
+    def _server_kind(self, origin: bool = False) -> Kind:
+        scenario, fleet = self.scenario, self.scenario.fleet
+        works = {
+            category.name: scenario.work.origin_fetch_s if origin else category.work_s for category in scenario.category
+        }
         speed = 1.0 if origin else self.random_source.uniform(fleet.slowest, fleet.fastest)
         return Kind(
             works,
@@ -200,42 +210,58 @@
             overload_for=fleet.overload_for_s,
         )
 
-    def _build(self) -> None:
-        s, fleet = self.scenario, self.scenario.fleet
+    def _build_fleet(self) -> None:
+        scenario, fleet = self.scenario, self.scenario.fleet
         for n in range(fleet.caches):
-            self._new_cache(n % fleet.sites)
-        self.caches["origin"] = CachePlace(
-            "origin", self.network.machine("origin", 0, 4096), self._kind(origin=True), 0
+            self._add_cache(n % fleet.sites)
+        self.caches["origin"] = CacheHost(
+            "origin", self.network.machine("origin", 0, 4096), self._server_kind(origin=True), 0
         )
-        rows = [self._row(place) for place in self.caches.values()]
+        entries = [self._list_entry(host) for host in self.caches.values()]
         machines = [
             self.network.machine(
                 f"r{n}", n % fleet.sites, fleet.descriptors, self.random_source.uniform(-1, 1) * fleet.skew_s
             )
             for n in range(fleet.routers)
         ]
-        peers = [f"{m.address}:{PEERS}" for m in machines]
+        peers = [f"{machine.address}:{PEER_PORT}" for machine in machines]
         for n, machine in enumerate(machines):
-            beside = self.network.machine(f"agent-r{n}", machine.site)
-            agent = Agent(beside, (beside.address, AGENT), self.clock.current_time, self.events, f"r{n}", rows)
+            agent_machine = self.network.machine(f"agent-r{n}", machine.site)
+            agent = Agent(
+                agent_machine,
+                (agent_machine.address, AGENT_PORT),
+                self.clock.current_time,
+                self.events,
+                f"r{n}",
+                entries,
+            )
             config = {
                 "name": f"r{n}",
-                "listen": f"{machine.address}:{PORT}",
-                "discovery": f"{beside.address}:{AGENT}",
-                "seed": f"{s.seed % 2**32 * 1009 + n:x}",
+                "listen": f"{machine.address}:{HTTP_PORT}",
+                "discovery": f"{agent_machine.address}:{AGENT_PORT}",
+                "seed": f"{scenario.seed % 2**32 * 1009 + n:x}",
                 "limits": {"sockets": fleet.descriptors, "memory_mb": fleet.memory_mb},
-                "settings": self._settings(n),
+                "settings": self._router_settings(n),
             }
             if fleet.peers:
-                config |= {"peer_listen": f"{machine.address}:{PEERS}", "peers": peers}
-            door = Door(f"r{n}", (machine.address, PORT), machine.site)
-            self.routers.append(RouterPlace(n, machine, agent, door, ConfigFile(config)))
-        asked = [Asked(c.name, c.share, c.expiry_s, c.due_s, c.write, c.credit) for c in s.category]
+                config |= {"peer_listen": f"{machine.address}:{PEER_PORT}", "peers": peers}
+            door = Door(f"r{n}", (machine.address, HTTP_PORT), machine.site)
+            self.routers.append(RouterHost(n, machine, agent, door, ConfigFile(config)))
+        asked = [
+            Asked(category.name, category.share, category.expiry_s, category.due_s, category.write, category.credit)
+            for category in scenario.category
+        ]
         habits = Habits(
-            s.work.retries, s.work.wait_s, s.work.patience, s.work.one_off, s.work.halves, s.work.zipf, s.work.keys
+            scenario.work.retries,
+            scenario.work.wait_s,
+            scenario.work.patience,
+            scenario.work.one_off,
+            scenario.work.halves,
+            scenario.work.zipf,
+            scenario.work.keys,
         )
         for site in range(min(fleet.sites, fleet.routers)):
-            doors = [Door(p.door.name, p.door.address, p.door.site) for p in self.routers]
+            doors = [Door(host.door.name, host.door.address, host.door.site) for host in self.routers]
             self.crowds.append(
                 Crowd(
                     self.network.machine(f"crowd{site}", site, 50_000),
@@ -243,107 +269,107 @@
                     site,
                     self.clock.current_time,
                     self.events,
-                    random.Random(f"{s.seed}/crowd{site}"),
+                    random.Random(f"{scenario.seed}/crowd{site}"),
                     doors,
                     asked,
-                    s.work.customers,
-                    s.work.rate / min(fleet.sites, fleet.routers),
+                    scenario.work.customers,
+                    scenario.work.rate / min(fleet.sites, fleet.routers),
                     habits,
                 )
             )
-        if s.work.warm:
-            self._warm()
+        if scenario.work.warm:
+            self._warm_caches()
 
-    def _warm(self) -> None:
-        """Gives each cache the keys whose ring home it is."""
-        config = config_of(self.routers[0].file.data | {"known": self._known(self.routers[0].agent)})
-        probe = Router(config.settings, 0, EPOCH)
+    def _warm_caches(self) -> None:
+        """Give each cache the keys that the hash ring assigns to it."""
+        config = config_of(self.routers[0].file.data | {"known": self._listed_instances(self.routers[0].agent)})
+        router = Router(config.settings, 0, START_UNIX_SECONDS)
         entries = [entry_of(row, config.names) for row in config.known["instances"]]
-        probe.list_changed(EPOCH, "cached", entries)
+        router.list_changed(START_UNIX_SECONDS, "cached", entries)
         for key in (f"k{n}" for n in range(self.scenario.work.keys)):
-            if walk := probe._walk(stable_hash(key) >> 32):
-                self.caches[walk[0].entry.server].held[key] = 0
+            if successors := router._walk(stable_hash(key) >> 32):
+                self.caches[successors[0].entry.server].held[key] = 0
 
-    def _new_cache(self, site: int, machine: Machine | None = None, name: str = "") -> CachePlace:
-        name = name or f"c{self.names}"
-        self.names += 1
+    def _add_cache(self, site: int, machine: Machine | None = None, name: str = "") -> CacheHost:
+        name = name or f"c{self.next_cache_number}"
+        self.next_cache_number += 1
         machine = machine or self.network.machine(f"m-{name}", site, 4096)
-        place = self.caches[name] = CachePlace(name, machine, self._kind(), machine.site)
-        return place
+        host = self.caches[name] = CacheHost(name, machine, self._server_kind(), machine.site)
+        return host
 
-    def _row(self, place: CachePlace, lifecycle: str = "active") -> dict[str, Any]:
-        started = EPOCH + place.came_up if place.came_up else 0.0
+    def _list_entry(self, host: CacheHost, lifecycle: str = "active") -> dict[str, Any]:
+        started = START_UNIX_SECONDS + host.came_up if host.came_up else 0.0
         return row_of(
-            place.name,
-            (place.machine.address, PORT),
-            f"z{place.zone}",
-            "origin" if place.name == "origin" else "cache",
+            host.name,
+            (host.machine.address, HTTP_PORT),
+            f"z{host.zone}",
+            "origin" if host.name == "origin" else "cache",
             started,
             lifecycle,
-            place.weight,
+            host.weight,
         )
 
     @staticmethod
-    def _known(agent: Agent) -> dict[str, Any]:
+    def _listed_instances(agent: Agent) -> dict[str, Any]:
         return {"generation": agent.generation, "instances": [*agent.rows.values()]}
 
     # running ----------------------------------------------
 
-    def run(self) -> Outcome:
+    def run(self) -> SimulationResult:
         logger.disable("rowanshift")
         try:
             with Determined(f"{self.scenario.seed}/trio"):
                 trio.run(self._main, clock=self.clock)
         finally:
             logger.enable("rowanshift")
-        return self._outcome()
+        return self._result()
 
     async def _main(self) -> None:
-        self._build()
+        self._build_fleet()
         async with trio.open_nursery() as self.nursery:
-            for place in [*self.caches.values()]:
-                self._start_cache(place)
-            for place in self.routers:
-                self.nursery.start_soon(self._process, place.agent.host, place.agent.run)
-                self.nursery.start_soon(self._router, place)
+            for host in [*self.caches.values()]:
+                self._start_cache(host)
+            for host in self.routers:
+                self.nursery.start_soon(self._run_process, host.agent.host, host.agent.run)
+                self.nursery.start_soon(self._run_router, host)
             await trio.sleep(0.5)
             for crowd in self.crowds:
-                self.nursery.start_soon(self._process, crowd.host, crowd.run)
-            for trouble in self.scenario.trouble:
-                self.at(trouble.at_s, self._trouble, trouble)
+                self.nursery.start_soon(self._run_process, crowd.host, crowd.run)
+            for fault in self.scenario.trouble:
+                self.at(fault.at_s, self._inject, fault)
             await trio.sleep(max(0.0, self.scenario.seconds - self.clock.time))
-            await self._wind_up()
+            await self._shut_down()
             self.nursery.cancel_scope.cancel()
 
-    async def _process(self, machine: Machine, main: Callable[[], Awaitable[None]]) -> None:
+    async def _run_process(self, machine: Machine, main: Callable[[], Awaitable[None]]) -> None:
         await machine.run(main)
 
     def at(self, when: float, call: Callable[..., None], *args: Any) -> None:
-        """Has something happen to the fleet; what it wakes runs next."""
-        self.clock.at(when, self._do, call, args)
+        """Schedule a call that acts on the fleet."""
+        self.clock.at(when, self._run_unless_stopping, call, args)
 
-    def after(self, wait: float, call: Callable[..., None], *args: Any) -> None:
-        self.at(self.clock.time + wait, call, *args)
+    def after(self, delay: float, call: Callable[..., None], *args: Any) -> None:
+        self.at(self.clock.time + delay, call, *args)
 
-    def _do(self, call: Callable[..., None], args: tuple[Any, ...]) -> None:
-        if not self.over.is_set():
+    def _run_unless_stopping(self, call: Callable[..., None], args: tuple[Any, ...]) -> None:
+        if not self.stopping.is_set():
             call(*args)
-        self.clock.woken = True
+        self.clock.task_woken = True
 
-    async def _router(self, place: RouterPlace) -> None:
-        """The processes of one router, each until it ends or is killed."""
-        machine = place.machine
+    async def _run_router(self, host: RouterHost) -> None:
+        """Run one process of a router after another, each until it ends or is killed."""
+        machine = host.machine
         while True:
-            place.file.data["known"] = self._known(place.agent)
-            place.service = self.make(config_of(place.file.data), place.file, machine)
-            self.events.tell("started", machine.name, machine.life + 1)
-            for row in place.agent.rows.values():
+            host.file.data["known"] = self._listed_instances(host.agent)
+            host.service = self.make_service(config_of(host.file.data), host.file, machine)
+            self.events.tell("started", machine.name, machine.process_count + 1)
+            for row in host.agent.rows.values():
                 if row["lifecycle"] == "leaving":
                     self.events.tell("told", machine.name, row["instanceId"], "quiescing")
-            if machine.life:
-                self.nursery.start_soon(self._reopen, place)
+            if machine.process_count:
+                self.nursery.start_soon(self._accept_when_ready, host)
             try:
-                left_open = await machine.run(place.service.run)
+                left_open = await machine.run(host.service.run)
             except Exception as error:
                 self.errors.append(error)
                 self.events.tell("down", machine.name, "crashed")
@@ -351,423 +377,429 @@
                 if left_open is not None:
                     self.events.tell("left_over", machine.name, "descriptors", left_open)
                     self.events.tell("down", machine.name, "ended")
-            if self.over.is_set():
+            if self.stopping.is_set():
                 return
-            if place.restart_after is None:
-                place.begin = trio.Event()
-                await place.begin.wait()
+            if host.restart_after is None:
+                host.start_requested = trio.Event()
+                await host.start_requested.wait()
             else:
-                await trio.sleep(place.restart_after)
-            place.restart_after = None
+                await trio.sleep(host.restart_after)
+            host.restart_after = None
 
-    async def _reopen(self, place: RouterPlace) -> None:
-        """Clients come back once the router says that it is ready."""
-        crowd, doors = self.crowds[0], self._doors(place)
+    async def _accept_when_ready(self, host: RouterHost) -> None:
+        """Let clients open connections again once the router reports readiness."""
+        crowd, doors = self.crowds[0], self._doors_of(host)
         for _ in range(200):
             await trio.sleep(0.1)
-            if place.machine.running and await crowd.ready(place.door):
+            if host.machine.running and await crowd.ready(host.door):
                 for door in doors:
                     door.up = True
                 return
 
-    def _doors(self, place: RouterPlace) -> list[Door]:
-        return [door for crowd in self.crowds for door in crowd.doors if door.name == place.door.name]
+    def _doors_of(self, host: RouterHost) -> list[Door]:
+        return [door for crowd in self.crowds for door in crowd.doors if door.name == host.door.name]
 
-    def _no_way(self, machine: str, address: str) -> None:
+    def _record_undeliverable(self, machine: str, address: str) -> None:
         if machine.startswith("r"):
             self.events.tell("no_way", machine, address)
 
-    def _close_doors(self, place: RouterPlace) -> None:
-        for door in self._doors(place):
+    def _stop_new_connections(self, host: RouterHost) -> None:
+        for door in self._doors_of(host):
             door.up = False
 
-    def _start_cache(self, place: CachePlace) -> None:
-        fleet, name = self.scenario.fleet, place.name
+    def _start_cache(self, host: CacheHost) -> None:
+        fleet, name = self.scenario.fleet, host.name
         common = (
-            place.machine,
-            (place.machine.address, PORT),
+            host.machine,
+            (host.machine.address, HTTP_PORT),
             self.clock.current_time,
             self.events,
             name,
-            place.kind,
+            host.kind,
             self.ledger,
-            random.Random(f"{self.scenario.seed}/{name}/{place.came_up}"),
-            place.zone,
+            random.Random(f"{self.scenario.seed}/{name}/{host.came_up}"),
+            host.zone,
         )
         if name == "origin":
-            place.server = Origin(*common)
-            place.server.stops_for = fleet.origin_stops_s
+            host.server = Origin(*common)
+            host.server.stops_for = fleet.origin_stops_s
         else:
-            place.server = Cache(
+            host.server = Cache(
                 *common,
-                came_up=place.came_up,
+                came_up=host.came_up,
                 start_share=fleet.start_share,
                 warm_within=fleet.warm_within_s,
-                fall=self._fall,
+                fall=self._stop_collapsed_cache,
             )
-            place.server.store.update(place.held)
-            place.held = {}
-        self.nursery.start_soon(self._process, place.machine, place.server.run)
+            host.server.store.update(host.held)
+            host.held = {}
+        self.nursery.start_soon(self._run_process, host.machine, host.server.run)
 
-    def _fall(self, cache: Cache) -> None:
-        """It was pushed over, and stays down."""
-        place = self.caches[cache.name]
-        place.gone = True
-        self.after(0.0, self._kill_cache, place)
-        self._list(place, "left")
+    def _stop_collapsed_cache(self, cache: Cache) -> None:
+        """Kill a cache that collapsed under overload. It is not restarted."""
+        host = self.caches[cache.name]
+        host.gone = True
+        self.after(0.0, self._kill_cache, host)
+        self._publish(host, "left")
 
-    # the end ----------------------------------------------
+    # shutdown ---------------------------------------------
 
-    async def _wind_up(self) -> None:
-        """Clients stop asking; once all is quiet, routers must hold nothing, and end when told to."""
+    async def _shut_down(self) -> None:
+        """Stop the clients, and check that idle routers hold no resources and end at SIGTERM."""
         for crowd in self.crowds:
             crowd.over = True
         with trio.move_on_after(30):
             while any(crowd.open for crowd in self.crowds):
                 await trio.sleep(0.1)
-        self.over.set()
-        for place in self.routers:
-            place.machine.go_on()
-            self.events.tell("went_on", place.machine.name)
+        self.stopping.set()
+        for host in self.routers:
+            host.machine.go_on()
+            self.events.tell("went_on", host.machine.name)
         for crowd in self.crowds:
             crowd.close()
-        await trio.sleep(QUIET_FOR + max(c.expiry_s for c in self.scenario.category))
-        for place in self.routers:
-            service = place.service
-            if place.machine.running and service is not None and service.phase is Phase.SERVING:
-                for what, count in held_by(service).items():
-                    self.events.tell("left_over", place.machine.name, what, count)
-                place.machine.signal(signal.SIGTERM)
+        await trio.sleep(QUIET_SECONDS + max(category.expiry_s for category in self.scenario.category))
+        for host in self.routers:
+            service = host.service
+            if host.machine.running and service is not None and service.phase is Phase.SERVING:
+                for resource, count in open_resources(service).items():
+                    self.events.tell("left_over", host.machine.name, resource, count)
+                host.machine.signal(signal.SIGTERM)
         await trio.sleep(2.0)
-        for place in self.routers:
-            self.events.tell("left_over", place.machine.name, "process", int(place.machine.running))
+        for host in self.routers:
+            self.events.tell("left_over", host.machine.name, "process", int(host.machine.running))
         self.rules.end(self.clock.time)
 
-    def _outcome(self) -> Outcome:
-        first = sum(crowd.first for crowd in self.crowds)
+    def _result(self) -> SimulationResult:
+        first_tries = sum(crowd.first for crowd in self.crowds)
         credit = sum(crowd.credit for crowd in self.crowds)
-        times = sorted(t for crowd in self.crowds for t in crowd.times)
+        times = sorted(seconds for crowd in self.crowds for seconds in crowd.times)
         tries: dict[str, int] = {}
         for crowd in self.crowds:
-            for how, n in crowd.tries.items():
-                tries[how] = tries.get(how, 0) + n
+            for result, count in crowd.tries.items():
+                tries[result] = tries.get(result, 0) + count
         counts = self.rules.counts
         origin = self.caches["origin"].server
-        return Outcome(
+        return SimulationResult(
             self.rules.broken,
             sum(counts.values()),
-            int(first),
+            int(first_tries),
             self.clock.time,
-            len(times) / max(1, first),
-            sum(c.earned for c in self.crowds) / max(1e-9, credit),
+            len(times) / max(1, first_tries),
+            sum(crowd.earned for crowd in self.crowds) / max(1e-9, credit),
             times[int(0.99 * len(times))] if times else 0.0,
             counts,
             dict(sorted(tries.items())),
             origin.served if origin else 0,
         )
 
-    # the list ---------------------------------------------
+    # discovery --------------------------------------------
 
-    def _list(self, place: CachePlace, lifecycle: str = "active") -> None:
-        """Tells all agents of a server, each in its own time but in order."""
-        row = self._row(place, lifecycle)
+    def _publish(self, host: CacheHost, lifecycle: str = "active") -> None:
+        """Publish the state of a server to all agents, with a delay of its own for each, but in order."""
+        row = self._list_entry(host, lifecycle)
         for router in self.routers:
-            late = self.scenario.fleet.list_late_s * self.random_source.uniform(0.1, 1.0) + router.delay
-            router.list_at = max(router.list_at + 1e-6, self.clock.time + late)
-            self.at(router.list_at, self._tell_agent, router, row)
+            delay_until_listed = (
+                self.scenario.fleet.list_late_s * self.random_source.uniform(0.1, 1.0) + router.extra_list_delay
+            )
+            router.next_list_change = max(router.next_list_change + 1e-6, self.clock.time + delay_until_listed)
+            self.at(router.next_list_change, self._update_agent, router, row)
 
     @staticmethod
-    def _tell_agent(router: RouterPlace, row: dict[str, Any]) -> None:
+    def _update_agent(router: RouterHost, row: dict[str, Any]) -> None:
         router.agent.change(row)
 
-    # troubles ---------------------------------------------
+    # faults of caches, network and load --------------------
 
-    def _trouble(self, trouble: Trouble) -> None:
-        who = trouble.who if isinstance(trouble.who, list) else [trouble.who] if trouble.who else []
-        self.events.tell("trouble", trouble.what, ",".join(who))
-        getattr(self, f"_do_{trouble.what}")(trouble, who)
+    def _inject(self, fault: Fault) -> None:
+        targets = fault.who if isinstance(fault.who, list) else [fault.who] if fault.who else []
+        self.events.tell("trouble", fault.what, ",".join(targets))
+        getattr(self, f"_do_{fault.what}")(fault, targets)
 
-    def _live(self) -> list[CachePlace]:
-        return [p for p in self.caches.values() if p.name != "origin" and not (p.leaving or p.gone)]
+    def _active_caches(self) -> list[CacheHost]:
+        return [host for host in self.caches.values() if host.name != "origin" and not (host.leaving or host.gone)]
 
-    def _places(self, who: list[str], most: float = 0.3) -> Iterator[CachePlace]:
-        """The caches that are named and still there; some of them, where none is."""
-        if who in ([], ["some"]):
-            live = self._live()
-            count = max(1, int(len(live) * self.random_source.uniform(0.05, most)))
+    def _select_caches(self, targets: list[str], max_fraction: float = 0.3) -> Iterator[CacheHost]:
+        """Yield the named caches that are active; without names, a random selection."""
+        if targets in ([], ["some"]):
+            live = self._active_caches()
+            count = max(1, int(len(live) * self.random_source.uniform(0.05, max_fraction)))
             yield from self.random_source.sample(live, min(count, len(live)))
-        for name in who:
-            place = self.caches.get(name)
-            if place is not None and not place.leaving and not place.gone:
-                yield place
+        for name in targets:
+            host = self.caches.get(name)
+            if host is not None and not host.leaving and not host.gone:
+                yield host
 
-    def _some_routers(self, who: list[str]) -> list[RouterPlace]:
-        if who in ([], ["some"]):
+    def _select_routers(self, targets: list[str]) -> list[RouterHost]:
+        if targets in ([], ["some"]):
             return [self.random_source.choice(self.routers)]
-        return [place for place in self.routers if place.machine.name in who]
+        return [host for host in self.routers if host.machine.name in targets]
 
-    def _all_or(self, who: list[str]) -> list[RouterPlace]:
-        return self.routers if not who else self._some_routers(who)
+    def _select_routers_or_all(self, targets: list[str]) -> list[RouterHost]:
+        return self.routers if not targets else self._select_routers(targets)
 
-    def _kill_cache(self, place: CachePlace) -> None:
-        place.machine.kill()
+    def _kill_cache(self, host: CacheHost) -> None:
+        host.machine.kill()
 
-    def _come_back(self, place: CachePlace) -> None:
-        place.came_up, place.gone = self.clock.time, False
-        self._start_cache(place)
-        self._list(place)
+    def _restart_cache(self, host: CacheHost) -> None:
+        host.came_up, host.gone = self.clock.time, False
+        self._start_cache(host)
+        self._publish(host)
 
-    def _do_void(self, trouble: Trouble, who: list[str]) -> None:
-        for place in self._live():
-            store = place.server.store if place.server else {}
-            for key in [k for k in store if self.random_source.random() < trouble.value]:
+    def _do_void(self, fault: Fault, targets: list[str]) -> None:
+        for host in self._active_caches():
+            store = host.server.store if host.server else {}
+            for key in [entry_key for entry_key in store if self.random_source.random() < fault.value]:
                 del store[key]
 
-    def _do_die(self, trouble: Trouble, who: list[str], how: str = "kill") -> None:
-        for place in [*self._places(who)]:
-            place.gone = True
-            getattr(place.machine, how)()
-            self._list(place, "left")
-            self.after(max(0.5, trouble.for_s), self._come_back, place)
-
-    def _do_vanish(self, trouble: Trouble, who: list[str]) -> None:
-        self._do_die(trouble, who, "vanish")
-
-    def _do_reborn(self, trouble: Trouble, who: list[str]) -> None:
-        for place in [*self._places(who, 0.15)]:
-            place.gone = True
-            place.machine.kill()
-            self._list(place, "left")
-            successor = self._new_cache(place.zone, place.machine)
+    def _do_die(self, fault: Fault, targets: list[str], method: str = "kill") -> None:
+        for host in [*self._select_caches(targets)]:
+            host.gone = True
+            getattr(host.machine, method)()
+            self._publish(host, "left")
+            self.after(max(0.5, fault.for_s), self._restart_cache, host)
+
+    def _do_vanish(self, fault: Fault, targets: list[str]) -> None:
+        self._do_die(fault, targets, "vanish")
+
+    def _do_reborn(self, fault: Fault, targets: list[str]) -> None:
+        for host in [*self._select_caches(targets, 0.15)]:
+            host.gone = True
+            host.machine.kill()
+            self._publish(host, "left")
+            successor = self._add_cache(host.zone, host.machine)
             successor.gone = True
-            self.after(max(0.3, trouble.for_s), self._come_back, successor)
-
-    def _do_moved(self, trouble: Trouble, who: list[str]) -> None:
-        for place in [*self._places(who, 0.15)]:
-            place.gone = True
-            place.machine.kill()
-            place.machine = self.network.machine(f"m2-{place.name}-{self.clock.time:.3f}", place.zone, 4096)
-            self.after(max(0.3, trouble.for_s), self._come_back, place)
-
-    def _machines(self, who: list[str], most: float) -> list[Machine]:
-        found = [place.machine for place in self.routers if place.machine.name in who]
-        if (not who) or any(name == "some" or name in self.caches for name in who):
-            found += [place.machine for place in self._places(who, most)]
+            self.after(max(0.3, fault.for_s), self._restart_cache, successor)
+
+    def _do_moved(self, fault: Fault, targets: list[str]) -> None:
+        for host in [*self._select_caches(targets, 0.15)]:
+            host.gone = True
+            host.machine.kill()
+            host.machine = self.network.machine(f"m2-{host.name}-{self.clock.time:.3f}", host.zone, 4096)
+            self.after(max(0.3, fault.for_s), self._restart_cache, host)
+
+    def _select_machines(self, targets: list[str], max_fraction: float) -> list[Machine]:
+        found = [host.machine for host in self.routers if host.machine.name in targets]
+        if (not targets) or any(name == "some" or name in self.caches for name in targets):
+            found += [host.machine for host in self._select_caches(targets, max_fraction)]
         return found
 
-    def _do_stall(self, trouble: Trouble, who: list[str], seconds: float = 0.0) -> None:
-        for machine in self._machines(who, 0.4):
+    def _do_stall(self, fault: Fault, targets: list[str], seconds: float = 0.0) -> None:
+        for machine in self._select_machines(targets, 0.4):
             if machine.running and not machine.frozen:
                 self.events.tell("stalled", machine.name)
                 machine.stand_still()
-                self.after(seconds or trouble.for_s, self._go_on, machine)
+                self.after(seconds or fault.for_s, self._resume, machine)
 
-    def _go_on(self, machine: Machine) -> None:
+    def _resume(self, machine: Machine) -> None:
         if machine.frozen:
             machine.go_on()
             self.events.tell("went_on", machine.name)
 
-    def _do_stutter(self, trouble: Trouble, who: list[str]) -> None:
-        names = [place.name for place in self._places(who, 0.47)]
-        for n in range(int(trouble.for_s / STUTTER_EVERY) + 1):
-            self.after(n * STUTTER_EVERY, self._do_stall, trouble, names, trouble.value or 0.3)
+    def _do_stutter(self, fault: Fault, targets: list[str]) -> None:
+        names = [host.name for host in self._select_caches(targets, 0.47)]
+        for n in range(int(fault.for_s / STUTTER_INTERVAL_SECONDS) + 1):
+            self.after(n * STUTTER_INTERVAL_SECONDS, self._do_stall, fault, names, fault.value or 0.3)
 
-    def _do_slow(self, trouble: Trouble, who: list[str]) -> None:
-        for place in [*self._places(who, 0.4)]:
-            server = place.server
-            server.slowed = trouble.value or 0.3
-            self.after(trouble.for_s, setattr, server, "slowed", 1.0)
+    def _do_slow(self, fault: Fault, targets: list[str]) -> None:
+        for host in [*self._select_caches(targets, 0.4)]:
+            server = host.server
+            server.slowed = fault.value or 0.3
+            self.after(fault.for_s, setattr, server, "slowed", 1.0)
 
-    def _do_drain(self, trouble: Trouble, who: list[str], most: float = 0.2) -> None:
-        for place in [*self._places(who, most)]:
-            self._leave(place)
+    def _do_drain(self, fault: Fault, targets: list[str], max_fraction: float = 0.2) -> None:
+        for host in [*self._select_caches(targets, max_fraction)]:
+            self._drain_cache(host)
 
-    def _leave(self, place: CachePlace) -> None:
-        if place.leaving or place.gone or len(self._live()) <= 1:
+    def _drain_cache(self, host: CacheHost) -> None:
+        if host.leaving or host.gone or len(self._active_caches()) <= 1:
             return
-        place.leaving = True
-        self._list(place, "leaving")
-        wait = self.scenario.fleet.leaves_after_s
-        self.after(wait, self._left, place)
-
-    def _left(self, place: CachePlace) -> None:
-        place.gone = True
-        place.machine.kill()
-        self._list(place, "left")
-
-    def _do_drain_lost(self, trouble: Trouble, who: list[str]) -> None:
-        self._do_lose(trouble, [])
-        self._do_drain(trouble, who)
-
-    def _do_deploy(self, trouble: Trouble, who: list[str]) -> None:
-        live = self._live()
-        chosen = self.random_source.sample(live, max(1, int(len(live) * (trouble.value or 0.9))))
-        for n, place in enumerate(chosen):
-            wait = trouble.for_s * n / len(chosen)
-            self.after(wait, self._replace, place)
-
-    def _replace(self, place: CachePlace) -> None:
-        if place.gone or place.leaving:
+        host.leaving = True
+        self._publish(host, "leaving")
+        delay = self.scenario.fleet.leaves_after_s
+        self.after(delay, self._remove_cache, host)
+
+    def _remove_cache(self, host: CacheHost) -> None:
+        host.gone = True
+        host.machine.kill()
+        self._publish(host, "left")
+
+    def _do_drain_lost(self, fault: Fault, targets: list[str]) -> None:
+        self._do_lose(fault, [])
+        self._do_drain(fault, targets)
+
+    def _do_deploy(self, fault: Fault, targets: list[str]) -> None:
+        live = self._active_caches()
+        selected = self.random_source.sample(live, max(1, int(len(live) * (fault.value or 0.9))))
+        for n, host in enumerate(selected):
+            delay = fault.for_s * n / len(selected)
+            self.after(delay, self._replace_cache, host)
+
+    def _replace_cache(self, host: CacheHost) -> None:
+        if host.gone or host.leaving:
             return
-        successor = self._new_cache(place.zone)
+        successor = self._add_cache(host.zone)
         successor.gone = True
-        self._come_back(successor)
-        self._leave(place)
+        self._restart_cache(successor)
+        self._drain_cache(host)
 
-    def _do_shrink(self, trouble: Trouble, who: list[str]) -> None:
-        live = self._live()
-        chosen = self.random_source.sample(live, int(len(live) * (1 - (trouble.value or 0.5))))
-        for n, place in enumerate(chosen):
-            self.after(trouble.for_s * n / max(1, len(chosen)), self._leave, place)
+    def _do_shrink(self, fault: Fault, targets: list[str]) -> None:
+        live = self._active_caches()
+        selected = self.random_source.sample(live, int(len(live) * (1 - (fault.value or 0.5))))
+        for n, host in enumerate(selected):
+            self.after(fault.for_s * n / max(1, len(selected)), self._drain_cache, host)
 
-    def _do_grow(self, trouble: Trouble, who: list[str]) -> None:
-        count = int(trouble.value or 3)
+    def _do_grow(self, fault: Fault, targets: list[str]) -> None:
+        count = int(fault.value or 3)
         for n in range(count):
-            place = self._new_cache(n % self.scenario.fleet.sites)
-            place.gone = True
-            self.after(trouble.for_s * n / count, self._come_back, place)
-
-    def _do_weights(self, trouble: Trouble, who: list[str]) -> None:
-        for place in [*self._places(who)]:
-            place.weight = trouble.value or 0.5
-            self._list(place)
-            self.after(trouble.for_s, self._plain_weight, place)
-
-    def _plain_weight(self, place: CachePlace) -> None:
-        place.weight = 1.0
-        if not place.leaving and not place.gone:
-            self._list(place)
-
-    def _do_cut(self, trouble: Trouble, who: list[str]) -> None:
+            host = self._add_cache(n % self.scenario.fleet.sites)
+            host.gone = True
+            self.after(fault.for_s * n / count, self._restart_cache, host)
+
+    def _do_weights(self, fault: Fault, targets: list[str]) -> None:
+        for host in [*self._select_caches(targets)]:
+            host.weight = fault.value or 0.5
+            self._publish(host)
+            self.after(fault.for_s, self._restore_weight, host)
+
+    def _restore_weight(self, host: CacheHost) -> None:
+        host.weight = 1.0
+        if not host.leaving and not host.gone:
+            self._publish(host)
+
+    def _do_cut(self, fault: Fault, targets: list[str]) -> None:
         sites = self.scenario.fleet.sites
         if sites < 2:
             return
-        pairs = [tuple(map(int, name.split("-"))) for name in who]
-        pairs = pairs or [tuple(self.random_source.sample(range(sites), 2))]
-        for one, another in pairs:
-            self.network.cut(one, another)
-            self.after(trouble.for_s, self.network.heal, one, another)
-
-    def _do_lean(self, trouble: Trouble, who: list[str]) -> None:
-        name = self._some_routers(who)[0].machine.name
+        site_pairs = [tuple(map(int, name.split("-"))) for name in targets]
+        site_pairs = site_pairs or [tuple(self.random_source.sample(range(sites), 2))]
+        for site, other_site in site_pairs:
+            self.network.cut(site, other_site)
+            self.after(fault.for_s, self.network.heal, site, other_site)
+
+    def _do_lean(self, fault: Fault, targets: list[str]) -> None:
+        name = self._select_routers(targets)[0].machine.name
         for crowd in self.crowds:
             crowd.lean = name
-            self.after(trouble.for_s, setattr, crowd, "lean", None)
+            self.after(fault.for_s, setattr, crowd, "lean", None)
 
-    def _do_rate(self, trouble: Trouble, who: list[str]) -> None:
+    def _do_rate(self, fault: Fault, targets: list[str]) -> None:
         for crowd in self.crowds:
-            crowd.rate *= trouble.value or 2.0
-            self.after(trouble.for_s, self._slower, crowd, trouble.value or 2.0)
+            crowd.rate *= fault.value or 2.0
+            self.after(fault.for_s, self._reduce_rate, crowd, fault.value or 2.0)
 
     @staticmethod
-    def _slower(crowd: Crowd, factor: float) -> None:
+    def _reduce_rate(crowd: Crowd, factor: float) -> None:
         crowd.rate /= factor
 
-    def _do_hot(self, trouble: Trouble, who: list[str]) -> None:
+    def _do_hot(self, fault: Fault, targets: list[str]) -> None:
         key = f"k{self.random_source.randrange(self.scenario.work.keys)}"
         for crowd in self.crowds:
-            crowd.keys.hot = key, trouble.value or 0.3
-            self.after(trouble.for_s, setattr, crowd.keys, "hot", None)
+            crowd.keys.hot = key, fault.value or 0.3
+            self.after(fault.for_s, setattr, crowd.keys, "hot", None)
 
-    def _do_shift(self, trouble: Trouble, who: list[str]) -> None:
-        by = self.random_source.randrange(self.scenario.work.keys)
+    def _do_shift(self, fault: Fault, targets: list[str]) -> None:
+        offset = self.random_source.randrange(self.scenario.work.keys)
         for crowd in self.crowds:
-            crowd.keys.shifted += by
+            crowd.keys.shifted += offset
 
-    def _do_spoil(self, trouble: Trouble, who: list[str]) -> None:
-        for place in [*self._places(who)]:
-            server = place.server
-            server.spoiling = Spoiling(trouble.value or 0.3)
-            self.after(trouble.for_s, setattr, server, "spoiling", Spoiling())
+    def _do_spoil(self, fault: Fault, targets: list[str]) -> None:
+        for host in [*self._select_caches(targets)]:
+            server = host.server
+            server.spoiling = Spoiling(fault.value or 0.3)
+            self.after(fault.for_s, setattr, server, "spoiling", Spoiling())
 
-    def _do_flood(self, trouble: Trouble, who: list[str]) -> None:
+    def _do_flood(self, fault: Fault, targets: list[str]) -> None:
         crowd = self.crowds[0]
-        for place in self._some_routers(who):
-            self.nursery.start_soon(self._flood, crowd, place.door, int(trouble.value or 200), trouble.for_s)
+        for host in self._select_routers(targets):
+            self.nursery.start_soon(self._flood, crowd, host.door, int(fault.value or 200), fault.for_s)
 
     @staticmethod
     async def _flood(crowd: Crowd, door: Door, count: int, hold_for: float) -> None:
         await crowd.flood(door, count, hold_for)
 
-    def _do_halves(self, trouble: Trouble, who: list[str], name: str = "halves") -> None:
+    def _do_halves(self, fault: Fault, targets: list[str], setting: str = "halves") -> None:
         for crowd in self.crowds:
-            before = getattr(crowd.habits, name)
-            setattr(crowd.habits, name, trouble.value or 0.1)
-            self.after(trouble.for_s, setattr, crowd.habits, name, before)
-
-    def _do_one_off(self, trouble: Trouble, who: list[str]) -> None:
-        self._do_halves(trouble, who, "one_off")
-
-    # routers ----------------------------------------------
-
-    def _do_kill(self, trouble: Trouble, who: list[str]) -> None:
-        for place in self._some_routers(who):
-            if place.machine.running and place.restart_after is None:
-                place.restart_after = max(0.1, trouble.for_s)
-                place.machine.kill()
-                self.events.tell("down", place.machine.name, "killed")
-                self.after(min(self.random_source.uniform(*NOTICED), place.restart_after), self._close_doors, place)
-
-    def _do_restart(self, trouble: Trouble, who: list[str]) -> None:
-        for place in self._some_routers(who):
-            if place.machine.running and place.restart_after is None:
-                place.restart_after = max(0.1, trouble.for_s)
-                place.machine.signal(signal.SIGTERM)
-                self.events.tell("signalled", place.machine.name, "SIGTERM")
-                self.after(self.random_source.uniform(*STOPS_DIALLING), self._close_doors, place)
-
-    def _do_reload(self, trouble: Trouble, who: list[str]) -> None:
-        """Moves the router to a second agent beside it, which counts in its own way."""
-        for place in self._some_routers(who):
-            old = place.agent
-            name = f"agent-{place.machine.name}-{self.clock.time:.3f}"
-            beside = self.network.machine(name, place.machine.site)
+            previous = getattr(crowd.habits, setting)
+            setattr(crowd.habits, setting, fault.value or 0.1)
+            self.after(fault.for_s, setattr, crowd.habits, setting, previous)
+
+    def _do_one_off(self, fault: Fault, targets: list[str]) -> None:
+        self._do_halves(fault, targets, "one_off")
+
+    # faults of routers and agents -------------------------
+
+    def _do_kill(self, fault: Fault, targets: list[str]) -> None:
+        for host in self._select_routers(targets):
+            if host.machine.running and host.restart_after is None:
+                host.restart_after = max(0.1, fault.for_s)
+                host.machine.kill()
+                self.events.tell("down", host.machine.name, "killed")
+                self.after(
+                    min(self.random_source.uniform(*CRASH_NOTICE_SECONDS), host.restart_after),
+                    self._stop_new_connections,
+                    host,
+                )
+
+    def _do_restart(self, fault: Fault, targets: list[str]) -> None:
+        for host in self._select_routers(targets):
+            if host.machine.running and host.restart_after is None:
+                host.restart_after = max(0.1, fault.for_s)
+                host.machine.signal(signal.SIGTERM)
+                self.events.tell("signalled", host.machine.name, "SIGTERM")
+                self.after(self.random_source.uniform(*SIGTERM_NOTICE_SECONDS), self._stop_new_connections, host)
+
+    def _do_reload(self, fault: Fault, targets: list[str]) -> None:
+        """Move the router to another agent, which counts list generations from another number."""
+        for host in self._select_routers(targets):
+            old = host.agent
+            name = f"agent-{host.machine.name}-{self.clock.time:.3f}"
+            agent_machine = self.network.machine(name, host.machine.site)
             agent = Agent(
-                beside,
-                (beside.address, AGENT),
+                agent_machine,
+                (agent_machine.address, AGENT_PORT),
                 self.clock.current_time,
                 self.events,
-                place.machine.name,
+                host.machine.name,
                 [*old.rows.values()],
             )
             agent.generation = agent.first = self.random_source.randrange(1, 2000)
-            place.agent = agent
-            place.file.data["discovery"] = f"{beside.address}:{AGENT}"
-            self.nursery.start_soon(self._process, beside, agent.run)
-            place.machine.signal(signal.SIGHUP)
-            self.events.tell("signalled", place.machine.name, "SIGHUP")
+            host.agent = agent
+            host.file.data["discovery"] = f"{agent_machine.address}:{AGENT_PORT}"
+            self.nursery.start_soon(self._run_process, agent_machine, agent.run)
+            host.machine.signal(signal.SIGHUP)
+            self.events.tell("signalled", host.machine.name, "SIGHUP")
 
-    def _do_list_late(self, trouble: Trouble, who: list[str]) -> None:
-        for place in self._all_or(who):
-            place.delay = trouble.value or 3.0
-            self.after(trouble.for_s, setattr, place, "delay", 0.0)
+    def _do_list_late(self, fault: Fault, targets: list[str]) -> None:
+        for host in self._select_routers_or_all(targets):
+            host.extra_list_delay = fault.value or 3.0
+            self.after(fault.for_s, setattr, host, "extra_list_delay", 0.0)
 
-    def _agents(self, trouble: Trouble, who: list[str], name: str) -> None:
-        for place in self._all_or(who):
-            setattr(place.agent, name, True)
-            place.agent.wake()
-            self.after(trouble.for_s, setattr, place.agent, name, False)
+    def _set_agent_flag(self, fault: Fault, targets: list[str], flag: str) -> None:
+        for host in self._select_routers_or_all(targets):
+            setattr(host.agent, flag, True)
+            host.agent.wake()
+            self.after(fault.for_s, setattr, host.agent, flag, False)
 
-    def _do_list_silent(self, trouble: Trouble, who: list[str]) -> None:
-        self._agents(trouble, who, "silent")
+    def _do_list_silent(self, fault: Fault, targets: list[str]) -> None:
+        self._set_agent_flag(fault, targets, "silent")
 
-    def _do_list_broken(self, trouble: Trouble, who: list[str]) -> None:
-        self._agents(trouble, who, "broken")
+    def _do_list_broken(self, fault: Fault, targets: list[str]) -> None:
+        self._set_agent_flag(fault, targets, "broken")
 
-    def _do_list_failing(self, trouble: Trouble, who: list[str]) -> None:
-        self._agents(trouble, who, "failing")
+    def _do_list_failing(self, fault: Fault, targets: list[str]) -> None:
+        self._set_agent_flag(fault, targets, "failing")
 
-    def _do_list_over(self, trouble: Trouble, who: list[str]) -> None:
-        for place in self._all_or(who):
-            place.agent.start_over()
+    def _do_list_over(self, fault: Fault, targets: list[str]) -> None:
+        for host in self._select_routers_or_all(targets):
+            host.agent.start_over()
 
-    def _do_lose(self, trouble: Trouble, who: list[str]) -> None:
-        for place in self._all_or(who):
-            self.network.lose_all_until[place.machine.name] = self.clock.time + trouble.for_s
+    def _do_lose(self, fault: Fault, targets: list[str]) -> None:
+        for host in self._select_routers_or_all(targets):
+            self.network.datagrams_lost_until[host.machine.name] = self.clock.time + fault.for_s
 
 
-def held_by(service: Service) -> dict[str, int]:
-    """What a router still has when nothing is open on it, by name; all of it should be nothing."""
+def open_resources(service: Service) -> dict[str, int]:
+    """Return the resources that a router still holds, by name. All must be 0 while no request is open."""
     driver, clients = service.driver, service.clients
     router = driver.router
     listed = len(service.servers.targets)
@@ -779,7 +811,7 @@
         "held": len(router.held),
         "clients' connections": service.budget.clients,
         "bytes of bodies": service.memory.capacity - service.memory.available,
-        "timers": len(router.timers) if len(router.timers) > MOST_TIMERS else 0,
-        "hand-offs counted as out": sum(c.inflight for c in router.caches.values()) + router.fleet.inflight,
+        "timers": len(router.timers) if len(router.timers) > MAX_IDLE_TIMERS else 0,
+        "hand-offs counted as out": sum(cache.inflight for cache in router.caches.values()) + router.fleet.inflight,
         "servers that are gone": max(0, len(router.caches) - 2 * listed - 4),
     }
--- a/tests/simulation/test_coordination.py
+++ b/tests/simulation/test_coordination.py
@@ -1,4 +1,4 @@
-"""Coordination in the virtual network: the core's worst days with applications, and faults planted in the service."""
+"""Coordination in the simulated system: random faults of the core under load, and bugs planted in the service."""
 
 import unittest
 from unittest import mock
@@ -10,27 +10,27 @@
 from rowanshift.controlplane.coordination_runner import CoordinationRunner, PendingCall
 from rowanshift.controlplane.errors import NotConfirmed
 from rowanshift.controlplane.replica_runner import ReplicaRunner
-from rowanshift.simulation.core_draw import core_scenario
-from rowanshift.simulation.core_play import CoreRun, play_core
-from rowanshift.simulation.core_scenario import CoreLoad, CoreScenario, CoreTrouble
+from rowanshift.simulation.core_draw import draw_core_scenario
+from rowanshift.simulation.core_play import CoreRunResult, run_core_scenario
+from rowanshift.simulation.core_scenario import CoreFault, CoreLoad, CoreScenario
 
-SEEDS = range(400, 403)  # in CI; more by `simulate --core --applications 2 --seeds`
-FAULT_SEEDS = range(1, 9)  # of which one at least must show a planted fault
+SEEDS = range(400, 403)  # in CI; for more, run `simulate --core --applications 2 --seeds`
+FAULT_SEEDS = range(1, 9)  # at least one of these must expose a planted bug
 APPLICATIONS = 3
-KILLS = [CoreTrouble(at_s, "kill", "coordinator", 1.2) for at_s in (2.0, 5.0, 8.0, 11.0)]
-FREEZES = [CoreTrouble(at_s, "freeze", "coordinator", 2.5) for at_s in (2.0, 6.0, 10.0)]
-CUTS = [CoreTrouble(at_s, "cut", "coordinator", 2.5) for at_s in (2.0, 5.0, 8.0, 11.0)]
+KILLS = [CoreFault(at_s, "kill", "coordinator", 1.2) for at_s in (2.0, 5.0, 8.0, 11.0)]
+FREEZES = [CoreFault(at_s, "freeze", "coordinator", 2.5) for at_s in (2.0, 6.0, 10.0)]
+CUTS = [CoreFault(at_s, "cut", "coordinator", 2.5) for at_s in (2.0, 5.0, 8.0, 11.0)]
 
 
-def played(troubles: list[CoreTrouble], seconds: float = 16.0, seed: int = 1) -> CoreRun:
+def run_applications(faults: list[CoreFault], seconds: float = 16.0, seed: int = 1) -> CoreRunResult:
     load = CoreLoad(clients=0, change_every_s=0.0, applications=APPLICATIONS)
-    return play_core(CoreScenario(seed=seed, seconds=seconds, load=load, trouble=troubles))
+    return run_core_scenario(CoreScenario(seed=seed, seconds=seconds, load=load, trouble=faults))
 
 
-def broken_rules(troubles: list[CoreTrouble], *rules: str, seconds: float = 16.0) -> set[str]:
-    """Which of these rules the first seed breaks that breaks any of them; none if no seed does."""
+def first_broken_rules(faults: list[CoreFault], *rules: str, seconds: float = 16.0) -> set[str]:
+    """Return which of these rules are broken by the first seed that breaks any; an empty set if no seed does."""
     for seed in FAULT_SEEDS:
-        run = played(troubles, seconds, seed)
+        run = run_applications(faults, seconds, seed)
         assert not run.error, run.error
         if found := {breach.rule for breach in run.breaches} & {*rules}:
             return found
@@ -45,27 +45,27 @@
     logger.enable("rowanshift")
 
 
-class WorstDays(unittest.TestCase):
+class RandomFaults(unittest.TestCase):
     def test_seeds(self) -> None:
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                run = play_core(core_scenario(seed, applications=2))
+                run = run_core_scenario(draw_core_scenario(seed, applications=2))
                 self.assertEqual((run.error, run.breaches, run.unmet), ("", [], []))
 
-    def test_a_seed_replays(self) -> None:
-        first, again = (played(KILLS, 6.0).digest for _ in range(2))
+    def test_same_seed_gives_same_run(self) -> None:
+        first, again = (run_applications(KILLS, 6.0).digest for _ in range(2))
         self.assertEqual(first, again)
 
 
 class PlantedFaults(unittest.TestCase):
-    """Each would be found: the run without it breaks no rule, the run with it does."""
+    """Each planted bug is found: without it no rule is broken, with it one is."""
 
-    def test_without_a_fault_nothing_is_broken(self) -> None:
-        for troubles in (KILLS, CUTS, FREEZES):
-            run = played(troubles)
+    def test_no_rule_is_broken_without_a_planted_bug(self) -> None:
+        for faults in (KILLS, CUTS, FREEZES):
+            run = run_applications(faults)
             self.assertEqual((run.error, run.breaches, run.unmet), ("", [], []))
 
-    def test_a_token_given_again_after_a_takeover(self) -> None:
+    def test_fencing_token_reused_after_a_takeover(self) -> None:
         created = CoordinationStateMachine.__init__
 
         def create(self: CoordinationStateMachine, packed: bytes, now: float, history_seconds: float) -> None:
@@ -73,9 +73,9 @@
             self.state.last_token = 0
 
         with mock.patch.object(CoordinationStateMachine, "__init__", create):
-            self.assertTrue(broken_rules(KILLS, "ONE"))
+            self.assertTrue(first_broken_rules(KILLS, "ONE"))
 
-    def test_a_lock_given_early_after_a_takeover(self) -> None:
+    def test_lock_granted_early_after_a_takeover(self) -> None:
         created = CoordinationStateMachine.__init__
 
         def create(self: CoordinationStateMachine, packed: bytes, now: float, history_seconds: float) -> None:
@@ -83,30 +83,30 @@
             self._held_until = dict.fromkeys(self._held_until, now)
 
         with mock.patch.object(CoordinationStateMachine, "__init__", create):
-            self.assertTrue(broken_rules(KILLS, "ONE"))
+            self.assertTrue(first_broken_rules(KILLS, "ONE"))
 
-    def test_a_lock_given_before_its_hold_has_ended(self) -> None:
+    def test_lock_granted_before_its_hold_has_ended(self) -> None:
         with mock.patch.object(state_machine, "_hold_seconds", lambda hold_ms: 0.5 * hold_ms / 1000):
-            self.assertTrue(broken_rules([], "ONE"))
+            self.assertTrue(first_broken_rules([], "ONE"))
 
-    def test_an_answer_before_the_state_is_on_other_disks(self) -> None:
+    def test_response_before_the_state_is_replicated(self) -> None:
         async def commit(self: ReplicaRunner, state: bytes, role_changes: int) -> bool:
             self.nursery.start_soon(self._propose, state)
             return True
 
         with mock.patch.object(ReplicaRunner, "commit", commit):
-            self.assertTrue(broken_rules(KILLS, "ONE", "ORDER", "STALE", "MIXED", "REFUSED", "LOST"))
+            self.assertTrue(first_broken_rules(KILLS, "ONE", "ORDER", "STALE", "MIXED", "REFUSED", "LOST"))
 
-    def test_a_watch_that_leaves_out_a_put(self) -> None:
+    def test_watch_omits_a_put(self) -> None:
         committed_events = CoordinationStateMachine.committed_events
 
         def leave_out(self: CoordinationStateMachine, group: str, after: int):
             return committed_events(self, group, after + 1)
 
         with mock.patch.object(CoordinationStateMachine, "committed_events", leave_out):
-            self.assertTrue(broken_rules([], "ORDER"))
+            self.assertTrue(first_broken_rules([], "ORDER"))
 
-    def test_a_history_that_is_lost_with_a_takeover(self) -> None:
+    def test_watch_history_lost_in_a_takeover(self) -> None:
         created = CoordinationStateMachine.__init__
 
         def create(self: CoordinationStateMachine, packed: bytes, now: float, history_seconds: float) -> None:
@@ -114,9 +114,9 @@
             list(self.state.history.drop_before(now + 1.0))
 
         with mock.patch.object(CoordinationStateMachine, "__init__", create):
-            self.assertTrue(broken_rules(KILLS, "ORDER"))
+            self.assertTrue(first_broken_rules(KILLS, "ORDER"))
 
-    def test_a_put_that_is_refused_and_done(self) -> None:
+    def test_put_refused_but_applied(self) -> None:
         def not_confirmed(self: PendingCall) -> Exception:
             return NotConfirmed()
 
@@ -130,20 +130,20 @@
             end(self, machine, batch)
 
         with mock.patch.object(CoordinationRunner, "_answer", refuse_some):
-            self.assertTrue(broken_rules([], "REFUSED"))
+            self.assertTrue(first_broken_rules([], "REFUSED"))
 
-    def test_a_put_over_a_later_revision(self) -> None:
+    def test_put_overwrites_a_later_revision(self) -> None:
         put = CoordinationStateMachine._put
 
         def put_anyway(self: CoordinationStateMachine, call, now: float) -> Applied:
             return put(self, type(call)(call.key, call.value, None), now)
 
         with mock.patch.object(CoordinationStateMachine, "_put", put_anyway):
-            self.assertTrue(broken_rules([], "ORDER"))
+            self.assertTrue(first_broken_rules([], "ORDER"))
 
-    def test_a_put_that_is_taken_twice(self) -> None:
+    def test_put_applied_twice(self) -> None:
         with mock.patch.object(CoordinationStateMachine, "_first_revision", lambda self, call, key: None):
-            self.assertTrue(broken_rules(KILLS, "MIXED", "ORDER"))
+            self.assertTrue(first_broken_rules(KILLS, "MIXED", "ORDER"))
 
 
 if __name__ == "__main__":
--- a/tests/simulation/test_fleet_faults.py
+++ b/tests/simulation/test_fleet_faults.py
@@ -1,4 +1,4 @@
-"""Faults that are put into the programs of the whole system, each found by a check of the control side."""
+"""Bugs planted in the programs of the complete system, each of which a rule of the control plane must find."""
 
 import unittest
 from contextlib import AbstractContextManager
@@ -29,16 +29,16 @@
     logger.enable("rowanshift")
 
 
-def timing(**changed: float) -> AbstractContextManager:
-    """Replicas with other times, in seconds."""
-    return mock.patch.object(ReplicaCore.__init__, "__defaults__", (0.0, Timing(**changed)))
+def patched_timing(**times: float) -> AbstractContextManager:
+    """Patch the timing of replicas; values in seconds."""
+    return mock.patch.object(ReplicaCore.__init__, "__defaults__", (0.0, Timing(**times)))
 
 
-class Planted(unittest.TestCase):
-    """A scenario finds nothing without its fault, and a breach of the rule, that says so, with it."""
+class PlantedFaults(unittest.TestCase):
+    """Each scenario breaks no rule without its planted bug, and the expected rule with it."""
 
-    def found(self, rule, why, scenario, *patches, seeds=("f",), **given):
-        """With each of the ``seeds`` nothing without the fault, and with one of them at least the breach with it."""
+    def assert_found(self, rule, reason, scenario, *patches, seeds=("f",), **options):
+        """Without the bug no seed breaks a rule; with it at least one seed breaks ``rule`` for the given reason."""
 
         async def main(fleet):
             fleet.server("other")
@@ -46,15 +46,15 @@
             await scenario(fleet)
 
         for seed in seeds:
-            self.assertEqual([str(breach) for breach in play(main, seed, **given)[1].breaches()], [])
+            self.assertEqual([str(breach) for breach in play(main, seed, **options)[1].breaches()], [])
         for patch in patches:
             patch.start()
             self.addCleanup(patch.stop)
-        breaches = [breach for seed in seeds for breach in play(main, seed, strict=False, **given)[1].breaches()]
-        said = [breach for breach in breaches if breach.rule == rule and why in breach.why]
-        self.assertTrue(said, [str(breach) for breach in breaches])
+        breaches = [breach for seed in seeds for breach in play(main, seed, strict=False, **options)[1].breaches()]
+        matching = [breach for breach in breaches if breach.rule == rule and reason in breach.why]
+        self.assertTrue(matching, [str(breach) for breach in breaches])
 
-    def test_the_budget_of_repeats_never_refuses(self):
+    def test_retry_budget_never_refuses(self):
         async def scenario(fleet):
             for n in range(16):
                 fleet.client(f"c{n}", REPEATED, "key-1", 0.05)
@@ -62,57 +62,57 @@
                 server.answer_lost(0.9)
             await trio.sleep(6)
 
-        self.found(
+        self.assert_found(
             "BUDGET", "repeats", scenario, mock.patch.object(RetryBudget, "try_withdraw", lambda budget, now: True)
         )
 
-    def test_a_router_cuts_its_open_requests_at_sigterm(self):
+    def test_router_cuts_open_requests_at_sigterm(self):
         async def scenario(fleet):
             for n in range(6):
                 fleet.client(f"c{n}", (RESUMED, ONCE)[n % 2], "key-1", 0.05, 400)
             await trio.sleep(1)
             router = fleet.routers[0]
-            await fleet.until(lambda: router.program.frontend.open_requests >= 2)  # streams that are cut
+            await fleet.until(lambda: router.program.frontend.open_requests >= 2)  # streams that the shutdown will cut
             fleet.terminate(router)
             await trio.sleep(4)
 
-        self.found(
+        self.assert_found(
             "LOST",
             "SIGTERM",
             scenario,
             mock.patch.multiple(drain, NOTICE_SECONDS=0.05, END_RESERVE_SECONDS=8.0, END_RESERVE_MAX_FRACTION=1.0),
         )
 
-    def test_a_router_closes_kept_connections_without_an_answer(self):
-        true, begun = ResponseWriter.send, []
+    def test_router_closes_kept_connections_without_a_response(self):
+        original, first_sends = ResponseWriter.send, []
 
         async def cut(writer, data):
             if not writer.bytes_written:
-                begun.append(writer)
-                if not len(begun) % 5:
+                first_sends.append(writer)
+                if not len(first_sends) % 5:
                     raise ClientDisconnected
-            await true(writer, data)
+            await original(writer, data)
 
         async def scenario(fleet):
-            begun.clear()
+            first_sends.clear()
             for n in range(6):
                 fleet.client(f"c{n}", REPEATED, "key-1", 0.05)
             await trio.sleep(4)
 
-        self.found("LOST", "kept connection", scenario, mock.patch.object(ResponseWriter, "send", cut))
+        self.assert_found("LOST", "kept connection", scenario, mock.patch.object(ResponseWriter, "send", cut))
 
-    def test_a_router_takes_an_older_update(self):
-        true, first = ControlCache.apply, {}
+    def test_router_applies_an_older_update(self):
+        original, first_updates = ControlCache.apply, {}
 
-        def take(cache, update, asked_at):
-            taken = true(cache, update, asked_at)
+        def apply(cache, update, asked_at):
+            taken = original(cache, update, asked_at)
             if update.has_state and update.revision == 1:
-                first[cache] = update
+                first_updates[cache] = update
             elif not update.has_state and cache.routing_table.revision == 2:
                 older = msgspec.structs.replace(
-                    first[cache], fingerprint=update.fingerprint, has_server_records=False, has_peers=False
+                    first_updates[cache], fingerprint=update.fingerprint, has_server_records=False, has_peers=False
                 )
-                true(cache, older, asked_at)
+                original(cache, older, asked_at)
             return taken
 
         async def scenario(fleet):
@@ -123,26 +123,26 @@
             await fleet.put(config_of(2, routes=routes))
             await trio.sleep(3)
 
-        self.found("CONFIG", "was seen at", scenario, mock.patch.object(ControlCache, "apply", take))
+        self.assert_found("CONFIG", "was seen at", scenario, mock.patch.object(ControlCache, "apply", apply))
 
-    def test_a_primary_forgets_the_orders_that_it_took(self):
-        true = CHANGES[b"PUT"]
+    def test_primary_forgets_its_order_history_at_a_takeover(self):
+        original = CHANGES[b"PUT"]
 
-        def forgetting(state, if_match, body):
-            return true(replace(state, orders=EMPTY_ORDER_HISTORY), if_match, body)
+        def put_without_history(state, if_match, body):
+            return original(replace(state, orders=EMPTY_ORDER_HISTORY), if_match, body)
 
         async def scenario(fleet):
             await fleet.put(config_of(2))
             fleet.kill(fleet.primary())
             await fleet.send_again(1)
 
-        self.found("CONFIG", "sent again", scenario, mock.patch.dict(CHANGES, {b"PUT": forgetting}))
+        self.assert_found("CONFIG", "sent again", scenario, mock.patch.dict(CHANGES, {b"PUT": put_without_history}))
 
-    def test_an_order_is_refused_whose_acknowledgement_was_lost(self):
-        true = CHANGES[b"PUT"]
+    def test_repeated_put_is_refused_after_a_lost_acknowledgement(self):
+        original = CHANGES[b"PUT"]
 
-        def forgetting(state, if_match, body):
-            return true(replace(state, orders=EMPTY_ORDER_HISTORY), if_match, body)
+        def put_without_history(state, if_match, body):
+            return original(replace(state, orders=EMPTY_ORDER_HISTORY), if_match, body)
 
         async def scenario(fleet):
             fleet.operator.lost_acknowledgements = 1.0
@@ -151,16 +151,16 @@
             fleet.operator.lost_acknowledgements = 0.0
             await fleet.put(config_of(2))
 
-        self.found("CONFIG", "sent again", scenario, mock.patch.dict(CHANGES, {b"PUT": forgetting}))
+        self.assert_found("CONFIG", "sent again", scenario, mock.patch.dict(CHANGES, {b"PUT": put_without_history}))
 
-    def test_a_primary_that_is_cut_off_acknowledges_alone(self):
-        true = ReplicaRunner.change
+    def test_isolated_primary_acknowledges_alone(self):
+        original = ReplicaRunner.change
 
-        async def alone(replica_runner, made, within):
+        async def change_alone(replica_runner, make_next, timeout):
             replica = replica_runner.replica
             if replica.is_primary and replica_runner.lease_remaining() == 0.0:
-                return made(replica.committed_state) or replica.committed_state
-            return await true(replica_runner, made, within)
+                return make_next(replica.committed_state) or replica.committed_state
+            return await original(replica_runner, make_next, timeout)
 
         async def scenario(fleet):
             unit = fleet.primary()
@@ -171,15 +171,15 @@
             fleet.join(unit)
             await trio.sleep(1)
 
-        self.found(
+        self.assert_found(
             "CONFIG",
             "is primary of epoch",
             scenario,
-            mock.patch.object(ReplicaRunner, "change", alone),
-            timing(quorum_loss_seconds=1000.0),
+            mock.patch.object(ReplicaRunner, "change", change_alone),
+            patched_timing(quorum_loss_seconds=1000.0),
         )
 
-    def test_duties_are_held_after_the_lease(self):
+    def test_singleton_tasks_continue_after_the_lease(self):
         async def scenario(fleet):
             await fleet.name_version(2)
             await trio.sleep(0.5)
@@ -188,12 +188,12 @@
             await trio.sleep(8)
             fleet.join(unit)
 
-        self.found(
+        self.assert_found(
             "ONE",
             "after",
             scenario,
-            timing(lease_seconds=1000.0, quorum_loss_seconds=1000.0),
-            seeds=("f", "1", "2", "3", "4", "5"),  # the two holders must take turns at one server
+            patched_timing(lease_seconds=1000.0, quorum_loss_seconds=1000.0),
+            seeds=("f", "1", "2", "3", "4", "5"),  # in one of these, both lease holders give orders to the same server
             servers=6,
             load=2.0,
             fencing=False,
--- a/tests/simulation/test_protocol_rules.py
+++ b/tests/simulation/test_protocol_rules.py
@@ -1,4 +1,4 @@
-"""Rules of the protocol's page that no other test would see broken: see the table in docs/system.md."""
+"""Protocol rules that no other test checks; docs/system.md lists them in a table."""
 
 import unittest
 
@@ -8,7 +8,7 @@
 from rowanshift.controlplane.registered_server import RegisteredServer
 from rowanshift.dataplane.routing_table import RoutingTable
 from rowanshift.invariants.facts import Ordered
-from rowanshift.simulation import fleet as fleets
+from rowanshift.simulation import fleet as fleet_simulation
 from rowanshift.simulation.fleet import ONCE, SERVICE, Fleet
 from rowanshift.simulation.fleet_settings import CONTACT, MODEL, READY
 from rowanshift.transport.call_client import call
@@ -26,8 +26,8 @@
     request_bytes,
 )
 
-RETRIES, TIMEOUT = 3, 8.0  # of the rig's routes
-FULL = Behaviour(rejection(503, b"Not-Executed: 1"), runs=False)
+RETRIES, TIMEOUT_SECONDS = 3, 8.0  # of the routes of ``Rig``; seconds
+FULL_SERVER = Behaviour(rejection(503, b"Not-Executed: 1"), runs=False)
 
 
 def setUpModule() -> None:
@@ -39,53 +39,53 @@
 
 
 class Attempts(unittest.TestCase):
-    def test_no_more_servers_than_the_route_allows(self) -> None:
+    def test_attempts_are_limited_by_the_route(self) -> None:
         async def main(rig: Rig, kind: str) -> int:
-            return (await exchange(rig, kind, *[FULL] * 6)).attempts
+            return (await exchange(rig, kind, *[FULL_SERVER] * 6)).attempts
 
         for kind in KINDS:
             self.assertEqual(play(lambda rig, kind=kind: main(rig, kind), servers=6), RETRIES)
 
-    def test_a_later_attempt_is_handed_what_is_left_then(self) -> None:
+    def test_later_attempt_gets_the_remaining_deadline(self) -> None:
         async def main(rig: Rig, kind: str) -> list[int]:
-            handed = []
+            remaining_times = []
 
             def failing(asked):
-                handed.append(int(asked.fields[b"deadline-remaining"]))
+                remaining_times.append(int(asked.fields[b"deadline-remaining"]))
                 return plain(asked, 500)
 
             rig.behaviours[:] = [Behaviour(failing, wait=1.0), Behaviour(failing)]
             await Client(rig).ask(kind, rig.next_id())
-            return handed
+            return remaining_times
 
         for kind in REPEATABLE:
             first, second = play(lambda rig, kind=kind: main(rig, kind))
             self.assertLess(second, first - 990)
 
-    def test_a_client_is_answered_at_its_routes_time_out(self) -> None:
+    def test_client_gets_504_at_the_route_timeout(self) -> None:
         async def main(rig: Rig, kind: str) -> tuple[str, float]:
             rig.behaviours[:] = [Behaviour(cut=0, then=Then.SILENCE)]
             id, client = rig.next_id(), Client(rig)
             await client.send(request_bytes(kind, id, within=60.0))
-            got = await client.answer(2 * TIMEOUT)
-            return outcome(kind, id, got), got.at
+            response = await client.answer(2 * TIMEOUT_SECONDS)
+            return outcome(kind, id, response), response.at
 
         for kind in KINDS:
             end, at = play(lambda rig, kind=kind: main(rig, kind), servers=1)
             self.assertEqual(end, "own 504")
-            self.assertLess(at, TIMEOUT + 0.5)
+            self.assertLess(at, TIMEOUT_SECONDS + 0.5)
 
-    def test_a_router_that_knows_no_configuration_says_when_to_come_again(self) -> None:
+    def test_router_without_a_configuration_sends_retry_after(self) -> None:
         async def main(rig: Rig) -> tuple[int, bool]:
             rig.state.routing_table = RoutingTable()
-            got = await Client(rig).ask("idempotent", rig.next_id())
-            return got.status, b"retry-after" in got.fields
+            response = await Client(rig).ask("idempotent", rig.next_id())
+            return response.status, b"retry-after" in response.fields
 
         self.assertEqual(play(main), (503, True))
 
 
 class Readiness(unittest.TestCase):
-    def test_a_router_that_was_told_to_stop_is_not_ready_while_it_serves_on(self) -> None:
+    def test_router_is_not_ready_during_shutdown(self) -> None:
         async def main(fleet: Fleet) -> tuple[int, int]:
             await fleet.start()
             fleet.client("long", ONCE, "key-1", out=300)
@@ -98,46 +98,46 @@
             after = await call(fleet.outside, fleet.memory, address, b"GET", b"/readiness")
             return before.status, after.status
 
-        self.assertEqual(fleets.play(main, "readiness", routers=1, strict=False)[0], (200, 503))
+        self.assertEqual(fleet_simulation.play(main, "readiness", routers=1, strict=False)[0], (200, 503))
 
 
 class Orders(unittest.TestCase):
-    """What becomes of an order to a server."""
+    """How the control plane follows up an order to a model server."""
 
-    def orders(self, prepare) -> tuple[bool, list[Ordered]]:
-        """Whether an order of version 2 to the first server went well, and the orders that it took."""
+    def order_version_2(self, prepare) -> tuple[bool, list[Ordered]]:
+        """Order version 2 at the first server; return whether it succeeded, and the orders that reached the server."""
 
         async def main(fleet: Fleet) -> tuple[bool, list[Ordered]]:
             await fleet.start()
-            await trio.sleep(CONTACT + 1.0)  # until the primary may give orders
+            await trio.sleep(CONTACT + 1.0)  # until the primary may send orders
             tasks, server = fleet.primary().program.tasks, fleet.servers[0]
             fleet.registry.newest[MODEL] = 2
-            known = RegisteredServer(server.instance_id, SERVICE, server.name, "z", 1, False, {MODEL: 1})
-            tasks.registry.servers[known.id] = known
-            prepare(server, known)
-            tasks.registry.servers.setdefault(known.id, known)
-            return await tasks.rollout._order(known, MODEL, 2), fleet.of(Ordered)
+            registered = RegisteredServer(server.instance_id, SERVICE, server.name, "z", 1, False, {MODEL: 1})
+            tasks.registry.servers[registered.id] = registered
+            prepare(server, registered)
+            tasks.registry.servers.setdefault(registered.id, registered)
+            return await tasks.rollout._order(registered, MODEL, 2), fleet.of(Ordered)
 
-        return fleets.play(main, "orders", routers=1, load=1.0)[0]
+        return fleet_simulation.play(main, "orders", routers=1, load=1.0)[0]
 
-    def test_one_that_is_meant_for_an_earlier_incarnation_is_not_taken(self) -> None:
-        def gone(server, known: RegisteredServer) -> None:
-            known.id = "i-earlier"
+    def test_order_for_an_earlier_incarnation_is_refused(self) -> None:
+        def address_earlier_incarnation(server, registered: RegisteredServer) -> None:
+            registered.id = "i-earlier"
 
-        well, orders = self.orders(gone)
-        self.assertEqual((well, orders), (False, []))
+        succeeded, orders = self.order_version_2(address_earlier_incarnation)
+        self.assertEqual((succeeded, orders), (False, []))
 
-    def test_one_whose_answer_is_lost_is_followed_and_not_given_again(self) -> None:
-        well, orders = self.orders(lambda server, known: server.answer_lost(0.0, orders=1.0))
-        self.assertEqual((well, len(orders)), (True, 1))
+    def test_order_with_a_lost_response_is_not_sent_again(self) -> None:
+        succeeded, orders = self.order_version_2(lambda server, registered: server.answer_lost(0.0, orders=1.0))
+        self.assertEqual((succeeded, len(orders)), (True, 1))
 
-    def test_one_that_meets_another_under_way_waits_for_it(self) -> None:
-        def busy(server, known: RegisteredServer) -> None:
+    def test_order_waits_for_another_in_progress(self) -> None:
+        def start_earlier_load(server, registered: RegisteredServer) -> None:
             earlier = {"operation": "revision", "model": MODEL, "revision": 2, "method": "retain"}
             server._take_order(earlier | {"leaseHolder": "core-0", "fenceToken": 1})
 
-        well, orders = self.orders(busy)
-        self.assertEqual((well, [order.status for order in orders]), (True, [409]))
+        succeeded, orders = self.order_version_2(start_earlier_load)
+        self.assertEqual((succeeded, [order.status for order in orders]), (True, [409]))
 
 
 if __name__ == "__main__":
--- a/tests/simulation/test_signal_times.py
+++ b/tests/simulation/test_signal_times.py
@@ -1,4 +1,4 @@
-"""From when a process's grace counts: from the moment its signal was handled, however late its loop goes on."""
+"""The grace period of a process starts when its signal is handled, even if its event loop resumes much later."""
 
 import os
 import signal
@@ -15,11 +15,11 @@
 from rowanshift.simulation.fleet_troubles import Unit
 from rowanshift.transport.runtime import SYSTEM_RUNTIME
 
-GRACE = BOUNDS["graceS"]
-STANDSTILL = 3.0  # seconds
-EXIT_TAKES = 0.05
-LONG = 4000  # tokens of a stream that outlasts the grace
-LONGEST_MS = 60_000  # for its route and its client
+GRACE_SECONDS = BOUNDS["graceS"]
+FREEZE_SECONDS = 3.0
+EXIT_SECONDS = 0.05
+LONG_STREAM_TOKENS = 4000  # of a stream that takes longer than the grace period
+MAX_REQUEST_MS = 60_000  # timeout of the route and of the client
 
 
 def setUpModule() -> None:
@@ -30,32 +30,32 @@
     logger.enable("rowanshift")
 
 
-class Handler(unittest.TestCase):
-    def test_it_notes_the_time_while_the_loop_stands_still(self) -> None:
+class SignalHandlers(unittest.TestCase):
+    def test_time_is_recorded_while_the_loop_is_blocked(self) -> None:
         async def main() -> float:
             with SYSTEM_RUNTIME.signals() as signals:
                 threading.Timer(0.1, os.kill, (os.getpid(), signal.SIGHUP)).start()
                 began = trio.current_time()
-                time.sleep(0.6)  # the loop stands still
+                time.sleep(0.6)  # blocks the event loop
                 received = await anext(signals)
                 self.assertEqual(received.number, signal.SIGHUP)
                 return received.at - began
 
         self.assertLess(trio.run(main), 0.4)
 
-    def test_all_kinds_come_in_their_order_and_once_until_they_are_taken(self) -> None:
+    def test_each_signal_is_queued_once_and_in_order(self) -> None:
         async def main() -> list[int]:
             with SYSTEM_RUNTIME.signals() as signals:
                 for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGHUP, signal.SIGINT):
                     signal.raise_signal(number)
-                taken = [(await anext(signals)).number for _ in range(3)]
+                received_numbers = [(await anext(signals)).number for _ in range(3)]
                 signal.raise_signal(signal.SIGHUP)
                 with trio.fail_after(5):
-                    return [*taken, (await anext(signals)).number]
+                    return [*received_numbers, (await anext(signals)).number]
 
         self.assertEqual(trio.run(main), [signal.SIGHUP, signal.SIGTERM, signal.SIGINT, signal.SIGHUP])
 
-    def test_former_handlers_are_back_afterwards(self) -> None:
+    def test_former_handlers_are_restored(self) -> None:
         before = signal.getsignal(signal.SIGTERM)
 
         async def main() -> None:
@@ -66,36 +66,40 @@
         self.assertEqual(signal.getsignal(signal.SIGTERM), before)
 
 
-class Grace(unittest.TestCase):
-    """The loop of a process stands still as its signal is handled, as it does where its processor's quota is spent."""
+class GracePeriod(unittest.TestCase):
+    """The event loop does not run while the signal is handled, as when the CPU quota of the process is used up."""
 
-    def took(self, choose, seed: str) -> float:
-        """Seconds from the signal until the process ended by itself."""
+    def shutdown_seconds(self, choose, seed: str) -> float:
+        """Return the seconds from the signal until the process ended by itself."""
 
         async def main(fleet: Fleet) -> float:
-            await fleet.start(config_of(1, routes=[route | {"timeoutMs": LONGEST_MS} for route in routes_of()]))
+            await fleet.start(config_of(1, routes=[route | {"timeoutMs": MAX_REQUEST_MS} for route in routes_of()]))
             client = fleet.client("long", ONCE, "key-1", pause=1e6)
-            long = replace(fleet.work(ONCE, "key-1", "own", out=LONG), within=LONGEST_MS / 1000, aim=LONGEST_MS / 1000)
+            long = replace(
+                fleet.work(ONCE, "key-1", "own", out=LONG_STREAM_TOKENS),
+                within=MAX_REQUEST_MS / 1000,
+                aim=MAX_REQUEST_MS / 1000,
+            )
             fleet.nursery.start_soon(client.ask, long)
             await trio.sleep(1.0)
             unit: Unit = choose(fleet)
-            if unit.core:  # nobody can release it, so that it stays as long as it may
+            if unit.core:  # no machine can release it, so that it uses its whole grace period
                 fleet.cut(unit)
-            told_at = fleet.now()
+            signalled_at = fleet.now()
             fleet.freeze(unit, handlers_run=True)
             fleet.terminate(unit)
-            await trio.sleep(STANDSTILL)
+            await trio.sleep(FREEZE_SECONDS)
             fleet.thaw(unit)
-            await fleet.until(lambda: not unit.machine.running, 3 * GRACE)
-            return fleet.now() - told_at
+            await fleet.until(lambda: not unit.machine.running, 3 * GRACE_SECONDS)
+            return fleet.now() - signalled_at
 
         return play(main, seed, routers=1, strict=False)[0]
 
-    def test_of_a_router(self) -> None:
-        self.assertLess(self.took(lambda fleet: fleet.routers[0], "router"), GRACE + EXIT_TAKES)
+    def test_router(self) -> None:
+        self.assertLess(self.shutdown_seconds(lambda fleet: fleet.routers[0], "router"), GRACE_SECONDS + EXIT_SECONDS)
 
-    def test_of_a_core_machine(self) -> None:
-        self.assertLess(self.took(Fleet.primary, "core"), GRACE + EXIT_TAKES)
+    def test_core_machine(self) -> None:
+        self.assertLess(self.shutdown_seconds(Fleet.primary, "core"), GRACE_SECONDS + EXIT_SECONDS)
 
 
 if __name__ == "__main__":
--- a/tests/simulation/test_system_simulation.py
+++ b/tests/simulation/test_system_simulation.py
@@ -1,4 +1,4 @@
-"""The whole system in the virtual network, between stand-ins: troubles, closing faults, planted faults."""
+"""The complete system in the simulation: injected faults, recovery from faults, and planted bugs."""
 
 import dataclasses
 import os
@@ -31,7 +31,7 @@
 from rowanshift.simulation.clock import Determined, VirtualClock
 from rowanshift.simulation.disk import VirtualDisk
 from rowanshift.simulation.fleet import (
-    APPLY,
+    APPLY_SECONDS,
     DRAIN,
     ONCE,
     REPEATED,
@@ -55,31 +55,31 @@
     logger.enable("rowanshift")
 
 
-def said(breaches):
+def as_text(breaches):
     return [str(breach) for breach in breaches]
 
 
-async def begun(fleet, clients=5):
-    """All is started, clients ask, and configurations come one after another."""
+async def start_with_load(fleet, clients=5):
+    """Start the system with clients and with configurations that are put continuously."""
     fleet.server("other")
     await fleet.start()
-    fleet.crowd(clients)
+    fleet.start_clients(clients)
     fleet.nursery.start_soon(fleet.keep_changing)
     await trio.sleep(1.0)
 
 
-async def closed(fleet, read=True):
-    """A last configuration is acknowledged and read back, a named version reaches the servers."""
+async def assert_recovered(fleet, read=True):
+    """Check that the newest version reaches all servers, and that the configuration can be read."""
     named = max((fact.revision for fact in fleet.of(VersionNamed)), default=1)
-    assert await fleet.until(lambda: fleet.rolled_out(named)), "the version didn't reach all servers"
+    assert await fleet.until(lambda: fleet.is_rolled_out(named)), "the version was not loaded by all servers"
     if read:
-        got = await fleet.operator.read_config(15.0)
-        assert got is not None, "no configuration was read"
+        config = await fleet.operator.read_config(15.0)
+        assert config is not None, "the configuration could not be read"
 
 
-async def replayed(fleet):
+async def short_run(fleet):
     fleet.server("other")
-    await begun(fleet)
+    await start_with_load(fleet)
     await fleet.name_version(2)
     await trio.sleep(1.5)
     fleet.kill(fleet.primary())
@@ -87,44 +87,47 @@
 
 
 class Case(unittest.TestCase):
-    def through(self, trouble, least=0.9, rest=3.0, seed="f", **given):
-        """Plays a trouble: rules are kept, ``least`` of what was asked meanwhile is answered whole, and
-        nearly all that is asked in the last seconds."""
+    def run_fault(self, inject, min_served=0.9, settle_seconds=3.0, seed="f", **options):
+        """Inject a fault under load, and check the rules and the recovery.
+
+        At least the fraction ``min_served`` of the calls during the fault, and 0.97 of those in the last seconds, must
+        get a complete response.
+        """
 
         async def main(fleet):
-            await begun(fleet)
+            await start_with_load(fleet)
             since = fleet.now()
-            await trouble(fleet)
+            await inject(fleet)
             until = fleet.now()
             revision = fleet.revision
             changed = await fleet.until(lambda: fleet.revision > revision, 12.0)
             self.assertTrue(changed, "no change was acknowledged")
-            await trio.sleep(rest)
-            await closed(fleet)
+            await trio.sleep(settle_seconds)
+            await assert_recovered(fleet)
             return since, until, fleet.now()
 
-        (since, until, end), fleet = play(main, seed, **given)
-        self.assertEqual(said(fleet.breaches()), [])
+        (since, until, end), fleet = play(main, seed, **options)
+        self.assertEqual(as_text(fleet.breaches()), [])
         self.assertEqual(fleet.ended, [])
-        self.assertGreaterEqual(fleet.served(since, until), least)
+        self.assertGreaterEqual(fleet.served(since, until), min_served)
         self.assertGreaterEqual(fleet.served(end - 3.0), 0.97)
         return fleet
 
 
-class Calm(Case):
-    def test_a_calm_day(self):
+class WithoutFaults(Case):
+    def test_run_without_faults(self):
         async def main(fleet):
-            fleet.server("other")  # a second one of the service, which serves while the first loads
-            await begun(fleet)
+            fleet.server("other")  # another server of the service, which serves while the first one loads
+            await start_with_load(fleet)
             await trio.sleep(2)
             self.assertEqual(await fleet.name_version(2), 200)
             await trio.sleep(VERSION)
-            await closed(fleet)
+            await assert_recovered(fleet)
 
         _, fleet = play(main)
-        self.assertEqual((said(fleet.breaches()), fleet.ended), ([], []))
+        self.assertEqual((as_text(fleet.breaches()), fleet.ended), ([], []))
         self.assertEqual(fleet.served(), 1.0)
-        self.assertTrue(fleet.rolled_out(2))
+        self.assertTrue(fleet.is_rolled_out(2))
         named = fleet.of(VersionNamed)[0].at
         self.assertLess(max(fact.at for fact in fleet.of(Loaded)), named + VERSION)
         holders = {fact.holder for fact in fleet.of(Ordered)}
@@ -132,14 +135,14 @@
         self.assertEqual({fact.service for fact in fleet.of(Began)}, {SERVICE, "other"})
         self.assertGreater(len(fleet.of(rules.CacheHit)), 100)
 
-    def test_a_seed_replays_in_another_process(self):
-        """Whatever the hashes of strings are."""
+    def test_same_seed_gives_same_run_in_another_process(self):
+        """The run must not depend on string hashes, which differ between processes."""
         text = (
             "import test_system_simulation as t, hashlib; t.setUpModule(); "
-            "print(hashlib.sha256(repr(t.play(t.replayed, 'a')[1].facts).encode()).hexdigest())"
+            "print(hashlib.sha256(repr(t.play(t.short_run, 'a')[1].facts).encode()).hexdigest())"
         )
         path = os.pathsep.join([os.path.dirname(__file__), *sys.path])
-        told = [
+        digests = [
             subprocess.run(
                 [sys.executable, "-c", text],
                 env={**os.environ, "PYTHONHASHSEED": seed, "PYTHONPATH": path},
@@ -149,67 +152,67 @@
             ).stdout
             for seed in "14"
         ]
-        self.assertEqual(told[0], told[1])
+        self.assertEqual(digests[0], digests[1])
 
-    def test_a_seed_replays(self):
-        first, again, other = (repr(play(replayed, seed)[1].facts) for seed in ("a", "a", "b"))
+    def test_same_seed_gives_same_run(self):
+        first, again, other = (repr(play(short_run, seed)[1].facts) for seed in ("a", "a", "b"))
         self.assertEqual(first, again)
         self.assertNotEqual(first, other)
 
 
-class Ends(Case):
-    """Processes and machines that go and come back."""
+class MachineFailures(Case):
+    """Processes and machines that stop and restart."""
 
-    def gone(self, how, whom, least, seconds=2.0, **given):
-        async def trouble(fleet):
-            unit = whom(fleet)
-            getattr(fleet, how)(unit)
+    def stop_and_restart(self, method, select, min_served, seconds=2.0, **options):
+        async def inject(fleet):
+            unit = select(fleet)
+            getattr(fleet, method)(unit)
             await trio.sleep(seconds)
             fleet.back(unit)
             await trio.sleep(2)
 
-        return self.through(trouble, least, **given)
+        return self.run_fault(inject, min_served, **options)
 
-    def test_a_counter_is_killed(self):
-        self.gone("kill", lambda fleet: fleet.routers[0], 0.7)
+    def test_a_router_is_killed(self):
+        self.stop_and_restart("kill", lambda fleet: fleet.routers[0], 0.7)
 
     def test_the_primary_is_killed(self):
-        self.gone("kill", Fleet.primary, 0.97)
+        self.stop_and_restart("kill", Fleet.primary, 0.97)
 
     def test_a_backup_is_killed(self):
-        self.gone("kill", lambda fleet: fleet.backups()[0], 0.97)
+        self.stop_and_restart("kill", lambda fleet: fleet.backups()[0], 0.97)
 
-    def test_a_counter_loses_power(self):
-        self.gone("cut_power", lambda fleet: fleet.routers[0], 0.5)
+    def test_a_router_loses_power(self):
+        self.stop_and_restart("cut_power", lambda fleet: fleet.routers[0], 0.5)
 
     def test_the_primary_loses_power(self):
-        self.gone("cut_power", Fleet.primary, 0.97)
+        self.stop_and_restart("cut_power", Fleet.primary, 0.97)
 
     def test_the_primary_loses_its_disk(self):
-        self.gone("empty_disk", Fleet.primary, 0.97)
+        self.stop_and_restart("empty_disk", Fleet.primary, 0.97)
 
     def test_a_backup_loses_its_disk(self):
-        self.gone("empty_disk", lambda fleet: fleet.backups()[0], 0.97)
+        self.stop_and_restart("empty_disk", lambda fleet: fleet.backups()[0], 0.97)
 
-    def test_a_core_machine_stays_away(self):
-        async def trouble(fleet):
+    def test_a_core_machine_stays_down(self):
+        async def inject(fleet):
             fleet.cut_power(fleet.primary())
             await trio.sleep(6)
 
-        self.through(trouble, 0.97)
+        self.run_fault(inject, 0.97)
 
-    def test_a_spare_takes_the_place_of_one_that_stays_away(self):
-        async def trouble(fleet):
+    def test_a_spare_replaces_a_machine_that_stays_down(self):
+        async def inject(fleet):
             fleet.cut_power(fleet.primary())
             fleet.spare()
-            await trio.sleep(9)  # it recalls, joins and becomes a witness
+            await trio.sleep(9)  # it recovers its state, joins and becomes a witness
             fleet.cut_power(fleet.primary())
             await trio.sleep(3)
 
-        self.through(trouble, 0.97)
+        self.run_fault(inject, 0.97)
 
-    def test_a_counter_is_told_to_stop(self):
-        async def trouble(fleet):
+    def test_a_router_gets_sigterm(self):
+        async def inject(fleet):
             unit = fleet.routers[0]
             fleet.terminate(unit)
             await trio.sleep(7.5)
@@ -217,17 +220,17 @@
             fleet.back(unit)
             await trio.sleep(2)
 
-        fleet = self.through(trouble, 0.99)
+        fleet = self.run_fault(inject, 0.99)
         lost = [fact.id for fact in fleet.of(rules.Lost)]
         broken = [fact.id for fact in fleet.of(Answered) if not fact.whole]
-        self.assertEqual([id for id in lost + broken if not self.unready(fleet, id)], [])
+        self.assertEqual([id for id in lost + broken if not self.came_unready(fleet, id)], [])
 
-    def unready(self, fleet, id):
-        """Whether a try came to a router that took no new connections any more."""
+    def came_unready(self, fleet, id):
+        """Whether a request was sent to a router that did not accept new connections any more."""
         return any(fact.id == id and fact.how == "no way" for fact in fleet.of(rules.Lost))
 
-    def test_the_primary_is_told_to_stop(self):
-        async def trouble(fleet):
+    def test_the_primary_gets_sigterm(self):
+        async def inject(fleet):
             unit = fleet.primary()
             fleet.terminate(unit)
             await trio.sleep(1)
@@ -235,108 +238,108 @@
             fleet.back(unit)
             await trio.sleep(2)
 
-        self.through(trouble, 0.97)
+        self.run_fault(inject, 0.97)
 
 
-class Standstills(Case):
-    def still(self, whom, least, seconds=4.0):
-        async def trouble(fleet):
-            unit = whom(fleet)
+class Freezes(Case):
+    def freeze_and_thaw(self, select, min_served, seconds=4.0):
+        async def inject(fleet):
+            unit = select(fleet)
             fleet.freeze(unit)
             await trio.sleep(seconds)
             fleet.thaw(unit)
             await trio.sleep(2)
 
-        return self.through(trouble, least)
+        return self.run_fault(inject, min_served)
 
-    def test_the_primary_stands_still(self):
-        self.still(Fleet.primary, 0.97)
+    def test_the_primary_is_frozen(self):
+        self.freeze_and_thaw(Fleet.primary, 0.97)
 
-    def test_a_backup_stands_still(self):
-        self.still(lambda fleet: fleet.backups()[0], 0.97)
+    def test_a_backup_is_frozen(self):
+        self.freeze_and_thaw(lambda fleet: fleet.backups()[0], 0.97)
 
-    def test_a_counter_stands_still(self):
-        self.still(lambda fleet: fleet.routers[0], 0.5)
+    def test_a_router_is_frozen(self):
+        self.freeze_and_thaw(lambda fleet: fleet.routers[0], 0.5)
 
 
-class Cuts(Case):
-    def parted(self, whom, least, seconds=4.0, **how):
-        async def trouble(fleet):
-            unit = whom(fleet)
-            fleet.cut(unit, **how)
+class Partitions(Case):
+    def cut_and_join(self, select, min_served, seconds=4.0, **directions):
+        async def inject(fleet):
+            unit = select(fleet)
+            fleet.cut(unit, **directions)
             await trio.sleep(seconds)
-            fleet.join(unit, **how)
+            fleet.join(unit, **directions)
             await trio.sleep(2)
 
-        return self.through(trouble, least)
+        return self.run_fault(inject, min_served)
 
     def test_the_primary_is_cut_off(self):
-        self.parted(Fleet.primary, 0.97)
+        self.cut_and_join(Fleet.primary, 0.97)
 
-    def test_nothing_that_the_primary_says_arrives(self):
-        self.parted(Fleet.primary, 0.97, ways="out")
+    def test_messages_from_the_primary_are_lost(self):
+        self.cut_and_join(Fleet.primary, 0.97, ways="out")
 
-    def test_the_primary_hears_nothing(self):
-        self.parted(Fleet.primary, 0.97, ways="in")
+    def test_messages_to_the_primary_are_lost(self):
+        self.cut_and_join(Fleet.primary, 0.97, ways="in")
 
-    def test_a_counter_is_cut_off_from_the_core(self):
-        self.parted(lambda fleet: fleet.routers[0], 0.8)
+    def test_a_router_is_cut_off_from_the_core(self):
+        self.cut_and_join(lambda fleet: fleet.routers[0], 0.8)
 
-    def test_the_primary_and_a_backup_lose_each_other(self):
-        async def trouble(fleet):
+    def test_the_primary_and_a_backup_are_cut_off_from_each_other(self):
+        async def inject(fleet):
             one, other = fleet.primary(), fleet.backups()[0]
             fleet.cut(one, [other])
             await trio.sleep(4)
             fleet.join(one, [other])
             await trio.sleep(2)
 
-        self.through(trouble, 0.97)
+        self.run_fault(inject, 0.97)
 
     def test_a_zone_is_cut_off(self):
-        async def trouble(fleet):
+        async def inject(fleet):
             zone = fleet.primary().zone
             fleet.cut_zone(zone)
             await trio.sleep(5)
             fleet.join_zone(zone)
             await trio.sleep(2)
 
-        self.through(trouble, 0.6)
+        self.run_fault(inject, 0.6)
 
 
 class ClocksAndDisks(Case):
     def test_clocks_step(self):
-        async def trouble(fleet):
+        async def inject(fleet):
             for n, unit in enumerate(fleet.units):
                 fleet.step_clock(unit, 30.0 if n % 2 else -30.0)
             await trio.sleep(2)
 
-        self.through(trouble, 0.99)
+        self.run_fault(inject, 0.99)
 
-    def slow(self, whom, factor=600):
-        async def trouble(fleet):
-            unit = whom(fleet)
+    def slow_disk_of(self, select, factor=600):
+        async def inject(fleet):
+            unit = select(fleet)
             fleet.slow_disk(unit, factor)
             await trio.sleep(5)
             fleet.slow_disk(unit, 1)
             await trio.sleep(1)
 
-        self.through(trouble, 0.97)
+        self.run_fault(inject, 0.97)
 
     def test_the_disk_of_the_primary_is_slow(self):
-        self.slow(Fleet.primary)
+        self.slow_disk_of(Fleet.primary)
 
     def test_the_disk_of_a_backup_is_slow(self):
-        self.slow(lambda fleet: fleet.backups()[0])
+        self.slow_disk_of(lambda fleet: fleet.backups()[0])
 
     def test_the_disk_of_the_primary_hangs(self):
-        async def trouble(fleet):
+        async def inject(fleet):
             await fleet.hang_disk(fleet.primary(), 4)
             await trio.sleep(1)
 
-        self.through(trouble, 0.97)
+        self.run_fault(inject, 0.97)
 
     def test_the_disk_of_the_primary_refuses_writes(self):
-        async def trouble(fleet):
+        async def inject(fleet):
             unit = fleet.primary()
             fleet.refuse_writes(unit)
             self.assertTrue(await fleet.until(lambda: fleet.primary() not in (None, unit), 8))
@@ -344,36 +347,36 @@
             fleet.refuse_writes(unit, False)
             await trio.sleep(1)
 
-        self.through(trouble, 0.97)
+        self.run_fault(inject, 0.97)
 
     def test_the_disk_of_a_backup_refuses_writes(self):
-        async def trouble(fleet):
+        async def inject(fleet):
             unit = fleet.backups()[0]
             fleet.refuse_writes(unit)
             await trio.sleep(4)
             fleet.refuse_writes(unit, False)
 
-        self.through(trouble, 0.97)
+        self.run_fault(inject, 0.97)
 
     def test_a_copy_on_the_disk_is_damaged(self):
-        async def trouble(fleet):
+        async def inject(fleet):
             unit = fleet.primary()
             fleet.kill(unit)
-            unit.machine.drive.spoil()
+            unit.machine.drive.damage_copy()
             await trio.sleep(1)
             fleet.back(unit)
             await trio.sleep(4)
 
-        self.through(trouble, 0.97)
+        self.run_fault(inject, 0.97)
 
 
 class DiskAtStart(unittest.TestCase):
-    """Signals that come before a core machine has read its disk."""
+    """Signals that arrive before a core machine has read its disk."""
 
-    def signalled(self, number, trouble):
+    def signal_during_start(self, number, inject):
         async def main(fleet):
             unit = fleet.cores[0]
-            trouble(unit.machine.drive)
+            inject(unit.machine.drive)
             with NamedTemporaryFile() as file:
                 file.write(orjson.dumps(unit.boot))
                 file.flush()
@@ -392,53 +395,53 @@
         return play(main)[0]
 
     def test_sighup(self):
-        self.assertEqual(self.signalled(signal.SIGHUP, lambda drive: drive.hang(1)), ([], True))
+        self.assertEqual(self.signal_during_start(signal.SIGHUP, lambda drive: drive.hang(1)), ([], True))
 
-    def test_sigterm_ends_it_though_the_disk_refuses_all(self):
-        self.assertEqual(self.signalled(signal.SIGTERM, VirtualDisk.refuse), ([0], False))
+    def test_sigterm_ends_the_process_while_the_disk_refuses_writes(self):
+        self.assertEqual(self.signal_during_start(signal.SIGTERM, VirtualDisk.refuse_writes), ([0], False))
 
 
 class Servers(Case):
     def test_a_server_crashes(self):
-        async def trouble(fleet):
+        async def inject(fleet):
             fleet.crash(fleet.servers[0])
             await trio.sleep(2)
             fleet.revive(fleet.servers[0])
             await trio.sleep(3)
 
-        self.through(trouble, 0.8)
+        self.run_fault(inject, 0.8)
 
     def test_a_server_is_drained_and_released(self):
-        async def trouble(fleet):
+        async def inject(fleet):
             await fleet.release(fleet.servers[0], DRAIN)
             await trio.sleep(1)
             fleet.revive(fleet.servers[0])
             await trio.sleep(2)
 
-        fleet = self.through(trouble, 1.0)
+        fleet = self.run_fault(inject, 1.0)
         self.assertIn("i-0-2", {fact.instance for fact in fleet.of(Began)})
 
-    def test_a_server_is_full_and_others_too(self):
-        async def trouble(fleet):
+    def test_all_servers_are_full(self):
+        async def inject(fleet):
             fleet.client("big", RESUMED, "key-1", 0.05, 200)
             await trio.sleep(3)
 
-        self.through(trouble, 0.8, slots=2, queue=0)
+        self.run_fault(inject, 0.8, slots=2, queue=0)
 
-    def test_a_version_is_named_and_the_primary_killed(self):
-        async def trouble(fleet):
+    def test_the_primary_is_killed_during_a_rollout(self):
+        async def inject(fleet):
             self.assertEqual(await fleet.name_version(2), 200)
             await trio.sleep(0.6)
             unit = fleet.primary()
             fleet.kill(unit)
             await trio.sleep(3)
             fleet.back(unit)
-            self.assertTrue(await fleet.until(lambda: fleet.rolled_out(2)))
+            self.assertTrue(await fleet.until(lambda: fleet.is_rolled_out(2)))
 
-        self.through(trouble, 0.95)
+        self.run_fault(inject, 0.95)
 
-    def test_a_version_is_named_and_a_server_crashes(self):
-        async def trouble(fleet):
+    def test_a_server_crashes_during_a_rollout(self):
+        async def inject(fleet):
             self.assertEqual(await fleet.name_version(2), 200)
             await fleet.until(lambda: any(server.busy for server in fleet.servers))
             server = next(server for server in fleet.servers if server.busy)
@@ -446,9 +449,9 @@
             await trio.sleep(1)
             fleet.revive(server)
             await trio.sleep(2)
-            self.assertTrue(await fleet.until(lambda: fleet.rolled_out(2)))
+            self.assertTrue(await fleet.until(lambda: fleet.is_rolled_out(2)))
 
-        self.through(trouble, 0.8)
+        self.run_fault(inject, 0.8)
 
 
 class Configurations(Case):
@@ -456,34 +459,34 @@
         async def main(fleet):
             fleet.server("other")
             await fleet.start()
-            fleet.crowd(6)
+            fleet.start_clients(6)
             await trio.sleep(1)
             routes = routes_of()
             routes[1]["backend"] = "other"
             self.assertEqual(await fleet.put(config_of(2, routes=routes)), 200)
             at = fleet.now()
-            await trio.sleep(APPLY + 1)
+            await trio.sleep(APPLY_SECONDS + 1)
             return at
 
         at, fleet = play(main)
-        self.assertEqual((said(fleet.breaches()), fleet.served()), ([], 1.0))
+        self.assertEqual((as_text(fleet.breaches()), fleet.served()), ([], 1.0))
         moved = [fact.at for fact in fleet.of(Began) if fact.service == "other"]
         self.assertLess(moved[0], at + 1.0)
 
-    def test_two_operators_race(self):
+    def test_two_operators_put_concurrently(self):
         async def main(fleet):
             await fleet.start()
-            fleet.crowd(3)
+            fleet.start_clients(3)
             await trio.sleep(1)
             seen = [
                 await fleet.race(config_of(n, limits={"maxBodyBytes": 70_000}), config_of(n + 1)) for n in (10, 20, 30)
             ]
-            got = await fleet.operator.read_config()
-            return seen, got["revision"], fleet.revision
+            config = await fleet.operator.read_config()
+            return seen, config["revision"], fleet.revision
 
-        (seen, got, newest), fleet = play(main)
+        (seen, config, newest), fleet = play(main)
         self.assertEqual([sorted(statuses) for statuses in seen], [[200, 412]] * 3)
-        self.assertEqual((got, said(fleet.breaches()), fleet.served()), (newest, [], 1.0))
+        self.assertEqual((config, as_text(fleet.breaches()), fleet.served()), (newest, [], 1.0))
 
     def test_a_key_is_revoked(self):
         async def main(fleet):
@@ -493,60 +496,60 @@
             await trio.sleep(1)
             self.assertEqual(await fleet.put(config_of(2, {"t1": ["key-1"], "t2": ["key-2"]})), 200)
             at = fleet.now()
-            await trio.sleep(APPLY + 1)
+            await trio.sleep(APPLY_SECONDS + 1)
             return at, held
 
         (at, held), fleet = play(main)
-        self.assertEqual((said(fleet.breaches()), fleet.served(names=["other"])), ([], 1.0))
+        self.assertEqual((as_text(fleet.breaches()), fleet.served(names=["other"])), ([], 1.0))
         late = [attempt for attempt in held.tries if attempt.asked_at > at + 1.0]
         self.assertEqual({attempt.status for attempt in late}, {401})
 
-    def test_an_invalid_one_is_refused(self):
+    def test_an_invalid_configuration_is_refused(self):
         async def main(fleet):
             await fleet.start()
             routes = routes_of("nobody")
             return await fleet.operator.put_config(config_of(2, routes=routes), 1, valid=False)
 
         status, fleet = play(main)
-        self.assertEqual((status, said(fleet.breaches())), (400, []))
+        self.assertEqual((status, as_text(fleet.breaches())), (400, []))
 
 
-class Closing(Case):
-    """What was acknowledged is there after the last fault, and service comes back."""
+class Recovery(Case):
+    """After the last fault, acknowledged changes are still there and service recovers."""
 
-    def after(self, fault, seed="f"):
+    def recover_from(self, fault, seed="f"):
         async def main(fleet):
-            await begun(fleet)
+            await start_with_load(fleet)
             self.assertEqual(await fleet.name_version(2), 200)
             await fleet.until(lambda: fleet.revision < fleet.sent, 5)
-            await fleet.until(lambda: fleet.revision == fleet.sent, 5)  # just acknowledged
+            await fleet.until(lambda: fleet.revision == fleet.sent, 5)  # the newest change was acknowledged just now
             fault(fleet)
             await trio.sleep(1)
             for unit in fleet.units:
-                fleet.nursery.start_soon(self.later, fleet, unit)
+                fleet.nursery.start_soon(self.restart_later, fleet, unit)
             await trio.sleep(7)
-            await closed(fleet)
+            await assert_recovered(fleet)
             return fleet.now()
 
         end, fleet = play(main, seed)
-        self.assertEqual(said(fleet.breaches()), [])
-        self.assertTrue(fleet.rolled_out(2))
+        self.assertEqual(as_text(fleet.breaches()), [])
+        self.assertTrue(fleet.is_rolled_out(2))
         self.assertGreaterEqual(fleet.served(end - 3.0), 0.97)
 
-    async def later(self, fleet, unit):
+    async def restart_later(self, fleet, unit):
         await trio.sleep(0.3 * fleet.random_source.random())
         fleet.back(unit)
 
     def test_all_are_killed_at_once(self):
-        self.after(lambda fleet: fleet.kill(*fleet.units))
+        self.recover_from(lambda fleet: fleet.kill(*fleet.units))
 
     def test_all_lose_power(self):
         for seed in ("f", "g", "h"):
             with self.subTest(seed):
-                self.after(lambda fleet: fleet.cut_power(*fleet.units), seed)
+                self.recover_from(lambda fleet: fleet.cut_power(*fleet.units), seed)
 
-    def test_power_goes_in_the_middle_of_a_change(self):
-        """What is read back is the last that was acknowledged, or one that was sent after it."""
+    def test_power_is_lost_during_a_change(self):
+        """The configuration read back is the last acknowledged one or one that was sent after it."""
 
         async def main(fleet, after, lost):
             async def change():
@@ -567,7 +570,7 @@
             with self.subTest(n):
                 scenario = partial(main, after=0.1 + n * 0.0011, lost=n % 3)
                 (read, acknowledged, sent), fleet = play(scenario, f"p{n}")
-                self.assertEqual(said(fleet.breaches()), [])
+                self.assertEqual(as_text(fleet.breaches()), [])
                 self.assertTrue(acknowledged <= read <= sent, (acknowledged, read, sent))
 
     def test_the_primary_loses_its_disk_and_all_others_lose_power(self):
@@ -576,7 +579,7 @@
             fleet.cut_power(*(other for other in fleet.units if other is not unit))
             fleet.empty_disk(unit)
 
-        self.after(fault)
+        self.recover_from(fault)
 
     def test_a_backup_loses_its_disk_and_all_others_lose_power(self):
         def fault(fleet):
@@ -584,31 +587,31 @@
             fleet.cut_power(*(other for other in fleet.units if other is not unit))
             fleet.empty_disk(unit)
 
-        self.after(fault)
+        self.recover_from(fault)
 
 
-class Planted(unittest.TestCase):
-    """A fault is put into the programs, and a scenario finds it, which finds nothing without it."""
+class PlantedBugs(unittest.TestCase):
+    """Each scenario breaks no rule without its planted bug, and the expected rule with it."""
 
-    def found(self, rule, scenario, patch, **given):
+    def assert_found(self, rule, scenario, patch, **options):
         async def main(fleet):
             fleet.server("other")
             await fleet.start()
             await scenario(fleet)
 
-        self.assertEqual(said(play(main, **given)[1].breaches()), [])
+        self.assertEqual(as_text(play(main, **options)[1].breaches()), [])
         with patch:
-            breaches = play(main, strict=False, **given)[1].breaches()
+            breaches = play(main, strict=False, **options)[1].breaches()
         self.assertIn(rule, {breach.rule for breach in breaches})
 
-    def test_a_change_is_acknowledged_before_the_backup_has_stored_it(self):
-        true = Replica._on_store_reply
+    def test_change_acknowledged_before_the_backup_has_stored_it(self):
+        original = Replica._on_store_reply
 
-        def eager(ledger, sender, message):
-            true(ledger, sender, message)
-            proposal = ledger._proposal
-            if proposal is not None and ledger._candidacy is None and ledger.me in proposal.stored:
-                ledger._commit_proposal()
+        def commit_early(replica, sender, message):
+            original(replica, sender, message)
+            proposal = replica._proposal
+            if proposal is not None and replica._candidacy is None and replica.me in proposal.stored:
+                replica._commit_proposal()
 
         async def scenario(fleet):
             primary, backup = fleet.primary(), fleet.backups()[0]
@@ -620,7 +623,7 @@
             fleet.back(*fleet.cores)
             await fleet.operator.read_config(20.0)
 
-        self.found("CONFIG", scenario, mock.patch.object(Replica, "_on_store_reply", eager))
+        self.assert_found("CONFIG", scenario, mock.patch.object(Replica, "_on_store_reply", commit_early))
 
     async def crashes(self, fleet):
         for n in range(6):
@@ -635,22 +638,22 @@
             fleet.revive(server)
         await trio.sleep(1)
 
-    def test_what_may_have_run_is_sent_again(self):
-        self.found("TWICE", self.crashes, mock.patch.object(Route, "is_repeatable", True))
+    def test_request_that_may_have_run_is_retried(self):
+        self.assert_found("TWICE", self.crashes, mock.patch.object(Route, "is_repeatable", True))
 
-    def test_what_may_have_run_is_refused(self):
-        true = response_writer.ResponseWriter.refuse
+    def test_request_that_may_have_run_is_refused(self):
+        original = response_writer.ResponseWriter.refuse
 
         async def refuse(out, refusal):
-            await true(out, response_writer.Refusal(503, refusal.reason) if refusal.status == 502 else refusal)
+            await original(out, response_writer.Refusal(503, refusal.reason) if refusal.status == 502 else refusal)
 
-        self.found("REFUSED", self.crashes, mock.patch.object(response_writer.ResponseWriter, "refuse", refuse))
+        self.assert_found("REFUSED", self.crashes, mock.patch.object(response_writer.ResponseWriter, "refuse", refuse))
 
-    def test_a_stream_is_taken_up_from_its_start(self):
-        true = server_attempt.serialize_request
+    def test_stream_is_resumed_from_its_start(self):
+        original = server_attempt.serialize_request
 
         def serialize_request(request, tenant, server_fields):
-            return true(request, tenant, dataclasses.replace(server_fields, last_event_id=None))
+            return original(request, tenant, dataclasses.replace(server_fields, last_event_id=None))
 
         async def scenario(fleet):
             fleet.client("c", RESUMED, "key-1", 0.05, 80)
@@ -659,50 +662,50 @@
                 server.garble("break", 2)
             await trio.sleep(2)
 
-        self.found("ORDER", scenario, mock.patch.object(server_attempt, "serialize_request", serialize_request))
+        self.assert_found("ORDER", scenario, mock.patch.object(server_attempt, "serialize_request", serialize_request))
 
-    def test_an_isolated_tenant_shares_its_cache(self):
+    def test_isolated_tenant_shares_its_cache(self):
         async def scenario(fleet):
-            fleet.crowd(9)
+            fleet.start_clients(9)
             await trio.sleep(2)
 
-        self.found(
+        self.assert_found(
             "WALL", scenario, mock.patch.object(requests, "cache_salt", lambda tenant, version: b"v%d" % version)
         )
 
-    def test_a_counter_keeps_its_first_configuration(self):
-        true = control_cache.ControlCache.apply
+    def test_router_keeps_its_first_configuration(self):
+        original = control_cache.ControlCache.apply
 
-        def take(self, update, asked_at):
+        def apply(self, update, asked_at):
             update = update if not self.routing_table.revision else msgspec.structs.replace(update, has_state=False)
-            return true(self, update, asked_at)
+            return original(self, update, asked_at)
 
         async def scenario(fleet):
             fleet.client("c", REPEATED, "key-1b")
             await fleet.put(config_of(2, {"t1": ["key-1"]}))
-            await trio.sleep(APPLY + 1)
+            await trio.sleep(APPLY_SECONDS + 1)
 
-        self.found("CONFIG", scenario, mock.patch.object(control_cache.ControlCache, "apply", take))
+        self.assert_found("CONFIG", scenario, mock.patch.object(control_cache.ControlCache, "apply", apply))
 
-    def test_a_server_that_leaves_gets_more(self):
-        true = control_cache.endpoint_from_record
+    def test_draining_server_gets_new_requests(self):
+        original = control_cache.endpoint_from_record
 
         async def scenario(fleet):
-            fleet.crowd(6)
+            fleet.start_clients(6)
             await trio.sleep(0.5)
             await fleet.release(fleet.servers[1], 6.0)
 
-        self.found(
+        self.assert_found(
             "DRAIN",
             scenario,
             mock.patch.object(
                 control_cache,
                 "endpoint_from_record",
-                lambda row: true(msgspec.structs.replace(row, state=row.state & ~control_cache.SERVER_DRAINING)),
+                lambda row: original(msgspec.structs.replace(row, state=row.state & ~control_cache.SERVER_DRAINING)),
             ),
         )
 
-    def test_a_version_is_never_rolled_out(self):
+    def test_version_is_never_rolled_out(self):
         async def scenario(fleet):
             fleet.client("c", REPEATED, "key-1")
             await fleet.name_version(2)
@@ -710,27 +713,27 @@
 
         patch = mock.patch.multiple(control_cache.ControlCache, required_version=lambda self, model, now: 0)
         with mock.patch.object(VersionRollout, "_may_order", lambda rollout: False):
-            self.found("VERSION", scenario, patch)
+            self.assert_found("VERSION", scenario, patch)
 
-    def test_the_fence_never_rises(self):
+    def test_fence_token_never_increases(self):
         async def scenario(fleet):
             await fleet.name_version(2)
-            await fleet.until(lambda: fleet.rolled_out(2))
+            await fleet.until(lambda: fleet.is_rolled_out(2))
             fleet.kill(fleet.primary())
             await fleet.name_version(3)
-            await fleet.until(lambda: fleet.rolled_out(3))
+            await fleet.until(lambda: fleet.is_rolled_out(3))
 
         def dumps(data):
             return orjson.dumps(data | {"fenceToken": 7})
 
-        self.found(
+        self.assert_found(
             "ONE",
             scenario,
             mock.patch.object(model_server_client, "orjson", SimpleNamespace(dumps=dumps, loads=orjson.loads)),
         )
 
 
-class Disks(unittest.TestCase):
+class SimulatedDisk(unittest.TestCase):
     def play(self, main):
         clock = VirtualClock()
 
@@ -742,7 +745,7 @@
         with Determined("t"):
             return trio.run(run, clock=clock)
 
-    def test_a_write_takes_its_time_and_outlasts_a_loss_of_power(self):
+    def test_write_takes_time_and_survives_a_power_loss(self):
         async def main(machine):
             disk = machine.disk(Path("/data"))
             await machine.in_thread(disk.open)
@@ -757,7 +760,7 @@
         self.assertAlmostEqual(took, 0.002)
         self.assertEqual(read, b"one")
 
-    def test_what_was_not_synced_may_be_lost(self):
+    def test_unsynced_write_may_be_lost(self):
         async def main(machine):
             seen = set()
             for _ in range(40):
@@ -767,8 +770,8 @@
                 disk = machine.disk(Path("/data"))
                 disk.open()
                 await machine.in_thread(partial(disk.write, b"one"))
-                disk.write(b"two")  # its sync has not ended
-                self.assertEqual(disk.read(), b"two")  # nor would it for a process that is killed
+                disk.write(b"two")  # its sync does not end before the power loss
+                self.assertEqual(disk.read(), b"two")  # also what a killed process would find after its restart
                 machine.drive.power_loss()
                 disk.open()
                 seen.add(disk.read())
@@ -776,7 +779,7 @@
 
         self.assertEqual(self.play(main), {b"one", b"two"})
 
-    def test_troubles(self):
+    def test_injected_faults(self):
         async def main(machine):
             disk, drive, clock = machine.disk(Path("/data")), machine.drive, machine.network.clock
             with self.assertRaises(StoreClosed):
@@ -784,34 +787,34 @@
             disk.open()
             drive.slow(100)
             await machine.in_thread(partial(disk.write, b"one"))
-            slow = clock.time
+            slow_seconds = clock.time
             drive.slow(1)
             drive.hang(3)
             await machine.in_thread(disk.read)
-            hung = clock.time - slow
-            drive.refuse()
+            hung = clock.time - slow_seconds
+            drive.refuse_writes()
             with self.assertRaises(StoreWriteFailed):
                 await machine.in_thread(partial(disk.write, b"two"))
             kept = disk.read()
-            drive.lose()
+            drive.replace_with_empty()
             disk.open()
             empty = disk.read()
             disk.write(b"three")
-            drive.spoil()
+            drive.damage_copy()
             disk.synced = None
             disk.unsynced.clear()
             with self.assertRaises(DamagedRecord):
                 disk.read()
-            return slow, hung, kept, empty
+            return slow_seconds, hung, kept, empty
 
-        slow, hung, kept, empty = self.play(main)
-        self.assertAlmostEqual(slow, 0.2)
+        slow_seconds, hung, kept, empty = self.play(main)
+        self.assertAlmostEqual(slow_seconds, 0.2)
         self.assertAlmostEqual(hung, 3.001, 2)
         self.assertEqual((kept, empty), (b"one", None))
 
 
-class OneWay(unittest.TestCase):
-    def test_what_is_sent_the_lost_way_waits(self):
+class OneWayPartition(unittest.TestCase):
+    def test_data_on_a_blocked_path_is_delayed(self):
         async def main(clock):
             network = Network(clock, "t", Paths(jitter=0.0, partial=0.0))
             one, other = network.machine("one"), network.machine("other")
@@ -821,7 +824,7 @@
             await connect(stream, (other.address, 80))
             await listener.wait()
             accepted = listener.accept()
-            network.lose_way(one, other)
+            network.block_path(one, other)
             stream.send(b"there")
             accepted.send(b"back")
             await trio.sleep(1)
@@ -829,7 +832,7 @@
             dial = one.stream()
             with trio.move_on_after(1) as scope:
                 await connect(dial, (other.address, 80))
-            network.find_way(one, other)
+            network.unblock_path(one, other)
             await trio.sleep(2)
             return seen, scope.cancelled_caught, accepted.readable()
 
--- a/tests/support/small_system.py
+++ b/tests/support/small_system.py
@@ -1,4 +1,4 @@
-"""One small running system on loopback for the tests of commands, and what these tests share."""
+"""A small running system on loopback for the tests of commands, and helpers of these tests."""
 
 import random
 import re
@@ -16,24 +16,24 @@
 from rowanshift.emulation import cluster
 from tests.support.helpers import invoke
 
-TIMEOUT_SECONDS = 30.0  # for anything that is waited for
+TIMEOUT_SECONDS = 30.0  # limit of each wait
 POLL_SECONDS = 0.02
 
 
 def unused_network() -> str:
-    """The first three bytes of addresses that no other run uses."""
+    """Return a random loopback /24 prefix, such as ``127.20.30.``, that other test runs are unlikely to use."""
     return f"127.{random.randrange(16, 250)}.{random.randrange(1, 250)}."
 
 
 def temporary_folder(case: unittest.TestCase) -> Path:
-    """A folder that is removed with the case."""
+    """Create a folder that is removed at the end of the test."""
     folder = tempfile.TemporaryDirectory()
     case.addCleanup(folder.cleanup)
     return Path(folder.name)
 
 
 class TrioThread:
-    """Runs a coroutine and its tasks in a thread beside a test until it is left, where their errors are raised."""
+    """Context manager that runs a coroutine and its tasks in a thread; exiting raises their errors."""
 
     def __init__(self, run) -> None:
         self.run, self.started, self.error = run, threading.Event(), None
@@ -58,7 +58,7 @@
     def __enter__(self):
         self.thread.start()
         if not self.started.wait(TIMEOUT_SECONDS + 5):
-            raise TimeoutError("it did not start")
+            raise TimeoutError("the thread did not start in time")
         if self.error is not None:
             raise self.error
         return self.result
@@ -74,7 +74,7 @@
 
 
 class SmallSystemCase(unittest.TestCase):
-    """A test case with one small system for all its tests, and the command line against it."""
+    """A test case with one small system for all its tests, and helpers that run commands against it."""
 
     @classmethod
     def setUpClass(cls) -> None:
@@ -95,11 +95,11 @@
         cls.controls = ["{}:{}".format(*control) for control in cls.system.controls]
 
     def invoke(self, *arguments, at: str = ""):
-        """The exit status and the output of a command that asks the system."""
+        """Run a command against the system; return its exit status and output."""
         return invoke(*arguments, "--at", at or ",".join(self.controls))
 
     def wait_in_system(self, condition: Callable[[], bool]) -> None:
-        """Wait until a condition holds that is read in the system's own thread."""
+        """Wait until a condition holds that is evaluated in the thread of the system."""
 
         async def wait() -> None:
             with trio.fail_after(TIMEOUT_SECONDS):
@@ -109,10 +109,10 @@
         self.thread.call(wait)
 
     def wait_for_output(self, condition: Callable[[], bool]) -> None:
-        """The same of a condition that runs commands, which is read here."""
+        """Wait until a condition holds that is evaluated in the calling thread, for example by running commands."""
         deadline = time.monotonic() + TIMEOUT_SECONDS
         while not condition():
-            self.assertLess(time.monotonic(), deadline, "it never held")
+            self.assertLess(time.monotonic(), deadline, "the condition did not hold in time")
 
     def write(self, name: str, config: dict) -> Path:
         path = self.folder / name
@@ -120,12 +120,12 @@
         return path
 
     def put(self, path: Path) -> None:
-        """Put a configuration; it is in force then."""
+        """Put a configuration, which must be accepted."""
         revision = orjson.loads(path.read_bytes())["revision"]
         self.assertEqual(self.invoke("config", "put", path), (0, f"revision {revision} is in force\n"))
 
     def next_configuration(self, **changes) -> dict:
-        """A configuration that can be put next."""
+        """Return a configuration with the next revision."""
         return cluster.CONFIG | {"revision": self.revision() + 1} | changes
 
     def revision(self) -> int:
@@ -135,10 +135,10 @@
         return orjson.loads(self.invoke("status", "--json")[1])["machines"]
 
     def wait_for_duties(self, pattern: str) -> str:
-        """The output of ``duties`` once it matches."""
+        """Wait until the output of ``duties`` matches a pattern, and return it."""
         deadline = time.monotonic() + TIMEOUT_SECONDS
         while time.monotonic() < deadline:
             code, text = self.invoke("duties")
             if code == 0 and re.search(pattern, text):
                 return text
-        raise AssertionError(f"it never printed {pattern!r}, but {text}")
+        raise AssertionError(f"the output of duties did not match {pattern!r} in time: {text}")
