--- a/rowanshift/simulation/command.py
+++ b/rowanshift/simulation/command.py
@@ -119,9 +119,9 @@
     if size not in SIZES:
         raise UsageError(f"--size is {size!r}, not one of {', '.join(SIZES)}")
     if sum((file is not None, bool(seeds), seed is not None)) != 1:
-        raise UsageError("give exactly one of FILE, --seed and --seeds")
+        raise UsageError("give a file, --seed or --seeds")
     if seeds and (events or shrink):
-        raise UsageError("--events and --shrink need a single FILE or --seed, not --seeds")
+        raise UsageError("--events and --shrink go with one seed or file")
     try:
         core = core or (file is not None and is_core(file))
     except ScenarioError as error:
@@ -154,7 +154,7 @@
 ) -> int:
     """Run the command for the control plane; return its exit status."""
     if shrink or size != DEFAULT_SIZE:
-        raise UsageError("--shrink and --size do not apply to control plane scenarios")
+        raise UsageError("--shrink and --size don't go with control plane scenarios")
     if seeds:
         return run_many(parse_seeds(seeds), workers, as_json, applications)
     try:
--- a/rowanshift/simulation/core_scenario.py
+++ b/rowanshift/simulation/core_scenario.py
@@ -160,7 +160,7 @@
     try:
         return tomllib.loads(path.read_text())
     except OSError as error:
-        raise ScenarioError(f"{path}: cannot read the file: {error.strerror}") from error
+        raise ScenarioError(f"{path}: {error.strerror}") from error
     except UnicodeDecodeError as error:
         raise ScenarioError(f"{path}: not UTF-8: {error.reason}") from error
     except tomllib.TOMLDecodeError as error:
--- a/rowanshift/simulation/fleet.py
+++ b/rowanshift/simulation/fleet.py
@@ -110,7 +110,7 @@
         self.facts: list[Fact] = []
         self.registry, self.memory = Registry(), MemoryBudget(4096)
         self.fault_records: list[FaultRecord] = []
-        self.open_faults: dict[tuple[str, str], FaultRecord] = {}  # that have not ended, by kind and machine
+        self.open: dict[tuple[str, str], FaultRecord] = {}  # that have not ended, by kind and machine
         self.ended: list[tuple[float, str, str]] = []  # programs that ended unexpectedly: time, machine, reason
         self.patrons: list[Patron] = []
         self.revision = self.sent = 0  # of the configuration acknowledged last, and the highest one sent
--- a/rowanshift/simulation/fleet_machines.py
+++ b/rowanshift/simulation/fleet_machines.py
@@ -90,7 +90,7 @@
     cores: list[Unit]
     facts: list[Fact]
     fault_records: list[FaultRecord]
-    open_faults: dict[tuple[str, str], FaultRecord]  # that have not ended, by kind and machine
+    open: dict[tuple[str, str], FaultRecord]  # that have not ended, by kind and machine
     ended: list[tuple[float, str, str]]  # programs that ended unexpectedly: time, machine, reason
     network: Network
     nursery: trio.Nursery
--- a/rowanshift/simulation/fleet_troubles.py
+++ b/rowanshift/simulation/fleet_troubles.py
@@ -30,12 +30,12 @@
     def _begin_fault(self, kind: str, *units: Unit, disturbs_contact: bool = False) -> None:
         for unit in units:
             fault = FaultRecord(kind, unit.name, unit.core, self.now(), float("inf"), disturbs_contact or not unit.core)
-            self.open_faults[kind, unit.name] = fault
+            self.open[kind, unit.name] = fault
             self.fault_records.append(fault)
 
     def _end_fault(self, kind: str, *units: Unit) -> None:
         for unit in units:
-            if (fault := self.open_faults.pop((kind, unit.name), None)) is not None:
+            if (fault := self.open.pop((kind, unit.name), None)) is not None:
                 fault.until = self.now()
 
     def _take_down(self, unit: Unit, stop: Callable[[], None]) -> None:
--- a/rowanshift/simulation/machine.py
+++ b/rowanshift/simulation/machine.py
@@ -148,7 +148,7 @@
         self.away = False  # unreachable: packets to it are lost, and it sends none, not even a reset
         self.frozen = False
         self.process_count = 0
-        self.process_scope = trio.CancelScope()
+        self.scope = trio.CancelScope()
         self.signal_queue: SignalQueue | None = None
         self.handlers_run = True  # whether signal handlers run while the process is frozen
         self.deferred_signals: list[int] = []  # handled when the process resumes
@@ -165,9 +165,9 @@
         self.process_count += 1
         self.running, self.away = True, False
         try:
-            with trio.CancelScope() as self.process_scope:
+            with trio.CancelScope() as self.scope:
                 await run_as_machine_task(self, main, *args)
-            return None if self.process_scope.cancelled_caught else len(self.held)
+            return None if self.scope.cancelled_caught else len(self.held)
         finally:
             self._stop(reset=True)
 
@@ -195,7 +195,7 @@
         self.network.clock.task_woken = True
         if self.frozen:
             self.go_on()
-        self.process_scope.cancel()
+        self.scope.cancel()
 
     def signal(self, number: int) -> None:
         """Send a signal to the process. Its handler records the time at which it runs."""
--- a/rowanshift/simulation/scenario.py
+++ b/rowanshift/simulation/scenario.py
@@ -203,7 +203,7 @@
     try:
         return parse_scenario(tomllib.loads(path.read_text()), str(path))
     except OSError as error:
-        raise ScenarioError(f"{path}: cannot read the file: {error.strerror}") from error
+        raise ScenarioError(f"{path}: {error.strerror}") from error
     except UnicodeDecodeError as error:
         raise ScenarioError(f"{path}: not UTF-8: {error.reason}") from error
     except tomllib.TOMLDecodeError as error:
