--- a/rowanshift/simulation/network.py
+++ b/rowanshift/simulation/network.py
@@ -49,7 +49,6 @@
         "address",
         "arrived_at",
         "bytes_read",
-        "bytes_written",
         "closed_at",
         "eof",
         "failed",
@@ -67,6 +66,7 @@
         "undelivered",
         "unread_bytes",
         "writer",
+        "wrote",
     )
 
     def __init__(self, network: "Network", machine: Machine) -> None:
@@ -80,7 +80,7 @@
         self.reader, self.writer = Waiter(machine), Waiter(machine)
         self.send_window = network.paths.window
         self.unread_bytes = 0  # in the inbox
-        self.bytes_written = self.bytes_read = 0  # totals over the life of the connection
+        self.wrote = self.bytes_read = 0  # total bytes sent and read
         self.latest_arrival = self.arrived_at = network.clock.time
         self.closed_at = float("inf")
         self.sent_at = self.latest_arrival  # send time of the first piece of the last read
@@ -110,7 +110,7 @@
         if count > 1 and self.network.random_source.random() < self.network.paths.partial:
             count = self.network.random_source.randrange(1, count)
         self.send_window -= count
-        self.bytes_written += count
+        self.wrote += count
         self.network.transmit(self, "data", bytes(data[:count]))
         return count
 
@@ -200,7 +200,7 @@
 
     def taken(self) -> bool:
         """Return whether the peer has read all that was sent."""
-        return self.peer.bytes_read >= self.bytes_written
+        return self.peer.bytes_read >= self.wrote
 
     def other(self) -> str:
         """Return the name of the peer's machine."""
