--- a/rowanshift/simulation/world.py
+++ b/rowanshift/simulation/world.py
@@ -92,7 +92,7 @@
     weight: float = 1.0
     came_up: float = 0.0
     leaving: bool = False
-    gone: bool = False
+    is_down: bool = False
     held: dict[str, int] = field(default_factory=dict)
 
 
@@ -438,7 +438,7 @@
     def _stop_collapsed_cache(self, cache: Cache) -> None:
         """Kill a cache that collapsed under overload. It is not restarted."""
         host = self.caches[cache.name]
-        host.gone = True
+        host.is_down = True
         self.after(0.0, self._kill_cache, host)
         self._publish(host, "left")
 
@@ -516,7 +516,7 @@
         getattr(self, f"_do_{fault.what}")(fault, targets)
 
     def _active_caches(self) -> list[CacheHost]:
-        return [host for host in self.caches.values() if host.name != "origin" and not (host.leaving or host.gone)]
+        return [host for host in self.caches.values() if host.name != "origin" and not (host.leaving or host.is_down)]
 
     def _select_caches(self, targets: list[str], max_fraction: float = 0.3) -> Iterator[CacheHost]:
         """Yield the named caches that are active; without names, a random selection."""
@@ -526,7 +526,7 @@
             yield from self.random_source.sample(live, min(count, len(live)))
         for name in targets:
             host = self.caches.get(name)
-            if host is not None and not host.leaving and not host.gone:
+            if host is not None and not host.leaving and not host.is_down:
                 yield host
 
     def _select_routers(self, targets: list[str]) -> list[RouterHost]:
@@ -541,7 +541,7 @@
         host.machine.kill()
 
     def _restart_cache(self, host: CacheHost) -> None:
-        host.came_up, host.gone = self.clock.time, False
+        host.came_up, host.is_down = self.clock.time, False
         self._start_cache(host)
         self._publish(host)
 
@@ -553,7 +553,7 @@
 
     def _do_die(self, fault: Fault, targets: list[str], method: str = "kill") -> None:
         for host in [*self._select_caches(targets)]:
-            host.gone = True
+            host.is_down = True
             getattr(host.machine, method)()
             self._publish(host, "left")
             self.after(max(0.5, fault.for_s), self._restart_cache, host)
@@ -563,16 +563,16 @@
 
     def _do_reborn(self, fault: Fault, targets: list[str]) -> None:
         for host in [*self._select_caches(targets, 0.15)]:
-            host.gone = True
+            host.is_down = True
             host.machine.kill()
             self._publish(host, "left")
             successor = self._add_cache(host.zone, host.machine)
-            successor.gone = True
+            successor.is_down = True
             self.after(max(0.3, fault.for_s), self._restart_cache, successor)
 
     def _do_moved(self, fault: Fault, targets: list[str]) -> None:
         for host in [*self._select_caches(targets, 0.15)]:
-            host.gone = True
+            host.is_down = True
             host.machine.kill()
             host.machine = self.network.machine(f"m2-{host.name}-{self.clock.time:.3f}", host.zone, 4096)
             self.after(max(0.3, fault.for_s), self._restart_cache, host)
@@ -611,7 +611,7 @@
             self._drain_cache(host)
 
     def _drain_cache(self, host: CacheHost) -> None:
-        if host.leaving or host.gone or len(self._active_caches()) <= 1:
+        if host.leaving or host.is_down or len(self._active_caches()) <= 1:
             return
         host.leaving = True
         self._publish(host, "leaving")
@@ -619,7 +619,7 @@
         self.after(delay, self._remove_cache, host)
 
     def _remove_cache(self, host: CacheHost) -> None:
-        host.gone = True
+        host.is_down = True
         host.machine.kill()
         self._publish(host, "left")
 
@@ -635,10 +635,10 @@
             self.after(delay, self._replace_cache, host)
 
     def _replace_cache(self, host: CacheHost) -> None:
-        if host.gone or host.leaving:
+        if host.is_down or host.leaving:
             return
         successor = self._add_cache(host.zone)
-        successor.gone = True
+        successor.is_down = True
         self._restart_cache(successor)
         self._drain_cache(host)
 
@@ -652,7 +652,7 @@
         count = int(fault.value or 3)
         for n in range(count):
             host = self._add_cache(n % self.scenario.fleet.sites)
-            host.gone = True
+            host.is_down = True
             self.after(fault.for_s * n / count, self._restart_cache, host)
 
     def _do_weights(self, fault: Fault, targets: list[str]) -> None:
@@ -663,7 +663,7 @@
 
     def _restore_weight(self, host: CacheHost) -> None:
         host.weight = 1.0
-        if not host.leaving and not host.gone:
+        if not host.leaving and not host.is_down:
             self._publish(host)
 
     def _do_cut(self, fault: Fault, targets: list[str]) -> None:
--- a/tests/simulation/test_fleet_faults.py
+++ b/tests/simulation/test_fleet_faults.py
@@ -105,7 +105,7 @@
         original, first_updates = ControlCache.apply, {}
 
         def apply(cache, update, asked_at):
-            taken = original(cache, update, asked_at)
+            applied = original(cache, update, asked_at)
             if update.has_state and update.revision == 1:
                 first_updates[cache] = update
             elif not update.has_state and cache.routing_table.revision == 2:
@@ -113,7 +113,7 @@
                     first_updates[cache], fingerprint=update.fingerprint, has_server_records=False, has_peers=False
                 )
                 original(cache, older, asked_at)
-            return taken
+            return applied
 
         async def scenario(fleet):
             fleet.client("c", ONCE, "key-1", 0.05)
