--- a/rowanshift/modelcheck/__init__.py
+++ b/rowanshift/modelcheck/__init__.py
@@ -1,9 +1,11 @@
-"""A model checker for the replication protocol: it drives `replication.Replica` itself.
+"""A model checker for the replication protocol. It runs `replication.Replica` itself, not a copy of its logic.
 
-A random walk draws every choice from its seed: which message in flight is delivered next, is lost or is duplicated,
-which save reaches the disk, which machine crashes, loses power or its disk, pauses, is partitioned or has a fast clock.
-Walks with an odd seed run under `CONTENDED_TIMING`: several candidates are often active at once. Breadth-first search
-visits every order of events from a chosen start. Planted faults show that both find what they are meant to find.
+A random walk draws every choice from its seed: which message in flight is delivered, lost or duplicated next, which
+save reaches the disk, and which machine crashes, loses power or its disk, pauses, is partitioned or has a fast clock.
+Walks with an odd seed run under `CONTENDED_TIMING`, in which several candidates are often active at once.
+Breadth-first search visits every order of events from a chosen start state. Planted faults verify that the walks
+detect violations.
 
-States of the model are lists of four-byte ids that only grow, so "contains what was committed" is "starts with it".
+States of the model are append-only lists of four-byte change ids. One state contains the changes of another if it
+starts with it.
 """
--- a/rowanshift/modelcheck/breadth_first_search.py
+++ b/rowanshift/modelcheck/breadth_first_search.py
@@ -1,4 +1,4 @@
-"""Breadth-first search: all orders of events from a start, in the order of their number of events."""
+"""Breadth-first search over all orders of events from a start state, shortest sequences first."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 from rowanshift.modelcheck.errors import InvariantViolation
 from rowanshift.modelcheck.search_starts import STARTS, EventBudget, SearchState, advance_clock, start_machine
 
-CLOCK_STEPS_SECONDS = (0.25, 1.4)  # by which an event may advance the clock
+CLOCK_STEPS_SECONDS = (0.25, 1.4)  # steps by which one event may advance the clock
 DEFAULT_START = "quiet-primary"
 DEFAULT_MAX_DEPTH = 1000
 
 
 @dataclass(frozen=True)
 class Deliver:
-    """A message in flight arrives, by its index."""
+    """The message at an index of the list of messages in flight is delivered."""
 
     index: int
 
 
 @dataclass(frozen=True)
 class CompleteSave:
-    """A machine's outstanding save ends, on disk."""
+    """A machine's outstanding save completes and is on disk."""
 
     machine_id: int
 
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True)
 class Crash:
-    """A machine's process ends; an outstanding save has reached the disk or not."""
+    """A machine's process ends. ``save_persisted``: its outstanding save has reached the disk."""
 
     machine_id: int
     save_persisted: bool
@@ -56,21 +56,21 @@
 
 @dataclass(frozen=True)
 class Read:
-    """A primary is asked for a read."""
+    """A primary is asked for a confirmed read."""
 
     machine_id: int
 
 
 @dataclass(frozen=True)
 class Propose:
-    """A primary is asked for a change."""
+    """A change is proposed at a primary."""
 
     machine_id: int
 
 
 @dataclass(frozen=True)
 class AdvanceClock:
-    """Time passes, and all machines see it."""
+    """Time advances on the clocks of all machines."""
 
     seconds: float
 
@@ -79,24 +79,24 @@
 
 
 class PackedState(NamedTuple):
-    """A state that is yet to be expanded."""
+    """A state in the queue whose successors have not been visited."""
 
-    depth: int  # events from the start
+    depth: int  # number of events from the start
     packed: bytes  # a pickled SearchState
 
 
 @dataclass
 class SearchResult:
-    """What a search came to."""
+    """The result of a search."""
 
     states: int
     depth: int  # every state up to this many events from the start has been visited
     seconds: float
-    violation: str = ""  # of an invariant; "" if all hold
+    violation: str = ""  # the first violated invariant; "" if all hold
 
 
 def possible_events(state: SearchState) -> list[Event]:
-    """Every event that can come next. A message that is lost is one that is never delivered."""
+    """All events that can occur next. Message loss needs no event: a lost message is one that is never delivered."""
     events: list[Event] = []
     distinct: set[Envelope] = set()
     for index, envelope in enumerate(state.cluster.in_flight):
@@ -129,7 +129,7 @@
 
 
 def apply_event(state: SearchState, event: Event, replica_class: type[replication.Replica]) -> None:
-    """Change a state by an event. Raises ``InvariantViolation``."""
+    """Apply an event to a state in place. Raises ``InvariantViolation``."""
     cluster, budget = state.cluster, state.budget
     match event:
         case Deliver(index):
@@ -161,8 +161,8 @@
     replica_class: type[replication.Replica] = replication.Replica,
     max_depth: int = DEFAULT_MAX_DEPTH,
 ) -> SearchResult:
-    """Visit the states that events lead to from a start, until so many states, so many events deep or a violation."""
-    began = time.monotonic()
+    """Visit the states reachable from a start until ``max_states``, ``max_depth`` events or a violation is reached."""
+    started_at = time.monotonic()
     first = STARTS[start](replica_class)
     queue = deque([PackedState(0, pickle.dumps(first))])
     visited = {state_hash(first)}
@@ -176,22 +176,22 @@
             try:
                 apply_event(state, event, replica_class)
             except InvariantViolation as violation:
-                return SearchResult(len(visited), depth, time.monotonic() - began, str(violation))
+                return SearchResult(len(visited), depth, time.monotonic() - started_at, str(violation))
             key = state_hash(state)
             if key not in visited:
                 visited.add(key)
                 queue.append(PackedState(depth + 1, pickle.dumps(state)))
-    return SearchResult(len(visited), depth, time.monotonic() - began)
+    return SearchResult(len(visited), depth, time.monotonic() - started_at)
 
 
 def _unpack(packed: bytes) -> SearchState:
-    """A new copy of a state, which an event may change."""
+    """Create a separate copy of a state, to which an event can be applied."""
     state: SearchState = pickle.loads(packed)
     return state
 
 
 def state_hash(state: SearchState) -> int:
-    """A hash that is the same for states from which the same can follow."""
+    """A hash of everything that determines which states can follow."""
     cluster = state.cluster
     machines = [
         (machine.disk, machine.pending_save, machine.replica and vars(machine.replica))
--- a/rowanshift/modelcheck/client_messages.py
+++ b/rowanshift/modelcheck/client_messages.py
@@ -1,4 +1,4 @@
-"""What operators and routers ask of the control plane in the model, and what it answers."""
+"""Messages between the control plane and its operators and routers in the model."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 from rowanshift.controlplane.replication import StateVersion
 
-CHANGE_ID_BYTES = 4  # of a change in the history of a state
+CHANGE_ID_BYTES = 4  # length of a change id in the history of a state
 
 
 class Status(Enum):
-    """The answers of ``PUT /config`` that the model tells apart, by their HTTP status."""
+    """The HTTP statuses of ``PUT /config`` that the model distinguishes."""
 
     ACCEPTED = 200
     INVALID = 400
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigChange:
-    """One configuration, based on a revision. ``number`` only makes its content differ from that of any other."""
+    """One configuration, based on a revision. ``number`` only serves to make its content unique."""
 
     number: int
     base: int
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """An answer to an operator. ``revision`` is the one in force, if the answer says so."""
+    """An answer to an operator. ``revision`` is the one in force, or 0 if the answer doesn't contain it."""
 
     status: Status
     revision: int = 0
@@ -63,7 +63,8 @@
 class Poll:
     """A router's long poll.
 
-    ``asked_at`` is the router's time, which the machine asked doesn't use; ``state`` stands for a fingerprint of it.
+    ``asked_at`` is the router's own record of when it sent the poll; the control plane doesn't use it. ``state`` takes
+    the place of the state's fingerprint.
     """
 
     serial: int
@@ -73,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Update:
-    """A poll's answer: the state as it was committed under the version."""
+    """An answer to a poll: the state that was committed under the version."""
 
     poll: Poll
     version: StateVersion
@@ -82,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Redirect:
-    """A poll's answer from a machine that holds no lease."""
+    """An answer to a poll from a machine that holds no lease."""
 
     poll: Poll
 
@@ -91,7 +92,7 @@
 
 
 class ClientEnvelope(NamedTuple):
-    """A message on its way between a client and a machine."""
+    """A message in flight between a client and a machine."""
 
     sender: int
     recipient: int
--- a/rowanshift/modelcheck/client_walk.py
+++ b/rowanshift/modelcheck/client_walk.py
@@ -18,26 +18,26 @@
 
 OPERATORS = 3
 ROUTERS = 3
-FIRST_OPERATOR, FIRST_ROUTER = 1001, 2001  # addresses; machines are below
+FIRST_OPERATOR, FIRST_ROUTER = 1001, 2001  # addresses; those of machines are below 1001
 CLIENT_DELAYS_SECONDS = (0.0, 0.0, 0.005, 0.02, 0.1, 0.6, 3.0)
 ROUTER_PAUSES_SECONDS = (0.3, 1.0, 2.5, 5.0)
-ROUTER_PAUSE_PROBABILITY = 0.0005  # in a step
-POLL_PROBABILITY = 0.2  # in a step, that a router that may poll does
-SERVICE_PROBABILITY = 0.5  # in a step, that a service's task that can go on does
-DUPLICATE_PROBABILITY = 0.1  # that a request is sent to a second machine, too
-PRIMARY_PROBABILITY = 0.7  # that a request is sent to a primary, beyond those sent to it by chance
+ROUTER_PAUSE_PROBABILITY = 0.0005  # per step
+POLL_PROBABILITY = 0.2  # per step, that a router polls if no poll of it is pending
+SERVICE_PROBABILITY = 0.5  # per step, that a runnable task of a service continues
+DUPLICATE_PROBABILITY = 0.1  # that a request is also sent to a second machine
+PRIMARY_PROBABILITY = 0.7  # that the target is drawn from the primaries and not from all machines
 
 
 class ScheduledEnvelope(NamedTuple):
-    """A message to or from a client that is delivered at a time."""
+    """A message to or from a client that is due for delivery at a given time."""
 
-    due: float  # seconds of the model
-    serial: int  # orders those that are due at one time
+    due: float  # model time in seconds
+    serial: int  # order among messages that are due at the same time
     envelope: ClientEnvelope
 
 
 class ClientWalk(RandomWalk):
-    """A walk whose changes and reads come from operators, and whose committed states are polled by routers."""
+    """A walk in which operators make the changes and reads, and routers poll the committed states."""
 
     def __init__(
         self,
@@ -56,13 +56,13 @@
         self.operators = {address: OperatorModel(client_random, numbers) for address in operators}
         routers = range(FIRST_ROUTER, FIRST_ROUTER + ROUTERS)
         self.routers = {address: implementations.router(self.client_invariants) for address in routers}
-        self.request_rate = client_random.choice([0.01, 0.03, 0.1])  # requests a step, of each operator
+        self.request_rate = client_random.choice([0.01, 0.03, 0.1])  # requests per step of each operator
         self.client_message_loss = client_random.choice([0.0, 0.05, 0.3])
         self.scheduled: list[ScheduledEnvelope] = []  # a heap
         self.serials = count()
 
     def issue_requests(self, machine_id: int) -> None:
-        """Nothing: only operators issue requests."""
+        """Do nothing: in this walk only operators issue requests."""
 
     def step(self) -> None:
         """One step of the machines, then one of their clients."""
@@ -99,7 +99,7 @@
             self._request(address, poll)
 
     def _request(self, client: int, message: ClientMessage) -> None:
-        """Send a client's request to a random machine, mostly to a primary, once or twice."""
+        """Send a client's request to a random machine, usually a primary, once or twice."""
         client_random = self.client_random
         primaries = self.cluster.primaries()
         for _ in range(2 if client_random.random() < DUPLICATE_PROBABILITY else 1):
@@ -137,7 +137,7 @@
             self._send(ClientEnvelope(recipient, sender, Redirect(message)))
 
     def _paused_until(self, address: int) -> float:
-        """Seconds of the model until which an addressee is paused."""
+        """The model time in seconds until which a router or machine is paused."""
         if address in self.routers:
             return self.routers[address].paused_until
         return self.cluster.machines[address].paused_until if address in self.cluster.machines else 0.0
