--- a/rowanshift/modelcheck/control_service.py
+++ b/rowanshift/modelcheck/control_service.py
@@ -1,6 +1,6 @@
-"""A modelled control service on top of a replica: changes as `ReplicaRunner.change` makes them, and long polls.
+"""A model of the control service on top of a replica: changes in the manner of `ReplicaRunner.change`, and long polls.
 
-The real `put_config` works on packed states. All of it is lost when the process ends.
+It applies the real `put_config` to packed states. All its data is in memory and is lost when the process ends.
 """
 
 from __future__ import annotations
@@ -28,20 +28,20 @@
 )
 from rowanshift.modelcheck.cluster_model import ClusterModel, MachineModel
 
-CHANGE_LIMIT_SECONDS = 2.5  # for a change; its outcome is unknown afterwards
+CHANGE_LIMIT_SECONDS = 2.5  # time limit of a change, after which its outcome is unknown
 LONG_POLL_SECONDS = 1.0
 
 
 @dataclass
 class PendingChange:
-    """A ``PUT /config`` that waits for its turn, for a confirmed read, or for its proposal."""
+    """A ``PUT /config`` that is queued, or waits for its confirmed read or its proposal."""
 
     operator: int
     change: ConfigChange
     deadline: float  # seconds of the machine's clock
-    token: int = 0  # of the read or the proposal it waits for; 0 while it waits for its turn
+    token: int = 0  # of the read or proposal that it waits for; 0 while it is queued
     proposed: bool = False
-    committed_before: bytes = b""  # the longest state committed when its read was asked
+    committed_before: bytes = b""  # the longest state committed when its read was requested
 
 
 @dataclass
@@ -50,12 +50,12 @@
 
     operator: int
     token: int
-    committed_before: bytes  # the longest state committed when its read was asked
+    committed_before: bytes  # the longest state committed when its read was requested
 
 
 @dataclass
 class PendingPoll:
-    """A router's long poll that waits for an answer."""
+    """A router's long poll that has not been answered yet."""
 
     router: int
     poll: Poll
@@ -63,7 +63,7 @@
 
 
 class ControlService:
-    """The service of one machine, as long as its process lives."""
+    """The service of one machine. It lasts as long as the machine's process."""
 
     def __init__(self, machine_id: int, cluster: ClusterModel, client_invariants: ClientInvariants) -> None:
         self.machine_id, self.cluster, self.client_invariants = machine_id, cluster, client_invariants
@@ -76,21 +76,21 @@
 
     @property
     def machine(self) -> MachineModel:
-        """The machine that it runs on."""
+        """The machine on which the service runs."""
         return self.cluster.machines[self.machine_id]
 
     @property
     def replica(self) -> replication.Replica:
-        """The replica below it."""
+        """The replica that the service uses."""
         return self.machine.running_replica
 
     @property
     def now(self) -> float:
-        """Seconds of the machine's clock."""
+        """The time of the machine's clock in seconds."""
         return self.cluster.clock(self.machine)
 
     def on_outcome(self, token: int, succeeded: bool) -> None:
-        """Note the outcome of a proposal or read; what waits for it continues in a later ``run``."""
+        """Store the outcome of a proposal or read. The task that waits for it continues in a later ``run``."""
         self.outcomes[token] = succeeded
 
     def receive(self, client: int, message: ClientMessage) -> None:
@@ -108,7 +108,7 @@
                 self.polls.append(PendingPoll(client, message, self.now + LONG_POLL_SECONDS))
 
     def run(self, is_scheduled: Callable[[], bool]) -> None:
-        """Continue each task that can go on, if ``is_scheduled`` says so for it."""
+        """Continue each runnable task for which ``is_scheduled`` returns true."""
         if self.current is not None and self.current.token in self.outcomes and is_scheduled():
             self._continue(self.current, self.outcomes.pop(self.current.token))
         self._expire_changes()
@@ -125,7 +125,7 @@
     # changes
 
     def _confirm_read(self) -> int:
-        """Ask for a confirmed read; its token, or 0 if this machine isn't the primary."""
+        """Request a confirmed read. Returns its token, or 0 if this machine isn't the primary."""
         token = self.cluster.new_token()
         self.cluster.invariants.pending_reads[token] = self.cluster.invariants.longest_commit
         try:
@@ -136,7 +136,7 @@
         return token
 
     def _begin(self, pending: PendingChange) -> None:
-        """Ask for the read that precedes a change."""
+        """Request the confirmed read that precedes a change."""
         pending.committed_before = self.cluster.invariants.longest_commit
         pending.token = self._confirm_read()
         if pending.token:
@@ -145,7 +145,7 @@
             self._reply(pending, Status.UNAVAILABLE)
 
     def _continue(self, pending: PendingChange, succeeded: bool) -> None:
-        """Go on with a change whose read or proposal has ended."""
+        """Continue a change whose read or proposal has ended."""
         if not succeeded:
             self._reply(pending, Status.UNAVAILABLE)
         elif pending.proposed:
@@ -156,7 +156,7 @@
             self._decide(pending, state)
 
     def _decide(self, pending: PendingChange, state: bytes) -> None:
-        """Propose a change, refuse it, or find that it is in force already."""
+        """Propose a change, reject it, or acknowledge it if it is already in force."""
         try:
             following = self._put(unpack(state), pending.change)
         except OrderTooOld:
@@ -172,7 +172,7 @@
                 self._propose(pending, state, following.pack())
 
     def _put(self, state: ControlState, change: ConfigChange) -> ControlState | None:
-        """The state with a change applied; ``None`` if it is in force already. Raises what `put_config` raises."""
+        """The state with a change applied; ``None`` if it is already in force. Raises the errors of `put_config`."""
         changed = put_config(state, f'"{change.base}"', change.body)
         return None if changed is None else changed[0]
 
@@ -188,7 +188,7 @@
         self.cluster.carry_out_actions(self.machine_id)
 
     def _expire_changes(self) -> None:
-        """Answer the changes that have reached their limit; a proposal under way goes on all the same."""
+        """Answer the changes that have reached their deadline. A pending proposal is not cancelled."""
         for pending in [*self.queue, *([self.current] if self.current else [])]:
             if self.now >= pending.deadline:
                 self._reply(pending, Status.UNAVAILABLE)
@@ -216,11 +216,11 @@
         return self.replica.is_primary and self.replica.lease_until(self.now) > self.now
 
     def _published_state(self) -> tuple[replication.StateVersion, bytes]:
-        """What routers are told: the committed state and its version."""
+        """The version and state that polls are answered with: the committed ones."""
         return self.replica.committed_version, self.replica.committed_state
 
     def _answer_poll(self, pending: PendingPoll) -> None:
-        """Answer a poll, if the state differs from the router's or the poll has reached its limit."""
+        """Answer a poll if the state differs from the router's, its deadline has come or the lease is lost."""
         if not self._holds_lease():
             self.polls.remove(pending)
             self._send(pending.router, Redirect(pending.poll))
--- a/rowanshift/modelcheck/errors.py
+++ b/rowanshift/modelcheck/errors.py
@@ -6,7 +6,7 @@
 
 
 class Invariant(StrEnum):
-    """What must hold over a whole run; the values are the names in docs/control-plane.md."""
+    """Properties that must hold throughout a run. The values are the names in docs/control-plane.md."""
 
     COMMITS_ARE_KEPT = "KEPT"
     ONE_STATE_PER_VERSION = "ONE-VALUE"
@@ -35,7 +35,7 @@
 
 
 class InvariantViolation(ModelCheckError):
-    """An invariant doesn't hold: the protocol, or a fault planted in it, is wrong. The walk's seed reproduces it."""
+    """An invariant was violated, by the protocol or by a planted fault. The walk's seed reproduces it."""
 
     def __init__(self, invariant: Invariant, detail: str) -> None:
         super().__init__(f"{invariant}: {detail}")
@@ -43,8 +43,8 @@
 
 
 class StartNotReached(ModelCheckError):
-    """A breadth-first search's start was not reached within its limit of steps; it needs a revision."""
+    """The start state of a breadth-first search was not reached within `MAX_STEPS`. The start must be revised."""
 
 
 class InvalidModelEvent(ModelCheckError):
-    """The model was asked for an event that can't happen, such as a delivery to a machine that doesn't run."""
+    """An event was requested that is impossible in the current state, such as a delivery to a stopped machine."""
--- a/rowanshift/modelcheck/fault_injection.py
+++ b/rowanshift/modelcheck/fault_injection.py
@@ -1,4 +1,4 @@
-"""Faults of machines, disks and the network, as a random walk injects them."""
+"""Injection of machine, disk and network faults into a random walk."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 from rowanshift.controlplane import replication
 from rowanshift.modelcheck.cluster_model import ClusterModel, Link, MachineModel
 
-FAULT_SECONDS = (0.05, 0.5, 1.5, 4.0)  # how long a fault lasts
-RESTART_SECONDS = 0.02  # the shortest time that a machine without power is down
-MASS_RESTART_SECONDS = 0.1  # within which crashed machines start again
-NEW_DISK_SECONDS = 0.05  # the shortest time until a machine starts with an empty disk
-PRIMARY_SHARE = 0.4  # of the faults that hit a primary, beyond those that hit it by chance
-WALK_KINDS_SHARE = 0.8  # of the faults whose kinds are among those of the walk
-SAVE_PERSISTED_PROBABILITY = 0.5  # that a save outstanding at a crash still reaches the disk
+FAULT_SECONDS = (0.05, 0.5, 1.5, 4.0)  # durations of faults
+RESTART_SECONDS = 0.02  # minimum downtime after a power loss
+MASS_RESTART_SECONDS = 0.1  # maximum downtime of the machines in a mass restart
+NEW_DISK_SECONDS = 0.05  # minimum downtime before a machine starts with an empty disk
+PRIMARY_SHARE = 0.4  # of the faults, whose target is drawn from the primaries and not from all machines
+WALK_KINDS_SHARE = 0.8  # of the faults, whose kind is drawn from the walk's own kinds and not from all kinds
+SAVE_PERSISTED_PROBABILITY = 0.5  # that a save that is outstanding at a crash still reaches the disk
 SAVE_PERSISTED_AT_POWER_LOSS_PROBABILITY = 0.2
-MASS_RESTART_PROBABILITY = 0.9  # of each other machine
-MASS_RESTART_CUT_PROBABILITY = 0.7  # that the machine that isn't restarted is cut off
+MASS_RESTART_PROBABILITY = 0.9  # of each other machine, to be restarted
+MASS_RESTART_CUT_PROBABILITY = 0.7  # that the machine which isn't restarted is isolated from the network
 GROUP_PROBABILITY = 0.5  # of each machine, to be in the first group of a partition
-LINK_CUT_PROBABILITY = 0.7  # of each link of a machine
-BLOCKED_TYPES = (1, 2, 3)  # how many kinds of messages are blocked
+LINK_CUT_PROBABILITY = 0.7  # of each link of the machine
+BLOCKED_TYPE_COUNTS = (1, 2, 3)  # how many message types one fault blocks
 BLOCKABLE_MESSAGES = (
     replication.Prepare,
     replication.PrepareReply,
@@ -37,7 +37,7 @@
 
 
 class FaultKind(Enum):
-    """What may be injected. The order is part of what a seed means."""
+    """The kinds of faults. Their order affects the walk of each seed."""
 
     FORCED_CANDIDACY = "forced candidacy"
     CRASH = "crash"
@@ -54,7 +54,7 @@
 
 
 class MessageBlock(NamedTuple):
-    """A kind of message that doesn't reach a machine."""
+    """A message type that is not delivered to a machine."""
 
     recipient: int
     message_type: type
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True)
 class Fault:
-    """The machine that a fault hits, and how long it lasts."""
+    """The machine that a fault affects, and the duration of the fault."""
 
     machine_id: int
     machine: MachineModel
@@ -70,17 +70,17 @@
 
 
 class FaultInjection:
-    """The faults of a walk. What each draws, and in which order, is part of what a seed means."""
+    """The faults of a walk. The random draws of each fault and their order affect the walk of each seed."""
 
     cluster: ClusterModel
     random_source: random.Random
     timing: replication.Timing
     fault_free: bool
     fault_kinds: list[FaultKind]
-    blocked_messages: dict[MessageBlock, float]  # until when
+    blocked_messages: dict[MessageBlock, float]  # model time at which each block ends
 
     def inject_fault(self) -> None:
-        """Inject a random fault at a random machine, more often at a primary."""
+        """Inject a random fault at a random machine, with a preference for primaries."""
         cluster, random_source = self.cluster, self.random_source
         machine_id = random_source.choice(sorted(cluster.machines))
         primaries = cluster.primaries()
@@ -89,8 +89,8 @@
         machine = cluster.machines[machine_id]
         if machine.removed or machine.replica is None:
             return
-        of_walk = random_source.random() < WALK_KINDS_SHARE
-        kind = random_source.choice(self.fault_kinds if of_walk else list(FaultKind))
+        use_walk_kinds = random_source.random() < WALK_KINDS_SHARE
+        kind = random_source.choice(self.fault_kinds if use_walk_kinds else list(FaultKind))
         fault = Fault(machine_id, machine, random_source.choice(FAULT_SECONDS))
         self._injector(kind)(fault)
 
@@ -116,7 +116,7 @@
         fault.machine.down_until = self.cluster.now + fault.seconds
 
     def _force_candidacy(self, fault: Fault) -> None:
-        """Let the election timer of an in-sync machine fire now, without a pre-vote."""
+        """Start the candidacy of an in-sync machine immediately, without a pre-vote."""
         cluster = self.cluster
         machine_id = self.random_source.choice(cluster.newest_record().in_sync or [fault.machine_id])
         machine = cluster.machines[machine_id]
@@ -130,7 +130,7 @@
             cluster.tick(machine_id)
 
     def _cut_power_while_saving(self, fault: Fault) -> None:
-        """Cut the power of a machine with a save outstanding, if there is one."""
+        """Cut the power of a machine with an outstanding save, or of the fault's machine if there is none."""
         cluster, random_source = self.cluster, self.random_source
         saving = [each for each, machine in cluster.machines.items() if machine.pending_save is not None]
         machine_id = random_source.choice(saving or [fault.machine_id])
@@ -139,7 +139,7 @@
         cluster.machines[machine_id].down_until = cluster.now + random_source.choice([RESTART_SECONDS, fault.seconds])
 
     def _restart_all_others(self, fault: Fault) -> None:
-        """Crash nearly all machines but one, let them start again soon, and mostly cut that one off."""
+        """Crash most machines except one and restart them soon after; usually isolate that one from the network."""
         cluster, random_source = self.cluster, self.random_source
         for other_id, other in cluster.machines.items():
             if other_id == fault.machine_id or other.replica is None:
@@ -159,8 +159,8 @@
         cluster.cut_links = {link: until for link in self.links() if len(group & {*link}) == 1}
 
     def _block_messages(self, fault: Fault) -> None:
-        """Keep some kinds of messages from a machine."""
-        type_count = self.random_source.choice(BLOCKED_TYPES)
+        """Block the delivery of some message types to a machine."""
+        type_count = self.random_source.choice(BLOCKED_TYPE_COUNTS)
         for message_type in self.random_source.sample(BLOCKABLE_MESSAGES, type_count):
             self.blocked_messages[MessageBlock(fault.machine_id, message_type)] = self.cluster.now + fault.seconds
 
@@ -173,7 +173,7 @@
             fault.machine.down_until = self.cluster.now + seconds
 
     def _remove(self, fault: Fault) -> None:
-        """Remove a machine for good, if a spare is left."""
+        """Remove a machine permanently if a spare is left."""
         cluster = self.cluster
         if len(cluster.machines) <= len(cluster.seeds) or not self.may_fail(fault.machine_id):
             return
@@ -193,19 +193,22 @@
             self.cluster.complete_save(fault.machine_id, succeeded=False)
 
     def _cut_links(self, fault: Fault) -> None:
-        """Cut most of a machine's links, each direction by itself."""
+        """Cut most of a machine's links, each direction independently."""
         for link in self.links():
             if fault.machine_id in link and self.random_source.random() < LINK_CUT_PROBABILITY:
                 self.cluster.cut_links[link] = self.cluster.now + fault.seconds
 
     def links(self) -> list[Link]:
-        """Every pair of machines, one for each direction."""
+        """The links between all pairs of machines, one per direction."""
         machine_ids = list(self.cluster.machines)
         return [Link(sender, recipient) for sender in machine_ids for recipient in machine_ids if sender != recipient]
 
     def clear_restored_failures(self) -> None:
-        """Stop counting failures whose redundancy is restored: the in-sync machines hold the state and a machine with
-        a lost disk has recovered its promises, or a removed one has no vote."""
+        """Stop counting machines as failed once redundancy is restored.
+
+        That requires every in-sync machine to have a state of the newest epoch on disk, and the failed machine to have
+        recovered its promises or, if it was removed, to have no vote in the newest record.
+        """
         cluster = self.cluster
         if cluster.now < cluster.last_failure_at + 2 * self.timing.recovery_delay_seconds:
             return
@@ -224,7 +227,7 @@
             machine.counts_as_failed = machine.counts_as_failed and not restored
 
     def may_fail(self, machine_id: int) -> bool:
-        """Whether one more machine may lose its disk or be removed: no more than the tolerated number at once."""
+        """Whether another machine may lose its disk or be removed without exceeding the tolerated failures."""
         self.clear_restored_failures()
         failed = sum(machine.counts_as_failed for machine in self.cluster.machines.values())
         return not self.fault_free and failed < self.cluster.max_failures
--- a/rowanshift/modelcheck/fault_search.py
+++ b/rowanshift/modelcheck/fault_search.py
@@ -1,4 +1,4 @@
-"""The search for planted faults: a checker that finds none of them checks nothing."""
+"""The search for planted faults, which verifies that the model checker detects violations."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from rowanshift.modelcheck.random_walk import RandomWalk, WalkResult
 from rowanshift.modelcheck.worst_case_walk import ObserverWalk, WorstCaseWalk
 
-# by the names that the command line gives them
+# keys are the names on the command line
 WALKS: dict[str, type[RandomWalk]] = {
     "protocol": RandomWalk,
     "clients": ClientWalk,
@@ -21,26 +21,26 @@
     "closing": WorstCaseWalk,
     "uncounted": ObserverWalk,
 }
-DEFAULT_STEPS = 8000  # of a walk that searches for a fault
-HEAVY_FAULT_RATE = 0.004  # faults a step
-HEAVY_REQUEST_RATE = 0.1  # requests a step, of each operator
+DEFAULT_STEPS = 8000  # length of a walk that searches for a fault
+HEAVY_FAULT_RATE = 0.004  # faults per step
+HEAVY_REQUEST_RATE = 0.1  # requests per step of each operator
 
 
 @dataclass(frozen=True)
 class FaultSearch:
-    """How a planted fault is searched for, and the first seed that has found it within `DEFAULT_STEPS`."""
+    """The walks that search for a planted fault, and the first seed that detects it within `DEFAULT_STEPS`."""
 
     seed: int
     machine_count: int = 3
     max_failures: int = 1
     spares: int = 0
-    fault_kinds: tuple[FaultKind, ...] = ()  # drawn by the seed if none are given
+    fault_kinds: tuple[FaultKind, ...] = ()  # empty: drawn by the seed
     walk: str = "protocol"  # a key of WALKS
-    timing: replication.Timing | None = None  # by the seed if none is given
-    heavy_load: bool = False  # many faults, and operators that make many requests and lose none
+    timing: replication.Timing | None = None  # None: chosen by the seed
+    heavy_load: bool = False  # many faults; many requests from operators, none of them lost
 
-    def walk_with(self, fault: type, seed: int) -> RandomWalk:
-        """A walk in which ``fault`` takes the place of the class that it derives from."""
+    def create_walk(self, fault: type, seed: int) -> RandomWalk:
+        """Create a walk in which the class ``fault`` replaces its base class."""
         implementations = DEFAULT_IMPLEMENTATIONS.with_subclass(fault)
         walk_class = WALKS[self.walk]
         walk = walk_class(seed, self.machine_count, self.max_failures, self.spares, implementations, self.timing)
@@ -54,9 +54,9 @@
 
 
 def find_fault(fault: type, search: FaultSearch, seeds: Iterable[int], steps: int = DEFAULT_STEPS) -> WalkResult | None:
-    """The first walk that finds a planted fault; ``None`` if none of the seeds does."""
+    """The result of the first walk that detects a planted fault; ``None`` if no seed does."""
     for seed in seeds:
-        result = search.walk_with(fault, seed).run(steps, recover=False)
+        result = search.create_walk(fault, seed).run(steps, recover=False)
         if result.violation:
             return result
     return None
--- a/rowanshift/modelcheck/implementations.py
+++ b/rowanshift/modelcheck/implementations.py
@@ -1,4 +1,4 @@
-"""The classes that a walk runs: the real replica and the models on top of it and below, or faulty ones in a test."""
+"""The classes that a walk runs: the real replica and the models around it, or subclasses with a planted fault."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     store: type[StoreModel] = StoreModel
 
     def with_subclass(self, subclass: type) -> Implementations:
-        """These with ``subclass`` in place of the class it derives from. Raises ``TypeError`` if it derives of none."""
+        """A copy in which ``subclass`` replaces its base class. Raises ``TypeError`` if no part is its base class."""
         for part in fields(self):
             if issubclass(subclass, getattr(self, part.name)):
                 return replace(self, **{part.name: subclass})
--- a/rowanshift/modelcheck/invariants.py
+++ b/rowanshift/modelcheck/invariants.py
@@ -1,4 +1,4 @@
-"""Invariants of the replication protocol, checked as a run goes on, whichever machines fail in it."""
+"""Invariants of the replication protocol, which are checked throughout a run, whichever machines fail."""
 
 from __future__ import annotations
 
@@ -18,52 +18,56 @@
 
 
 class Invariants:
-    """What has happened in a run so far, and checks of each event against it; named in docs/control-plane.md.
+    """The history of a run, and checks of each event against it. docs/control-plane.md names the invariants.
 
     Every ``check_*`` method raises ``InvariantViolation``.
     """
 
     def __init__(self, first_record: replication.EpochRecord) -> None:
-        self.newest_record = first_record  # of those in force
+        self.newest_record = first_record  # the newest record in force
         self.states_by_version: dict[replication.StateVersion, StateBytes] = {}
         self.proposed_states: dict[int, StateBytes] = {}  # by token
         self.committed_states: dict[replication.StateVersion, StateBytes] = {replication.NO_VERSION: b""}
         self.longest_commit: StateBytes = b""
         self.epoch_start_states: dict[int, StateBytes] = {}  # by epoch
-        self.pending_reads: dict[int, StateBytes] = {}  # token -> the longest state committed before it was asked
+        self.pending_reads: dict[int, StateBytes] = {}  # by token: the longest state committed before the request
         self.read_states: list[StateBytes] = []
         self.highest_lease_epoch = 0
-        self.histories: dict[StateBytes, bytes] = {}  # of states that are not lists of ids themselves
+        self.histories: dict[StateBytes, bytes] = {}  # of states that are not themselves lists of ids
 
     def history(self, state: StateBytes) -> bytes:
-        """The ids of all changes that led to a state, four bytes each."""
+        """The concatenated ids of all changes that led to a state, four bytes each."""
         return self.histories.get(state, state)
 
     def builds_on(self, state: StateBytes, earlier: StateBytes) -> bool:
-        """Whether a state contains all changes of an earlier one, in their order."""
+        """Whether a state contains all changes of an earlier one, in the same order."""
         return self.history(state).startswith(self.history(earlier))
 
     def check_durable_state(self, durable: replication.DurableState) -> None:
-        """Check what a machine is about to write to its disk."""
+        """Check a state that a machine is about to write to its disk."""
         self._check_state_of_version(durable.version, durable.state)
         if durable.promised < durable.accepted.epoch:
-            raise InvariantViolation(Invariant.PROMISE_COVERS_ACCEPTED_RECORD, "a record is accepted above the promise")
+            raise InvariantViolation(
+                Invariant.PROMISE_COVERS_ACCEPTED_RECORD, "the epoch of the accepted record is above the promised epoch"
+            )
 
     def _check_state_of_version(self, version: replication.StateVersion, state: StateBytes) -> None:
         if self.states_by_version.setdefault(version, state) != state:
-            raise InvariantViolation(Invariant.ONE_STATE_PER_VERSION, f"two states under {version}")
+            raise InvariantViolation(Invariant.ONE_STATE_PER_VERSION, f"two different states have version {version}")
 
     def check_sent(self, message: replication.Message, disk: replication.DurableState | None) -> None:
-        """Check that what a machine tells another to be durable is on its disk."""
+        """Check that everything a message declares durable is on the sender's disk."""
         if isinstance(message, replication.Store):
             self._check_state_of_version(message.version, message.state)
         if not self._is_durable(message, disk):
             name = type(message).__name__
-            raise InvariantViolation(Invariant.SENT_ONLY_ONCE_DURABLE, f"{name} is sent before it is on disk")
+            raise InvariantViolation(
+                Invariant.SENT_ONLY_ONCE_DURABLE, f"{name} was sent before its content was on disk"
+            )
 
     @staticmethod
     def _is_durable(message: replication.Message, disk: replication.DurableState | None) -> bool:
-        """Whether the disk holds what a message tells of it; true of a message that tells nothing."""
+        """Whether the disk holds what a message declares durable; true if it declares nothing."""
         match message:
             case replication.PrepareReply(epoch, True):
                 return disk is not None and disk.promised >= epoch
@@ -78,7 +82,7 @@
     def check_new_epoch(
         self, record: replication.EpochRecord, state: StateBytes, accepted_epochs: dict[int, int]
     ) -> None:
-        """Check an epoch that a primary has begun with a state.
+        """Check the record and the start state of an epoch that a primary has begun.
 
         ``accepted_epochs`` maps each machine to the epoch of the record on its disk; a lost disk counts as the
         highest epoch.
@@ -92,17 +96,17 @@
             voters = {machine_id for machine_id, accepted in accepted_epochs.items() if accepted >= epoch}
             for witnesses in (record.witnesses, previous.witnesses):
                 if not replication.has_majority(voters, witnesses):
-                    detail = f"{record} is in force and on the disks of {voters} alone"
+                    detail = f"{record} is in force but on the disks of {voters} only, which are no majority"
                     raise InvariantViolation(Invariant.RECORD_DECIDED_BY_MAJORITIES, detail)
         self.epoch_start_states[epoch] = state
         self.check_commit(replication.StateVersion(epoch, 0), state)
 
     def check_commit(self, version: replication.StateVersion, state: StateBytes) -> None:
-        """Check that a commit builds on all commits of lower versions, and those of higher versions on it."""
+        """Check that a commit builds on all commits of lower versions, and those of higher versions build on it."""
         for other_version, other_state in self.committed_states.items():
             earlier, later = (other_state, state) if other_version <= version else (state, other_state)
             if not self.builds_on(later, earlier):
-                detail = f"{other_version} and {version} are committed and don't build on one another"
+                detail = f"the states of {other_version} and {version} are committed, but neither contains the other"
                 raise InvariantViolation(Invariant.COMMITS_ARE_KEPT, detail)
         self.committed_states[version] = state
         self.longest_commit = max(self.longest_commit, state, key=lambda each: len(self.history(each)))
@@ -110,30 +114,33 @@
             self._check_related(state, read_state)
 
     def check_confirmed_read(self, token: int, state: StateBytes) -> None:
-        """Check what a read that was asked under a token has returned."""
+        """Check the state returned by the read with a token."""
         self.check_read(self.pending_reads.pop(token), state)
 
     def check_read(self, committed_before: StateBytes, state: StateBytes) -> None:
-        """Check what a read returned against the longest state committed when it was asked, and all commits."""
+        """Check a state that a read returned against all commits and the longest one at the time of the request."""
         if not self.builds_on(state, committed_before):
             raise InvariantViolation(
-                Invariant.READS_ARE_LINEARIZABLE, "older than a commit that was complete when it was asked"
+                Invariant.READS_ARE_LINEARIZABLE,
+                "a read returned a state older than a commit completed before the request",
             )
         for committed_state in self.committed_states.values():
             self._check_related(state, committed_state)
         self.read_states.append(state)
 
     def _check_related(self, state: StateBytes, other: StateBytes) -> None:
-        """Check that of a state that was read and one that was committed, one builds on the other."""
+        """Check that one of a read state and a committed state contains the other."""
         if not (self.builds_on(state, other) or self.builds_on(other, state)):
-            raise InvariantViolation(Invariant.READS_ARE_LINEARIZABLE, "a read gave what was never committed")
+            raise InvariantViolation(
+                Invariant.READS_ARE_LINEARIZABLE, "a read returned a state that was never committed"
+            )
 
     def check_leases(self, holders: list[LeaseHolder]) -> None:
-        """Check all machines that hold a valid lease at this moment."""
+        """Check the machines that currently hold a valid lease."""
         if len(holders) > 1:
             raise InvariantViolation(Invariant.ONE_LEASE_HOLDER, f"{[tuple(holder) for holder in holders]}")
         for holder in holders:
             if holder.epoch < self.highest_lease_epoch:
-                detail = "a lease is held under a lower epoch after a higher one"
+                detail = "a lease is held under a lower epoch than an earlier lease"
                 raise InvariantViolation(Invariant.LEASE_EPOCHS_INCREASE, detail)
             self.highest_lease_epoch = holder.epoch
--- a/rowanshift/modelcheck/random_walk.py
+++ b/rowanshift/modelcheck/random_walk.py
@@ -1,4 +1,4 @@
-"""Random walks: every choice comes from the seed, so that a walk can be repeated."""
+"""Random walks. The seed determines every choice, so that a walk can be reproduced."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from rowanshift.modelcheck.fault_injection import FaultInjection, FaultKind, MessageBlock
 from rowanshift.modelcheck.implementations import DEFAULT_IMPLEMENTATIONS, Implementations
 
-# seconds; without leases and waits, so that only epochs and majorities keep two primaries apart
+# Without leases and waits, only epochs and majorities prevent conflicts between two primaries.
 CONTENDED_TIMING = replication.Timing(
     lease_seconds=0.0,
     lease_guard_seconds=0.0,
@@ -28,48 +28,48 @@
     join_interval_seconds=0.3,
 )
 
-# a primary that hears of no other goes on for long: reads and changes must be safe from it all the same
+# A deposed primary that receives no messages stays active for long. Its reads and changes must be safe nevertheless.
 LONG_TENURE_TIMING = replace(CONTENDED_TIMING, quorum_loss_seconds=8.0)
 
 RECOVERY_LIMIT_SECONDS = 40.0  # without faults, until a walk must commit again
-RECOVERY_COMMITS = 3  # that end a walk's recovery
+RECOVERY_COMMITS = 3  # commits that are required for recovery
 TICK_SECONDS = 0.05
-TICK_PROBABILITY = 0.9  # that a machine sees a tick
-REQUEST_PROBABILITY = 0.05  # in a step, that a primary gets a request
-SAVE_PROBABILITY = 0.3  # in a step, that an outstanding save ends
+TICK_PROBABILITY = 0.9  # that a machine receives a tick
+REQUEST_PROBABILITY = 0.05  # per step, that a primary receives a request
+SAVE_PROBABILITY = 0.3  # per step, that an outstanding save completes
 SLOW_SAVE_PROBABILITY = 0.002  # the same on a slow disk
 MESSAGES_PER_STEP = 3
-REORDER_WINDOW = 8  # messages among which the next one is mostly chosen
-REORDER_WINDOW_PROBABILITY = 0.9  # that it is chosen among these
-CUT_LOSS_PROBABILITY = 0.7  # that a message on a cut link is lost and not delayed
-STOPPED_LOSS_PROBABILITY = 0.1  # the same of one to a machine whose process doesn't run
-DELAY_PROBABILITY = 0.01  # that a message is delayed without a reason
-DUPLICATED_FATES = (0.95, 0.97)  # the fates between which a message is duplicated
+REORDER_WINDOW = 8  # number of oldest messages among which the next one is usually chosen
+REORDER_WINDOW_PROBABILITY = 0.9  # that the next message is chosen among these
+CUT_LOSS_PROBABILITY = 0.7  # that a message on a cut link is lost instead of delayed
+STOPPED_LOSS_PROBABILITY = 0.1  # the same for a message to a machine whose process is down
+DELAY_PROBABILITY = 0.01  # that a message is delayed although nothing blocks it
+DUPLICATED_FATES = (0.95, 0.97)  # range of the fate draw in which a message is duplicated
 DELAYS_SECONDS = (0.02, 0.3, 2.0, 6.0)
 
 
 @dataclass
 class WalkResult:
-    """What a walk came to."""
+    """The result of a walk."""
 
     seed: int
     steps: int
-    violation: str  # of an invariant; "" if all hold
+    violation: str  # the first violated invariant; "" if all hold
     commits: int
     epochs: int
-    stall: str = ""  # what has not recovered in time; "" if all has
-    longest_recovery: float = 0.0  # seconds without faults until the next failure could be tolerated
+    stall: str = ""  # what has not recovered in time; "" if everything has
+    longest_recovery: float = 0.0  # seconds without faults until the next failures could be tolerated
 
 
 class DelayedEnvelope(NamedTuple):
-    """A message that is put off."""
+    """A delayed message."""
 
-    due: float  # seconds of the model
+    due: float  # model time in seconds
     envelope: Envelope
 
 
 class RandomWalk(FaultInjection):
-    """A random walk of a cluster whose ``spares`` machines beyond the seeds may replace others."""
+    """A random walk of a cluster that has ``spares`` machines beyond the seeds, which may replace others."""
 
     def __init__(
         self,
@@ -87,13 +87,13 @@
         for machine_id in range(1, machine_count + spares + 1):
             self.cluster.machines[machine_id] = machine_with_drawn_clock(random_source)
             self.start(machine_id, bootstrap=machine_id <= machine_count)
-            self.cluster.complete_save(machine_id)  # a first start is over once its record is on disk
+            self.cluster.complete_save(machine_id)  # the first start is complete once its record is on disk
         self.mean_step_seconds = random_source.choice([0.003, 0.006, 0.012]) * 3 / machine_count
         self.message_loss = random_source.choice([0.0, 0.01, 0.05, 0.2])
-        self.fault_rate = random_source.choice([0.002, 0.005, 0.015])  # faults a step
+        self.fault_rate = random_source.choice([0.002, 0.005, 0.015])  # faults per step
         self.fault_kinds = random_source.choices(list(FaultKind), k=4)
         self.blocked_messages: dict[MessageBlock, float] = {}
-        self.delayed: list[DelayedEnvelope] = []  # by their due times
+        self.delayed: list[DelayedEnvelope] = []  # sorted by due time
         self.next_tick = 0.0
         self.fault_free = False
         self.steps = 0
@@ -117,7 +117,7 @@
         cluster.carry_out_actions(machine_id)
 
     def step(self) -> None:
-        """Let a moment pass, with the events that the seed draws for it."""
+        """Advance the time a little and perform the events drawn for this step."""
         cluster, random_source = self.cluster, self.random_source
         self.steps += 1
         cluster.now += self.mean_step_seconds * 2 * random_source.random()
@@ -148,7 +148,7 @@
                 self.cluster.tick(machine_id)
 
     def _run_machines(self) -> None:
-        """End some outstanding saves, and let primaries get requests."""
+        """Complete some outstanding saves and issue requests to primaries."""
         for machine_id, machine in self.cluster.machines.items():
             slow = self.cluster.now < machine.slow_disk_until and not self.fault_free
             probability = SLOW_SAVE_PROBABILITY if slow else SAVE_PROBABILITY
@@ -159,20 +159,20 @@
                 self.issue_requests(machine_id)
 
     def issue_requests(self, machine_id: int) -> None:
-        """Ask a primary for a change or a read, now and then."""
+        """Occasionally ask a primary for a change or a read."""
         if self.random_source.random() < REQUEST_PROBABILITY:
             (self.cluster.propose if self.random_source.random() < 0.5 else self.cluster.read)(machine_id)
 
     def _move_message(self) -> None:
-        """Deliver, lose, duplicate or put off one message in flight."""
+        """Deliver, lose, duplicate or delay one message in flight."""
         cluster, random_source = self.cluster, self.random_source
         while self.delayed and (self.delayed[0].due <= cluster.now or self.fault_free):
             cluster.in_flight.append(self.delayed.pop(0).envelope)
         if not cluster.in_flight:
             return
-        is_nearby = random_source.random() < REORDER_WINDOW_PROBABILITY
+        is_within_window = random_source.random() < REORDER_WINDOW_PROBABILITY
         count = len(cluster.in_flight)
-        index = random_source.randrange(min(count, REORDER_WINDOW) if is_nearby else count)
+        index = random_source.randrange(min(count, REORDER_WINDOW) if is_within_window else count)
         envelope = cluster.in_flight[index]
         recipient = cluster.machines[envelope.recipient]
         fate = random_source.random()
@@ -190,7 +190,7 @@
             cluster.deliver(index, duplicate=DUPLICATED_FATES[0] < fate < DUPLICATED_FATES[1])
 
     def _is_cut(self, envelope: Envelope) -> bool:
-        """Whether a message can't arrive now, since its link is cut or its kind is blocked."""
+        """Whether a message can't be delivered now because its link is cut or its type is blocked."""
         cut_until = self.cluster.cut_links.get(Link(envelope.sender, envelope.recipient), 0.0)
         blocked_until = self.blocked_messages.get(MessageBlock(envelope.recipient, type(envelope.message)), 0.0)
         return max(cut_until, blocked_until) > self.cluster.now and not self.fault_free
@@ -206,9 +206,9 @@
         self.delayed.sort(key=lambda delayed: delayed.due)
 
     def run(self, steps: int, recover: bool = True) -> WalkResult:
-        """Run so many steps with faults; then, if ``recover``, without any until the cluster has recovered.
+        """Run ``steps`` with faults; then, if ``recover``, without faults until the cluster has recovered.
 
-        To recover is to have all machines remember their promises and to commit again.
+        It has recovered when no running machine is amnesic and `RECOVERY_COMMITS` more changes are committed.
         """
         cluster, violation, stall = self.cluster, "", ""
         try:
@@ -221,13 +221,13 @@
         return WalkResult(self.seed, self.steps, violation, cluster.commit_count, cluster.epoch_count, stall)
 
     def _recover(self) -> str:
-        """Run without faults until the cluster has recovered; what has not recovered in time, "" if all has."""
+        """Run without faults until the cluster has recovered. Returns what has not recovered in time, or ""."""
         cluster = self.cluster
         self.fault_free = True
-        began, enough = cluster.now, cluster.commit_count + RECOVERY_COMMITS
-        while cluster.commit_count < enough or self._unrecovered():
-            if cluster.now > began + RECOVERY_LIMIT_SECONDS:
-                problem = self._unrecovered() or "nothing is committed"
+        started_at, commits_needed = cluster.now, cluster.commit_count + RECOVERY_COMMITS
+        while cluster.commit_count < commits_needed or self._unrecovered():
+            if cluster.now > started_at + RECOVERY_LIMIT_SECONDS:
+                problem = self._unrecovered() or "too few changes are committed"
                 return f"after {RECOVERY_LIMIT_SECONDS:.0f} s without faults: {problem}"
             self.step()
         return ""
@@ -235,10 +235,10 @@
     def _unrecovered(self) -> str:
         machines = self.cluster.machines.items()
         amnesic = [each for each, machine in machines if machine.replica is not None and machine.replica.is_amnesic]
-        return f"{amnesic} are amnesic" if amnesic else ""
+        return f"machines {amnesic} are amnesic" if amnesic else ""
 
 
 def machine_with_drawn_clock(random_source: random.Random) -> MachineModel:
-    """A machine that doesn't run yet, with a clock of its own."""
+    """A machine that is not started yet, with a random clock rate and offset."""
     rate = 1 + random_source.uniform(-0.1, 0.1)
     return MachineModel(clock_rate=rate, clock_offset=random_source.uniform(0, 1000))
--- a/rowanshift/modelcheck/router_model.py
+++ b/rowanshift/modelcheck/router_model.py
@@ -1,4 +1,4 @@
-"""A modelled router: it long-polls some machine and applies what is newer than what it has."""
+"""A model of a router, which long-polls a machine and applies answers newer than its own state."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from rowanshift.modelcheck.client_invariants import ClientInvariants
 from rowanshift.modelcheck.client_messages import Poll, Redirect, Update
 
-POLL_TIMEOUT_SECONDS = 1.6  # then another machine is asked
-REFUSE_WITHIN_SECONDS = 7.5  # age of the knowledge up to which a client may be refused by it
+POLL_TIMEOUT_SECONDS = 1.6  # after which another machine is polled
+REFUSE_WITHIN_SECONDS = 7.5  # maximum age of a state by which a client may be refused
 
 
 class RouterModel:
-    """What one router knows. It also applies answers to polls that it gave up, which a real router doesn't."""
+    """The state of one router. Unlike a real router it also applies answers to polls that have timed out."""
 
     def __init__(self, client_invariants: ClientInvariants) -> None:
         self.client_invariants = client_invariants
@@ -20,18 +20,18 @@
         self.state = b""
         self.freshness = Freshness(0.0, REFUSE_WITHIN_SECONDS)
         self.last_poll_serial = 0
-        self.polled_at = -POLL_TIMEOUT_SECONDS  # seconds of the model, as are those below
+        self.polled_at = -POLL_TIMEOUT_SECONDS  # model time in seconds, like the times below
         self.is_polling = False
         self.paused_until = self.resumed_at = 0.0
         self.update_count = 0
 
     def resume(self, now: float) -> None:
-        """Notice that it was paused."""
+        """Handle the end of a pause, after which the router's state may be outdated."""
         self.resumed_at = now
         self.freshness.mark_stale(now)
 
     def next_poll(self, now: float) -> Poll | None:
-        """The poll to send now, if it is time for one."""
+        """The poll to send now; ``None`` while one is pending that has not timed out."""
         if self.is_polling and now < self.polled_at + POLL_TIMEOUT_SECONDS:
             return None
         self.last_poll_serial += 1
@@ -39,7 +39,7 @@
         return Poll(self.last_poll_serial, self.state, now)
 
     def receive(self, answer: Update | Redirect, now: float) -> None:
-        """Handle an answer, perhaps an old one."""
+        """Handle an answer, which may be delayed."""
         if answer.poll.serial == self.last_poll_serial:
             self.is_polling = False
         if isinstance(answer, Update) and self._is_newer(answer):
@@ -58,5 +58,5 @@
             self.client_invariants.check_freshness(self.state, self.resumed_at)
 
     def _confirmed_at(self, update: Update, now: float) -> float:
-        """The time as of which an answer that arrives now makes its state fresh."""
+        """The time as of which an answer that arrives now proves its state up to date."""
         return update.poll.asked_at
--- a/rowanshift/modelcheck/search_starts.py
+++ b/rowanshift/modelcheck/search_starts.py
@@ -1,4 +1,4 @@
-"""Where breadth-first search starts: a quiet primary, and three procedures under way."""
+"""Start states of breadth-first search: an idle primary, and three procedures in progress."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from rowanshift.modelcheck.errors import StartNotReached
 
 MAX_FAILURES = 1
-STEP_SECONDS = 0.1  # between two ticks on the way to a start
+STEP_SECONDS = 0.1  # between two ticks while a start state is being reached
 MAX_STEPS = 4000
-SPARE_READY_SECONDS = 6.0  # until a spare may take a place
+SPARE_READY_SECONDS = 6.0  # until a spare may replace a member
 
 
 @dataclass
 class EventBudget:
-    """How often each event that isn't the protocol's own may still happen."""
+    """How many more events of each kind that comes from outside the protocol may happen."""
 
     crashes: int = 1
     disk_losses: int = 1
@@ -27,14 +27,14 @@
 
 @dataclass
 class SearchState:
-    """A state that a search visits, or starts from."""
+    """A state that a search starts from or visits."""
 
     cluster: ClusterModel
     budget: EventBudget
 
 
 class DirectedRun:
-    """Takes a cluster to a start: messages arrive in order, saves end, nothing fails by itself."""
+    """Drives a cluster to a start state: messages arrive in order, saves complete, and no faults are injected."""
 
     def __init__(self, replica_class: type[replication.Replica], machine_count: int = 3, spares: int = 0) -> None:
         seeds = tuple(range(1, machine_count + 1))
@@ -45,7 +45,7 @@
             start_machine(self.cluster, machine_id, replica_class, bootstrap=machine_id in seeds)
 
     def step(self) -> None:
-        """Deliver a message, end a save, or let time pass if there is neither."""
+        """Deliver a message, complete a save, or advance the clock if there is neither."""
         cluster = self.cluster
         saving = [each for each, machine in cluster.machines.items() if machine.pending_save is not None]
         if cluster.in_flight:
@@ -59,19 +59,19 @@
             advance_clock(cluster, STEP_SECONDS)
 
     def run_until(self, is_reached: Callable[[], bool]) -> None:
-        """Run until a condition holds. Raises ``StartNotReached`` if it doesn't within `MAX_STEPS`."""
+        """Run until a condition holds. Raises ``StartNotReached`` if that takes more than `MAX_STEPS`."""
         for _ in range(MAX_STEPS):
             if is_reached():
                 return
             self.step()
-        raise StartNotReached(f"the start of a search is not reached in {MAX_STEPS} steps")
+        raise StartNotReached(f"the start state of the search was not reached within {MAX_STEPS} steps")
 
     def primary(self) -> int:
-        """The first machine that is primary, or 0."""
+        """The first machine that is a primary, or 0 if there is none."""
         return next(iter(self.cluster.primaries()), 0)
 
     def is_quiet(self) -> bool:
-        """Whether nothing is in flight and no save is outstanding."""
+        """Whether no message is in flight and no save is outstanding."""
         machines = self.cluster.machines.values()
         return not self.cluster.in_flight and all(machine.pending_save is None for machine in machines)
 
@@ -80,7 +80,7 @@
         return any(isinstance(envelope.message, message_type) for envelope in self.cluster.in_flight)
 
     def commit(self) -> None:
-        """Have a primary, and one change committed."""
+        """Run until there is a primary, and commit one change."""
         self.run_until(lambda: self.is_quiet() and bool(self.primary()))
         self.cluster.propose(self.primary())
         self.run_until(lambda: self.is_quiet() and self.cluster.commit_count == 1)
@@ -98,13 +98,13 @@
 
 
 def advance_clock(cluster: ClusterModel, seconds: float) -> None:
-    """Let time pass and every replica see it; rounded, so that equal times are equal numbers."""
+    """Advance the time and tick every replica. The time is rounded so that equal times compare equal."""
     cluster.now = round(cluster.now + seconds, 3)
     cluster.tick_all()
 
 
 def quiet_primary(replica_class: type[replication.Replica] = replication.Replica) -> SearchState:
-    """A primary that has committed a change, with one more proposed and a read asked."""
+    """A primary has committed a change, proposed another one and received a read request."""
     run = DirectedRun(replica_class)
     run.commit()
     run.cluster.propose(run.primary())
@@ -113,7 +113,7 @@
 
 
 def takeover(replica_class: type[replication.Replica] = replication.Replica) -> SearchState:
-    """The primary's process ended with a change proposed; another machine's Prepares are in flight."""
+    """The primary's process crashed after it proposed a change; another machine's Prepares are in flight."""
     run = DirectedRun(replica_class)
     run.commit()
     first_primary = run.primary()
@@ -124,7 +124,7 @@
 
 
 def membership_change(replica_class: type[replication.Replica] = replication.Replica) -> SearchState:
-    """A witness is removed; the primary's Prepares of the epoch with a spare in its place are in flight."""
+    """A witness was removed; the primary's Prepares for an epoch with a spare in its place are in flight."""
     run = DirectedRun(replica_class, spares=1)
     run.commit()
     machines, primary = run.cluster.machines, run.primary()
@@ -148,7 +148,7 @@
 
 
 def recovery(replica_class: type[replication.Replica] = replication.Replica) -> SearchState:
-    """A backup lost its disk; its RecoveryRequests are in flight while a change is proposed."""
+    """A backup lost its disk; its RecoveryRequests and a proposed change are in flight."""
     run = DirectedRun(replica_class)
     run.commit()
     machines, primary = run.cluster.machines, run.primary()
@@ -161,7 +161,7 @@
     return SearchState(run.cluster, EventBudget(disk_losses=0))
 
 
-# by the names that the command line gives them
+# keys are the names on the command line
 STARTS: dict[str, Callable[[type[replication.Replica]], SearchState]] = {
     "quiet-primary": quiet_primary,
     "takeover": takeover,
--- a/rowanshift/modelcheck/store_model.py
+++ b/rowanshift/modelcheck/store_model.py
@@ -9,11 +9,11 @@
 
 
 class StoreModel:
-    """The steps of `controlplane.store.Store.open`; a crash may come between any two."""
+    """The steps of `controlplane.store.Store.open`. A crash may occur between any two of them."""
 
     @staticmethod
     def open(file_system: FileSystemModel) -> Iterator[None]:
-        """Create what is absent, then sync the directories, whichever process created it."""
+        """Create missing files, then sync the directories even if another process created the files."""
         file_system.create(STORE_DIRECTORY)
         yield
         file_system.create(DATA_FILE)
--- a/rowanshift/modelcheck/worst_case_walk.py
+++ b/rowanshift/modelcheck/worst_case_walk.py
@@ -1,8 +1,8 @@
-"""Random walks whose rounds each end in the worst tolerated loss: f disks lost while all other machines lose power.
+"""Random walks whose rounds each end in the worst tolerated fault: f disks are lost while all machines lose power.
 
-Each round of a `MembershipWalk` is followed by a closing fault. Just before it a machine may leave as planned, or be
-removed. Disks keep what was synced; each name that was not synced is kept or lost independently. What was committed
-must be part of what is committed afterwards, and there must be such a commit: `KEPT`, `REDUNDANCY` and `COMMIT`.
+Each round of a `MembershipWalk` is followed by this closing fault. Just before it a machine may leave as planned or be
+removed. Disks keep what was synced; each unsynced name is kept or lost independently. Afterwards there must be a new
+commit, and it must contain everything committed before (invariants `KEPT`, `REDUNDANCY` and `COMMIT`).
 """
 
 from __future__ import annotations
@@ -13,13 +13,19 @@
 from rowanshift.modelcheck.implementations import DEFAULT_IMPLEMENTATIONS, Implementations
 from rowanshift.modelcheck.membership_walk import JOIN_DELAYS_SECONDS, LEAVE_GRACE_SECONDS, MembershipWalk
 
-CLOSING_FAULT_DELAYS_SECONDS = (0.0, 0.02, 0.1, 0.3, 1.0)  # from the preceding event to the closing fault, at most
-LEAVE_LIMIT_SECONDS = LEAVE_GRACE_SECONDS + 0.5  # for a machine that leaves to end
-FAILED_UNTIL_SYNCED_SECONDS = 4.0  # without faults, from a machine's start until it no longer counts as failed
+CLOSING_FAULT_DELAYS_SECONDS = (
+    0.0,
+    0.02,
+    0.1,
+    0.3,
+    1.0,
+)  # upper bounds of the time from the preceding event to the closing fault
+LEAVE_LIMIT_SECONDS = LEAVE_GRACE_SECONDS + 0.5  # until a leaving machine must have exited
+FAILED_UNTIL_SYNCED_SECONDS = 4.0  # from the start of a machine until it no longer counts as failed, without faults
 
 
 class PrecedingEvent(Enum):
-    """What happens to a machine just before the closing fault."""
+    """An event that affects one machine just before the closing fault."""
 
     NOTHING = "nothing"
     LEAVE = "leave"
@@ -27,10 +33,10 @@
 
 
 class WorstCaseWalk(MembershipWalk):
-    """A walk with changing members whose rounds each end in a closing fault."""
+    """A walk with membership changes whose rounds each end in a closing fault."""
 
     def run_round(self) -> None:
-        """A round of a membership walk, time to make good its failures, then the closing fault and a recovery."""
+        """Run a round of a membership walk, restore redundancy, then inject the closing fault and await recovery."""
         super().run_round()
         self.fault_free = True
         self._run_seconds(FAILED_UNTIL_SYNCED_SECONDS)
@@ -41,7 +47,7 @@
         self._await_recovery()
 
     def _precede_closing_fault(self) -> int:
-        """Inject a preceding event; how many of the f tolerated failures it uses up."""
+        """Inject a preceding event. Returns how many of the f tolerated failures it consumes."""
         event = self.member_random.choice(list(PrecedingEvent))
         if event is PrecedingEvent.NOTHING:
             return 0
@@ -53,12 +59,12 @@
         self.fault_free = without_faults = self.member_random.random() < 0.5
         self._complete_leave(machine_id)
         self.fault_free = False
-        if not without_faults:  # the spare itself may have been hit by a fault
+        if not without_faults:  # a fault may have affected the spare itself
             is_replaced = machine_id not in self.cluster.newest_record().members()
         return 0 if is_replaced and machine_id in self.leave_granted else 1
 
     def _complete_leave(self, machine_id: int) -> None:
-        """Let a machine leave, and go on until it has ended."""
+        """Make a machine leave and run until it has exited or the time limit is reached."""
         cluster, machine = self.cluster, self.cluster.machines[machine_id]
         if machine.replica is None:
             self._remove_machine(machine_id)
@@ -69,7 +75,7 @@
             self.step()
 
     def _inject_closing_fault(self, lost_disks: int) -> None:
-        """Cut the power of all machines at one moment, and lose the disks of so many."""
+        """Cut the power of all machines at the same time and replace ``lost_disks`` disks by empty ones."""
         present = self.cluster.remaining_machines()
         self.leaving.clear()
         for machine_id in present:
@@ -80,7 +86,7 @@
         self.joining = [self.cluster.now + delay for delay in delays]
 
     def _has_spare(self) -> bool:
-        """Whether a recovered machine that may become a witness is none."""
+        """Whether there is a recovered machine that may become a witness and isn't one."""
         witnesses = self.cluster.newest_record().witnesses
         candidates = (each for each in self.cluster.remaining_machines() if self._may_be_witness(each))
         return any(self._is_recovered(machine_id) and machine_id not in witnesses for machine_id in candidates)
@@ -95,7 +101,7 @@
 
 
 class ObserverWalk(WorstCaseWalk):
-    """A worst-case walk with an observer more: a machine without a vote, lost in each closing fault beyond f."""
+    """A worst-case walk with an additional observer: a non-voting machine that each closing fault removes beyond f."""
 
     def __init__(
         self,
@@ -119,7 +125,7 @@
     def _remove_machine(self, machine_id: int) -> None:
         super()._remove_machine(machine_id)
         if machine_id == self.observer:
-            self.joining.pop()  # the next observer joins after the closing fault: the machines don't grow in number
+            self.joining.pop()  # the next observer joins after the closing fault; the machine count stays the same
 
     def _inject_closing_fault(self, lost_disks: int) -> None:
         if not self.cluster.machines[self.observer].removed:
--- a/tests/modelcheck/test_fault_search.py
+++ b/tests/modelcheck/test_fault_search.py
@@ -39,7 +39,7 @@
 
     def test_the_kinds_of_faults_and_the_load_are_those_of_the_search(self) -> None:
         search = FaultSearch(0, fault_kinds=(FaultKind.PAUSE,), walk="clients", heavy_load=True)
-        walk = search.walk_with(AnswersPollsWithoutLease, 7)
+        walk = search.create_walk(AnswersPollsWithoutLease, 7)
         self.assertIsInstance(walk, ClientWalk)
         self.assertEqual([FaultKind.PAUSE], walk.fault_kinds)
         self.assertEqual((HEAVY_REQUEST_RATE, 0.0), (walk.request_rate, walk.client_message_loss))
