--- a/rowanshift/invariants/__init__.py
+++ b/rowanshift/invariants/__init__.py
@@ -1,1 +1,1 @@
-"""The four rules as checks over a stream of facts."""
+"""Checks of the system's rules over recorded events, which the code calls facts."""
--- a/rowanshift/invariants/breaches.py
+++ b/rowanshift/invariants/breaches.py
@@ -1,4 +1,4 @@
-"""What every check shares: the breach that it returns, the bounds that it takes, and facts grouped by a name."""
+"""Types and functions common to all checks: rule violations, their time bounds, and grouping of recorded events."""
 
 from collections import defaultdict
 from collections.abc import Callable, Iterable, Sequence
@@ -13,8 +13,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Breach:
-    """A broken rule: when, by which requests, servers or calls, and why; ``bounded``: it has a time bound, which
-    holds for machines in touch alone."""
+    """A violation of a rule, with its time, the requests, servers or calls involved, and a description.
+
+    ``bounded``: the rule has a time bound, so it applies only to machines that are connected to the others.
+    """
 
     rule: str
     at: float
@@ -28,57 +30,60 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """What the checks need of the settings, in seconds."""
+    """The bounds of the checks, from the settings; in seconds except as noted."""
 
     config_apply: float = 2.0
     drain: float = 3.0
     version: float = 8.0
-    version_all: float = 0.0  # that calm stretches with older weights may add up to; 0: no such bound
+    version_all: float = 0.0  # maximum sum of fault-free periods with older weights; 0: unbounded
     lease: float = 3.0
-    isolated: frozenset[str] | None = None  # tenants; none: as the configurations that were sent say
-    retry_ratio: float = 0.2  # repeats a request
-    retry_slack: float = 50.0  # repeats
+    isolated: frozenset[str] | None = None  # tenant names; None: those of the sent configurations
+    retry_ratio: float = 0.2  # allowed retries per request
+    retry_slack: float = 50.0  # retries allowed in addition to the ratio
     retry_window: float = 10.0
-    thaw: float = 0.3  # in which orders sent before a standstill or a cut arrive
-    revert_slack: float = 0.25
-    revoke: float | None = None  # for which any machine may use a key that was taken away; None: no such bound
-    loss_slack: float = 0.2
-    grace: float = 8.0
+    thaw: float = 0.3  # after a pause or a link cut, in which orders sent before it may arrive
+    revert_slack: float = 0.25  # after an effect of a version is seen, in which an older one may still apply
+    revoke: float | None = None  # how long any machine may accept a revoked key; None: unbounded
+    loss_slack: float = 0.2  # after which a request that was sent counts as read by the router
+    grace: float = 8.0  # from a router's SIGTERM to its exit
 
 
 DEFAULT_BOUNDS = Bounds()
 
-Troubled = Callable[[str, float, float], bool]  # of a router, by the address that clients ask, from one time to another
+FaultQuery = Callable[[str, float, float], bool]  # address, start and end of a time span -> had a fault in it
 
 
-def _never(front: str, since: float, until: float) -> bool:
+def _no_fault(address: str, since: float, until: float) -> bool:
     return False
 
 
 @dataclass(frozen=True, slots=True)
 class KnownTroubles:
-    """What whoever plays a run knows of its troubles, for the checks that count by machine."""
+    """The faults of a run as known to its driver, for the checks that are evaluated per machine.
+
+    Each query takes the address that clients use, and the start and end of a time span.
+    """
 
-    out_of_touch: Troubled = _never
-    unplanned: Troubled = _never
+    out_of_touch: FaultQuery = _no_fault
+    unplanned: FaultQuery = _no_fault
 
 
 NO_TROUBLES = KnownTroubles()
 
 
 def of_kind(facts: Iterable[Fact], kind: type[F]) -> list[F]:
-    """The facts of a kind in the order of their times."""
+    """The recorded events of a class, sorted by time."""
     return sorted((fact for fact in facts if type(fact) is kind), key=lambda fact: fact.at)
 
 
-def by(facts: Iterable[F], name: Callable[[F], Any]) -> dict[Any, list[F]]:
-    """Facts grouped by a key."""
+def by(facts: Iterable[F], key_of: Callable[[F], Any]) -> dict[Any, list[F]]:
+    """Group recorded events by a key."""
     grouped: dict[Any, list[F]] = defaultdict(list)
     for fact in facts:
-        grouped[name(fact)].append(fact)
+        grouped[key_of(fact)].append(fact)
     return grouped
 
 
 def by_id(facts: Facts, kind: type[F]) -> dict[str, list[F]]:
-    """Facts of a kind, grouped by their request's id."""
+    """Group the recorded events of a class by request id."""
     return by(of_kind(facts, kind), lambda fact: fact.id)
--- a/rowanshift/invariants/configuration_rules.py
+++ b/rowanshift/invariants/configuration_rules.py
@@ -1,5 +1,5 @@
-"""Checks of configurations: what they allow (ROUTE), and which of them are acknowledged, read and in force
-(CONFIG)."""
+"""Checks of configurations: whether requests run only as some configuration allows (ROUTE), and which configurations
+are acknowledged, returned by reads and in force (CONFIG)."""
 
 from dataclasses import dataclass, field
 from typing import Any
@@ -11,18 +11,18 @@
 
 
 def route_of(config: dict[str, Any], host: str, target: str) -> dict[str, Any] | None:
-    """The route of a host and target in a configuration, None if there is none."""
+    """The route of a configuration for a host and target; None if there is none."""
     path = target.partition("?")[0]
-    fits = [
+    matches = [
         route
         for route in config.get("routes", ())
         if route["hostname"] == host and path.startswith(route["pathPrefix"])
     ]
-    return max(fits, key=lambda route: len(route["pathPrefix"]), default=None)
+    return max(matches, key=lambda route: len(route["pathPrefix"]), default=None)
 
 
 def services_of(config: dict[str, Any], host: str, target: str, key: str) -> frozenset[str]:
-    """The services that may run a request; none where its route or its key is not there."""
+    """The services that may run a request; empty if the configuration lacks its route or its key."""
     route = route_of(config, host, target)
     if route is None or not (route.get("public") or tenant_of(config, key) is not None):
         return frozenset()
@@ -32,7 +32,7 @@
 
 
 def tenant_of(config: dict[str, Any], key: str) -> str | None:
-    """The name of the tenant that holds a key; empty where the configuration has no tenants."""
+    """The name of the tenant with a key; "" if the configuration has no tenants, None if no tenant has the key."""
     if not config.get("tenants"):
         return ""
     return next((tenant["name"] for tenant in config["tenants"] if key in tenant["apiKeys"]), None)
@@ -40,15 +40,15 @@
 
 @dataclass(slots=True)
 class Configs:
-    """The configurations that were sent, and which of them may be in force when."""
+    """The configurations that were sent, and their answers."""
 
     sent: list[ConfigSent] = field(default_factory=list)
     acked: list[ConfigAnswered] = field(default_factory=list)
-    refused: frozenset[str] = frozenset()  # calls
+    refused: frozenset[str] = frozenset()  # ids of calls
 
     @classmethod
     def among(cls, facts: Facts) -> "Configs":
-        """The configurations that facts tell of."""
+        """Collect the configurations from recorded events."""
         answers = of_kind(facts, ConfigAnswered)
         return cls(
             of_kind(facts, ConfigSent),
@@ -57,11 +57,14 @@
         )
 
     def newest_acked(self, at: float) -> int:
-        """The highest revision acknowledged by a time, 0 if there was none."""
+        """The highest revision acknowledged up to a time; 0 if there is none."""
         return max((answer.revision for answer in self.acked if answer.at <= at), default=0)
 
     def may_rule(self, at: float, until: float) -> list[ConfigSent]:
-        """Those sent by ``until`` that are not older than the newest that was acknowledged by ``at``."""
+        """The configurations that may be in force between ``at`` and ``until``.
+
+        These were sent up to ``until``, were not refused, and are not older than the newest acknowledged up to ``at``.
+        """
         oldest = self.newest_acked(at)
         return [
             sent for sent in self.sent if sent.at <= until and sent.revision >= oldest and sent.call not in self.refused
@@ -69,7 +72,7 @@
 
 
 def route(facts: Facts) -> list[Breach]:
-    """ROUTE: a service runs what no configuration ever sent lets it run, or with a key that none held."""
+    """ROUTE: a service runs a request that no configuration sent so far allows it to run with that key."""
     configs, asked, broken = Configs.among(facts), by_id(facts, Asked), []
     for run in of_kind(facts, Began) if configs.sent else ():
         key = asked[run.id][0].key if run.id in asked else ""
@@ -83,17 +86,17 @@
                     "ROUTE",
                     run.at,
                     (run.id, run.instance),
-                    f"{run.service} may not run {run.host}{run.target} with this key",
+                    f"no configuration sent so far lets {run.service} run {run.host}{run.target} with this key",
                 )
             )
     return broken
 
 
 def config(facts: Facts, apply: float) -> list[Breach]:
-    """CONFIG: acknowledged twice on one base, invalid ones, lost or altered ones, and old ones still in force
-    ``apply`` seconds after a newer one was acknowledged."""
+    """CONFIG: two configurations are acknowledged on one base, an invalid one is acknowledged, a read returns an old
+    or altered one, or an old one is in force over ``apply`` seconds after a newer one was acknowledged."""
     configs, asked, broken = Configs.among(facts), by_id(facts, Asked), []
-    sent = {one.call: one for one in configs.sent}
+    sent = {sent_config.call: sent_config for sent_config in configs.sent}
     for base, answers in by(configs.acked, lambda answer: answer.base).items():
         if (
             len({answer.revision for answer in answers}) > 1
@@ -104,7 +107,7 @@
                     "CONFIG",
                     answers[-1].at,
                     tuple(answer.call for answer in answers),
-                    f"two acknowledged on top of {base}",
+                    f"two different configurations were acknowledged on top of {base}",
                 )
             )
     broken += [
@@ -115,49 +118,84 @@
     for read in of_kind(facts, ConfigRead):
         newest = configs.newest_acked(read.since)
         if read.config is None:
-            broken.append(Breach("CONFIG", read.at, (), "the newest did not come"))
-        elif (got := read.config.get("revision", 0)) < newest:
-            broken.append(Breach("CONFIG", read.at, (str(got),), f"{got} read, {newest} was acknowledged"))
-        elif got and read.config not in [one.config for one in configs.may_rule(0.0, read.at) if one.revision == got]:
-            broken.append(Breach("CONFIG", read.at, (str(got),), "none like it was sent and not refused"))
-    return broken + _applied(facts, configs, asked, apply)
+            broken.append(Breach("CONFIG", read.at, (), "a read of the configuration was not answered"))
+        elif (read_revision := read.config.get("revision", 0)) < newest:
+            broken.append(
+                Breach(
+                    "CONFIG",
+                    read.at,
+                    (str(read_revision),),
+                    f"revision {read_revision} was read, but {newest} was acknowledged before",
+                )
+            )
+        elif read_revision and read.config not in [
+            sent_config.config
+            for sent_config in configs.may_rule(0.0, read.at)
+            if sent_config.revision == read_revision
+        ]:
+            broken.append(
+                Breach(
+                    "CONFIG",
+                    read.at,
+                    (str(read_revision),),
+                    "no configuration with this content was sent and not refused",
+                )
+            )
+    return broken + _check_in_force(facts, configs, asked, apply)
 
 
 def revoked(facts: Facts, within: float | None) -> list[Breach]:
-    """CONFIG: a request runs by a key that was taken away, though it was sent more than ``within`` seconds after that
-    was acknowledged. It holds for every machine, in touch or not; with ``None`` there is no such rule."""
+    """CONFIG: a request runs with a revoked key although it was sent over ``within`` seconds after the revocation was
+    acknowledged. The rule applies to every machine, connected or not; None disables it."""
     if within is None:
         return []
     configs, asked, broken = Configs.among(facts), by_id(facts, Asked), []
     for run in of_kind(facts, Began):
-        if (ours := asked.get(run.id, [None])[0]) is None:
+        if (request := asked.get(run.id, [None])[0]) is None:
             continue
-        rule = configs.may_rule(ours.at - within, run.at)
-        if rule and all(_takes_key_away(one.config, run.host, run.target, ours.key) for one in rule):
-            why = f"its key was taken away over {within:g} s before it was sent at {ours.at:.3f} s"
+        in_force = configs.may_rule(request.at - within, run.at)
+        if in_force and all(
+            _denies_key(sent_config.config, run.host, run.target, request.key) for sent_config in in_force
+        ):
+            why = f"its key was revoked over {within:g} s before the request was sent at {request.at:.3f} s"
             broken.append(Breach("CONFIG", run.at, (run.id, run.instance), why))
     return broken
 
 
-def _takes_key_away(config: dict[str, Any], host: str, target: str, key: str) -> bool:
+def _denies_key(config: dict[str, Any], host: str, target: str, key: str) -> bool:
     route = route_of(config, host, target)
     return not (route and route.get("public")) and tenant_of(config, key) is None
 
 
-def _applied(facts: Facts, configs: Configs, asked: dict[str, list[Asked]], apply: float) -> list[Breach]:
+def _check_in_force(facts: Facts, configs: Configs, asked: dict[str, list[Asked]], apply: float) -> list[Breach]:
     broken: list[Breach] = []
     for run in of_kind(facts, Began) if configs.sent else ():
-        if (ours := asked.get(run.id, [None])[0]) is None:
+        if (request := asked.get(run.id, [None])[0]) is None:
             continue
-        rule = configs.may_rule(ours.at - apply, run.at)
-        if rule and not any(run.service in services_of(one.config, run.host, run.target, ours.key) for one in rule):
+        in_force = configs.may_rule(request.at - apply, run.at)
+        if in_force and not any(
+            run.service in services_of(sent_config.config, run.host, run.target, request.key)
+            for sent_config in in_force
+        ):
             broken.append(
-                Breach("CONFIG", run.at, (run.id, run.instance), f"{run.service}, by an older one", bounded=True)
+                Breach(
+                    "CONFIG",
+                    run.at,
+                    (run.id, run.instance),
+                    f"{run.service} ran it as only an outdated configuration allows",
+                    bounded=True,
+                )
             )
     for end in of_kind(facts, Answered) if configs.sent else ():
-        if end.status not in DENIALS or (ours := asked.get(end.id, [None])[0]) is None:
+        if end.status not in DENIALS or (request := asked.get(end.id, [None])[0]) is None:
             continue
-        rule = configs.may_rule(ours.at - apply, end.at)
-        if rule and all(services_of(one.config, ours.host, ours.target, ours.key) for one in rule):
-            broken.append(Breach("CONFIG", end.at, (end.id,), f"{end.status}; route and key are there", bounded=True))
+        in_force = configs.may_rule(request.at - apply, end.at)
+        if in_force and all(
+            services_of(sent_config.config, request.host, request.target, request.key) for sent_config in in_force
+        ):
+            broken.append(
+                Breach(
+                    "CONFIG", end.at, (end.id,), f"answered {end.status} although its route and key exist", bounded=True
+                )
+            )
     return broken
--- a/rowanshift/invariants/coordination_facts.py
+++ b/rowanshift/invariants/coordination_facts.py
@@ -1,4 +1,4 @@
-"""What applications recorded of their calls for locks, numbers and keys. Times are seconds of the world's clock."""
+"""Events that applications record of their calls for locks, numbers and keys. Times are seconds of the run's clock."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CoordinationAsked(Fact):
-    """A caller sent a call to a machine. Each time that it sends one again is a call of its own."""
+    """A caller sent a call to a machine. Every retry is recorded as a separate call."""
 
     id: str
     call: Call
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CoordinationAnswered(Fact):
-    """The call was answered. Without ``answer``: by a status that promises that nothing was done."""
+    """A call was answered. ``answer`` is None for a status that guarantees that the call had no effect."""
 
     id: str
     status: int
--- a/rowanshift/invariants/facts.py
+++ b/rowanshift/invariants/facts.py
@@ -1,6 +1,6 @@
-"""What clients, model servers, the platform's list, the operator and the fleet's own log recorded.
+"""Events recorded by clients, model servers, the platform's server list, the operator and the fleet itself.
 
-Every time and duration is in seconds, by the one clock of the world. Facts are never changed once made.
+Times and durations are in seconds of the run's single clock. Recorded events are called facts, and are immutable.
 """
 
 import hashlib
@@ -10,67 +10,67 @@
 
 
 def digest_of(*parts: bytes | str) -> str:
-    """What is the same for the same method, target and body, wherever they are seen."""
-    made = hashlib.blake2s(digest_size=8)
+    """A digest that identifies a request by its method, target and body, wherever they are observed."""
+    digest = hashlib.blake2s(digest_size=8)
     for part in parts:
         data = part.encode("latin-1") if isinstance(part, str) else part
-        made.update(b"%d:" % len(data) + data)
-    return made.hexdigest()
+        digest.update(b"%d:" % len(data) + data)
+    return digest.hexdigest()
 
 
 @dataclass(frozen=True, slots=True)
 class Fact:
-    """Something that was seen at a time, in seconds of the world's clock."""
+    """An event observed at a time, in seconds of the run's clock."""
 
     at: float
 
 
 @dataclass(frozen=True, slots=True)
 class Asked(Fact):
-    """A client sent one try."""
+    """A client sent one attempt of a request."""
 
     id: str
     host: str
     method: str
     target: str
     body: bytes
-    tenant: str = ""  # that holds the key; none: no key is held
+    tenant: str = ""  # the tenant with the key; "" if no tenant has it
     key: str = ""
-    repeatable: bool = False  # idempotent, or a stream that may be resumed
+    repeatable: bool = False  # idempotent, or a resumable stream
     since: int = 0  # Last-Event-Id
-    front: str = ""  # the router
-    call: str = ""  # what its retries share
+    front: str = ""  # address of the router
+    call: str = ""  # id shared by all attempts of the call
     within: float = inf  # seconds until the client's deadline
-    kept: bool = False  # on a connection that carried a request before
+    kept: bool = False  # on a connection that had already carried a request
 
 
 @dataclass(frozen=True, slots=True)
 class Piece(Fact):
-    """One event as the client got it: the tokens after ``first``, up to ``last``."""
+    """A stream event received by the client, with the tokens after ``first`` up to ``last``."""
 
     id: str
     first: int
     last: int
-    of: str  # digest of the request that the server worked on
+    of: str  # digest of the request that the server processed
     run: str
     final: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class Answered(Fact):
-    """The end of an answer at the client; not whole: it broke off after its head, or the client left."""
+    """An answer ended at the client. It is not ``whole`` if it broke off after its head or the client left."""
 
     id: str
     status: int
     stamp: str = ""  # Response-Seal
     echoed: str = ""  # Request-Id
     whole: bool = True
-    left: bool = False  # the client gave it up
+    left: bool = False  # the client disconnected
 
 
 @dataclass(frozen=True, slots=True)
 class Lost(Fact):
-    """A try that ended without the head of an answer."""
+    """An attempt ended before the head of an answer was received."""
 
     id: str
     how: str  # no way, closed, left, garbled
@@ -78,15 +78,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Surplus(Fact):
-    """Bytes at a client that nothing was asked for."""
+    """A client received bytes without an outstanding request."""
 
-    id: str  # that the connection last carried
+    id: str  # of the last request on the connection
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class Reached(Fact):
-    """A request came in whole at a server; ``refused`` is the status with which it was turned away, or 0."""
+    """A server received a complete request; ``refused`` is the status with which it rejected it, or 0."""
 
     id: str
     instance: str
@@ -97,7 +97,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Began(Fact):
-    """A server began to work on a request."""
+    """A server began to process a request."""
 
     id: str
     instance: str
@@ -109,7 +109,7 @@
     target: str
     body: bytes
     tenant: str = ""
-    key: str = ""  # an Authorization that was passed on
+    key: str = ""  # an Authorization field that the router passed on
     model: str = ""
     revision: int = 0
     since: int = 0
@@ -117,7 +117,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Made(Fact):
-    """A server wrote one event."""
+    """A server wrote one stream event."""
 
     id: str
     run: str
@@ -129,7 +129,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Finished(Fact):
-    """A run is over: done, failed, deadline, reset, client gone."""
+    """A run ended: done, failed, deadline, reset, client gone."""
 
     id: str
     run: str
@@ -138,7 +138,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CacheHit(Fact):
-    """A run used a cached part, which another or an earlier run had made."""
+    """A run used a cached part that another run had produced."""
 
     id: str
     instance: str
@@ -154,7 +154,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Moved(Fact):
-    """Cache tokens that came from another server or store (``bad``: none did, and why)."""
+    """Cached tokens were transferred from another server or store. ``bad``: why none were."""
 
     id: str
     instance: str
@@ -165,7 +165,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ordered(Fact):
-    """An order as a server took or refused it."""
+    """A server accepted or rejected an order."""
 
     instance: str
     holder: str
@@ -178,7 +178,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Loaded(Fact):
-    """A server has loaded a version of its weights."""
+    """A server finished loading a version of a model's weights."""
 
     instance: str
     model: str
@@ -187,7 +187,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Listed(Fact):
-    """From now on the platform's list shows a server as up, draining or gone."""
+    """The platform's list changed the state of a server to up, draining or gone."""
 
     instance: str
     state: str
@@ -195,7 +195,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Listing(Fact):
-    """A call for the list."""
+    """The platform's list was requested."""
 
     caller: str
     status: int
@@ -203,8 +203,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigSent(Fact):
-    """The operator began to send a configuration. ``config`` is its JSON as an object; where it goes as a ``patch``,
-    it is what that must make of the base."""
+    """The operator began to send a configuration.
+
+    ``config`` is its JSON object. If it is sent as a ``patch``, this is the expected result of applying it to the base.
+    """
 
     call: str
     base: int
@@ -216,7 +218,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigAnswered(Fact):
-    """How that call ended; status 0: with no clear answer."""
+    """The call of a configuration ended; status 0: without a conclusive answer."""
 
     call: str
     base: int
@@ -226,7 +228,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigRead(Fact):
-    """GET /config, begun at ``since``; none: no answer came in time."""
+    """A GET /config ended that began at ``since``. ``config`` is None if there was no answer in time."""
 
     since: float
     config: dict[str, Any] | None
@@ -234,7 +236,7 @@
 
 @dataclass(frozen=True, slots=True)
 class VersionNamed(Fact):
-    """POST /version-put was acknowledged."""
+    """A POST /version-put was acknowledged."""
 
     model: str
     revision: int
@@ -242,7 +244,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OrderReplied(Fact):
-    """A core machine's answer to one sending of a call of the operator's; ``lost``: it didn't reach the operator."""
+    """A core machine answered one attempt of an operator's call; ``lost``: the answer didn't reach the operator."""
 
     call: str
     sent_at: float
@@ -261,47 +263,47 @@
 
 @dataclass(frozen=True, slots=True)
 class RouterStarted(Fact):
-    """A life of a router's process begins."""
+    """A router's process started."""
 
     machine: str
-    front: str  # IP:PORT that clients ask
+    front: str  # IP:PORT at which it serves clients
 
 
 @dataclass(frozen=True, slots=True)
 class Signalled(Fact):
-    """A router got a signal that is planned work."""
+    """A router received a signal for planned maintenance."""
 
     machine: str
-    front: str  # IP:PORT that clients ask
+    front: str  # IP:PORT at which it serves clients
     signal: str  # SIGTERM or SIGHUP
 
 
 @dataclass(frozen=True, slots=True)
 class RequestCut(Fact):
-    """A router's own count tells that a request did not end as requests must."""
+    """A router's own records show that a request did not end properly."""
 
     machine: str
-    front: str  # IP:PORT that clients ask
+    front: str  # IP:PORT at which it serves clients
     id: str
-    came_at: float  # when it had been read whole
-    violation: str  # empty if it is excused
-    passed_on: int  # bytes of its answer
+    came_at: float  # time at which it had been read completely
+    violation: str  # "" if it is excused
+    passed_on: int  # bytes of its answer that were passed on
     excused: bool
 
 
 @dataclass(frozen=True, slots=True)
 class CallCut(Fact):
-    """A core machine's own count tells that a call of its API was read and not answered."""
+    """A core machine's own records show that a call of its API was read but not answered."""
 
     machine: str
-    control: str  # IP:PORT that operators ask
+    control: str  # IP:PORT at which it serves operators
     target: str
     came_at: float
 
 
 @dataclass(frozen=True, slots=True)
 class Resumed(Fact):
-    """A machine goes on after it stood still, or a link of its was mended: what it sent before may come late."""
+    """A machine resumed after a pause, or one of its links was restored. Data sent before may arrive late."""
 
     machine: str
     control: str = ""  # IP:PORT, of a core machine
--- a/rowanshift/invariants/regression_rules.py
+++ b/rowanshift/invariants/regression_rules.py
@@ -1,4 +1,4 @@
-"""The check that a router never goes back to an older configuration within one life of its process: CONFIG."""
+"""The check that a router process never reverts to an older configuration: CONFIG."""
 
 from bisect import bisect_right
 from collections import defaultdict
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Handling:
-    """How a router handled a request: a service began it, or it was denied (empty ``service``)."""
+    """How a router handled a request: a service began to process it, or it was denied (``service`` is "")."""
 
     at: float
     asked: Asked
@@ -20,7 +20,7 @@
 
 
 def revisions_for(configs: Configs, handling: Handling) -> list[int]:
-    """The configurations sent by then, and not refused, under which the request is handled like that."""
+    """The revisions of the configurations sent by then and not refused that allow a request to be handled like this."""
     asked = handling.asked
     found: list[int] = []
     for sent in configs.sent:
@@ -32,17 +32,17 @@
     return sorted(found)
 
 
-def lives_of(facts: Facts) -> dict[str, list[float]]:
-    """When each life of a router began, by the address that clients ask."""
-    lives: dict[str, list[float]] = defaultdict(list)
+def process_starts_of(facts: Facts) -> dict[str, list[float]]:
+    """The start times of each router's processes, by the address at which it serves clients."""
+    process_starts: dict[str, list[float]] = defaultdict(list)
     for started in of_kind(facts, RouterStarted):
-        lives[started.front].append(started.at)
-    return lives
+        process_starts[started.front].append(started.at)
+    return process_starts
 
 
-def handlings_by_life(facts: Facts) -> dict[tuple[str, int], list[Handling]]:
-    """What each life of each router handled, in the order of the times."""
-    asked, lives = by_id(facts, Asked), lives_of(facts)
+def handlings_by_process(facts: Facts) -> dict[tuple[str, int], list[Handling]]:
+    """The handlings by each process of each router, sorted by time."""
+    asked, process_starts = by_id(facts, Asked), process_starts_of(facts)
     rows = [
         Handling(run.at, asked[run.id][0], run.service, run.instance)
         for run in of_kind(facts, Began)
@@ -55,25 +55,28 @@
     ]
     grouped: dict[tuple[str, int], list[Handling]] = defaultdict(list)
     for row in sorted(rows, key=lambda row: row.at):
-        grouped[row.asked.front, bisect_right(lives.get(row.asked.front, []), row.asked.at)].append(row)
+        grouped[row.asked.front, bisect_right(process_starts.get(row.asked.front, []), row.asked.at)].append(row)
     return grouped
 
 
 def regressed(facts: Facts, slack: float) -> list[Breach]:
-    """CONFIG: within one life of a router, a request that was sent more than ``slack`` seconds after a server saw
-    the effect of a version is handled as only older versions allow. The effect is the oldest version that allows
-    what the server saw and is not older than what was known before; one breach a life."""
+    """CONFIG: a router process handles a request as only older configurations allow, although the request was sent over
+    ``slack`` seconds after a server saw the effect of a newer one.
+
+    The version of an effect is the oldest one that allows it and is not older than the effects seen before. At most
+    one violation is reported per process.
+    """
     configs, broken = Configs.among(facts), []
-    for handled in handlings_by_life(facts).values() if configs.sent else ():
-        seen: list[tuple[float, int]] = []  # when an effect was seen, and the highest version known since
-        for row in handled:
-            known = bisect_right(seen, (row.asked.at - slack, float("inf")))
-            floor = seen[known - 1][1] if known else 0
-            fits = revisions_for(configs, row)
-            effect = next((revision for revision in fits if revision >= floor), None)
-            if fits and effect is None:
+    for handlings in handlings_by_process(facts).values() if configs.sent else ():
+        seen: list[tuple[float, int]] = []  # time of an effect, and the highest version known from then on
+        for row in handlings:
+            known_count = bisect_right(seen, (row.asked.at - slack, float("inf")))
+            lowest = seen[known_count - 1][1] if known_count else 0
+            revisions = revisions_for(configs, row)
+            effect = next((revision for revision in revisions if revision >= lowest), None)
+            if revisions and effect is None:
                 ids = (row.asked.id, row.instance) if row.instance else (row.asked.id,)
-                why = f"handled as only up to {fits[-1]}; {floor} was seen at {seen[known - 1][0]:.3f} s"
+                why = f"handled as only up to {revisions[-1]}; {lowest} was seen at {seen[known_count - 1][0]:.3f} s"
                 broken.append(Breach("CONFIG", row.at, ids, why))
                 break
             if row.service and effect is not None and (not seen or effect > seen[-1][1]):
--- a/rowanshift/invariants/retry_rules.py
+++ b/rowanshift/invariants/retry_rules.py
@@ -1,4 +1,4 @@
-"""The check of the shared budget of repeats: BUDGET."""
+"""The check of the retry budget that all routers share: BUDGET."""
 
 from bisect import bisect_right
 from collections import defaultdict
@@ -11,14 +11,14 @@
 
 @dataclass(slots=True)
 class ServiceTimes:
-    """When requests for one service were sent, and when its repeats arrived; seconds, sorted."""
+    """The sorted times in seconds at which requests for a service were sent and retries arrived at it."""
 
     asked: list[float] = field(default_factory=list)
     repeats: list[float] = field(default_factory=list)
 
 
 def backends_of(configs: Configs, asked: Asked, apply: float) -> frozenset[str]:
-    """The services that the route of a request names in a configuration that may be in force when it is sent."""
+    """The services named by the route of a request in any configuration that may be in force when it is sent."""
     names: set[str] = set()
     for sent in configs.may_rule(asked.at - apply, asked.at):
         found = route_of(sent.config, asked.host, asked.target)
@@ -32,8 +32,11 @@
 
 
 def times_by_service(facts: Facts, apply: float) -> dict[str, ServiceTimes]:
-    """A request counts for each service that its route may name; an arrival counts as a repeat if one with its id
-    came earlier anywhere, refused or not."""
+    """Collect the times of requests and retries by service.
+
+    A request counts for each service that its route may name. An arrival counts as a retry if a request with its id has
+    arrived at any server before, whether or not that refused it.
+    """
     configs, times = Configs.among(facts), defaultdict(ServiceTimes)
     for asked in of_kind(facts, Asked):
         for service in backends_of(configs, asked, apply):
@@ -47,30 +50,32 @@
 
 
 def count_within(times: list[float], end: float, window: float) -> int:
-    """How many of the sorted times lie in the window that ends at ``end``, its begin left out."""
+    """How many of the sorted times are in the window up to and including ``end``, excluding its start."""
     return bisect_right(times, end) - bisect_right(times, end - window)
 
 
 def budget(facts: Facts, bounds: Bounds) -> list[Breach]:
-    """BUDGET: in some window a service gets more repeats than its share of the requests for it (of that window, the
-    one before, or the one half a window before, whichever holds the most) and the slack. One breach a service: the
-    first window that breaks the bound."""
+    """BUDGET: in some window a service receives more retries than ``retry_ratio`` times its requests plus the slack.
+
+    The requests are those of the same window, of the previous one or of the one half a window earlier, whichever has
+    the most. Only the first window that violates the bound is reported for each service.
+    """
     broken: list[Breach] = []
     for service, times in times_by_service(facts, bounds.config_apply).items():
         if len(times.repeats) > bounds.retry_slack:
-            broken += _first_over(service, times, bounds)
+            broken += _first_violation(service, times, bounds)
     return broken
 
 
-def _first_over(service: str, times: ServiceTimes, bounds: Bounds) -> list[Breach]:
+def _first_violation(service: str, times: ServiceTimes, bounds: Bounds) -> list[Breach]:
     window = bounds.retry_window
     ends = {at + shift * window for at in times.asked for shift in (0.0, 0.5, 1.0, 1.5, 2.0)}
     ends |= {at + shift * window for at in times.repeats for shift in (0.0, 1.0)}
-    for end in sorted(ends):  # between these, no window changes what it holds
+    for end in sorted(ends):  # between these times the counts of the windows don't change
         repeats = count_within(times.repeats, end, window)
         requests = max(count_within(times.asked, end - shift * window, window) for shift in (0.0, 0.5, 1.0))
         allowed = bounds.retry_ratio * requests + bounds.retry_slack
         if repeats > allowed:
-            why = f"{repeats} repeats within {window:g} s, {allowed:g} are allowed for {requests} requests"
+            why = f"{repeats} repeats within {window:g} s, but {allowed:g} are allowed for {requests} requests"
             return [Breach("BUDGET", end, (service,), why)]
     return []
--- a/rowanshift/invariants/server_rules.py
+++ b/rowanshift/invariants/server_rules.py
@@ -1,5 +1,5 @@
-"""Checks at the model servers: what cache a run used (STALE, WALL), under which version it ran (VERSION), who
-gave orders (ONE), and what reached a server that leaves (DRAIN)."""
+"""Checks at the model servers: the cache that a run used (STALE, WALL), the version under which it ran (VERSION), the
+senders of orders (ONE), and requests that reached a leaving server (DRAIN)."""
 
 from collections.abc import Callable, Collection, Sequence
 from dataclasses import dataclass
@@ -17,17 +17,17 @@
     VersionNamed,
 )
 
-LEAST_STRETCH = 2.0  # seconds; shorter calm stretches don't count for ``version_sums``
+MIN_PERIOD_SECONDS = 2.0  # ``version_sums`` ignores shorter fault-free periods
 
 
 def stale(facts: Facts) -> list[Breach]:
-    """STALE: a run on cache that was made under another version."""
+    """STALE: a run used cache contents that were produced under another version."""
     return [
         Breach(
             "STALE",
             hit.at,
             (hit.id, hit.instance),
-            f"part {hit.part} of version {hit.made_revision} under {hit.revision}",
+            f"used part {hit.part} of version {hit.made_revision} while running version {hit.revision}",
         )
         for hit in of_kind(facts, CacheHit)
         if hit.made_revision != hit.revision
@@ -35,7 +35,7 @@
 
 
 def wall(facts: Facts, isolated: Collection[str] | None = None) -> list[Breach]:
-    """WALL: a run on cache that another tenant's made, where one of the two is isolated."""
+    """WALL: a run used cache contents of another tenant although one of the two is isolated."""
     if isolated is None:
         isolated = {
             tenant["name"]
@@ -51,33 +51,38 @@
 
 
 def version(facts: Facts, within: float) -> list[Breach]:
-    """VERSION: a run's first token under an older version, ``within`` seconds after a newer one was named."""
-    return _outdated(facts, lambda named_at, at: at - named_at > within)
+    """VERSION: a run's first token came from an older version over ``within`` seconds after a newer one was named."""
+    return _runs_on_older_version(facts, lambda named_at, at: at - named_at > within)
 
 
 def version_sums(facts: Facts, total: float, calm: Sequence[tuple[float, float]]) -> list[Breach]:
-    """VERSION: the same once the ``calm`` stretches since then, those of ``LEAST_STRETCH`` or more, add up to over
-    ``total`` seconds; with 0 there is no such rule."""
+    """VERSION: the same once the fault-free periods since then, ``calm``, add up to over ``total`` seconds.
 
-    def over(named_at: float, at: float) -> bool:
-        stretches = [min(until, at) - max(since, named_at) for since, until in calm]
-        return sum(stretch for stretch in stretches if stretch >= LEAST_STRETCH) > total
+    Periods shorter than ``MIN_PERIOD_SECONDS`` don't count. A ``total`` of 0 disables the rule.
+    """
 
-    return _outdated(facts, over) if total else []
+    def is_overdue(named_at: float, at: float) -> bool:
+        periods = [min(until, at) - max(since, named_at) for since, until in calm]
+        return sum(period for period in periods if period >= MIN_PERIOD_SECONDS) > total
+
+    return _runs_on_older_version(facts, is_overdue) if total else []
 
 
 def version_in_one_stretch(facts: Facts, within: float, calm: Sequence[tuple[float, float]]) -> list[Breach]:
-    """VERSION: the same once one of the ``calm`` stretches has lasted for over ``within`` seconds since then."""
+    """VERSION: the same once one of the fault-free periods, ``calm``, has lasted over ``within`` seconds since then."""
 
-    def over(named_at: float, at: float) -> bool:
+    def is_overdue(named_at: float, at: float) -> bool:
         return any(since <= at <= until and at - max(since, named_at) > within for since, until in calm)
 
-    return _outdated(facts, over)
+    return _runs_on_older_version(facts, is_overdue)
+
 
+def _runs_on_older_version(facts: Facts, is_overdue: Callable[[float, float], bool]) -> list[Breach]:
+    """The runs on weights older than the newest that had to be in use.
 
-def _outdated(facts: Facts, over: Callable[[float, float], bool]) -> list[Breach]:
-    """Runs on older weights than the newest named, where ``over`` tells by when that was and when they began that it
-    was too long ago."""
+    ``is_overdue`` decides that from the times of the acknowledgement and of the run's first token, or of its start if
+    it has no token.
+    """
     named, seen, broken = of_kind(facts, VersionNamed), set(), []
     runs = [(made.at, made.run, made.id, made.model, made.revision) for made in of_kind(facts, Made)]
     started = {run for _, run, *_ in runs}
@@ -91,7 +96,7 @@
             continue
         seen.add(run)
         newest = max(
-            (name for name in named if name.model == model and name.at < at and over(name.at, at)),
+            (name for name in named if name.model == model and name.at < at and is_overdue(name.at, at)),
             key=lambda name: name.revision,
             default=None,
         )
@@ -101,7 +106,7 @@
                     "VERSION",
                     at,
                     (id, run),
-                    f"{model} {revision}; {newest.revision} was acknowledged at {newest.at:.3f} s",
+                    f"ran {model} {revision}, but {newest.revision} was acknowledged at {newest.at:.3f} s",
                     bounded=True,
                 )
             )
@@ -109,10 +114,12 @@
 
 
 def one(facts: Facts, lease: float, everywhere: bool = False, thaw: float = 0.0) -> list[Breach]:
-    """ONE: at a server (or at all together, ``everywhere``), two holders with one fence, a lower fence taken
-    after a higher one, or holders that take turns within ``lease`` seconds. What a server refused for its
-    fence (412) is no turn. Orders that arrive within ``thaw`` seconds after their holder goes on, or a link of
-    its is mended, don't count."""
+    """ONE: at one server (or across all servers, ``everywhere``) two holders use the same fencing token, a lower token
+    passes after a higher one, or holders alternate within ``lease`` seconds.
+
+    Orders that a server refused for their token (412) don't count as alternation. Orders that arrive within ``thaw``
+    seconds after a pause or a link cut of their holder are ignored, since they may have been sent before.
+    """
     resumed = by(of_kind(facts, Resumed), lambda fact: fact.machine)
     orders = [
         fact
@@ -120,18 +127,18 @@
         if fact.status != 400 and not any(one.at <= fact.at <= one.at + thaw for one in resumed.get(fact.holder, ()))
     ]
     broken: list[Breach] = []
-    for where, got in by(orders, lambda fact: "all" if everywhere else fact.instance).items():
-        broken += _shared_fences(where, got)
-        heard = [fact for fact in got if fact.status != 412]
-        broken += _falling_fences(where, heard)
-        broken += _turns(where, heard, lease)
+    for where, received_orders in by(orders, lambda fact: "all" if everywhere else fact.instance).items():
+        broken += _shared_fences(where, received_orders)
+        not_fenced_off = [fact for fact in received_orders if fact.status != 412]
+        broken += _falling_fences(where, not_fenced_off)
+        broken += _turns(where, not_fenced_off, lease)
     return broken
 
 
 def _shared_fences(where: str, orders: list[Ordered]) -> list[Breach]:
     holders: dict[int, str] = {}
     return [
-        Breach("ONE", fact.at, (where, holders[fact.fence], fact.holder), f"two holders of fence {fact.fence}")
+        Breach("ONE", fact.at, (where, holders[fact.fence], fact.holder), f"two holders use fencing token {fact.fence}")
         for fact in orders
         if holders.setdefault(fact.fence, fact.holder) != fact.holder
     ]
@@ -141,14 +148,16 @@
     broken, highest = [], -1
     for fact in orders:
         if fact.fence < highest:
-            broken.append(Breach("ONE", fact.at, (where, fact.holder), f"{fact.fence} after {highest}"))
+            broken.append(
+                Breach("ONE", fact.at, (where, fact.holder), f"fencing token {fact.fence} passed after {highest}")
+            )
         highest = max(highest, fact.fence)
     return broken
 
 
 @dataclass(slots=True)
 class Turn:
-    """Orders of one holder with none of another's between them: when the first and the last came."""
+    """Consecutive orders of one holder, with the times of the first and the last."""
 
     holder: str
     since: float
@@ -171,13 +180,19 @@
 
 
 def drain(facts: Facts, within: float) -> list[Breach]:
-    """DRAIN: a request reaches a server later than ``within`` seconds after the list showed it leaving."""
-    left: dict[str, float] = {}
+    """DRAIN: a request reaches a server over ``within`` seconds after the platform's list showed it as leaving."""
+    leaving_since: dict[str, float] = {}
     for listed in of_kind(facts, Listed):
         if listed.state != "up":
-            left.setdefault(listed.instance, listed.at)
+            leaving_since.setdefault(listed.instance, listed.at)
     return [
-        Breach("DRAIN", fact.at, (fact.id, fact.instance), f"it left at {left[fact.instance]:.3f} s", bounded=True)
+        Breach(
+            "DRAIN",
+            fact.at,
+            (fact.id, fact.instance),
+            f"the list showed the server as leaving at {leaving_since[fact.instance]:.3f} s",
+            bounded=True,
+        )
         for fact in of_kind(facts, Reached)
-        if fact.refused != 421 and fact.at > left.get(fact.instance, float("inf")) + within
+        if fact.refused != 421 and fact.at > leaving_since.get(fact.instance, float("inf")) + within
     ]
--- a/rowanshift/invariants/system.py
+++ b/rowanshift/invariants/system.py
@@ -1,10 +1,10 @@
-"""The rules of the whole system as checks over facts, in any order, that clients, model servers, the
-platform's list and the operator recorded. No I/O, and no question to a router.
+"""Checks of the whole system's rules over events recorded by clients, model servers, the platform's list and the
+operator. The events may be in any order. No I/O, and no queries to routers.
 
-Every time and duration is in seconds, by the one clock of the world. A check takes the facts and what it
-needs of the bounds, and returns the rules that were broken. None of them excuses machines out of touch:
-whoever knows of troubles leaves those breaches out, and gives the troubles to checks that count by machine.
-Facts and checks live in modules by concern; this one names them all, and runs all checks at once.
+Times and durations are in seconds of the run's single clock. A check takes the recorded events and its bounds, and
+returns the violations that it found. No check exempts disconnected machines: a caller that knows the faults of the run
+must filter those violations out, and must pass the faults to checks that are evaluated per machine. Event classes and
+checks are in separate modules by concern; this one exports them all and runs all checks at once.
 """
 
 from rowanshift.invariants.breaches import (
@@ -138,7 +138,7 @@
 
 
 def check(facts: Facts, bounds: Bounds = DEFAULT_BOUNDS, troubles: KnownTroubles = NO_TROUBLES) -> list[Breach]:
-    """Every rule here, in the order of the times; ``troubles`` matter to rules that count by machine."""
+    """Run all checks. Returns the violations sorted by time; ``troubles`` are the faults known to the caller."""
     found = [
         *twice(facts),
         *refused(facts),
--- a/rowanshift/modelcheck/operator_model.py
+++ b/rowanshift/modelcheck/operator_model.py
@@ -29,7 +29,7 @@
         self.saw_conflict = False  # a 412 since the last read of the configuration
 
     def issue_request(self, send: SendMessage) -> None:
-        """SendMessage a new change, repeat a previous one, or read the configuration."""
+        """Send a new change, repeat a previous one, or read the configuration."""
         drawn = self.random_source.random()
         if drawn < (READ_SHARE_AFTER_CONFLICT if self.saw_conflict else READ_SHARE):
             self.saw_conflict = False
