--- a/tests/modelcheck/test_client_walk.py
+++ b/tests/modelcheck/test_client_walk.py
@@ -1,4 +1,4 @@
-"""Walks with operators and routers over machines that fail and come back."""
+"""Walks with operators and routers over machines that fail and recover."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class ClientWalks(unittest.TestCase):
-    """No invariant is violated, and operators and routers get on."""
+    """No invariant is violated, and operators and routers make progress."""
 
     def walk(self, seeds: range, machines: int, f: int, spares: int, least_acknowledged: int) -> None:
         acknowledged = updates = 0
@@ -38,7 +38,7 @@
         with mock.patch.object(order_history, "MAX_REMEMBERED_ORDERS", 3):
             self.walk(range(2020, 2036), 3, 1, 0, 100)
 
-    def test_a_change_of_the_model_is_a_valid_configuration(self) -> None:
+    def test_a_modelled_change_is_a_valid_configuration(self) -> None:
         self.assertEqual(7, parse_configuration(ConfigChange(3, 6, 7).body).revision)
         self.assertNotEqual(ConfigChange(3, 6, 7).body, ConfigChange(4, 6, 7).body)
 
--- a/tests/modelcheck/test_closing_fault.py
+++ b/tests/modelcheck/test_closing_fault.py
@@ -1,4 +1,4 @@
-"""The worst tolerated loss: f disks are lost, and all other machines lose power at the same moment."""
+"""The worst tolerated fault: f disks are lost, and all other machines lose power at the same time."""
 
 import unittest
 from dataclasses import dataclass
@@ -13,8 +13,13 @@
 from rowanshift.simulation.fleet_settings import MODEL
 from tests.support.replication_rig import FOURTH, ReplicationRig
 
-CLOSING_FAULT_DELAYS_SECONDS = (0.0, 0.05, 0.2, 1.0)  # from the event before to the closing fault, at most
-COUNTS_AS_FAILED_SECONDS = 4.0  # for which a machine counts as failed after its start
+CLOSING_FAULT_DELAYS_SECONDS = (
+    0.0,
+    0.05,
+    0.2,
+    1.0,
+)  # upper bounds of the time from the preceding event to the closing fault
+COUNTS_AS_FAILED_SECONDS = 4.0  # time after its start for which a machine counts as failed
 NAMED_VERSION = 2  # of the model, named before the closing fault
 CHANGE_PAUSE_SECONDS = 0.05
 READ_BACK_LIMIT_SECONDS = 20.0
@@ -29,7 +34,7 @@
 
 
 class ClosingRig(ReplicationRig):
-    """A rig whose machines may all lose power at one moment, some of them with their disks."""
+    """A rig whose machines can all lose power at the same time, one of them with its disk."""
 
     uncounted: frozenset[int] | set[int] = frozenset()
 
@@ -38,7 +43,7 @@
         self.replica(me).quorum_member = me not in self.uncounted
 
     def inject_closing_fault(self, lost_disk: int, removed: int = 0) -> None:
-        """Disks keep what was synced, but for the one that is lost; a removed machine doesn't start again."""
+        """Crash all machines and lose one disk; the others keep synced data. Restart all but the removed machine."""
         machines = self.cluster.machines
         for machine in machines:
             self.cluster.crash(machine, save_persisted=False)
@@ -49,15 +54,15 @@
                 self.start(machine)
 
     def read_back(self) -> bytes | None:
-        """The state of the next primary; ``None`` if there is none in time."""
+        """The state of the next primary; ``None`` if there is none within the time limit."""
         self.run(READ_BACK_LIMIT_SECONDS, lambda: self.primary() != 0)
         return self.replica(self.primary()).committed_state if self.primary() else None
 
 
 class AfterARelease(unittest.TestCase):
-    """A spare has long been there; a machine leaves as planned, and right after it the closing fault comes."""
+    """With a spare in place, a machine leaves as planned, and the closing fault follows immediately."""
 
-    def test_what_was_acknowledged_is_there_whoever_left_and_whichever_disk_is_lost(self) -> None:
+    def test_acknowledged_changes_survive_any_leave_followed_by_any_disk_loss(self) -> None:
         for leaving in (1, 2, 3):
             for lost_disk in {1, 2, 3, FOURTH} - {leaving}:
                 with self.subTest(leaving=leaving, lost_disk=lost_disk):
@@ -77,7 +82,7 @@
         rig.run(3.0, lambda: replica.leave_granted)
         self.assertTrue(replica.leave_granted)
 
-    def test_a_machine_is_not_released_while_its_former_vote_is_asked_for(self) -> None:
+    def test_a_machine_is_not_released_while_its_former_vote_is_required(self) -> None:
         rig = ClosingRig(spares=1)
         rig.elect()
         rig.run(6.0)
@@ -87,7 +92,7 @@
 
 
 class Uncounted(unittest.TestCase):
-    """A fourth machine whose settings say that it doesn't count: it may go with its disk, beyond f."""
+    """A fourth machine that is no quorum member by its settings: it may be lost with its disk in addition to f."""
 
     def rig(self, uncounted: int = FOURTH, spares: int = 1) -> ClosingRig:
         rig = ClosingRig(spares=spares)
@@ -101,23 +106,23 @@
     def record(self, rig: ReplicationRig) -> replication.EpochRecord:
         return rig.replica(rig.primary()).record
 
-    def test_it_takes_neither_copy_nor_vote_whoever_is_away(self) -> None:
-        for away in (1, 2, 3):
-            with self.subTest(away=away):
+    def test_it_gets_neither_copy_nor_vote_whichever_machine_is_down(self) -> None:
+        for down in (1, 2, 3):
+            with self.subTest(down=down):
                 rig = self.rig()
-                rig.cluster.crash(away, save_persisted=False)
+                rig.cluster.crash(down, save_persisted=False)
                 rig.run(6.0)
                 self.assertEqual(rig.commit(), 2)
                 self.assertNotIn(FOURTH, self.record(rig).members())
 
-    def test_nothing_is_lost_when_it_goes_with_f_disks(self) -> None:
-        for away in (1, 2, 3):
+    def test_nothing_is_lost_when_it_is_lost_in_addition_to_f_disks(self) -> None:
+        for down in (1, 2, 3):
             for lost_disk in (1, 2, 3):
-                with self.subTest(away=away, lost_disk=lost_disk):
+                with self.subTest(down=down, lost_disk=lost_disk):
                     rig = self.rig()
-                    rig.cluster.crash(away, save_persisted=False)
+                    rig.cluster.crash(down, save_persisted=False)
                     rig.run(6.0)
-                    rig.start(away)
+                    rig.start(down)
                     rig.run(6.0)
                     rig.commit()
                     acknowledged = rig.replica(rig.primary()).committed_state
@@ -132,19 +137,19 @@
         self.assertFalse(replica.is_amnesic)
         self.assertEqual((replica.primary_hint, replica.record), (rig.primary(), self.record(rig)))
 
-    def test_it_may_end_at_once(self) -> None:
+    def test_it_may_leave_immediately(self) -> None:
         rig = self.rig()
         rig.replica(FOURTH).leave(rig.cluster.now)
         self.assertTrue(rig.replica(FOURTH).leave_granted)
 
-    def test_one_of_the_first_members_makes_room_for_a_spare_that_counts(self) -> None:
+    def test_an_uncounted_initial_member_is_replaced_by_a_counted_spare(self) -> None:
         for uncounted in (1, 2, 3):
             with self.subTest(uncounted=uncounted):
                 rig = self.rig(uncounted)
                 self.assertEqual(self.record(rig).members(), {1, 2, 3, FOURTH} - {uncounted})
                 self.assertEqual(rig.commit(), 2)
 
-    def test_where_none_counts_the_first_members_go_on(self) -> None:
+    def test_the_initial_members_continue_if_no_machine_counts(self) -> None:
         rig = ClosingRig()
         for machine in (1, 2, 3):
             rig.replica(machine).quorum_member = False
@@ -155,7 +160,7 @@
 
 
 class RandomFleet(unittest.TestCase):
-    """The programs under changes without a pause: machines leave, are replaced or join; then the closing fault."""
+    """The real programs under continuous changes: machines leave, are replaced or join, before the closing fault."""
 
     def test_the_newest_acknowledged_configuration_and_version_are_read_back(self) -> None:
         for seed in range(8):
@@ -168,22 +173,22 @@
 
 @dataclass(frozen=True)
 class ClosingOutcome:
-    """Revisions of the configuration, and the version that the model has afterwards."""
+    """The revisions of the configuration, and the version of the model after the fault."""
 
-    acknowledged: int  # last, before the closing fault
-    read: int  # afterwards; 0: none
+    acknowledged: int  # the last one acknowledged before the closing fault
+    read: int  # read after it; 0: none
     version: int
 
 
 class Survivors(NamedTuple):
-    """The machines that return after the closing fault, and the one among them whose disk is lost in it."""
+    """The machines that restart after the closing fault, and the one of them that loses its disk in it."""
 
     returning: list[Unit]
     lost_disk: Unit
 
 
 async def play_closing_fault(fleet: Fleet) -> ClosingOutcome:
-    """Changes without a pause, an event before the closing fault, and the closing fault."""
+    """Run continuous changes, a preceding event and the closing fault."""
     random_source = fleet.random_source
     await fleet.start()
     observer = fleet.spare(counts=False)
@@ -205,14 +210,14 @@
 
 
 async def nothing(fleet: Fleet) -> Survivors:
-    """No machine has changed."""
+    """No machine changes."""
     await trio.sleep(COUNTS_AS_FAILED_SECONDS)
     returning = fleet.cores[:3]
     return Survivors(returning, fleet.random_source.choice(returning))
 
 
 async def leaves(fleet: Fleet) -> Survivors:
-    """A spare has long been there, and a machine leaves as planned."""
+    """A spare is in place, and a machine leaves as planned."""
     spare, leaving = fleet.spare(), fleet.random_source.choice(fleet.cores[:3])
     await trio.sleep(COUNTS_AS_FAILED_SECONDS)
     fleet.terminate(leaving)
@@ -222,7 +227,7 @@
 
 
 async def is_replaced(fleet: Fleet) -> Survivors:
-    """A machine is lost without notice, and its replacement has run for as long as that counts as failed."""
+    """A machine is lost, and its replacement has run until it no longer counts as failed."""
     lost = fleet.random_source.choice(fleet.cores[:3])
     await trio.sleep(COUNTS_AS_FAILED_SECONDS)
     fleet.empty_disk(lost)
@@ -232,7 +237,7 @@
 
 
 async def joins(fleet: Fleet) -> Survivors:
-    """A machine has just been asked to end, and another starts in its place: that one's disk is lost."""
+    """A machine is terminated, and another starts in its place and then loses its disk."""
     leaving = fleet.random_source.choice(fleet.cores[:3])
     await trio.sleep(COUNTS_AS_FAILED_SECONDS)
     fleet.terminate(leaving)
@@ -242,7 +247,7 @@
     return Survivors([*fleet.cores[:3], joined], joined)
 
 
-# the order is part of what a seed means
+# the order affects what each seed plays
 PRECEDING_EVENTS = (is_replaced, joins, leaves, nothing)
 
 
@@ -252,9 +257,9 @@
 
 
 class UncountedFleet(unittest.TestCase):
-    """The same with the programs themselves in the virtual network, by their settings."""
+    """The same with the real programs and their settings in the virtual network."""
 
-    def test_what_was_acknowledged_outlasts_a_disk_and_a_machine_that_does_not_count(self) -> None:
+    def test_acknowledged_changes_survive_the_loss_of_a_disk_and_an_uncounted_machine(self) -> None:
         for seed in range(3):
             with self.subTest(seed=seed):
                 revision, read = play(self._play, f"uncounted/{seed}")[0]
@@ -264,10 +269,10 @@
         await fleet.start()
         observer = fleet.spare(counts=False)
         await trio.sleep(COUNTS_AS_FAILED_SECONDS)
-        away = fleet.backups()[1]
-        fleet.cut_power(away)
+        down = fleet.backups()[1]
+        fleet.cut_power(down)
         await trio.sleep(COUNTS_AS_FAILED_SECONDS)
-        fleet.back(away)
+        fleet.back(down)
         await trio.sleep(COUNTS_AS_FAILED_SECONDS)
         await fleet.put(config_of(fleet.sent + 1))
         counted = fleet.cores[:3]
--- a/tests/modelcheck/test_command.py
+++ b/tests/modelcheck/test_command.py
@@ -1,4 +1,4 @@
-"""The model checker's command line: its commands, exit codes and the form of its lines."""
+"""The model checker's command line: its commands, exit codes and output format."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def run(*arguments: str) -> tuple[int, str]:
-    """The exit code of a command, and what it printed."""
+    """The exit code and the output of a command."""
     printed = io.StringIO()
     with mock.patch("sys.argv", ["rowanshift.modelcheck", *arguments]), contextlib.redirect_stdout(printed):
         return main(), printed.getvalue()
@@ -31,17 +31,17 @@
         form = r"^takeover             BreadthResult\(states=\d+, depth=1, seconds=[\d.e-]+, broken=''\)\n$"
         self.assertRegex(printed, form)
 
-    def test_a_planted_fault_that_is_found(self) -> None:
+    def test_a_detected_planted_fault(self) -> None:
         code, printed = run("faults", "--fault", "CommitsBeforeOwnSave", "--seeds", "3", "--steps", "300")
         self.assertEqual(0, code)
         self.assertRegex(printed, r"^CommitsBeforeOwnSave +\d+\.\d\d s seed \d+ step \d+ DURABLE: .*\n$")
 
-    def test_a_planted_fault_that_is_missed(self) -> None:
+    def test_an_undetected_planted_fault(self) -> None:
         code, printed = run("faults", "--fault", "CountsAnyStored", "--seeds", "1", "--steps", "10")
         self.assertEqual((1, "CountsAnyStored          -\n"), (code, printed))
 
 
-class Lines(unittest.TestCase):
+class OutputLines(unittest.TestCase):
     def test_of_a_walk(self) -> None:
         form = "Outcome(seed=1, steps=2, broken='KEPT: x', committed=3, epochs=4, stalled='', longest_calm=0.5)"
         self.assertEqual(form, walk_line(WalkResult(1, 2, "KEPT: x", 3, 4, "", 0.5)))
--- a/tests/modelcheck/test_fault_search.py
+++ b/tests/modelcheck/test_fault_search.py
@@ -1,4 +1,4 @@
-"""The search for planted faults finds each of them."""
+"""The search for planted faults detects each of them."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 
 
 class PlantedFaults(unittest.TestCase):
-    """Each fault is found by its stated seed; by one near 0 if the protocol's times have changed since."""
+    """Each fault is detected with its stated seed, or with one below 40 if the protocol's timing has changed since."""
 
-    def test_each_is_found(self) -> None:
+    def test_each_fault_is_detected(self) -> None:
         for fault, search in FAULTS.items():
             with self.subTest(fault=fault.__name__):
                 self.assertIsNotNone(find_fault(fault, search, [search.seed, *range(40)]), "not found")
 
 
 class PlannedSearch(unittest.TestCase):
-    """What a search sets in its walks."""
+    """The settings that a search applies to its walks."""
 
-    def test_a_fault_takes_the_place_of_the_class_it_derives_from(self) -> None:
+    def test_a_fault_replaces_its_base_class(self) -> None:
         implementations = DEFAULT_IMPLEMENTATIONS.with_subclass(AnswersPollsWithoutLease)
         self.assertIs(AnswersPollsWithoutLease, implementations.service)
         self.assertIs(replication.Replica, implementations.replica)
@@ -33,11 +33,11 @@
         self.assertIs(ParentDirectoryNotSynced, implementations.store)
         self.assertIs(ControlService, implementations.service)
 
-    def test_a_fault_of_no_known_class_is_refused(self) -> None:
+    def test_a_fault_without_a_known_base_class_is_rejected(self) -> None:
         with self.assertRaises(TypeError):
             DEFAULT_IMPLEMENTATIONS.with_subclass(dict)
 
-    def test_the_kinds_of_faults_and_the_load_are_those_of_the_search(self) -> None:
+    def test_a_walk_has_the_fault_kinds_and_load_of_its_search(self) -> None:
         search = FaultSearch(0, fault_kinds=(FaultKind.PAUSE,), walk="clients", heavy_load=True)
         walk = search.create_walk(AnswersPollsWithoutLease, 7)
         self.assertIsInstance(walk, ClientWalk)
--- a/tests/modelcheck/test_file_system.py
+++ b/tests/modelcheck/test_file_system.py
@@ -1,4 +1,4 @@
-"""The modelled file system: what of it survives a loss of power."""
+"""The model of the file system: the names and contents that survive a power loss."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class PowerLoss(unittest.TestCase):
-    """What was not synced may be lost; what was synced is kept."""
+    """Unsynced names and contents may be lost; synced ones are kept."""
 
     def outcomes(self, make_file_system) -> set[bool]:
-        """Whether the record was still there, over many losses of power."""
+        """For many power losses, the set of whether the record survived."""
         kept = set()
         for seed in range(40):
             file_system = make_file_system()
@@ -26,7 +26,7 @@
         return kept
 
     def opened(self, steps: int) -> FileSystemModel:
-        """A record, synced, after so many steps of opening."""
+        """A file system with a synced record, written after ``steps`` steps of opening the store."""
         file_system = FileSystemModel()
         opening = StoreModel.open(file_system)
         for _ in range(steps):
@@ -34,12 +34,12 @@
         file_system.write(RECORD)
         return file_system
 
-    def test_a_name_lasts_only_once_its_directory_is_synced(self) -> None:
+    def test_a_name_is_durable_only_once_its_directory_is_synced(self) -> None:
         self.assertEqual({True, False}, self.outcomes(lambda: self.opened(2)))
         self.assertEqual({True, False}, self.outcomes(lambda: self.opened(3)))
         self.assertEqual({True}, self.outcomes(lambda: self.opened(4)))
 
-    def test_a_directory_synced_by_a_later_process_keeps_an_earlier_ones_names(self) -> None:
+    def test_a_later_process_makes_an_earlier_ones_names_durable_by_syncing_the_directory(self) -> None:
         def reopened() -> FileSystemModel:
             file_system = self.opened(2)
             for _ in StoreModel.open(file_system):
@@ -48,7 +48,7 @@
 
         self.assertEqual({True}, self.outcomes(reopened))
 
-    def test_what_is_written_lasts_only_once_it_is_synced(self) -> None:
+    def test_content_is_durable_only_once_it_is_synced(self) -> None:
         def unsynced() -> FileSystemModel:
             file_system = self.opened(4)
             file_system.write_unsynced(
--- a/tests/modelcheck/test_membership_walk.py
+++ b/tests/modelcheck/test_membership_walk.py
@@ -1,4 +1,4 @@
-"""Walks with machines that leave for good and join with empty disks, lost disks and losses of power."""
+"""Walks in which machines leave permanently, join with empty disks, and lose disks and power."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class MembershipWalks(unittest.TestCase):
-    """No invariant is violated while members change."""
+    """No invariant is violated during membership changes."""
 
     def walk(self, seeds: range, machines: int, f: int, spares: int) -> None:
         for seed in seeds:
--- a/tests/modelcheck/test_worst_case_walk.py
+++ b/tests/modelcheck/test_worst_case_walk.py
@@ -1,4 +1,4 @@
-"""Walks whose rounds end in the worst tolerated loss."""
+"""Walks whose rounds each end in the worst tolerated fault."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
         for (machines, f, spares), seeds in SEEDS.items():
             for seed in seeds:
                 with self.subTest(machines=machines, seed=seed):
-                    self.lose_nothing(WorstCaseWalk(seed, machines, f, spares))
+                    self.assert_nothing_is_lost(WorstCaseWalk(seed, machines, f, spares))
 
     def test_nothing_is_lost_with_an_observer(self) -> None:
         for seed in range(5000, 5004):
             with self.subTest(seed=seed):
-                self.lose_nothing(ObserverWalk(seed, 3, 1, 1))
+                self.assert_nothing_is_lost(ObserverWalk(seed, 3, 1, 1))
 
-    def lose_nothing(self, walk: WorstCaseWalk) -> None:
+    def assert_nothing_is_lost(self, walk: WorstCaseWalk) -> None:
         outcome = walk.run(STEPS)
         self.assertEqual("", outcome.violation)
         self.assertGreater(outcome.commits, 0)
--- a/tests/support/planted_client_faults.py
+++ b/tests/support/planted_client_faults.py
@@ -1,4 +1,4 @@
-"""Services, routers, replicas and stores with one planted fault each, found by walks with clients or new members."""
+"""Services, routers, replicas and stores with one planted fault each, which the walks must detect."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class AcceptsChangeOnUsedBase(ControlService):
-    """A change is accepted whatever its base."""
+    """A change is accepted regardless of its base."""
 
     def _put(self, state, change):
         changed = put_config(state, f'"{state.revision}"', change.body)
@@ -29,7 +29,7 @@
 
 
 class ForgetsChangesAtTakeover(ControlService):
-    """A new primary knows only the changes that were accepted since its process began."""
+    """A new primary knows only the changes accepted since its process started."""
 
     def __init__(self, *args):
         super().__init__(*args)
@@ -44,7 +44,7 @@
 
 
 class RefusesUnconfirmed(ControlService):
-    """A change is refused by the state that this machine knows, without a confirmed read."""
+    """A change is refused based on this machine's own state, without a confirmed read."""
 
     def _begin(self, pending):
         if self.replica.is_primary:
@@ -57,7 +57,7 @@
 
 
 class RefusesByProposal(ControlService):
-    """A change is refused by a proposal that is under way."""
+    """A change is refused based on a pending proposal."""
 
     def _decide(self, pending, state):
         proposal = self.replica._proposal
@@ -68,7 +68,7 @@
 
 
 class AcknowledgesProposed(ControlService):
-    """200 is answered for what is only proposed."""
+    """A change is answered 200 when it is only proposed."""
 
     def _propose(self, pending, base, state):
         super()._propose(pending, base, state)
@@ -77,14 +77,14 @@
 
 
 class AcknowledgesUnknown(ControlService):
-    """200 is answered although primacy was lost while the proposal was under way."""
+    """A change is answered 200 although the machine ceased to be primary while the proposal was pending."""
 
     def _continue(self, pending, succeeded):
         super()._continue(pending, succeeded or pending.proposed)
 
 
 class RefusesUnknown(ControlService):
-    """412 is answered where the outcome is unknown: primacy was lost, or the change has reached its limit."""
+    """A change with an unknown outcome is answered 412: the machine ceased to be primary, or the time limit passed."""
 
     def _reply(self, pending, status, revision=0):
         unknown = status is Status.UNAVAILABLE and pending.proposed
@@ -92,14 +92,14 @@
 
 
 class AnswersPollsWithoutLease(ControlService):
-    """Polls are answered by any machine that believes to be primary."""
+    """Polls are answered by any machine that regards itself as the primary."""
 
     def _holds_lease(self):
         return self.replica.is_primary
 
 
 class AnswersPollsWithProposed(ControlService):
-    """Routers are told what is on this machine's disk, committed or not."""
+    """Routers receive the newest proposal, committed or not."""
 
     def _published_state(self):
         version, state = super()._published_state()
@@ -117,21 +117,21 @@
 
 
 class RouterOrdersBySequence(RouterModel):
-    """A router compares the sequence alone, so that a new epoch's first answers look old."""
+    """A router compares only the sequence, so that the first answers of a new epoch look outdated."""
 
     def _is_newer(self, update):
         return update.version.sequence <= self.version.sequence or update.version >= self.version
 
 
 class RouterFreshFromAnswer(RouterModel):
-    """A router counts itself fresh as of when an answer came."""
+    """A router regards itself as up to date as of the arrival of an answer."""
 
     def _confirmed_at(self, update, now):
         return now
 
 
 class LeaseFromAnswer(replication.Replica):
-    """The lease counts from when a majority's answers came, not from when they were asked for."""
+    """The lease starts when a majority's answers arrive, not when the heartbeats were sent."""
 
     def _on_heartbeat_reply(self, sender, message):
         before = self._lease_started_at
@@ -141,7 +141,7 @@
 
 
 class RemovedWitnessKept(replication.Replica):
-    """A witness that was removed is never replaced by a spare."""
+    """A removed witness is never replaced by a spare."""
 
     def _next_witness_set(self):
         return ()
@@ -157,7 +157,7 @@
 
 
 class DirectoriesSyncedOnlyWhenNew(StoreModel):
-    """The directories are synced only by the process that creates the file (so did store.py once)."""
+    """The directories are synced only by the process that creates the file, as an earlier version of store.py did."""
 
     @staticmethod
     def open(file_system):
@@ -174,7 +174,7 @@
 
 
 class ParentDirectoryNotSynced(StoreModel):
-    """Only the store's own directory is synced, not the one that holds its name."""
+    """Only the store's own directory is synced, not its parent directory."""
 
     @staticmethod
     def open(file_system):
@@ -187,7 +187,7 @@
 
 
 class RecordNotSynced(StoreModel):
-    """A record is written and not synced."""
+    """A record is written but not synced."""
 
     @staticmethod
     def write(file_system, content):
