--- a/tests/invariants/test_coordination_rules.py
+++ b/tests/invariants/test_coordination_rules.py
@@ -1,4 +1,4 @@
-"""Each rule of coordination over small histories: one that keeps it, and one that breaks it."""
+"""Each coordination rule on small histories that satisfy or violate it."""
 
 import unittest
 
@@ -34,7 +34,7 @@
 
 
 class HistoryCase(unittest.TestCase):
-    """``asked`` at one time and answered at another; a rule that is broken stands as its name."""
+    """A history of calls with the times at which they are sent and answered; ``rules`` names the violated rules."""
 
     def setUp(self) -> None:
         self.facts: list[Fact] = []
@@ -60,18 +60,18 @@
     def take(self, at: float, holder: str, token: int, hold_ms: int = 1000) -> None:
         self.call(at, TakeLock("l", holder, hold_ms), at + 0.1, LockTaken(token))
 
-    def test_a_lock_goes_from_one_to_another(self) -> None:
+    def test_a_lock_passes_from_one_holder_to_another(self) -> None:
         self.take(0.0, "a", 1)
         self.call(0.5, TakeLock("l", "b", 1000), 0.6, LockHeld())
         self.take(1.0, "b", 2)
         self.assertEqual(self.rules(), [])
 
-    def test_held_by_two(self) -> None:
+    def test_a_lock_held_by_two(self) -> None:
         self.take(0.0, "a", 1)
         self.take(0.8, "b", 2)
         self.assertEqual(self.rules(), ["ONE"])
 
-    def test_a_renewal_holds_on_from_when_it_was_sent(self) -> None:
+    def test_a_renewal_extends_the_hold_from_its_sending_time(self) -> None:
         self.take(0.0, "a", 1)
         self.call(0.5, RenewLock("l", "a", 1, 1000), 0.6, ACK)
         self.take(1.45, "b", 2)
@@ -80,24 +80,24 @@
         self.take(2.3, "c", 3)
         self.assertEqual(self.rules(), ["ONE"])
 
-    def test_a_renewal_that_comes_too_late_counts_for_nothing(self) -> None:
+    def test_a_renewal_answered_too_late_has_no_effect(self) -> None:
         self.take(0.0, "a", 1)
         self.call(0.5, RenewLock("l", "a", 1, 1000), 1.2, ACK)
         self.take(1.0, "b", 2)
         self.assertEqual(self.rules(), [])
 
-    def test_a_holder_stops_when_it_sends_the_lock_back(self) -> None:
+    def test_a_hold_ends_when_the_release_is_sent(self) -> None:
         self.take(0.0, "a", 1)
         self.call(0.2, ReleaseLock("l", "a", 1), 0.9, LockReleased())
         self.take(0.3, "b", 2)
         self.assertEqual(self.rules(), [])
 
-    def test_tokens_rise_from_holder_to_holder(self) -> None:
+    def test_tokens_must_increase_from_holder_to_holder(self) -> None:
         self.take(0.0, "a", 5)
         self.take(2.0, "b", 4)
         self.assertEqual(self.rules(), ["ONE"])
 
-    def test_a_token_of_two_holders(self) -> None:
+    def test_a_token_given_to_two_holders(self) -> None:
         self.take(0.0, "a", 5)
         self.take(2.0, "b", 5)
         self.assertEqual(self.rules(), ["ONE", "ONE"])
@@ -136,7 +136,7 @@
         self.put(0.4, "g.a", "3", 3, 1)
         self.assertEqual(self.rules(), ["ORDER"])
 
-    def test_a_put_that_comes_again_and_conflicts_with_itself(self) -> None:
+    def test_a_retried_put_that_conflicts_with_itself(self) -> None:
         self.put(0.0, "g.a", "1", 1, 0)
         self.call(0.4, PutKey("g.a", "2", 0), 0.5, RevisionConflict(1))
         self.assertEqual(self.rules(), [])
@@ -154,14 +154,14 @@
         self.watch(0, 3)
         self.assertEqual(self.rules(), [])
 
-    def test_a_watch_that_leaves_one_out(self) -> None:
+    def test_a_watch_that_omits_a_put(self) -> None:
         self.put(0.0, "g.a", "1", 1)
         self.put(0.2, "g.b", "2", 2)
         self.put(0.4, "g.a", "3", 3)
         self.watch(1, 3, PutEvent("g.a", "3", 3))
         self.assertEqual(self.rules(), ["ORDER"])
 
-    def test_events_that_do_not_rise(self) -> None:
+    def test_events_whose_revisions_do_not_increase(self) -> None:
         self.put(0.0, "g.a", "1", 1)
         self.put(0.2, "g.b", "2", 2)
         self.watch(1, 2, PutEvent("g.b", "2", 2), PutEvent("g.a", "1", 1))
@@ -184,12 +184,12 @@
         self.read(0.4, KeyFound("1", 1))
         self.assertEqual(self.rules(), ["STALE"])
 
-    def test_a_key_that_is_gone(self) -> None:
+    def test_a_key_that_is_missing_after_its_put(self) -> None:
         self.put(0.0, "g.a", "1", 1)
         self.read(0.4, KeyMissing())
         self.assertEqual(self.rules(), ["STALE"])
 
-    def test_a_value_that_nobody_put(self) -> None:
+    def test_a_value_that_was_never_put(self) -> None:
         self.read(0.4, KeyFound("1", 1))
         self.assertEqual(self.rules(), ["MIXED"])
 
@@ -216,30 +216,30 @@
         self.read(0.4, KeyFound("1", 1))
         self.assertEqual(self.rules(), ["REFUSED"])
 
-    def test_a_value_whose_put_was_rejected_once_and_unclear_once(self) -> None:
+    def test_a_value_whose_put_was_rejected_once_and_left_inconclusive_once(self) -> None:
         self.reject(0.0, PutKey("g.a", "1", 0), 0.1, 503)
         self.call(0.2, PutKey("g.a", "1", 0))
         self.read(0.4, KeyFound("1", 1))
         self.assertEqual(self.rules(), [])
 
-    def test_an_unclear_status_is_no_rejection(self) -> None:
+    def test_an_inconclusive_status_is_no_rejection(self) -> None:
         self.reject(0.0, PutKey("g.a", "1", 0), 0.1, 504)
         self.read(0.4, KeyFound("1", 1))
         self.assertEqual(self.rules(), [])
 
 
 class Lost(HistoryCase):
-    def test_a_watch_of_a_revision_that_was_given_lately_is_dropped(self) -> None:
+    def test_a_watch_of_a_recently_returned_revision_is_dropped(self) -> None:
         self.call(0.0, ReadEvents("g.", 0), 0.1, Events((), 3))
         self.call(19.0, ReadEvents("g.", 3), 19.1, HistoryDropped())
         self.assertEqual(self.rules(), ["LOST"])
 
-    def test_one_that_was_given_long_ago_may_be(self) -> None:
+    def test_a_watch_of_a_revision_returned_long_ago_may_be_dropped(self) -> None:
         self.call(0.0, ReadEvents("g.", 0), 0.1, Events((), 3))
         self.call(20.2, ReadEvents("g.", 3), 20.3, HistoryDropped())
         self.assertEqual(self.rules(), [])
 
-    def test_the_present_revision_lags_behind_what_was_acknowledged(self) -> None:
+    def test_the_current_revision_lags_behind_an_acknowledged_put(self) -> None:
         self.put(0.0, "g.a", "1", 1)
         self.call(1.0, ReadEvents("g.", 0), 1.1, Events((), 0))
         self.assertEqual(self.rules(), ["LOST"])
--- a/tests/invariants/test_invariants_system.py
+++ b/tests/invariants/test_invariants_system.py
@@ -1,4 +1,4 @@
-"""Each check of the system's rules on a good history and on planted bad ones."""
+"""Each check of the system's rules on a valid history and on variants that violate it."""
 
 import unittest
 from dataclasses import replace
@@ -42,42 +42,44 @@
 SENT, ACKED = ConfigSent(1.0, "c1", 0, 1, config_of(1)), ConfigAnswered(1.1, "c1", 0, 1, 200)
 MADE = Made(10.2, "r1", "i1/1", 0, 4, "m", 1)
 REACHED = Reached(10.05, "r1", "i1", "s1")
-GOOD = [SENT, ACKED, ASKED, REACHED, BEGAN, MADE, *PIECES, ANSWERED]
+VALID_HISTORY = [SENT, ACKED, ASKED, REACHED, BEGAN, MADE, *PIECES, ANSWERED]
 SECOND = replace(BEGAN, at=10.5, run="i2/1", instance="i2", stamp="seal2")
 
 
 class Requests(unittest.TestCase):
-    def broken(self, rule, check, *facts):
-        """The one breach that is found, among whatever facts."""
+    def assert_violation(self, rule, check, *facts):
+        """Assert that the check finds exactly one violation in these events, and return it."""
         found = check(list(facts))
         self.assertEqual([breach.rule for breach in found], [rule], [str(breach) for breach in found])
         return found[0]
 
-    def test_a_good_history_breaks_nothing(self):
-        self.assertEqual(rules.check(GOOD), [])
-        self.assertEqual(rules.check(GOOD[::-1]), [])  # facts come in any order
+    def test_a_valid_history_has_no_violations(self):
+        self.assertEqual(rules.check(VALID_HISTORY), [])
+        self.assertEqual(rules.check(VALID_HISTORY[::-1]), [])  # facts come in any order
         self.assertEqual(rules.check([]), [])
 
     def test_twice(self):
-        found = self.broken("TWICE", rules.twice, *GOOD, SECOND)
+        found = self.assert_violation("TWICE", rules.twice, *VALID_HISTORY, SECOND)
         self.assertEqual((found.ids, found.at), (("r1",), 10.5))
         self.assertIn("i2/1", str(found))
         self.assertEqual(rules.twice([replace(ASKED, repeatable=True), BEGAN, SECOND]), [])
 
     def test_refused(self):
-        promise = replace(ANSWERED, status=503)
-        self.assertEqual(self.broken("REFUSED", rules.refused, ASKED, BEGAN, promise).ids, ("r1",))
+        rejection = replace(ANSWERED, status=503)
+        self.assertEqual(self.assert_violation("REFUSED", rules.refused, ASKED, BEGAN, rejection).ids, ("r1",))
         late = replace(BEGAN, at=11.0)
-        self.broken("REFUSED", rules.refused, ASKED, promise, late)  # it runs after the promise
-        for good in (
-            [ASKED, promise],
-            [replace(ASKED, repeatable=True), BEGAN, promise],
+        self.assert_violation(
+            "REFUSED", rules.refused, ASKED, rejection, late
+        )  # it runs after the answer that excludes a run
+        for allowed in (
+            [ASKED, rejection],
+            [replace(ASKED, repeatable=True), BEGAN, rejection],
             [ASKED, BEGAN, replace(ANSWERED, status=502)],
         ):
-            self.assertEqual(rules.refused(good), [])
+            self.assertEqual(rules.refused(allowed), [])
 
     def test_mixed(self):
-        for bad in (
+        for violating in (
             [ASKED, BEGAN, replace(ANSWERED, stamp="")],
             [ASKED, BEGAN, replace(ANSWERED, echoed="r2")],
             [ASKED, BEGAN, replace(ANSWERED, echoed="")],
@@ -88,7 +90,7 @@
             [ASKED, Lost(11.0, "r1", "garbled")],
             [BEGAN, ANSWERED],
         ):
-            self.assertEqual(self.broken("MIXED", rules.mixed, *bad).ids[0], "r1")
+            self.assertEqual(self.assert_violation("MIXED", rules.mixed, *violating).ids[0], "r1")
         resumed = replace(PIECES[1], run="i2/1")  # the answer keeps the stamp of its first run
         self.assertEqual(rules.mixed([ASKED, BEGAN, SECOND, PIECES[0], resumed, ANSWERED]), [])
         self.assertEqual(rules.mixed([ASKED, replace(ANSWERED, status=503, stamp="", echoed="")]), [])
@@ -103,34 +105,36 @@
             dict(key="Bearer k1"),
             dict(host="g"),
         ):
-            self.broken("UNASKED", rules.unasked, ASKED, replace(BEGAN, **change))
+            self.assert_violation("UNASKED", rules.unasked, ASKED, replace(BEGAN, **change))
         self.assertEqual(rules.unasked([ASKED, BEGAN]), [])
 
     def test_order(self):
         first, last = PIECES
-        for bad in (
+        for violating in (
             [replace(first, first=4, last=8)],
             [first, replace(last, first=8, last=12)],
             [first, replace(first, at=10.25), last],
             [first, replace(last, run="i2/1")],
         ):
-            self.assertEqual(self.broken_first(rules.order([ASKED, *bad])), "ORDER")
-        found = self.broken("ORDER", rules.order, ASKED, first, ANSWERED)  # it ends as complete too early
+            self.assertEqual(self.first_violated_rule(rules.order([ASKED, *violating])), "ORDER")
+        found = self.assert_violation(
+            "ORDER", rules.order, ASKED, first, ANSWERED
+        )  # it ends as complete before the last piece
         self.assertEqual(found.at, ANSWERED.at)
         self.assertEqual(rules.order([ASKED, first, replace(ANSWERED, whole=False)]), [])
         resumable = replace(ASKED, repeatable=True)
         self.assertEqual(rules.order([resumable, first, replace(last, run="i2/1"), ANSWERED]), [])
         self.assertEqual(rules.order([replace(resumable, since=4), last, ANSWERED]), [])
-        self.broken("ORDER", rules.order, replace(resumable, since=4), first, last, ANSWERED)
+        self.assert_violation("ORDER", rules.order, replace(resumable, since=4), first, last, ANSWERED)
 
-    def broken_first(self, found):
+    def first_violated_rule(self, found):
         return found[0].rule if found else None
 
     def test_route(self):
-        self.broken("ROUTE", rules.route, SENT, ASKED, replace(BEGAN, service="s2"))
-        self.broken("ROUTE", rules.route, SENT, replace(ASKED, key="k9"), BEGAN)
+        self.assert_violation("ROUTE", rules.route, SENT, ASKED, replace(BEGAN, service="s2"))
+        self.assert_violation("ROUTE", rules.route, SENT, replace(ASKED, key="k9"), BEGAN)
         later = ConfigSent(20.0, "c2", 1, 2, config_of(2, "s2"))
-        self.broken("ROUTE", rules.route, SENT, later, ASKED, replace(BEGAN, service="s2"))  # not yet sent
+        self.assert_violation("ROUTE", rules.route, SENT, later, ASKED, replace(BEGAN, service="s2"))  # not yet sent
         self.assertEqual(rules.route([SENT, later, ASKED, replace(BEGAN, service="s2", at=21.0)]), [])
 
     def test_the_longest_prefix_is_the_route(self):
@@ -156,7 +160,7 @@
     def check(self, *facts):
         return [breach.why for breach in rules.config([SENT, ACKED, *facts], 2.0)]
 
-    def test_two_on_one_base(self):
+    def test_two_acknowledged_on_one_base(self):
         rival = ConfigSent(2.1, "c3", 1, 3, config_of(3, "s3"))
         [why] = self.check(self.SENT2, self.ACKED2, rival, ConfigAnswered(2.6, "c3", 1, 3, 200))
         self.assertIn("on top of 1", why)
@@ -165,22 +169,22 @@
         [why] = self.check(self.SENT2, self.ACKED2, same_number, ConfigAnswered(2.6, "c3", 1, 2, 200))
         self.assertIn("on top of 1", why)
 
-    def test_what_is_invalid_is_not_acknowledged(self):
+    def test_an_invalid_configuration_is_acknowledged(self):
         self.assertEqual(self.check(replace(self.SENT2, valid=False), self.ACKED2), ["an invalid one was acknowledged"])
 
-    def test_what_was_acknowledged_is_read_back(self):
+    def test_an_acknowledged_configuration_is_read_back(self):
         facts = self.SENT2, self.ACKED2
         for read, count in ((config_of(2, "s2"), 0), (config_of(1), 1), (None, 1), (config_of(2, "s9"), 1)):
             self.assertEqual(len(self.check(*facts, ConfigRead(9.0, 8.9, read))), count, read)
-        unclear = ConfigAnswered(2.5, "c2", 1, 2, 0)  # may be in force or not
+        unclear = ConfigAnswered(2.5, "c2", 1, 2, 0)  # the configuration may or may not be in force
         for read in (config_of(1), config_of(2, "s2")):
             self.assertEqual(self.check(self.SENT2, unclear, ConfigRead(9.0, 8.9, read)), [])
         lost = ConfigAnswered(2.5, "c2", 1, 2, 412)
         self.assertEqual(len(self.check(self.SENT2, lost, ConfigRead(9.0, 8.9, config_of(2, "s2")))), 1)
 
-    def test_an_old_one_is_in_force_no_longer_than_it_may_be(self):
+    def test_an_old_configuration_is_in_force_too_long(self):
         facts = self.SENT2, self.ACKED2
-        old, new = BEGAN, replace(BEGAN, service="s2")  # at 10 s, long after
+        old, new = BEGAN, replace(BEGAN, service="s2")  # at 10 s, long after the acknowledgement
         self.assertEqual(len(self.check(*facts, ASKED, old)), 1)
         self.assertEqual(self.check(*facts, ASKED, new), [])
         soon = replace(ASKED, at=4.0)
@@ -208,26 +212,26 @@
     def test_version(self):
         named = VersionNamed(2.0, "m", 2)
         self.assertEqual(len(rules.version([named, BEGAN, MADE], 8.0)), 1)
-        self.assertEqual(len(rules.version([named, BEGAN], 8.0)), 1)  # no token came yet
-        for good in (
+        self.assertEqual(len(rules.version([named, BEGAN], 8.0)), 1)  # there is no token yet
+        for allowed in (
             [replace(named, at=2.3), BEGAN, MADE],
             [replace(named, model="n"), BEGAN, MADE],
             [named, replace(BEGAN, at=9.0), replace(MADE, at=9.5), replace(MADE, at=12.0, first=4)],
             [named, replace(BEGAN, revision=2), replace(MADE, revision=2)],
         ):
-            self.assertEqual(rules.version(good, 8.0), [])
+            self.assertEqual(rules.version(allowed, 8.0), [])
 
     def test_one(self):
         def orders(*rows):
             return rules.one([Ordered(*row) for row in rows], 3.0)
 
         self.assertEqual(orders((1, "i1", "a", 1, 202), (2, "i1", "b", 2, 202), (2, "i2", "a", 1, 200)), [])
-        for bad in (
+        for violating in (
             [(1, "i1", "a", 1, 202), (2, "i1", "b", 1, 409)],
             [(1, "i1", "a", 2, 202), (2, "i1", "a", 1, 202)],
             [(1, "i1", "a", 1, 202), (2, "i1", "b", 2, 202), (3, "i1", "a", 3, 202)],
         ):
-            self.assertEqual([breach.rule for breach in orders(*bad)], ["ONE"], bad)
+            self.assertEqual([breach.rule for breach in orders(*violating)], ["ONE"], violating)
         self.assertEqual(orders((1, "i1", "a", 2, 202), (2, "i1", "b", 1, 412), (9, "i1", "b", 3, 202)), [])
         self.assertEqual(orders((1, "i1", "a", 1, 202), (2, "i1", "b", 2, 202), (4.5, "i1", "a", 3, 202)), [])
         apart = [Ordered(1, "i1", "a", 1, 202), Ordered(2, "i2", "b", 1, 202)]
@@ -236,17 +240,17 @@
     def test_drain(self):
         shown = Listed(6.0, "i1", "draining")
         self.assertEqual(len(rules.drain([shown, replace(shown, at=9.0, state="gone"), REACHED], 3.0)), 1)
-        for good in (
+        for allowed in (
             [replace(shown, at=8.0), REACHED],
             [replace(shown, state="up"), REACHED],
             [shown, replace(REACHED, refused=421)],
             [replace(shown, instance="i2"), REACHED],
         ):
-            self.assertEqual(rules.drain(good, 3.0), [])
+            self.assertEqual(rules.drain(allowed, 3.0), [])
 
-    def test_all_together_come_in_the_order_of_their_times(self):
+    def test_violations_of_all_checks_are_sorted_by_time(self):
         shown = Listed(6.0, "i1", "draining")
-        found = rules.check([*GOOD, SECOND, shown, VersionNamed(1.5, "m", 2)], Bounds(version=8.0, drain=3.0))
+        found = rules.check([*VALID_HISTORY, SECOND, shown, VersionNamed(1.5, "m", 2)], Bounds(version=8.0, drain=3.0))
         self.assertEqual([breach.rule for breach in found], ["DRAIN", "VERSION", "TWICE", "VERSION"])
 
 
