--- a/rowanshift/invariants/configuration_rules.py
+++ b/rowanshift/invariants/configuration_rules.py
@@ -43,7 +43,7 @@
     """The configurations that were sent, and their answers."""
 
     sent: list[ConfigSent] = field(default_factory=list)
-    acked: list[ConfigAnswered] = field(default_factory=list)
+    acknowledged: list[ConfigAnswered] = field(default_factory=list)
     refused: frozenset[str] = frozenset()  # ids of calls
 
     @classmethod
@@ -58,9 +58,9 @@
 
     def newest_acked(self, at: float) -> int:
         """The highest revision acknowledged up to a time; 0 if there is none."""
-        return max((answer.revision for answer in self.acked if answer.at <= at), default=0)
+        return max((answer.revision for answer in self.acknowledged if answer.at <= at), default=0)
 
-    def may_rule(self, at: float, until: float) -> list[ConfigSent]:
+    def possibly_in_force(self, at: float, until: float) -> list[ConfigSent]:
         """The configurations that may be in force between ``at`` and ``until``.
 
         These were sent up to ``until``, were not refused, and are not older than the newest acknowledged up to ``at``.
@@ -97,7 +97,7 @@
     or altered one, or an old one is in force over ``apply`` seconds after a newer one was acknowledged."""
     configs, asked, broken = Configs.among(facts), by_id(facts, Asked), []
     sent = {sent_config.call: sent_config for sent_config in configs.sent}
-    for base, answers in by(configs.acked, lambda answer: answer.base).items():
+    for base, answers in by(configs.acknowledged, lambda answer: answer.base).items():
         if (
             len({answer.revision for answer in answers}) > 1
             or len({digest_of(repr(sent[a.call].config)) for a in answers if a.call in sent}) > 1
@@ -111,8 +111,8 @@
                 )
             )
     broken += [
-        Breach("CONFIG", answer.at, (answer.call,), "an invalid one was acknowledged")
-        for answer in configs.acked
+        Breach("CONFIG", answer.at, (answer.call,), "an invalid configuration was acknowledged")
+        for answer in configs.acknowledged
         if answer.call in sent and not sent[answer.call].valid
     ]
     for read in of_kind(facts, ConfigRead):
@@ -130,7 +130,7 @@
             )
         elif read_revision and read.config not in [
             sent_config.config
-            for sent_config in configs.may_rule(0.0, read.at)
+            for sent_config in configs.possibly_in_force(0.0, read.at)
             if sent_config.revision == read_revision
         ]:
             broken.append(
@@ -153,7 +153,7 @@
     for run in of_kind(facts, Began):
         if (request := asked.get(run.id, [None])[0]) is None:
             continue
-        in_force = configs.may_rule(request.at - within, run.at)
+        in_force = configs.possibly_in_force(request.at - within, run.at)
         if in_force and all(
             _denies_key(sent_config.config, run.host, run.target, request.key) for sent_config in in_force
         ):
@@ -172,7 +172,7 @@
     for run in of_kind(facts, Began) if configs.sent else ():
         if (request := asked.get(run.id, [None])[0]) is None:
             continue
-        in_force = configs.may_rule(request.at - apply, run.at)
+        in_force = configs.possibly_in_force(request.at - apply, run.at)
         if in_force and not any(
             run.service in services_of(sent_config.config, run.host, run.target, request.key)
             for sent_config in in_force
@@ -189,7 +189,7 @@
     for end in of_kind(facts, Answered) if configs.sent else ():
         if end.status not in DENIALS or (request := asked.get(end.id, [None])[0]) is None:
             continue
-        in_force = configs.may_rule(request.at - apply, end.at)
+        in_force = configs.possibly_in_force(request.at - apply, end.at)
         if in_force and all(
             services_of(sent_config.config, request.host, request.target, request.key) for sent_config in in_force
         ):
--- a/rowanshift/invariants/planned_work_rules.py
+++ b/rowanshift/invariants/planned_work_rules.py
@@ -59,7 +59,7 @@
 def time_limit(configs: Configs, asked: Asked) -> float:
     """The time limit of a request in seconds: the lesser of its client's deadline and its route's timeout."""
     limits = [asked.within]
-    for sent in configs.may_rule(asked.at, asked.at):
+    for sent in configs.possibly_in_force(asked.at, asked.at):
         found = route_of(sent.config, asked.host, asked.target)
         if found is not None and "timeoutMs" in found:
             limits.append(found["timeoutMs"] / 1000)
--- a/rowanshift/invariants/retry_rules.py
+++ b/rowanshift/invariants/retry_rules.py
@@ -20,7 +20,7 @@
 def backends_of(configs: Configs, asked: Asked, apply: float) -> frozenset[str]:
     """The services named by the route of a request in any configuration that may be in force when it is sent."""
     names: set[str] = set()
-    for sent in configs.may_rule(asked.at - apply, asked.at):
+    for sent in configs.possibly_in_force(asked.at - apply, asked.at):
         found = route_of(sent.config, asked.host, asked.target)
         if found is None:
             continue
--- a/tests/invariants/test_invariants_system.py
+++ b/tests/invariants/test_invariants_system.py
@@ -170,7 +170,9 @@
         self.assertIn("on top of 1", why)
 
     def test_an_invalid_configuration_is_acknowledged(self):
-        self.assertEqual(self.check(replace(self.SENT2, valid=False), self.ACKED2), ["an invalid one was acknowledged"])
+        self.assertEqual(
+            self.check(replace(self.SENT2, valid=False), self.ACKED2), ["an invalid configuration was acknowledged"]
+        )
 
     def test_an_acknowledged_configuration_is_read_back(self):
         facts = self.SENT2, self.ACKED2
