--- a/rowanshift/invariants/breaches.py
+++ b/rowanshift/invariants/breaches.py
@@ -61,7 +61,7 @@
 class KnownTroubles:
     """The faults of a run as known to its driver, for the checks that are evaluated per machine.
 
-    Each query takes the address that clients use, and the start and end of a time span.
+    Each query takes the address that clients or operators use, and the start and end of a time span.
     """
 
     out_of_touch: FaultQuery = _no_fault
--- a/rowanshift/invariants/events.py
+++ b/rowanshift/invariants/events.py
@@ -23,22 +23,13 @@
     "asked": ("txn", "router", "category", "key", "left_s"),  # its last byte was written
     "answered": ("txn", "status", "sent_at", "made"),  # a complete answer; whether a server produced that body for it
     "ended": ("txn", "how"),  # without a complete answer: lost, crossed, left
-    "reached": (
-        "txn",
-        "server",
-        "router",
-        "first_at",
-        "zone",
-    ),  # its last byte was received; when its first byte was sent
+    "reached": ("txn", "server", "router", "first_at", "zone"),  # its last byte was received; first_at: first byte sent
     "replied": ("txn", "server", "outcome", "sent_at"),  # served, miss, error, away, spoilt
     "withdrawn": ("txn", "server"),  # its connection was abandoned
     "given_up": ("txn", "server", "given_up_at"),  # before the server, which was paused, had read it
     "no_way": ("router", "address"),  # a connection attempt failed, or data sent was lost or delayed
     "fell": ("server", "warmth"),  # by overload
-    "stopped": (
-        "server",
-        "cold_part",
-    ),  # the origin, by overload; the share of its load that misses of cold caches caused
+    "stopped": ("server", "cold_part"),  # the origin, by overload; the share of its load from misses of cold caches
     "left_over": ("machine", "what", "count"),  # resources not released at the end of a process or of the run
 }
 
