--- a/rowanshift/invariants/ending_rules.py
+++ b/rowanshift/invariants/ending_rules.py
@@ -18,7 +18,7 @@
         if not cut.excused and not troubles.unplanned(cut.front, cut.came_at, cut.at)
     ]
     broken += [
-        Breach("ENDING", cut.at, (cut.target,), f"{cut.machine}: a call was read but not answered")
+        Breach("ENDING", cut.at, (cut.target,), f"{cut.machine}: a call was read and not answered")
         for cut in of_kind(facts, CallCut)
         if not troubles.unplanned(cut.control, cut.came_at, cut.at)
     ]
--- a/tests/invariants/test_invariants_control.py
+++ b/tests/invariants/test_invariants_control.py
@@ -75,9 +75,7 @@
         for at in (30.0, 25.0, 20.0):
             self.assertEqual(self.found([at] * 5, repeats), [], at)
             self.assertEqual(len(self.found([at] * 4, repeats)), 1, at)
-        [breach] = self.found(
-            [19.9] * 5, repeats
-        )  # these no longer allow the retries before the end of the last such window
+        [breach] = self.found([19.9] * 5, repeats)  # allows the retries no longer, before they are past
         self.assertEqual(breach.at, 39.9)
         [breach] = self.found([9.0] * 5, repeats)
         self.assertEqual(breach.at, 30.2)
@@ -169,9 +167,7 @@
         change = [sent(9.0, 1, timeoutMs=6000), acknowledged(9.2, 1)]
         self.assertEqual(len(self.found(*change, *self.cut(10.5))), 1)
         self.assertEqual(self.found(*change, *self.cut(12.3, 12.0)), [])  # 3 s after the acknowledgement
-        self.assertEqual(
-            self.found(*change, *self.cut(12.1, 7.5)), []
-        )  # over seven tenths of its time limit had passed
+        self.assertEqual(self.found(*change, *self.cut(12.1, 7.5)), [])  # over 0.7 of its time limit had passed
         before = [replace(fact, at=fact.at - 9.0, id="r0") for fact in self.cut(10.5)]
         self.assertEqual(self.found(*change, *before, *self.cut(10.5)), [])
 
--- a/tests/invariants/test_invariants_system.py
+++ b/tests/invariants/test_invariants_system.py
@@ -68,9 +68,7 @@
         rejection = replace(ANSWERED, status=503)
         self.assertEqual(self.assert_violation("REFUSED", rules.refused, ASKED, BEGAN, rejection).ids, ("r1",))
         late = replace(BEGAN, at=11.0)
-        self.assert_violation(
-            "REFUSED", rules.refused, ASKED, rejection, late
-        )  # it runs after the answer that excludes a run
+        self.assert_violation("REFUSED", rules.refused, ASKED, rejection, late)  # it runs after the rejection
         for allowed in (
             [ASKED, rejection],
             [replace(ASKED, repeatable=True), BEGAN, rejection],
@@ -117,9 +115,7 @@
             [first, replace(last, run="i2/1")],
         ):
             self.assertEqual(self.first_violated_rule(rules.order([ASKED, *violating])), "ORDER")
-        found = self.assert_violation(
-            "ORDER", rules.order, ASKED, first, ANSWERED
-        )  # it ends as complete before the last piece
+        found = self.assert_violation("ORDER", rules.order, ASKED, first, ANSWERED)  # ends before the last piece
         self.assertEqual(found.at, ANSWERED.at)
         self.assertEqual(rules.order([ASKED, first, replace(ANSWERED, whole=False)]), [])
         resumable = replace(ASKED, repeatable=True)
