--- a/rowanshift/capacity/__init__.py
+++ b/rowanshift/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""Capacity: what each role costs as it grows, from steps measured on loopback and from record sizes."""
+"""Capacity planning: the cost of each role by size, measured on loopback and computed from record sizes."""
--- a/rowanshift/capacity/child.py
+++ b/rowanshift/capacity/child.py
@@ -1,4 +1,4 @@
-"""The measured process of a step: told what to do over a pipe, it answers with its figures."""
+"""The measured process of a step: receives commands over a pipe and answers with its resource usage."""
 
 import os
 import resource
@@ -10,15 +10,15 @@
 from loguru import logger
 
 from rowanshift.capacity.hollow import HollowLedger, real_channel
-from rowanshift.capacity.meter import Loopback, rss
+from rowanshift.capacity.meter import LoopbackRuntime, rss
 from rowanshift.transport.streams import Address
 
 COMMANDS = ("change_config", "change_roster", "read_list", "nothing")
-WITHIN = 30.0  # seconds for a router to know what it is told to know
+CONVERGENCE_TIMEOUT_SECONDS = 30.0
 
 
-def figures(host: Loopback) -> dict[str, Any]:
-    """What this process has used: CPU seconds, bytes of memory now and at most, bytes received and sent."""
+def resource_usage(host: LoopbackRuntime) -> dict[str, Any]:
+    """CPU seconds, current and peak resident memory in bytes, and bytes received and sent by this process."""
     return {
         "cpu_s": time.process_time(),
         "rss": rss(),
@@ -28,45 +28,45 @@
     }
 
 
-async def told(pipe: Connection) -> Any:
+async def receive_command(pipe: Connection) -> Any:
     return await trio.to_thread.run_sync(pipe.recv, abandon_on_cancel=True)
 
 
-async def ledger(pipe: Connection, plan: dict[str, int]) -> None:
-    host = Loopback()
+async def run_ledger(pipe: Connection, sizes: dict[str, int]) -> None:
+    host = LoopbackRuntime()
     async with trio.open_nursery() as nursery:
-        hollow = HollowLedger(host, **plan)
+        hollow = HollowLedger(host, **sizes)
         await hollow.start(nursery)
-        pipe.send(figures(host) | {"address": hollow.address})
-        while (command := await told(pipe)) != "stop":
+        pipe.send(resource_usage(host) | {"address": hollow.address})
+        while (command := await receive_command(pipe)) != "stop":
             if command not in COMMANDS:
                 raise ValueError(command)
-            at = time.process_time()
+            cpu_before = time.process_time()
             await getattr(hollow, command)()
-            own = time.process_time() - at
-            pipe.send(figures(host) | hollow.state() | {"own_cpu_s": own})
+            command_cpu_seconds = time.process_time() - cpu_before
+            pipe.send(resource_usage(host) | hollow.state() | {"own_cpu_s": command_cpu_seconds})
         nursery.cancel_scope.cancel()
 
 
-async def router(pipe: Connection, address: Address) -> None:
-    host = Loopback()
+async def run_router(pipe: Connection, address: Address) -> None:
+    host = LoopbackRuntime()
     async with trio.open_nursery() as nursery:
-        pipe.send(figures(host))
+        pipe.send(resource_usage(host))
         channel = real_channel(host, address)
         nursery.start_soon(channel.run)
-        while (command := await told(pipe)) != "stop":
-            registry, mark = command
-            with trio.fail_after(WITHIN):
-                while channel.cache.registry_version < registry or channel.cache.fingerprint != mark:
+        while (command := await receive_command(pipe)) != "stop":
+            registry_version, fingerprint = command
+            with trio.fail_after(CONVERGENCE_TIMEOUT_SECONDS):
+                while channel.cache.registry_version < registry_version or channel.cache.fingerprint != fingerprint:
                     await channel.cache.wait_for_update(0.5)
-            pipe.send(figures(host))
+            pipe.send(resource_usage(host))
         nursery.cancel_scope.cancel()
 
 
-def main(role: str, pipe: Connection, given: Any) -> None:
-    """A spawned process; it ends when the pipe does."""
+def main(role: str, pipe: Connection, argument: Any) -> None:
+    """Entry point of the spawned process, which exits when the pipe is closed."""
     logger.remove()
     try:
-        trio.run({"ledger": ledger, "router": router}[role], pipe, given)
+        trio.run({"ledger": run_ledger, "router": run_router}[role], pipe, argument)
     except* (EOFError, BrokenPipeError):
         os._exit(1)
--- a/rowanshift/capacity/errors.py
+++ b/rowanshift/capacity/errors.py
@@ -1,25 +1,25 @@
-"""What can't be measured or read, each as one clear message."""
+"""Errors of the capacity command, each with one message for the operator."""
 
 
 class CapacityError(Exception):
-    """Asked for what can't be done; the command ends with 2."""
+    """Base class. The command prints the message and exits with status 2."""
 
 
 class BadSteps(CapacityError, ValueError):
-    """Steps that are no rising whole numbers within their bounds."""
+    """Options or step sizes that are malformed, not increasing or out of bounds."""
 
 
 class DoesNotFit(CapacityError):
-    """A step that would take over half of the machine's memory, or more descriptors than there are."""
+    """A step that needs more than half of the machine's memory, or more descriptors than the process may open."""
 
 
 class BadResults(CapacityError, ValueError):
-    """A file of results that can't be read, or one of another format."""
+    """A results file that is unreadable, malformed or of another format version."""
 
 
 class NoPlots(CapacityError):
-    """matplotlib, the extra ``plots``, isn't installed."""
+    """matplotlib (the extra ``plots``) is not installed."""
 
 
 class StepFailed(CapacityError):
-    """A step did not end within its time, or its process ended."""
+    """A step exceeded its time limit, or its measured process exited."""
--- a/rowanshift/capacity/meter.py
+++ b/rowanshift/capacity/meter.py
@@ -1,4 +1,4 @@
-"""A Host on real loopback sockets that counts bytes, and what a process has used."""
+"""A runtime on real loopback sockets that counts bytes, and the memory and descriptor limits of processes."""
 
 import os
 import resource
@@ -15,19 +15,19 @@
 from rowanshift.transport.sockets import Socket, SocketListener, bound
 from rowanshift.transport.streams import Address, Listener, Stream
 
-PAGE = resource.getpagesize()  # bytes
+PAGE_SIZE_BYTES = resource.getpagesize()
 
 
 @dataclass(slots=True)
-class Bytes:
-    """Payload bytes that went through the sockets."""
+class ByteCounts:
+    """Payload bytes received and sent through the sockets."""
 
     received: int = 0
     sent: int = 0
 
 
 class MeteredSocket(Socket):
-    """A stream that counts what goes through it."""
+    """A stream that counts the bytes received and sent."""
 
     __slots__ = ("count",)
 
@@ -42,12 +42,12 @@
         return n
 
     def connect_ex(self, address: Address, /) -> int:
-        on_loopback(address)
+        require_loopback(address)
         return super().connect_ex(address)
 
 
 class MeteredListener(SocketListener):
-    def __init__(self, sock: socket.socket, count: Bytes) -> None:
+    def __init__(self, sock: socket.socket, count: ByteCounts) -> None:
         super().__init__(sock)
         self.count = count
 
@@ -58,11 +58,12 @@
         return stream
 
 
-class Loopback(SystemRuntime):
-    """The machine, loopback only, every byte counted; signals and the collector are left alone."""
+class LoopbackRuntime(SystemRuntime):
+    """The system runtime limited to loopback, with counted bytes. It handles no signals and leaves the garbage
+    collector as it is."""
 
     def __init__(self) -> None:
-        self.count = Bytes()
+        self.count = ByteCounts()
 
     def stream(self) -> Stream:
         stream = MeteredSocket(socket.AF_INET, socket.SOCK_STREAM)
@@ -72,31 +73,31 @@
         return stream
 
     def listen(self, address: Address, backlog: int, shared: bool = False) -> Listener:
-        on_loopback(address)
+        require_loopback(address)
         sock = bound(socket.SOCK_STREAM, address, shared)
         sock.listen(1024)
         return MeteredListener(sock, self.count)
 
     @contextmanager
     def signals(self) -> Iterator[AsyncIterator[int]]:
-        yield none()
+        yield no_signals()
 
     def settled(self) -> None:
-        """Nothing is frozen: other steps of this process follow."""
+        """Freezes no objects for the garbage collector, because further steps run in this process."""
 
 
-async def none() -> AsyncIterator[int]:
+async def no_signals() -> AsyncIterator[int]:
     await trio.sleep_forever()
     yield 0
 
 
-def on_loopback(address: Address) -> None:
+def require_loopback(address: Address) -> None:
     if not address[0].startswith("127."):
-        raise CapacityError(f"{address[0]} is no loopback address")
+        raise CapacityError(f"{address[0]} is not a loopback address")
 
 
 def free_port() -> int:
-    """A port that nobody holds now, with a free one above it."""
+    """Returns a free port whose successor is free too."""
     for _ in range(50):
         with socket.socket() as first, socket.socket() as second:
             first.bind(("127.0.0.1", 0))
@@ -106,18 +107,18 @@
             except (OSError, OverflowError):
                 continue
             return port
-    raise CapacityError("no two free ports beside each other")
+    raise CapacityError("no two consecutive free ports found in 50 attempts")
 
 
 def rss(process: int | str = "self") -> int:
-    """Bytes of memory that a process holds now."""
-    return int(Path(f"/proc/{process}/statm").read_text().split()[1]) * PAGE
+    """Returns the resident memory of a process in bytes."""
+    return int(Path(f"/proc/{process}/statm").read_text().split()[1]) * PAGE_SIZE_BYTES
 
 
 def half_of_memory() -> int:
-    """Bytes that a sweep may hold at most."""
-    return os.sysconf("SC_PHYS_PAGES") * PAGE // 2
+    """Returns half of the physical memory in bytes, the limit of a step."""
+    return os.sysconf("SC_PHYS_PAGES") * PAGE_SIZE_BYTES // 2
 
 
-def descriptors() -> int:
+def descriptor_limit() -> int:
     return resource.getrlimit(resource.RLIMIT_NOFILE)[0]
--- a/rowanshift/capacity/options.py
+++ b/rowanshift/capacity/options.py
@@ -1,4 +1,4 @@
-"""The options of ``rowanshift capacity``; it imports little, as every command does until it is run."""
+"""The options of ``rowanshift capacity``; imports little, because every start of the command line loads it."""
 
 import argparse
 from pathlib import Path
@@ -24,32 +24,38 @@
 
 def add_options(parser: argparse.ArgumentParser) -> None:
     """The options of ``rowanshift capacity``."""
-    parser.add_argument("--only", default=",".join(PARTS), metavar="PART,...", help="what to measure: %(default)s")
+    parser.add_argument(
+        "--only", default=",".join(PARTS), metavar="PART,...", help="parts to measure (default: %(default)s)"
+    )
     for name, steps in (("routers", ROUTERS), ("servers", SERVERS), ("tenants", TENANTS), ("fanout", FANOUT)):
         parser.add_argument(
             f"--{name}",
             default=",".join(map(str, steps)),
             metavar="N,...",
-            help="steps; %(default)s if not given",
+            help="comma-separated steps (default: %(default)s)",
         )
     parser.add_argument(
         "--routes",
         type=int,
         default=TARGET.routes,
         metavar="N",
-        help="routes beside many tenants; %(default)s if not given",
+        help="number of routes in the sweeps by tenants (default: %(default)s)",
+    )
+    parser.add_argument(
+        "--window", type=float, default=WINDOW, metavar="S", help="duration of the idle measurement, in seconds"
+    )
+    parser.add_argument("--limit", type=float, default=LIMIT, metavar="S", help="time limit of a step, in seconds")
+    parser.add_argument("--seeds", type=int, default=SEEDS, metavar="N", help="number of simulations of each failure")
+    parser.add_argument("--output", "-o", type=Path, metavar="FILE", help="write the results to this JSON file")
+    parser.add_argument(
+        "--plots", type=Path, metavar="DIR", help="write plots of the sweeps to this directory (needs matplotlib)"
     )
-    parser.add_argument("--window", type=float, default=WINDOW, metavar="S", help="seconds that idle is measured")
-    parser.add_argument("--limit", type=float, default=LIMIT, metavar="S", help="seconds that a step may take")
-    parser.add_argument("--seeds", type=int, default=SEEDS, metavar="N", help="plays of each failure")
-    parser.add_argument("--output", "-o", type=Path, metavar="FILE", help="write the results there, as JSON")
-    parser.add_argument("--plots", type=Path, metavar="DIR", help="draw the sweeps there (needs matplotlib)")
     parser.add_argument(
         "--results",
         type=Path,
         action="append",
         default=[],
         metavar="FILE",
-        help="take results from a file, measure nothing; repeat it",
+        help="read results from a file instead of measuring (repeatable)",
     )
     parser.add_argument("--report", action="store_true", help="print each role's formulas and figures as Markdown")
--- a/rowanshift/capacity/plots.py
+++ b/rowanshift/capacity/plots.py
@@ -1,4 +1,4 @@
-"""Plots of sweeps, with matplotlib, the extra ``plots``."""
+"""Plots of sweeps, drawn with matplotlib (the extra ``plots``)."""
 
 from pathlib import Path
 from typing import Any
@@ -7,8 +7,8 @@
 from rowanshift.capacity.results import Results, Sweep
 
 
-def library() -> Any:
-    """matplotlib's pyplot; ``NoPlots`` if it isn't there."""
+def load_pyplot() -> Any:
+    """Imports pyplot for file output. Raises ``NoPlots`` if matplotlib is not installed."""
     try:
         import matplotlib
 
@@ -19,14 +19,15 @@
     return pyplot
 
 
-def plot(results: Results, folder: Path) -> list[Path]:
-    """One file a sweep that lines were sought for, a panel a metric: points, and the line if there is one."""
-    pyplot = library()
+def plot_sweeps(results: Results, folder: Path) -> list[Path]:
+    """Writes one PNG file per sweep with fitted metrics, and one panel per metric: its points, and its line unless
+    that was rejected."""
+    pyplot = load_pyplot()
     folder.mkdir(parents=True, exist_ok=True)
-    return [page(pyplot, sweep, folder / f"{sweep.name}.png") for sweep in results.sweeps if sweep.lines]
+    return [plot_sweep(pyplot, sweep, folder / f"{sweep.name}.png") for sweep in results.sweeps if sweep.lines]
 
 
-def page(pyplot: Any, sweep: Sweep, path: Path) -> Path:
+def plot_sweep(pyplot: Any, sweep: Sweep, path: Path) -> Path:
     names = [name for name in sweep.lines if any(step.metrics[name] for step in sweep.steps)]
     figure, panels = pyplot.subplots(-(-len(names) // 4), 4, figsize=(18, 3.2 * -(-len(names) // 4)), squeeze=False)
     xs = [step.x for step in sweep.steps]
--- a/rowanshift/capacity/results.py
+++ b/rowanshift/capacity/results.py
@@ -1,4 +1,4 @@
-"""Results as JSON: what was stepped, what was measured at each step, and the lines through the steps."""
+"""Results as JSON: the stepped variable, the metrics of each step, and the lines fitted to the steps."""
 
 import os
 import platform
@@ -10,15 +10,16 @@
 import msgspec
 
 from rowanshift.capacity.errors import BadResults
-from rowanshift.capacity.fit import Line, line
+from rowanshift.capacity.fit import Line, fit_line
 
-FORMAT = 1
-LARGEST = 8 << 20  # bytes
+FORMAT_VERSION = 1
+MAX_FILE_BYTES = 8 << 20
 
 
 @dataclass(slots=True)
 class Step:
-    """One size, with its metrics: ``_s`` seconds, ``_cpu_s`` of CPU, else or counts; ``_per_s`` a second."""
+    """The metrics at one size. The suffix gives the unit: ``_s`` seconds, ``_cpu_s`` CPU seconds, ``_per_s`` per
+    second; others are bytes or counts."""
 
     x: int
     metrics: dict[str, float]
@@ -27,33 +28,33 @@
 @dataclass(slots=True)
 class Sweep:
     name: str
-    variable: str  # what is stepped
+    variable: str
     fixed: dict[str, float]
     steps: list[Step] = field(default_factory=list)
-    limit: str = ""  # of each step
+    limit: str = ""  # the limits on each step
     lines: dict[str, Line] = field(default_factory=dict)
 
     def fit(self) -> None:
-        """Fits a line to every metric that all steps have."""
+        """Fits a line to each metric that every step has."""
         xs = [step.x for step in self.steps]
         for name in self.steps[0].metrics if self.steps else ():
             ys = [step.metrics[name] for step in self.steps if name in step.metrics]
             if len(ys) == len(xs):
-                self.lines[name] = line(xs, ys)
+                self.lines[name] = fit_line(xs, ys)
 
 
 @dataclass(slots=True)
 class Results:
     sweeps: list[Sweep] = field(default_factory=list)
     machine: dict[str, Any] = field(default_factory=dict)
-    format: int = FORMAT
+    format: int = FORMAT_VERSION
 
     def sweep(self, name: str) -> Sweep | None:
         return next((sweep for sweep in self.sweeps if sweep.name == name), None)
 
 
-def this_machine() -> dict[str, Any]:
-    """What the figures were measured on; others may have used it meanwhile."""
+def describe_machine() -> dict[str, Any]:
+    """Describes the measuring machine, which other work may have shared."""
     return {
         "at": time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime()),
         "python": platform.python_version(),
@@ -64,25 +65,25 @@
     }
 
 
-def written(results: Results) -> bytes:
+def encode_results(results: Results) -> bytes:
     return msgspec.json.format(msgspec.json.encode(asdict(results)), indent=1) + b"\n"
 
 
-def read(path: Path) -> Results:
-    """The results in a file; ``BadResults`` if it holds none of this format."""
+def read_results(path: Path) -> Results:
+    """Reads a results file. Raises ``BadResults`` if it is unreadable, malformed or of another format version."""
     try:
         data = path.read_bytes()
     except OSError as error:
         raise BadResults(f"{path}: {error.strerror or error}") from error
-    if len(data) > LARGEST:
-        raise BadResults(f"{path}: over {LARGEST} bytes")
+    if len(data) > MAX_FILE_BYTES:
+        raise BadResults(f"{path}: over {MAX_FILE_BYTES} bytes")
     try:
         raw = msgspec.json.decode(data)
         found = raw["format"]
     except (msgspec.MsgspecError, UnicodeDecodeError, KeyError, TypeError) as error:
-        raise BadResults(f"{path}: no results of rowanshift capacity") from error
-    if found != FORMAT:
-        raise BadResults(f"{path}: results of format {found!r}, this version reads {FORMAT}")
+        raise BadResults(f"{path}: not a results file of rowanshift capacity") from error
+    if found != FORMAT_VERSION:
+        raise BadResults(f"{path}: results of format {found!r}, this version reads {FORMAT_VERSION}")
     try:
         return msgspec.convert(raw, Results)
     except msgspec.ValidationError as error:
--- a/rowanshift/capacity/roles.py
+++ b/rowanshift/capacity/roles.py
@@ -1,11 +1,11 @@
-"""Roles' costs as formulas, their constants from results, and the value at the stated size. No I/O."""
+"""The cost of each role as a formula, with constants from results, and its value at a deployment size. No I/O."""
 
 from dataclasses import dataclass
 
 from rowanshift.capacity import sizes
-from rowanshift.capacity.delivery import DIFFERENCE_HEAD
+from rowanshift.capacity.delivery import DIFFERENCE_HEADER_BYTES
 from rowanshift.capacity.deployment import BUDGET, DAY, TARGET, Size
-from rowanshift.capacity.hollow import listing
+from rowanshift.capacity.hollow import generate_server_list
 from rowanshift.capacity.results import Results, Sweep
 from rowanshift.controlplane.endpoint_list import LIST_INTERVAL_SECONDS, MAX_LIST_PAGES
 from rowanshift.controlplane.internal_port import MAX_CONNECTIONS
@@ -14,17 +14,17 @@
 from rowanshift.dataplane.control_client import LONG_POLL_SECONDS
 from rowanshift.wire.codec import FRAME_HEADER, MAX_RECORD_BYTES
 
-PAGE = 50  # servers of a page of the list, as the benches' sites have it
-MARK = 8  # bytes of a kept part on the wire
-EVENT = 44  # bytes of one event in a source's answer, as the protocol's example
-ENTRY = 24  # bytes: 16 of a part's digest, 2 of the server, 2 of tokens, 4 of time
-FILLED = 0.7  # of an index's table
-BATCHED = 25  # bytes of an event that a shard is sent in a batch: an entry and its sign
+LIST_PAGE_SERVERS = 50  # page size of the server list in the emulated sites
+BLOCK_HASH_BYTES = 8  # one stored block on the wire
+SOURCE_EVENT_BYTES = 44  # one event in a source's answer, as in the example of the protocol
+INDEX_ENTRY_BYTES = 24  # block digest 16, server 2, token count 2, time 4
+INDEX_LOAD_FACTOR = 0.7  # used share of the index's hash table
+BATCHED_EVENT_BYTES = 25  # one event in a batch to a shard: an index entry and an add/remove flag
 
 
 @dataclass(frozen=True, slots=True)
 class Figure:
-    """One line of the page. ``budget`` 0: none is stated."""
+    """One row of the report. A ``budget`` of 0 means that none is stated."""
 
     role: str
     what: str
@@ -41,11 +41,11 @@
         return "yes" if self.value <= self.budget else f"no, {self.value / self.budget:,.1f} times"
 
 
-def row_bytes(size: Size) -> float:
-    """Mean bytes of a server's row."""
-    entries = listing(min(size.servers, 2000), size.models, size.zones)
+def mean_server_record_bytes(size: Size) -> float:
+    """Returns the mean length of a server record."""
+    entries = generate_server_list(min(size.servers, 2000), size.models, size.zones)
     return sum(
-        sizes.row(
+        sizes.server_record(
             entry["id"],
             entry["backend"],
             entry["address"],
@@ -56,19 +56,19 @@
     ) / len(entries)
 
 
-def roster_changes(size: Size) -> float:
-    """Changes a day that machines' failures and restarts make: gone and back; draining, gone and back."""
+def registry_changes_by_failures(size: Size) -> float:
+    """Registry changes per day by failures (removed, added) and restarts (draining, removed, added) of servers."""
     servers = size.servers / (size.servers + size.routers + size.control)
     return servers * (2 * size.failures + 3 * size.restarts)
 
 
-def load_changes(size: Size) -> float:
-    """Changes of the registry that one version of every model makes: begun and loaded, at each server."""
+def registry_changes_by_loading(size: Size) -> float:
+    """Registry changes by a new version of every model: loading started and loading finished, at each server."""
     return 2 * size.servers
 
 
-def through(results: Results, sweep: str, metric: str, x: float) -> tuple[float, str, str] | None:
-    """The line's value at ``x``, the line as text, and the run; None if there is no line to go by."""
+def evaluate_line(results: Results, sweep: str, metric: str, x: float) -> tuple[float, str, str] | None:
+    """Returns a fitted line's value at ``x``, the line as text, and the run; None without a usable line."""
     found: Sweep | None = results.sweep(sweep)
     if found is None or metric not in found.lines or found.lines[metric].refused:
         return None
@@ -78,15 +78,15 @@
     return fit.at(x), f"{intercept:.3g} {sign} {abs(fit.slope):.3g} {found.variable}", f"{sweep} {metric}"
 
 
-def exact(size: Size = TARGET) -> list[Figure]:
-    """What follows from record sizes alone."""
-    row, core, made = row_bytes(size), size.core, []
+def figures_from_record_sizes(size: Size = TARGET) -> list[Figure]:
+    """Returns the figures that follow from record sizes alone."""
+    row, core, figures = mean_server_record_bytes(size), size.core, []
 
     def add(role: str, what: str, formula: str, value: float, unit: str, budget: float = 0.0) -> None:
-        made.append(Figure(role, what, formula, value, unit, "record sizes", budget))
+        figures.append(Figure(role, what, formula, value, unit, "record sizes", budget))
 
-    whole = sizes.update(core, rows=round(row * size.servers))
-    changes = roster_changes(size)
+    registry_bytes = sizes.update(core, rows=round(row * size.servers))
+    changes = registry_changes_by_failures(size)
     add("router", "polls", "1 / HOLD", 1 / LONG_POLL_SECONDS, "a second")
     add(
         "router",
@@ -96,12 +96,12 @@
         "B/s",
         BUDGET.traffic,
     )
-    add("router", "one registry", f"{sizes.update(core)} + {row:.0f} servers", whole, "bytes")
+    add("router", "one registry", f"{sizes.update(core)} + {row:.0f} servers", registry_bytes, "bytes")
     add(
         "router",
         "rosters by failures, whole",
         "registry changes a day / 86,400",
-        whole * changes / DAY,
+        registry_bytes * changes / DAY,
         "B/s",
         BUDGET.traffic,
     )
@@ -109,33 +109,47 @@
         "router",
         "rosters by one version of all models a day, whole",
         "2 servers a day / 86,400",
-        whole * load_changes(size) / DAY,
+        registry_bytes * registry_changes_by_loading(size) / DAY,
         "B/s",
         BUDGET.traffic,
     )
-    difference = DIFFERENCE_HEAD + row
+    difference = DIFFERENCE_HEADER_BYTES + row
     add(
         "router",
         "the same two, as differences",
-        f"({DIFFERENCE_HEAD} + {row:.0f}) changes / 86,400",
-        difference * (changes + load_changes(size)) / DAY,
+        f"({DIFFERENCE_HEADER_BYTES} + {row:.0f}) changes / 86,400",
+        difference * (changes + registry_changes_by_loading(size)) / DAY,
         "B/s",
         BUDGET.traffic,
     )
     machines = size.servers + size.routers + size.control
-    comings = 2 * (size.failures + size.restarts) * size.routers / machines  # and goings of routers, a day
-    members = (sizes.update(core) + 8 * size.routers) * comings / DAY
+    membership_changes_per_day = 2 * (size.failures + size.restarts) * size.routers / machines
+    membership_bytes_per_s = (sizes.update(core) + 8 * size.routers) * membership_changes_per_day / DAY
     add(
         "router",
         "members, whole",
         f"({sizes.update(core)} + 8 routers) changes / 86,400",
-        members,
+        membership_bytes_per_s,
+        "B/s",
+        BUDGET.traffic,
+    )
+    add(
+        "router",
+        "kept parts, whole",
+        f"{BLOCK_HASH_BYTES} blocks",
+        BLOCK_HASH_BYTES * size.blocks,
+        "bytes",
+        BUDGET.memory,
+    )
+    add("router", "kept parts, one frame", "16 MiB / 8", MAX_RECORD_BYTES // BLOCK_HASH_BYTES, "blocks")
+    add(
+        "router",
+        "kept parts, events",
+        f"{BLOCK_HASH_BYTES} events",
+        BLOCK_HASH_BYTES * size.events,
         "B/s",
         BUDGET.traffic,
     )
-    add("router", "kept parts, whole", f"{MARK} blocks", MARK * size.blocks, "bytes", BUDGET.memory)
-    add("router", "kept parts, one frame", "16 MiB / 8", MAX_RECORD_BYTES // MARK, "blocks")
-    add("router", "kept parts, events", f"{MARK} events", MARK * size.events, "B/s", BUDGET.traffic)
     add(
         "primary",
         "descriptors",
@@ -144,9 +158,11 @@
         "descriptors",
         MAX_CONNECTIONS,
     )
-    add("primary", "one registry to all", "routers (registry)", size.routers * whole, "bytes")
-    add("primary", "kept parts' events to all", "8 events routers", MARK * size.events * size.routers, "B/s")
-    beat = sizes.confirm(core // 2 + 1, core) + sizes.confirmed()
+    add("primary", "one registry to all", "routers (registry)", size.routers * registry_bytes, "bytes")
+    add(
+        "primary", "kept parts' events to all", "8 events routers", BLOCK_HASH_BYTES * size.events * size.routers, "B/s"
+    )
+    beat = sizes.heartbeat(core // 2 + 1, core) + sizes.heartbeat_reply()
     add("primary", "heartbeats", "2 (core - 1) / HEARTBEAT", 2 * (core - 1) / HEARTBEAT_INTERVAL_SECONDS, "messages/s")
     add(
         "primary",
@@ -160,8 +176,8 @@
     add(
         "list reader",
         "calls of one reading",
-        f"servers / {PAGE}",
-        -(-size.servers // PAGE),
+        f"servers / {LIST_PAGE_SERVERS}",
+        -(-size.servers // LIST_PAGE_SERVERS),
         "calls",
         MAX_LIST_PAGES,
     )
@@ -169,25 +185,37 @@
         "list reader",
         "calls",
         "servers / 50 / LIST_INTERVAL_SECONDS",
-        -(-size.servers // PAGE) / LIST_INTERVAL_SECONDS,
+        -(-size.servers // LIST_PAGE_SERVERS) / LIST_INTERVAL_SECONDS,
         "calls/s",
     )
     add("orders' holder", "orders for one version of all models", "servers", size.servers, "orders")
-    add("index shard", "events in, of all shards", f"{EVENT} events", EVENT * size.events, "B/s")
-    add("index shard", "events in, cut and batched", f"{BATCHED} events", BATCHED * size.events, "B/s")
+    add(
+        "index shard",
+        "events in, of all shards",
+        f"{SOURCE_EVENT_BYTES} events",
+        SOURCE_EVENT_BYTES * size.events,
+        "B/s",
+    )
+    add(
+        "index shard",
+        "events in, cut and batched",
+        f"{BATCHED_EVENT_BYTES} events",
+        BATCHED_EVENT_BYTES * size.events,
+        "B/s",
+    )
     add(
         "index shard",
         "state, of all shards",
-        f"{ENTRY} blocks / {FILLED}",
-        ENTRY * size.blocks / FILLED,
+        f"{INDEX_ENTRY_BYTES} blocks / {INDEX_LOAD_FACTOR}",
+        INDEX_ENTRY_BYTES * size.blocks / INDEX_LOAD_FACTOR,
         "bytes",
     )
-    return made
+    return figures
 
 
-def measured(results: Results, size: Size = TARGET) -> list[Figure]:
-    """What the lines reach at the stated size; a metric without a line is left out."""
-    made: list[Figure] = []
+def figures_from_results(results: Results, size: Size = TARGET) -> list[Figure]:
+    """Returns the fitted lines' values at a deployment size, without metrics that have no usable line."""
+    figures: list[Figure] = []
 
     def add(
         role: str,
@@ -197,12 +225,12 @@
         x: float,
         unit: str,
         budget: float = 0.0,
-        times: float = 1.0,
+        factor: float = 1.0,
         by: str = "",
     ) -> None:
-        if (found := through(results, sweep, metric, x)) is not None:
+        if (found := evaluate_line(results, sweep, metric, x)) is not None:
             value, formula, run = found
-            made.append(Figure(role, what, f"({formula}){by}" if by else formula, value * times, unit, run, budget))
+            figures.append(Figure(role, what, f"({formula}){by}" if by else formula, value * factor, unit, run, budget))
 
     changes = size.changes / DAY
     add("router", "memory by servers", "router-servers", "memory", size.servers, "bytes", BUDGET.memory)
@@ -225,7 +253,7 @@
         size.servers,
         "of a core",
         BUDGET.core_share,
-        roster_changes(size) / DAY,
+        registry_changes_by_failures(size) / DAY,
         " changes/s",
     )
     add(
@@ -236,7 +264,7 @@
         size.servers,
         "of a core",
         BUDGET.core_share,
-        load_changes(size) / DAY,
+        registry_changes_by_loading(size) / DAY,
         " changes/s",
     )
     add("router", "CPU of a configuration", "router-tenants", "config_cpu_s", size.tenants, "s")
@@ -311,7 +339,7 @@
         size.servers,
         "of a core",
         1.0,
-        size.routers / 10 * roster_changes(size) / DAY,
+        size.routers / 10 * registry_changes_by_failures(size) / DAY,
         " routers / 10 changes/s",
     )
     add(
@@ -322,7 +350,7 @@
         size.servers,
         "of a core",
         1.0,
-        size.routers / 10 * load_changes(size) / DAY,
+        size.routers / 10 * registry_changes_by_loading(size) / DAY,
         " routers / 10 changes/s",
     )
     add(
@@ -354,16 +382,16 @@
     if body is not None and not body.lines["body"].refused:
         config = round(body.lines["body"].at(size.tenants))
         named = {f"model-{i:02d}": 1 for i in range(size.models)}
-        frame = sizes.store(sizes.sheet(config, named, MAX_REMEMBERED_ORDERS))
+        frame = sizes.store(sizes.control_state(config, named, MAX_REMEMBERED_ORDERS))
         run = "delivery-tenants body"
-        made.append(
+        figures.append(
             Figure("backup", "a change", f"{FRAME_HEADER.size + 28} + sheet", frame, "bytes", run, MAX_RECORD_BYTES)
         )
-        made.append(Figure("backup", "changes, in and to disk", "(store) changes/s", frame * changes, "B/s", run))
-    return made
+        figures.append(Figure("backup", "changes, in and to disk", "(store) changes/s", frame * changes, "B/s", run))
+    return figures
 
 
-def told(value: float) -> str:
+def format_value(value: float) -> str:
     if value >= 1e9:
         return f"{value / 1e9:,.3g} G"
     if value >= 1e6:
@@ -372,14 +400,15 @@
 
 
 def report(results: Results, size: Size = TARGET) -> list[str]:
-    """The figures as a Markdown table, role by role."""
+    """Returns the figures as a Markdown table, grouped by role."""
     lines = ["| role | what | formula | run | at the stated size | budget | fits |", "| --- " * 7 + "|"]
-    figures = exact(size) + measured(results, size)
+    figures = figures_from_record_sizes(size) + figures_from_results(results, size)
     for role in dict.fromkeys(figure.role for figure in figures):
         lines += [
-            f"| {one.role} | {one.what} | {one.formula} | {one.run} | {told(one.value)} {one.unit} | "
-            f"{told(one.budget) if one.budget else ''} | {one.fits} |"
-            for one in figures
-            if one.role == role
+            f"| {figure.role} | {figure.what} | {figure.formula} | {figure.run} | "
+            f"{format_value(figure.value)} {figure.unit} | "
+            f"{format_value(figure.budget) if figure.budget else ''} | {figure.fits} |"
+            for figure in figures
+            if figure.role == role
         ]
     return lines
--- a/rowanshift/capacity/sweep.py
+++ b/rowanshift/capacity/sweep.py
@@ -1,4 +1,4 @@
-"""Sweeps: each step in a process of its own beside this one, bounded in time, count, memory, descriptors."""
+"""Sweeps: each step starts its own measured process, with limits on time, sizes, memory and descriptors."""
 
 import itertools
 import time
@@ -15,24 +15,24 @@
 from rowanshift.capacity import child
 from rowanshift.capacity.errors import BadSteps, DoesNotFit, StepFailed
 from rowanshift.capacity.hollow import Fleet, HollowLedger
-from rowanshift.capacity.meter import Loopback, descriptors, half_of_memory, rss
+from rowanshift.capacity.meter import LoopbackRuntime, descriptor_limit, half_of_memory, rss
 from rowanshift.capacity.results import Step, Sweep
 
-MOST = {"routers": 2000, "servers": 100_000, "tenants": 200_000, "routes": 50_000}  # of one step
-MOST_STEPS = 12
-LOOK = 0.2  # seconds between looks at the memory
-SETTLE = 4.0  # seconds until a new primary has told the routers of each other, and polls are held
-FILES = 64  # descriptors beside the routers' connections
+MAX_SIZES = {"routers": 2000, "servers": 100_000, "tenants": 200_000, "routes": 50_000}  # largest sizes of one step
+MAX_STEPS = 12
+MEMORY_CHECK_INTERVAL_SECONDS = 0.2
+SETTLE_SECONDS = 4.0  # time until a new primary has announced the routers to each other and polls are held
+RESERVED_DESCRIPTORS = 64  # in addition to the routers' connections
 
-# bytes, generous, for the check before a step: what a row, and a tenant or route, take in both processes, and
-# what is on its way to a router as a whole
-ROW_MEMORY, ENTRY_MEMORY, PROCESS_MEMORY = 40_000, 6_000, 100 << 20
-ROW_SENT, ENTRY_SENT = 120 * 4, 100 * 4
+# Upper estimates for the check before a step: memory of both processes per server and per tenant or route, and
+# bytes in transit to a router when everything is sent in full.
+SERVER_MEMORY_BYTES, ENTRY_MEMORY_BYTES, PROCESS_MEMORY_BYTES = 40_000, 6_000, 100 << 20
+SERVER_QUEUED_BYTES, ENTRY_QUEUED_BYTES = 120 * 4, 100 * 4
 
 
 @dataclass(frozen=True, slots=True)
 class Shape:
-    """What a step holds."""
+    """The sizes of a step."""
 
     routers: int = 10
     servers: int = 100
@@ -41,38 +41,42 @@
     pools: int = 9
 
     def memory(self) -> int:
-        """Bytes that both processes take at most, estimated."""
+        """Estimates the peak memory of both processes in bytes."""
         entries = self.tenants + self.routes
-        sent = self.routers * (ROW_SENT * self.servers + ENTRY_SENT * entries)
-        return 2 * PROCESS_MEMORY + ROW_MEMORY * self.servers + ENTRY_MEMORY * entries + sent
+        sent = self.routers * (SERVER_QUEUED_BYTES * self.servers + ENTRY_QUEUED_BYTES * entries)
+        return 2 * PROCESS_MEMORY_BYTES + SERVER_MEMORY_BYTES * self.servers + ENTRY_MEMORY_BYTES * entries + sent
 
     def check(self) -> None:
-        """``BadSteps`` or ``DoesNotFit``."""
-        for name, most in MOST.items():
-            least = 0 if name in ("tenants", "routes") else 1
-            if not least <= (value := getattr(self, name)) <= most:
-                raise BadSteps(f"{value} {name}: {least} to {most} expected")
-        if (wanted := self.memory()) > (half := half_of_memory()):
+        """Raises ``BadSteps`` for a size out of bounds, ``DoesNotFit`` for a step that exceeds the machine."""
+        for name, maximum in MAX_SIZES.items():
+            minimum = 0 if name in ("tenants", "routes") else 1
+            if not minimum <= (value := getattr(self, name)) <= maximum:
+                raise BadSteps(f"{value} {name}: {minimum} to {maximum} expected")
+        if (estimate := self.memory()) > (memory_limit := half_of_memory()):
             raise DoesNotFit(
-                f"a step of {self.told()} takes some {wanted >> 20} MiB, half of the memory is {half >> 20} MiB"
+                f"a step of {self.describe()} needs about {estimate >> 20} MiB, "
+                f"half of the memory is {memory_limit >> 20} MiB"
+            )
+        if self.routers + RESERVED_DESCRIPTORS > (maximum := descriptor_limit()):
+            raise DoesNotFit(
+                f"a step of {self.describe()} needs {self.routers + RESERVED_DESCRIPTORS} descriptors, "
+                f"the limit is {maximum}"
             )
-        if self.routers + FILES > (most := descriptors()):
-            raise DoesNotFit(f"a step of {self.told()} takes {self.routers + FILES} descriptors, there are {most}")
 
-    def told(self) -> str:
+    def describe(self) -> str:
         return f"{self.routers} routers, {self.servers} servers, {self.tenants} tenants, {self.routes} routes"
 
-    def ledger(self) -> dict[str, int]:
+    def ledger_arguments(self) -> dict[str, int]:
         return {"servers": self.servers, "tenants": self.tenants, "routes": self.routes, "pools": self.pools}
 
 
 def check_steps(steps: list[int]) -> None:
-    if not steps or len(steps) > MOST_STEPS or any(b <= a for a, b in itertools.pairwise(steps)):
-        raise BadSteps(f"1 to {MOST_STEPS} rising whole numbers expected, not {','.join(map(str, steps)) or 'none'}")
+    if not steps or len(steps) > MAX_STEPS or any(b <= a for a, b in itertools.pairwise(steps)):
+        raise BadSteps(f"1 to {MAX_STEPS} increasing integers expected, not {','.join(map(str, steps)) or 'none'}")
 
 
-class Other:
-    """The measured process, from here."""
+class MeasuredProcess:
+    """The measuring side's handle on the measured process."""
 
     def __init__(self, process: Any, pipe: Connection) -> None:
         self.process, self.pipe = process, pipe
@@ -81,25 +85,25 @@
         try:
             return await trio.to_thread.run_sync(self.pipe.recv, abandon_on_cancel=True)
         except (EOFError, OSError) as error:
-            raise StepFailed("the measured process ended") from error
+            raise StepFailed("the measured process exited before it answered") from error
 
-    async def do(self, command: Any) -> dict[str, Any]:
+    async def execute(self, command: Any) -> dict[str, Any]:
         try:
             self.pipe.send(command)
         except OSError as error:
-            raise StepFailed("the measured process ended") from error
+            raise StepFailed("the measured process exited before it answered") from error
         return await self.answer()
 
 
 @contextmanager
-def other(role: str, given: Any) -> Iterator[Other]:
+def measured_process(role: str, argument: Any) -> Iterator[MeasuredProcess]:
     context = get_context("spawn")
     ours, theirs = context.Pipe()
-    process = context.Process(target=child.main, args=(role, theirs, given), daemon=True)
+    process = context.Process(target=child.main, args=(role, theirs, argument), daemon=True)
     process.start()
     theirs.close()
     try:
-        yield Other(process, ours)
+        yield MeasuredProcess(process, ours)
     finally:
         with suppress(OSError):
             ours.send("stop")
@@ -110,22 +114,25 @@
         ours.close()
 
 
-async def watched(process: Any, nursery: trio.Nursery, over: list[str]) -> None:
-    """Ends the step once both processes hold over half of the memory."""
-    half = half_of_memory()
+async def enforce_memory_limit(process: Any, nursery: trio.Nursery, limit_errors: list[str]) -> None:
+    """Cancels the step once both processes together hold over half of the memory."""
+    memory_limit = half_of_memory()
     while True:
         try:
-            held = rss() + rss(process.pid)
+            resident = rss() + rss(process.pid)
         except (OSError, IndexError):
-            held = 0
-        if held > half:
-            over.append(f"a step held {held >> 20} MiB, half of the memory is {half >> 20} MiB: ended")
+            resident = 0
+        if resident > memory_limit:
+            limit_errors.append(
+                f"the processes of a step held {resident >> 20} MiB, "
+                f"half of the memory is {memory_limit >> 20} MiB: step ended"
+            )
             nursery.cancel_scope.cancel()
             return
-        await trio.sleep(LOOK)
+        await trio.sleep(MEMORY_CHECK_INTERVAL_SECONDS)
 
 
-def used(before: dict[str, Any], after: dict[str, Any], name: str) -> dict[str, float]:
+def usage_delta(before: dict[str, Any], after: dict[str, Any], name: str) -> dict[str, float]:
     return {
         f"{name}_cpu_s": after["cpu_s"] - before["cpu_s"],
         f"{name}_sent": after["sent"] - before["sent"],
@@ -134,29 +141,32 @@
 
 
 async def ledger_step(shape: Shape, window: float, limit: float, say: Callable[[str], None]) -> dict[str, float]:
-    """The ledger in the measured process, hollow routers in this one."""
+    """Measures a ledger in the measured process, with hollow routers in this process."""
     metrics: dict[str, float] = {}
-    with other("ledger", shape.ledger()) as ledger:
+    with measured_process("ledger", shape.ledger_arguments()) as ledger:
         start = await ledger.answer()
         metrics["start_rss"] = start["rss"]
-        host = Loopback()
+        host = LoopbackRuntime()
         fleet = Fleet(host, start["address"], shape.routers)
         async with trio.open_nursery() as nursery:
-            over: list[str] = []
-            nursery.start_soon(watched, ledger.process, nursery, over)
-            before, at = await ledger.do("nothing"), trio.current_time()
+            limit_errors: list[str] = []
+            nursery.start_soon(enforce_memory_limit, ledger.process, nursery, limit_errors)
+            before, at = await ledger.execute("nothing"), trio.current_time()
             await fleet.start(nursery)
-            if not await fleet.until(None, limit):
-                raise StepFailed(f"after {limit:g} s {len(fleet.pending)} routers of {shape.routers} knew nothing")
+            if not await fleet.wait_for(None, limit):
+                raise StepFailed(
+                    f"after {limit:g} s {len(fleet.pending)} of {shape.routers} routers "
+                    f"had no configuration or server list"
+                )
             metrics["first_s"] = trio.current_time() - at
-            after = await ledger.do("nothing")
-            metrics |= used(before, after, "first")
-            await trio.sleep(SETTLE)
+            after = await ledger.execute("nothing")
+            metrics |= usage_delta(before, after, "first")
+            await trio.sleep(SETTLE_SECONDS)
 
             say("idle")
-            before, at, polls = await ledger.do("nothing"), trio.current_time(), fleet.polls
+            before, at, polls = await ledger.execute("nothing"), trio.current_time(), fleet.polls
             await trio.sleep(window)
-            after, spent = await ledger.do("nothing"), trio.current_time() - at
+            after, spent = await ledger.execute("nothing"), trio.current_time() - at
             metrics |= {
                 f"idle_{name}_per_s": value / spent
                 for name, value in (
@@ -167,7 +177,7 @@
                 )
             }
             before = after
-            after = await ledger.do("read_list")
+            after = await ledger.execute("read_list")
             metrics["list_cpu_s"] = after["own_cpu_s"]
 
             for name, command, goal in (
@@ -175,80 +185,82 @@
                 ("config", "change_config", lambda now, router: router.fingerprint == now["mark"]),
             ):
                 say(name)
-                before, at = await ledger.do("nothing"), trio.current_time()
-                now = await ledger.do(command)
+                before, at = await ledger.execute("nothing"), trio.current_time()
+                now = await ledger.execute(command)
                 metrics[f"{name}_own_cpu_s"] = now["own_cpu_s"]
                 metrics[f"{name}_done_s"] = trio.current_time() - at
                 metrics[f"{name}_reached"] = shape.routers
-                if not await fleet.until(partial(goal, now), limit):
+                if not await fleet.wait_for(partial(goal, now), limit):
                     metrics[f"{name}_reached"] = shape.routers - len(fleet.pending)
                 metrics[f"{name}_s"] = trio.current_time() - at
-                after = await ledger.do("nothing")
-                metrics |= used(before, after, name)
+                after = await ledger.execute("nothing")
+                metrics |= usage_delta(before, after, name)
                 metrics[f"{name}_epochs"] = after["epoch"] - before["epoch"]
             metrics["rss"], metrics["rss_most"] = after["rss"], after["rss_most"]
             nursery.cancel_scope.cancel()
-        if over:
-            raise DoesNotFit(over[0])
+        if limit_errors:
+            raise DoesNotFit(limit_errors[0])
     return metrics
 
 
 async def router_step(shape: Shape, window: float, limit: float, say: Callable[[str], None]) -> dict[str, float]:
-    """A real channel in the measured process, the ledger in this one."""
+    """Measures a router's control client in the measured process, with the ledger in this process."""
     metrics: dict[str, float] = {}
-    host = Loopback()
+    host = LoopbackRuntime()
     async with trio.open_nursery() as nursery:
-        hollow = HollowLedger(host, **shape.ledger())
+        hollow = HollowLedger(host, **shape.ledger_arguments())
         await hollow.start(nursery)
-        over: list[str] = []
-        with other("router", hollow.address) as router:
+        limit_errors: list[str] = []
+        with measured_process("router", hollow.address) as router:
             start = await router.answer()
-            nursery.start_soon(watched, router.process, nursery, over)
+            nursery.start_soon(enforce_memory_limit, router.process, nursery, limit_errors)
 
-            async def known() -> dict[str, Any]:
+            async def wait_until_current() -> dict[str, Any]:
                 state = hollow.state()
-                return await router.do((state["registry"], state["mark"]))
+                return await router.execute((state["registry"], state["mark"]))
 
             at = trio.current_time()
-            first = await known()
+            first = await wait_until_current()
             metrics["first_s"] = trio.current_time() - at
             metrics |= {f"first_{name}": first[name] - start[name] for name in ("cpu_s", "received")}
             metrics["first_memory"] = first["rss"] - start["rss"]
             say("idle")
-            before, at = await known(), trio.current_time()
+            before, at = await wait_until_current(), trio.current_time()
             await trio.sleep(window)
-            after, spent = await known(), trio.current_time() - at
+            after, spent = await wait_until_current(), trio.current_time() - at
             metrics |= {
                 f"idle_{name}_per_s": (after[name] - before[name]) / spent for name in ("cpu_s", "received", "sent")
             }
             for name, change in (("roster", hollow.change_roster), ("config", hollow.change_config)):
                 say(name)
-                before = await known()
+                before = await wait_until_current()
                 await change()
                 at = trio.current_time()
-                after = await known()
+                after = await wait_until_current()
                 metrics[f"{name}_s"] = trio.current_time() - at
-                metrics |= used(before, after, name)
+                metrics |= usage_delta(before, after, name)
             metrics["memory"] = after["rss"] - start["rss"]
             metrics["rss"], metrics["rss_most"] = after["rss"], after["rss_most"]
         hollow.stop()
         nursery.cancel_scope.cancel()
-    if over:
-        raise DoesNotFit(over[0])
+    if limit_errors:
+        raise DoesNotFit(limit_errors[0])
     return metrics
 
 
-STEP_OF = {"ledger": ledger_step, "router": router_step}
+STEP_FUNCTIONS = {"ledger": ledger_step, "router": router_step}
 
 
-async def _within(side: str, shape: Shape, window: float, limit: float, say: Callable[[str], None]) -> dict[str, float]:
+async def _run_with_timeout(
+    side: str, shape: Shape, window: float, limit: float, say: Callable[[str], None]
+) -> dict[str, float]:
     with trio.move_on_after(limit):
-        return await STEP_OF[side](shape, window, limit / 3, say)
-    raise StepFailed(f"a step of {shape.told()} did not end within {limit:g} s")
+        return await STEP_FUNCTIONS[side](shape, window, limit / 3, say)
+    raise StepFailed(f"a step of {shape.describe()} did not end within {limit:g} s")
 
 
-def alone(group: BaseExceptionGroup) -> BaseException:
-    """The one error in nested groups of one."""
+def unwrap_single_error(group: BaseExceptionGroup) -> BaseException:
+    """Returns the error inside nested exception groups of one error each."""
     error: BaseException = group
     while isinstance(error, BaseExceptionGroup) and len(error.exceptions) == 1:
         error = error.exceptions[0]
@@ -256,21 +268,21 @@
 
 
 def measure(side: str, shape: Shape, window: float, limit: float, say: Callable[[str], None]) -> dict[str, float]:
-    """The metrics of one step. ``CapacityError`` if it can't be done."""
+    """Returns the metrics of one step. Raises ``CapacityError`` if it cannot be run."""
     shape.check()
     try:
-        metrics = trio.run(_within, side, shape, window, limit, say)
+        metrics = trio.run(_run_with_timeout, side, shape, window, limit, say)
     except BaseExceptionGroup as group:
-        error = alone(group)
+        error = unwrap_single_error(group)
         if isinstance(error, trio.TooSlowError):
-            raise StepFailed(f"a step of {shape.told()} stood still") from group
+            raise StepFailed(f"a step of {shape.describe()} exceeded the time limit of a wait inside it") from group
         raise error from group
     return {name: round(value, 6) for name, value in metrics.items()}
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """A sweep to be done: ``variable`` of ``shape`` stepped, ``side`` in the measured process."""
+    """A planned sweep: steps ``variable`` of ``shape``, with the role ``side`` in the measured process."""
 
     name: str
     side: str
@@ -294,7 +306,7 @@
             self.name,
             self.variable,
             fixed | {"window_s": window},
-            limit=f"{limit:g} s, {half_of_memory() >> 20} MiB, {MOST[self.variable]} {self.variable}",
+            limit=f"{limit:g} s, {half_of_memory() >> 20} MiB, {MAX_SIZES[self.variable]} {self.variable}",
         )
         for shape in self.shapes():
             x = getattr(shape, self.variable)
--- a/rowanshift/capacity/takeover.py
+++ b/rowanshift/capacity/takeover.py
@@ -1,6 +1,6 @@
-"""How long nobody holds the primary's duties: the ledger's own decisions, played on a virtual clock by seed.
+"""Time without a primary after a fault: real replicas in a seeded simulation on a virtual clock.
 
-Machines are the real ``Replica``; messages take a drawn share of ``DELAY``, saves one of ``SAVE``.
+Machines run the real ``Replica``. Message delays and save times are drawn at random up to the maxima below.
 """
 
 import random
@@ -16,19 +16,19 @@
 from rowanshift.controlplane.replication import ProposalCommitted, Replica, Save, Send
 from rowanshift.placement.hash_ring import HashRing, stable_hash
 
-TICK = 0.05  # seconds
-DUTY_WAIT = 3.3  # seconds: the service's lease of 3 s and its margin
-DELAY_NEAR, DELAY_FAR = 0.0005, 0.020  # seconds, the most within a region and between two
-SAVE = 0.010  # seconds, the most
-SETTLED = 6.0  # seconds until a first primary holds its lease surely
-LONGEST = 30.0  # seconds looked at
-TROUBLES = ("primary_killed", "primary_cut_off", "backup_killed", "witness_killed")
-KEYS = 1000  # of a ring that is looked at
+TICK_SECONDS = 0.05
+SINGLETON_TASK_DELAY_SECONDS = 3.3  # the service's lease of 3 s and its margin
+MAX_DELAY_IN_REGION_SECONDS, MAX_DELAY_BETWEEN_REGIONS_SECONDS = 0.0005, 0.020
+MAX_SAVE_SECONDS = 0.010
+SETTLE_SECONDS = 6.0  # by then the first primary holds its lease
+MAX_WAIT_SECONDS = 30.0
+FAULTS = ("primary_killed", "primary_cut_off", "backup_killed", "witness_killed")
+RING_KEYS = 1000
 
 
 @dataclass(slots=True)
-class Play:
-    """Some core machines, spread over the regions in turn."""
+class ReplicaSimulation:
+    """Core machines, assigned to the regions in turn."""
 
     seed: int
     f: int = 2
@@ -36,57 +36,61 @@
     regions: int = 3
     now: float = 0.0  # seconds
     sent: Counter[str] = field(default_factory=Counter)  # messages by kind
-    bytes: int = 0  # their frames
+    bytes: int = 0  # length of their frames
     saves: int = 0
     ledgers: dict[int, Replica] = field(default_factory=dict)
-    cut: set[int] = field(default_factory=set)
+    isolated: set[int] = field(default_factory=set)
     committed: list[float] = field(default_factory=list)
     random_source: random.Random = field(init=False)
-    order: Any = field(init=False)  # keeps what is due at once in the order it was set
-    due: list[tuple[float, int, Callable[..., None], tuple]] = field(init=False)
+    sequence: Any = field(init=False)  # orders events of equal time by their scheduling
+    events: list[tuple[float, int, Callable[..., None], tuple]] = field(init=False)
 
     def __post_init__(self) -> None:
-        self.random_source, self.order, self.due = random.Random(self.seed), count(), []
+        self.random_source, self.sequence, self.events = random.Random(self.seed), count(), []
         names = tuple(range(1, self.machines + 1))
-        for me in names:
-            self.ledgers[me] = Replica(me, self.f, names, True, None, 0.0, self.random_source.random, DUTY_WAIT)
-            self.at(self.random_source.random() * TICK, self.tick, me)
-            self.act(me)
-
-    def at(self, when: float, what: Callable[..., None], *args: Any) -> None:
-        heappush(self.due, (when, next(self.order), what, args))
-
-    def until(self, end: float, done: Callable[[], bool] = lambda: False) -> bool:
-        """Plays on to that time, or until it is done; whether it is."""
+        for machine in names:
+            self.ledgers[machine] = Replica(
+                machine, self.f, names, True, None, 0.0, self.random_source.random, SINGLETON_TASK_DELAY_SECONDS
+            )
+            self.schedule(self.random_source.random() * TICK_SECONDS, self.tick, machine)
+            self.act(machine)
+
+    def schedule(self, when: float, callback: Callable[..., None], *args: Any) -> None:
+        heappush(self.events, (when, next(self.sequence), callback, args))
+
+    def run_until(self, end: float, done: Callable[[], bool] = lambda: False) -> bool:
+        """Runs until ``done()`` holds or the clock reaches ``end``; returns whether ``done()`` holds."""
         if done():
             return True
-        while self.due and self.due[0][0] <= end:
-            self.now, _, what, args = heappop(self.due)
-            what(*args)
+        while self.events and self.events[0][0] <= end:
+            self.now, _, callback, args = heappop(self.events)
+            callback(*args)
             if done():
                 return True
         self.now = end
         return False
 
-    def tick(self, me: int) -> None:
-        if me in self.ledgers:
-            self.ledgers[me].tick(self.now)
-            self.act(me)
-            self.at(self.now + TICK, self.tick, me)
+    def tick(self, machine: int) -> None:
+        if machine in self.ledgers:
+            self.ledgers[machine].tick(self.now)
+            self.act(machine)
+            self.schedule(self.now + TICK_SECONDS, self.tick, machine)
 
-    def act(self, me: int) -> None:
-        for action in self.ledgers[me].drain():
+    def act(self, machine: int) -> None:
+        for action in self.ledgers[machine].drain():
             match action:
                 case Send(to, message):
                     self.sent[type(message).__name__] += 1
                     self.bytes += len(CODEC.pack(message))
-                    if me not in self.cut and to not in self.cut:
-                        far = me % self.regions != to % self.regions
-                        delay = (DELAY_FAR if far else DELAY_NEAR) * (0.5 + self.random_source.random() / 2)
-                        self.at(self.now + delay, self.receive, me, to, message)
+                    if machine not in self.isolated and to not in self.isolated:
+                        far = machine % self.regions != to % self.regions
+                        delay = (MAX_DELAY_BETWEEN_REGIONS_SECONDS if far else MAX_DELAY_IN_REGION_SECONDS) * (
+                            0.5 + self.random_source.random() / 2
+                        )
+                        self.schedule(self.now + delay, self.receive, machine, to, message)
                 case Save(token, _):
                     self.saves += 1
-                    self.at(self.now + SAVE * self.random_source.random(), self.saved, me, token)
+                    self.schedule(self.now + MAX_SAVE_SECONDS * self.random_source.random(), self.saved, machine, token)
                 case ProposalCommitted():
                     self.committed.append(self.now)
 
@@ -95,38 +99,38 @@
             self.ledgers[to].receive(sender, message, self.now)
             self.act(to)
 
-    def saved(self, me: int, token: int) -> None:
-        if me in self.ledgers:
-            self.ledgers[me].saved(token, self.now)
-            self.act(me)
+    def saved(self, machine: int, token: int) -> None:
+        if machine in self.ledgers:
+            self.ledgers[machine].saved(token, self.now)
+            self.act(machine)
 
-    def holder(self) -> int:
-        """The machine that holds the primary's lease, or 0."""
+    def lease_holder(self) -> int:
+        """Returns the machine that holds the primary's lease, or 0."""
         return next(
             (
-                me
-                for me, ledger in self.ledgers.items()
-                if me not in self.cut and ledger.is_primary and ledger.lease_until(self.now) > self.now
+                machine
+                for machine, ledger in self.ledgers.items()
+                if machine not in self.isolated and ledger.is_primary and ledger.lease_until(self.now) > self.now
             ),
             0,
         )
 
-    def on_duty(self) -> bool:
-        me = self.holder()
-        return bool(me) and self.ledgers[me].singleton_tasks_from <= self.now
+    def runs_singleton_tasks(self) -> bool:
+        machine = self.lease_holder()
+        return bool(machine) and self.ledgers[machine].singleton_tasks_from <= self.now
 
     def propose(self) -> None:
-        """A change is asked for and waited for."""
-        me = self.holder()
-        if me and self.ledgers[me]._proposal is None:
-            self.ledgers[me].propose(len(self.committed), b"sheet", self.now)
-            self.act(me)
+        """Proposes a change at the lease holder, unless one is pending there."""
+        machine = self.lease_holder()
+        if machine and self.ledgers[machine]._proposal is None:
+            self.ledgers[machine].propose(len(self.committed), b"sheet", self.now)
+            self.act(machine)
 
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """Seconds after a trouble without a holder of the lease, without one that gives orders, and without a
-    commit; how many epochs it took."""
+    """Seconds from a fault until a machine holds the lease, runs the singleton tasks, and commits a change; and
+    the number of new epochs."""
 
     holder_s: float
     orders_s: float
@@ -134,78 +138,78 @@
     epochs: int
 
 
-def play(seed: int, trouble: str, f: int = 2, machines: int = 5) -> Outcome:
-    """One trouble, at a time drawn from the seed."""
-    world = Play(seed, f, machines)
-    world.until(SETTLED)
-    world.until(LONGEST, world.on_duty)
-    world.until(world.now + world.random_source.random())
-    holder = world.holder()
-    before = world.ledgers[holder].record
-    others = {
+def simulate_fault(seed: int, fault: str, f: int = 2, machines: int = 5) -> Outcome:
+    """Simulates one fault at a time drawn from the seed."""
+    simulation = ReplicaSimulation(seed, f, machines)
+    simulation.run_until(SETTLE_SECONDS)
+    simulation.run_until(MAX_WAIT_SECONDS, simulation.runs_singleton_tasks)
+    simulation.run_until(simulation.now + simulation.random_source.random())
+    holder = simulation.lease_holder()
+    before = simulation.ledgers[holder].record
+    candidates = {
         "backup_killed": [m for m in before.in_sync if m != holder],
         "witness_killed": [m for m in before.witnesses if m not in before.in_sync],
-    }.get(trouble, [holder])
-    victim = world.random_source.choice(others)
-    at = world.now
-    if trouble == "primary_cut_off":
-        world.cut.add(victim)
+    }.get(fault, [holder])
+    victim = simulation.random_source.choice(candidates)
+    at = simulation.now
+    if fault == "primary_cut_off":
+        simulation.isolated.add(victim)
     else:
-        del world.ledgers[victim]
-    world.until(at + LONGEST, lambda: bool(world.holder()))
-    holder_s = world.now - at
-    world.committed.clear()
-    while not world.committed and world.now < at + LONGEST:
-        world.propose()
-        world.until(world.now + TICK / 5, lambda: bool(world.committed))
-    commit_s = world.now - at
-    if not world.on_duty():
-        world.until(at + LONGEST, world.on_duty)
-        orders_s = world.now - at
+        del simulation.ledgers[victim]
+    simulation.run_until(at + MAX_WAIT_SECONDS, lambda: bool(simulation.lease_holder()))
+    holder_s = simulation.now - at
+    simulation.committed.clear()
+    while not simulation.committed and simulation.now < at + MAX_WAIT_SECONDS:
+        simulation.propose()
+        simulation.run_until(simulation.now + TICK_SECONDS / 5, lambda: bool(simulation.committed))
+    commit_s = simulation.now - at
+    if not simulation.runs_singleton_tasks():
+        simulation.run_until(at + MAX_WAIT_SECONDS, simulation.runs_singleton_tasks)
+        orders_s = simulation.now - at
     else:
         orders_s = holder_s
-    epochs = (world.ledgers[world.holder()].record.epoch >> 32) - (before.epoch >> 32)
+    epochs = (simulation.ledgers[simulation.lease_holder()].record.epoch >> 32) - (before.epoch >> 32)
     return Outcome(holder_s, orders_s, commit_s, epochs)
 
 
 def takeovers(seeds: int, f: int = 2, machines: int = 5) -> dict[str, dict[str, float]]:
-    """By trouble, over so many seeds: mean and longest of each time, and the mean of epochs."""
-    made = {}
-    for trouble in TROUBLES:
-        plays = [play(seed, trouble, f, machines) for seed in range(seeds)]
-        made[trouble] = {"epochs_mean": sum(one.epochs for one in plays) / seeds}
+    """Returns, for each fault over all seeds, the mean and the maximum of each time and the mean number of epochs."""
+    metrics_by_fault = {}
+    for fault in FAULTS:
+        outcomes = [simulate_fault(seed, fault, f, machines) for seed in range(seeds)]
+        metrics_by_fault[fault] = {"epochs_mean": sum(outcome.epochs for outcome in outcomes) / seeds}
         for name in ("holder_s", "orders_s", "commit_s"):
-            values = [getattr(one, name) for one in plays]
-            made[trouble] |= {
+            values = [getattr(outcome, name) for outcome in outcomes]
+            metrics_by_fault[fault] |= {
                 f"{name[:-2]}_mean_s": round(sum(values) / seeds, 4),
                 f"{name[:-2]}_longest_s": round(max(values), 4),
             }
-    return made
+    return metrics_by_fault
 
 
 def ring_moves(servers: int, points: int, seeds: int) -> dict[str, float]:
-    """Share of keys whose home changes when one of so many servers leaves: mean and largest over seeds."""
+    """Returns the mean and the largest share of keys that move when one of the servers leaves the ring."""
     ring = HashRing(str)
     names = [f"i-{stable_hash(str(i)):016x}" for i in range(servers)]
     ring.set_point_counts(dict.fromkeys(names, points))
-    marks = [stable_hash(f"key {i}") >> 32 for i in range(KEYS)]
+    key_hashes = [stable_hash(f"key {i}") >> 32 for i in range(RING_KEYS)]
     at = time.process_time()
-    homes = Counter(ring.successors(mark, 1)[0] for mark in marks)
-    walk = (time.process_time() - at) / KEYS
+    homes = Counter(ring.successors(key_hash, 1)[0] for key_hash in key_hashes)
+    cpu_seconds_per_lookup = (time.process_time() - at) / RING_KEYS
     random_source = random.Random(seeds)
-    gone = random_source.sample(names, min(seeds, servers))
-    # a server's share of the circle is what its leaving moves
+    leaving = random_source.sample(names, min(seeds, servers))
+    # When a server leaves, exactly its share of the ring moves.
     circle = [*ring.sorted_points, ring.sorted_points[0] + (1 << 64)]
     shares: Counter[str] = Counter()
     for low, high in pairwise(circle):
         shares[ring.owner_by_point[high % (1 << 64)]] += high - low
     total = sum(shares.values())
-    own = [shares[name] / total for name in gone]
+    leaving_shares = [shares[name] / total for name in leaving]
     return {
-        "mean": sum(own) / len(own),
-        "largest": max(own),
+        "mean": sum(leaving_shares) / len(leaving_shares),
+        "largest": max(leaving_shares),
         "largest_of_all": max(shares.values()) / total,
         "homes_seen": len(homes),
         "points": len(ring.sorted_points),
-        "walk_cpu_s": round(walk, 8),
+        "walk_cpu_s": round(cpu_seconds_per_lookup, 8),
     }
--- a/tests/capacity/test_capacity.py
+++ b/tests/capacity/test_capacity.py
@@ -1,6 +1,6 @@
-"""The capacity tool: formulas against a small run's messages and bytes exactly; fits; bad input.
+"""The capacity command: formulas checked exactly against the messages and bytes of a small run; fits; bad input.
 
-Nothing here asserts a time.
+No test asserts a time.
 """
 
 import contextlib
@@ -17,15 +17,15 @@
 from loguru import logger
 
 from rowanshift.capacity import plots, sizes
-from rowanshift.capacity.delivery import difference
+from rowanshift.capacity.delivery import encode_difference
 from rowanshift.capacity.errors import BadResults, DoesNotFit, NoPlots
-from rowanshift.capacity.fit import line
-from rowanshift.capacity.hollow import Fleet, HollowLedger, changed, configuration
-from rowanshift.capacity.meter import Loopback
-from rowanshift.capacity.results import FORMAT, Results, Step, Sweep, read, written
-from rowanshift.capacity.roles import exact
+from rowanshift.capacity.fit import fit_line
+from rowanshift.capacity.hollow import Fleet, HollowLedger, generate_configuration, with_changed_tenant_key
+from rowanshift.capacity.meter import LoopbackRuntime
+from rowanshift.capacity.results import FORMAT_VERSION, Results, Step, Sweep, encode_results, read_results
+from rowanshift.capacity.roles import figures_from_record_sizes
 from rowanshift.capacity.sweep import Shape
-from rowanshift.capacity.takeover import Play
+from rowanshift.capacity.takeover import ReplicaSimulation
 from rowanshift.cli import main
 from rowanshift.controlplane.configuration_reader import parse_configuration
 from rowanshift.controlplane.control_state import unpack
@@ -41,8 +41,8 @@
 
 
 async def small_run() -> dict:
-    """Each router polls four times: it gets all, then what changes, or what ends a held poll."""
-    host_of_ledger, host = Loopback(), Loopback()
+    """Each router polls four times: it receives everything, then each change or the end of a held poll."""
+    host_of_ledger, host = LoopbackRuntime(), LoopbackRuntime()
     async with trio.open_nursery() as nursery:
         ledger = HollowLedger(host_of_ledger, SERVERS, TENANTS, ROUTES, POOLS)
         await ledger.start(nursery)
@@ -50,11 +50,11 @@
         fleet.log = []
         with trio.fail_after(20):
             async with trio.open_nursery() as routers:
-                await fleet.start(routers, most=4)
-                await fleet.until(None, 10)
+                await fleet.start(routers, max_polls=4)
+                await fleet.wait_for(None, 10)
                 await ledger.change_config()
                 await ledger.change_roster()
-        sheet = ledger.core_service.replica_runner.replica.committed_state
+        control_state = ledger.core_service.replica_runner.replica.committed_state
         counts = {
             "log": fleet.log,
             "polls": fleet.polls,
@@ -62,7 +62,7 @@
             "sent": host.count.sent,
             "received": host.count.received,
             "at_ledger": (host_of_ledger.count.received, host_of_ledger.count.sent),
-            "sheet": sheet,
+            "sheet": control_state,
         }
         ledger.stop()
         nursery.cancel_scope.cancel()
@@ -70,12 +70,14 @@
 
 
 def length(answer: Update) -> int:
-    """What the formulas say of an answer's frame."""
-    rows = sum(sizes.row(r.id, r.service, r.address, r.zone, r.versions) for r in answer.server_records)
+    """Returns the length of an answer's frame by the formulas."""
+    rows = sum(sizes.server_record(r.id, r.service, r.address, r.zone, r.versions) for r in answer.server_records)
     members = len(getattr(answer, "machines", ()))
-    marks = (len(answer.stored_block_hashes) + len(answer.removed_block_hashes)) // 8
+    block_hashes = (len(answer.stored_block_hashes) + len(answer.removed_block_hashes)) // 8
     names = [name.model for name in answer.announcements]
-    return sizes.update(len(answer.core_machines), len(answer.config), answer.versions, rows, marks, members, names)
+    return sizes.update(
+        len(answer.core_machines), len(answer.config), answer.versions, rows, block_hashes, members, names
+    )
 
 
 class FormulasTest(unittest.TestCase):
@@ -87,11 +89,11 @@
         run = self.run_
         self.assertEqual((run["polls"], run["answers"]), (4 * ROUTERS, 4 * ROUTERS))
         self.assertEqual(run["sent"], 4 * ROUTERS * sizes.poll())
-        elsewhere = run["answers"] - len(run["log"])  # on a machine so busy that the lease ran out meanwhile
-        told = sum(length(answer) for answer in run["log"])
-        self.assertEqual(run["received"], told + elsewhere * (sizes.empty(Redirect) + 8))
+        redirects = run["answers"] - len(run["log"])  # the lease may expire on a busy machine
+        update_bytes = sum(length(answer) for answer in run["log"])
+        self.assertEqual(run["received"], update_bytes + redirects * (sizes.empty_frame(Redirect) + 8))
 
-    def test_the_small_run_carried_what_it_is_to_prove(self) -> None:
+    def test_the_small_run_sends_configurations_and_server_records(self) -> None:
         log = self.run_["log"]
         self.assertEqual(sum(answer.has_state for answer in log), 2 * ROUTERS)
         self.assertEqual(sum(answer.has_server_records for answer in log), 2 * ROUTERS)
@@ -100,71 +102,76 @@
     def test_both_ends_count_the_same_bytes(self) -> None:
         self.assertEqual(self.run_["at_ledger"], (self.run_["sent"], self.run_["received"]))
 
-    def test_the_sheet_is_as_long_as_its_formula(self) -> None:
+    def test_control_state_length_matches_its_formula(self) -> None:
         packed = self.run_["sheet"]
-        sheet = unpack(packed)
-        self.assertEqual(len(packed), sizes.sheet(len(sheet.config), sheet.versions, len(sheet.orders)))
+        control_state = unpack(packed)
+        self.assertEqual(
+            len(packed),
+            sizes.control_state(len(control_state.config), control_state.versions, len(control_state.orders)),
+        )
 
     def test_records_between_core_machines_are_as_long_as_their_formulas(self) -> None:
         record = EpochRecord(7, 1, (1, 2), (1, 2, 3))
         for length, made in (
-            (sizes.confirm(2, 3), Heartbeat(7, 1, record)),
-            (sizes.confirmed(), HeartbeatReply(7, 1, True, 7, StateVersion(7, 0))),
+            (sizes.heartbeat(2, 3), Heartbeat(7, 1, record)),
+            (sizes.heartbeat_reply(), HeartbeatReply(7, 1, True, 7, StateVersion(7, 0))),
             (sizes.store(9), Store(7, StateVersion(7, 0), b"9 bytes..")),
-            (sizes.stored(), StoreReply(7, StateVersion(7, 0), True, 7)),
+            (sizes.store_reply(), StoreReply(7, StateVersion(7, 0), True, 7)),
         ):
             with self.subTest(type(made).__name__):
                 self.assertEqual(len(CODEC.pack(made)), length)
 
     def test_a_quiet_core_sends_one_heartbeat_a_round_to_each_other_machine(self) -> None:
-        world = Play(3, f=1, machines=3)
-        world.until(6.0)
-        ledger = world.ledgers[world.holder()]
-        world.sent.clear()
-        bytes_before, round_before = world.bytes, ledger._heartbeat_round
-        world.until(9.0)
+        simulation = ReplicaSimulation(3, f=1, machines=3)
+        simulation.run_until(6.0)
+        ledger = simulation.ledgers[simulation.lease_holder()]
+        simulation.sent.clear()
+        bytes_before, round_before = simulation.bytes, ledger._heartbeat_round
+        simulation.run_until(9.0)
         rounds = ledger._heartbeat_round - round_before
         self.assertGreater(rounds, 5)
-        self.assertEqual(dict(world.sent), {"Heartbeat": 2 * rounds, "HeartbeatReply": 2 * rounds})
-        self.assertEqual(world.bytes - bytes_before, 2 * rounds * (sizes.confirm(2, 3) + sizes.confirmed()))
+        self.assertEqual(dict(simulation.sent), {"Heartbeat": 2 * rounds, "HeartbeatReply": 2 * rounds})
+        self.assertEqual(
+            simulation.bytes - bytes_before, 2 * rounds * (sizes.heartbeat(2, 3) + sizes.heartbeat_reply())
+        )
 
 
 class DeliveryTest(unittest.TestCase):
     def test_a_generated_configuration_is_valid_and_the_same_for_a_seed(self) -> None:
-        made = configuration(TENANTS, ROUTES, POOLS)
+        made = generate_configuration(TENANTS, ROUTES, POOLS)
         self.assertEqual(len(parse_configuration(orjson.dumps(made)).tenants), TENANTS)
-        self.assertEqual(made, configuration(TENANTS, ROUTES, POOLS))
+        self.assertEqual(made, generate_configuration(TENANTS, ROUTES, POOLS))
 
     def test_a_difference_carries_the_changed_rows_alone(self) -> None:
-        before = configuration(50, ROUTES, POOLS)
-        after = changed(before, 2)
-        made = orjson.loads(zlib.decompress(difference(before, after)))
+        before = generate_configuration(50, ROUTES, POOLS)
+        after = with_changed_tenant_key(before, 2)
+        made = orjson.loads(zlib.decompress(encode_difference(before, after)))
         self.assertEqual(list(made), ["tenants"])
         [row] = made["tenants"]["put"]
         self.assertIn(row, after["tenants"])
         self.assertNotIn(row, before["tenants"])
         less = after | {"routes": after["routes"][1:]}
-        gone = orjson.loads(zlib.decompress(difference(after, less)))
+        gone = orjson.loads(zlib.decompress(encode_difference(after, less)))
         self.assertEqual(gone, {"routes": {"put": [], "gone": [after["routes"][0]["name"]]}})
 
 
 class FitTest(unittest.TestCase):
     def test_points_on_a_line_give_the_line(self) -> None:
-        fit = line([10, 100, 1000], [5 + 2 * x for x in (10, 100, 1000)])
+        fit = fit_line([10, 100, 1000], [5 + 2 * x for x in (10, 100, 1000)])
         self.assertEqual(fit.refused, "")
         self.assertAlmostEqual(fit.slope, 2)
         self.assertAlmostEqual(fit.intercept, 5)
         self.assertAlmostEqual(fit.residual, 0)
 
     def test_a_metric_that_stays_the_same_is_a_line(self) -> None:
-        self.assertEqual(line([1, 2, 3], [7, 7, 7]).refused, "")
-        self.assertEqual(line([1, 2, 3], [0, 0, 0]).refused, "")
+        self.assertEqual(fit_line([1, 2, 3], [7, 7, 7]).refused, "")
+        self.assertEqual(fit_line([1, 2, 3], [0, 0, 0]).refused, "")
 
-    def test_what_grows_with_the_square_is_refused(self) -> None:
-        self.assertIn("off the line", line([10, 100, 300, 1000], [100, 10_000, 90_000, 1_000_000]).refused)
+    def test_quadratic_growth_is_refused(self) -> None:
+        self.assertIn("off the line", fit_line([10, 100, 300, 1000], [100, 10_000, 90_000, 1_000_000]).refused)
 
     def test_two_points_are_no_line(self) -> None:
-        self.assertIn("2 points", line([10, 100], [1, 2]).refused)
+        self.assertIn("2 points", fit_line([10, 100], [1, 2]).refused)
 
 
 class ResultsTest(unittest.TestCase):
@@ -181,18 +188,18 @@
         sweep.fit()
         return Results([sweep], {"shared": True})
 
-    def test_what_is_written_is_read_again(self) -> None:
-        self.assertEqual(read(self.file(written(self.results()))), self.results())
+    def test_encoded_results_are_read_back(self) -> None:
+        self.assertEqual(read_results(self.file(encode_results(self.results()))), self.results())
 
     def test_another_format_is_refused(self) -> None:
-        data = json.loads(written(self.results())) | {"format": FORMAT + 1}
-        with self.assertRaisesRegex(BadResults, f"format {FORMAT + 1}, this version reads {FORMAT}"):
-            read(self.file(json.dumps(data).encode()))
+        data = json.loads(encode_results(self.results())) | {"format": FORMAT_VERSION + 1}
+        with self.assertRaisesRegex(BadResults, f"format {FORMAT_VERSION + 1}, this version reads {FORMAT_VERSION}"):
+            read_results(self.file(json.dumps(data).encode()))
 
-    def test_what_is_no_results_is_refused(self) -> None:
+    def test_malformed_results_are_refused(self) -> None:
         for data in (b"", b"nonsense", b"[]", b"{}", b'{"format":1,"sweeps":3}', b"\xff"):
             with self.subTest(data), self.assertRaises(BadResults):
-                read(self.file(data))
+                read_results(self.file(data))
 
 
 class CommandTest(unittest.TestCase):
@@ -208,10 +215,10 @@
 
     def test_bad_input_ends_with_2_and_one_message(self) -> None:
         for arguments, says in (
-            (("--servers", "", "--only", "servers"), "rising whole numbers"),
+            (("--servers", "", "--only", "servers"), "increasing integers"),
             (("--servers", "0", "--only", "servers"), "0 servers"),
-            (("--servers", "10,many", "--only", "servers"), "whole numbers parted by commas"),
-            (("--routers", "100,10", "--only", "routers"), "rising whole numbers"),
+            (("--servers", "10,many", "--only", "servers"), "comma-separated integers"),
+            (("--routers", "100,10", "--only", "routers"), "increasing integers"),
             (("--routers", "5000", "--only", "routers"), "5000 routers: 1 to 2000"),
             (("--only", "strange"), "not strange"),
             (("--only", ""), "not nothing"),
@@ -236,15 +243,15 @@
 
     def test_a_step_with_too_few_descriptors_is_refused(self) -> None:
         with (
-            mock.patch("rowanshift.capacity.sweep.descriptors", return_value=100),
-            self.assertRaisesRegex(DoesNotFit, "descriptors, there are 100"),
+            mock.patch("rowanshift.capacity.sweep.descriptor_limit", return_value=100),
+            self.assertRaisesRegex(DoesNotFit, "descriptors, the limit is 100"),
         ):
             Shape(routers=100).check()
 
     def test_plots_without_matplotlib_end_with_2(self) -> None:
         with mock.patch.dict("sys.modules", {"matplotlib": None}):
             with self.assertRaises(NoPlots):
-                plots.library()
+                plots.load_pyplot()
             code, _, err = self.ends("--plots", "/nonexistent")
         self.assertEqual(code, 2)
         self.assertIn("rowanshift[plots]", err)
@@ -253,18 +260,18 @@
         sweep = Sweep("some", "servers", {}, [Step(x, {"rss": 3.0 * x}) for x in (10, 100, 1000)])
         sweep.fit()
         with tempfile.TemporaryDirectory() as folder:
-            made = plots.plot(Results([sweep, Sweep("none", "f", {}, [Step(1, {"s": 1.0})])]), Path(folder))
+            made = plots.plot_sweeps(Results([sweep, Sweep("none", "f", {}, [Step(1, {"s": 1.0})])]), Path(folder))
             self.assertEqual([path.name for path in made], ["some.png"])
             self.assertTrue(made[0].read_bytes().startswith(b"\x89PNG"))
 
-    def test_delivery_is_told_and_kept(self) -> None:
+    def test_delivery_is_reported_and_stored(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "out.json"
             code, out, err = self.ends("--only", "delivery", "--tenants", "1,2,3", "--routes", "4", "-o", str(path))
             self.assertEqual(code, 0, err)
             self.assertIn("delivery-tenants: by tenants", out)
             self.assertIn("delivery, tenants 3: begins", err)
-            self.assertEqual([step.x for step in read(path).sweep("delivery-tenants").steps], [1, 2, 3])
+            self.assertEqual([step.x for step in read_results(path).sweep("delivery-tenants").steps], [1, 2, 3])
             code, out, _ = self.ends("--results", str(path), "--report")
             self.assertEqual(code, 0)
             self.assertIn("| router | configurations, whole |", out)
@@ -272,8 +279,8 @@
 
 class RolesTest(unittest.TestCase):
     def test_figures_at_the_stated_size_follow_from_the_sizes(self) -> None:
-        figures = {(one.role, one.what): one for one in exact()}
-        self.assertEqual(figures["router", "polls"].value, 2.0)  # each held for HOLD, half a second
+        figures = {(figure.role, figure.what): figure for figure in figures_from_record_sizes()}
+        self.assertEqual(figures["router", "polls"].value, 2.0)  # each is held for half a second
         self.assertEqual(figures["router", "kept parts, whole"].value, 8 * 200_000_000)
         self.assertTrue(figures["router", "kept parts, whole"].fits.startswith("no"))
         self.assertEqual(figures["list reader", "calls of one reading"].value, 200)
