--- a/examples/coordination.py
+++ b/examples/coordination.py
@@ -1,4 +1,4 @@
-"""Shows the client library of the coordination service: python examples/coordination.py IP:PORT [IP:PORT ...]"""
+"""Example of the coordination client library: python examples/coordination.py IP:PORT [IP:PORT ...]"""
 
 import sys
 
@@ -8,26 +8,26 @@
 
 
 async def use_a_lock(client: CoordinationClient) -> None:
-    """Hold a lock for longer than one hold lasts, by renewals."""
+    """Holds a lock for longer than its hold time; the client renews it."""
     async with client.lock("district-7", holder="counter-3", hold_seconds=3.0) as hold:
         await trio.sleep(3.5)
         print(f"held district-7 for 3.5 s under token {hold.token}")
 
 
 async def use_numbers_and_keys(client: CoordinationClient) -> int:
-    """Ask for a number, and put a key by its revision. Returns the revision."""
+    """Takes the next number of a sequence and puts a key conditionally on its revision. Returns the new revision."""
     print(f"formula number {await client.next_number('formula')}")
     present = await client.read("recipes.sand")
     revision = await client.put("recipes.sand", "04-17", present.revision if present else 0)
     try:
         await client.put("recipes.sand", "04-18", revision - 1)
     except PutConflict as conflict:
-        print(f"another revision is there: {conflict}")
+        print(f"put refused, the key has another revision: {conflict}")
     return revision
 
 
 async def watch_two_puts(client: CoordinationClient, after: int) -> None:
-    """Put two keys, and see both in a watch."""
+    """Puts two keys and receives both changes from a watch."""
     await client.put("recipes.chalk", "11-02")
     await client.put("recipes.sand", "04-19")
     seen = 0
@@ -39,7 +39,7 @@
 
 
 async def main(addresses: list[str]) -> None:
-    """Use all parts of the service."""
+    """Uses locks, numbers, keys and watches in turn."""
     pairs = [address.rpartition(":") for address in addresses]
     client = CoordinationClient([(host, int(port)) for host, _, port in pairs])
     await use_a_lock(client)
