--- a/benchmarks/primary_gap.py
+++ b/benchmarks/primary_gap.py
@@ -1,5 +1,7 @@
-"""How long the control plane has no primary, and nobody who may give orders, after each kind of loss: seeds of the
-virtual network, in which a process starts in no time. Prints a table in Markdown; times in seconds from the loss.
+"""How long the control plane has no primary, and no machine that may give orders, after each kind of loss.
+
+Runs seeds of the simulated network, in which processes start instantly. Prints a Markdown table; times are in seconds
+from the loss.
 
     python benchmarks/primary_gap.py --seeds 50
 """
@@ -17,69 +19,69 @@
 from rowanshift.simulation.fleet import Fleet, play
 from rowanshift.simulation.fleet_troubles import Unit
 
-SETTLES = 6.0  # seconds until the primary may give orders
-DRAWN = 1.0  # seconds within which the loss comes
-DOWN = 0.5  # seconds until killed processes are started again
-APART = 0.3  # seconds within which they start, in any order
-LASTS = 4.0  # seconds of a standstill or a cut
-LOOKED_AT = 10.0  # seconds from the loss on
-LOOK = 0.005  # seconds between looks
+SETTLE_SECONDS = 6.0  # by then the primary may give orders
+LOSS_WINDOW_SECONDS = 1.0  # the loss comes at a random time within it
+RESTART_DELAY_SECONDS = 0.5  # until killed processes are restarted
+RESTART_SPREAD_SECONDS = 0.3  # processes restart within it, in random order
+FAULT_SECONDS = 4.0  # duration of a freeze or a network cut
+OBSERVATION_SECONDS = 10.0  # from the loss on
+POLL_SECONDS = 0.005
 
 Loss = Callable[[Fleet, Unit], Awaitable[None]]
 
 
 async def one_killed(fleet: Fleet, primary: Unit) -> None:
-    """The primary's process ends and comes back."""
+    """Kills the primary's process and restarts it."""
     fleet.kill(primary)
-    await trio.sleep(DOWN)
+    await trio.sleep(RESTART_DELAY_SECONDS)
     fleet.back(primary)
 
 
 async def one_gone(fleet: Fleet, primary: Unit) -> None:
-    """The primary's machine ends for good."""
+    """Cuts the power of the primary's machine for good."""
     fleet.cut_power(primary)
 
 
 async def frozen(fleet: Fleet, primary: Unit) -> None:
-    """The primary stands still."""
+    """Freezes the primary's process, then resumes it."""
     fleet.freeze(primary)
-    await trio.sleep(LASTS)
+    await trio.sleep(FAULT_SECONDS)
     fleet.thaw(primary)
 
 
 async def cut_one_way(fleet: Fleet, primary: Unit) -> None:
-    """Nothing that the primary sends arrives."""
+    """Drops everything that the primary sends, for a time."""
     fleet.cut(primary, ways="out")
-    await trio.sleep(LASTS)
+    await trio.sleep(FAULT_SECONDS)
     fleet.join(primary, ways="out")
 
 
 async def all_killed(fleet: Fleet, primary: Unit) -> None:
-    """Every core process ends and comes back."""
+    """Kills every core process and restarts them."""
     fleet.kill(*fleet.cores)
-    await _back_apart(fleet)
+    await _restart_in_random_order(fleet)
 
 
 async def all_without_power(fleet: Fleet, primary: Unit) -> None:
-    """Every core machine loses power and comes back."""
+    """Cuts the power of every core machine and restarts them."""
     fleet.cut_power(*fleet.cores)
-    await _back_apart(fleet)
+    await _restart_in_random_order(fleet)
 
 
 async def rolled(fleet: Fleet, primary: Unit) -> None:
-    """Each core machine is told to stop, and starts again, one after another."""
+    """Rolling restart: terminates and restarts the core machines one after another."""
     for unit in fleet.cores:
         fleet.terminate(unit)
         await fleet.until(lambda unit=unit: not unit.machine.running)
-        await trio.sleep(DOWN)
+        await trio.sleep(RESTART_DELAY_SECONDS)
         fleet.back(unit)
 
 
-async def _back_apart(fleet: Fleet) -> None:
-    await trio.sleep(DOWN)
+async def _restart_in_random_order(fleet: Fleet) -> None:
+    await trio.sleep(RESTART_DELAY_SECONDS)
     order = fleet.random_source.sample(fleet.cores, len(fleet.cores))
     for unit in order:
-        await trio.sleep(fleet.random_source.random() * APART / len(order))
+        await trio.sleep(fleet.random_source.random() * RESTART_SPREAD_SECONDS / len(order))
         fleet.back(unit)
 
 
@@ -90,26 +92,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Gaps:
-    """The longest stretches, in seconds, without a machine that holds the lease, and without one that may order."""
+    """Longest times, in seconds, without a lease holder and without a machine that may give orders."""
 
     primary: float
     orders: float
 
 
-class Watch:
-    """The longest stretch in which something was not so."""
+class GapTracker:
+    """Tracks the longest time between observations of a condition that held."""
 
     def __init__(self, now: float) -> None:
         self.since, self.longest = now, 0.0
 
-    def look(self, so: bool, now: float) -> None:
-        """Whether it is so at this time."""
-        if so:
+    def observe(self, condition: bool, now: float) -> None:
+        """Records whether the condition holds at a time."""
+        if condition:
             self.longest, self.since = max(self.longest, now - self.since), now
 
 
-def holder(fleet: Fleet) -> Unit | None:
-    """The core machine that holds the lease."""
+def lease_holder(fleet: Fleet) -> Unit | None:
+    """Returns the core machine that holds the lease, or None."""
     for unit in fleet.cores:
         host = getattr(unit.program, "replica_runner", None)
         if host is not None and unit.machine.running and not unit.machine.away and host.lease_remaining() > 0:
@@ -117,50 +119,52 @@
     return None
 
 
-def may_order(unit: Unit | None, now: float) -> bool:
-    """Whether a machine may give orders."""
+def may_give_orders(unit: Unit | None, now: float) -> bool:
+    """Returns whether a machine may give orders."""
     return unit is not None and unit.program.replica_runner.replica.singleton_tasks_from <= now
 
 
-def played(name: str, seed: int) -> Gaps:
-    """One loss at a time drawn from the seed."""
+def measure_gaps(name: str, seed: int) -> Gaps:
+    """Simulates one loss at a time drawn from the seed."""
     logger.disable("rowanshift")
 
     async def main(fleet: Fleet) -> Gaps:
         await fleet.start()
-        await trio.sleep(SETTLES + DRAWN * fleet.random_source.random())
-        began = fleet.now()
-        primary, orders = Watch(began), Watch(began)
+        await trio.sleep(SETTLE_SECONDS + LOSS_WINDOW_SECONDS * fleet.random_source.random())
+        started = fleet.now()
+        primary, orders = GapTracker(started), GapTracker(started)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(LOSSES[name], fleet, holder(fleet))
-            while fleet.now() < began + (2.5 if name == "rolled" else 1.0) * LOOKED_AT:
-                now, unit = fleet.now(), holder(fleet)
-                primary.look(unit is not None, now)
-                orders.look(may_order(unit, now), now)
-                await trio.sleep(LOOK)
+            nursery.start_soon(LOSSES[name], fleet, lease_holder(fleet))
+            while fleet.now() < started + (2.5 if name == "rolled" else 1.0) * OBSERVATION_SECONDS:
+                now, unit = fleet.now(), lease_holder(fleet)
+                primary.observe(unit is not None, now)
+                orders.observe(may_give_orders(unit, now), now)
+                await trio.sleep(POLL_SECONDS)
         return Gaps(primary.longest, orders.longest)
 
     return play(main, f"gap/{name}/{seed}", routers=1, servers=1, strict=False)[0]
 
 
-def told(values: Sequence[float]) -> str:
-    """Median and worst."""
+def median_and_worst(values: Sequence[float]) -> str:
+    """Formats the median and the maximum."""
     return f"{statistics.median(values):.2f}, {max(values):.2f}"
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Play and print; the exit code."""
+    """Runs the simulations, prints the table and returns the exit status."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=int, default=50)
     parser.add_argument("--jobs", type=int, default=4)
-    given = parser.parse_args(arguments)
+    options = parser.parse_args(arguments)
     print("| loss | without a primary, median and worst s | without a holder of orders |")
     print("| --- | --- | --- |")
-    with ProcessPoolExecutor(given.jobs) as pool:
+    with ProcessPoolExecutor(options.jobs) as pool:
         for name in LOSSES:
-            gaps = list(pool.map(played, [name] * given.seeds, range(given.seeds)))
+            gaps = list(pool.map(measure_gaps, [name] * options.seeds, range(options.seeds)))
             print(
-                f"| {name} | {told([gap.primary for gap in gaps])} | {told([gap.orders for gap in gaps])} |", flush=True
+                f"| {name} | {median_and_worst([gap.primary for gap in gaps])} "
+                f"| {median_and_worst([gap.orders for gap in gaps])} |",
+                flush=True,
             )
     return 0
 
--- a/benchmarks/process_usage.py
+++ b/benchmarks/process_usage.py
@@ -1,7 +1,7 @@
-"""What a process has used: processor time and, where the system counts them, instructions in user mode. Linux alone.
+"""Processor time of a process and, where the system counts them, its instructions in user mode. Linux only.
 
-Processor time depends on what else the machine does: on a busy one it differs by tens of percent between equal runs.
-Instructions differ by less than one percent, but say nothing of caches, of waiting for memory or of the kernel's work.
+Processor time depends on the load of the machine: on a busy one it varies by tens of percent between equal runs.
+Instruction counts vary by less than one percent, but leave out cache misses, memory stalls and work in the kernel.
 """
 
 import ctypes
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Usage:
-    """What a process has used up to a time, or between two times. ``instructions`` is ``None`` if not counted."""
+    """Resources used up to a time, or between two times. ``instructions`` is ``None`` where they are not counted."""
 
     cpu_seconds: float
     instructions: int | None
@@ -38,31 +38,31 @@
 
 
 class ProcessUsage:
-    """The account of a running process that was started just now, with the threads and processes that it starts."""
+    """Measures a process that was just started, with the threads and processes that it starts."""
 
     def __init__(self, pid: int) -> None:
-        """Begin to count; what the process has executed before is not in the count of instructions."""
+        """Starts counting; instructions executed before are not included."""
         self.pid = pid
-        self.counter: int | None = None  # a file descriptor
+        self.counter: int | None = None  # file descriptor
         with suppress(OSError):
-            self.counter = opened_counter(pid)
+            self.counter = open_instruction_counter(pid)
 
     def read(self) -> Usage:
-        """What the process has used so far."""
-        cpu_seconds = time.clock_gettime(~self.pid << 3 | 2)  # the clock of another process has this number
+        """Returns the usage of the process so far."""
+        cpu_seconds = time.clock_gettime(~self.pid << 3 | 2)  # the CPU clock id of another process on Linux
         if self.counter is None:
             return Usage(cpu_seconds, None)
         return Usage(cpu_seconds, struct.unpack("Q", os.read(self.counter, 8))[0])
 
     def close(self) -> None:
-        """Stop to count."""
+        """Stops counting."""
         if self.counter is not None:
             os.close(self.counter)
             self.counter = None
 
 
-def opened_counter(pid: int) -> int:
-    """A file descriptor from which a process's instructions are read. Raises ``OSError`` where none can be had."""
+def open_instruction_counter(pid: int) -> int:
+    """Opens a file descriptor that reads a process's instruction count. Raises ``OSError`` if unavailable."""
     attribute = bytearray(ATTRIBUTE_SIZE)
     struct.pack_into("IIQ", attribute, 0, TYPE_HARDWARE, ATTRIBUTE_SIZE, COUNT_INSTRUCTIONS)
     struct.pack_into("Q", attribute, FLAGS_OFFSET, INHERIT | EXCLUDE_KERNEL | EXCLUDE_HYPERVISOR)
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -1,4 +1,4 @@
-"""The floor of ``proxy.py``: a relay on trio and httptools that decides nothing, one connection for one.
+"""The baseline of ``proxy.py``: a relay on trio and httptools without routing, with one server connection per client.
 
 python benchmarks/relay.py PORT TARGET_PORT
 """
@@ -11,8 +11,8 @@
 import trio
 
 
-class Whole:
-    """Tells when a message is whole."""
+class MessageEnd:
+    """Records the end of an HTTP message."""
 
     def __init__(self) -> None:
         self.done = False
@@ -21,17 +21,17 @@
         self.done = True
 
 
-async def carry(source: trio.SocketStream, target: trio.SocketStream, parser: type) -> bool:
-    """Reads one message from here and writes it there; False at the end."""
-    whole, pieces = Whole(), []
-    reader = parser(whole)
-    while not whole.done:
+async def relay_message(source: trio.SocketStream, target: trio.SocketStream, parser: type) -> bool:
+    """Relays one message; returns False at the end of the source."""
+    end, chunks = MessageEnd(), []
+    reader = parser(end)
+    while not end.done:
         data = await source.receive_some(65536)
         if not data:
             return False
         reader.feed_data(data)
-        pieces.append(data)
-    await target.send_all(b"".join(pieces))
+        chunks.append(data)
+    await target.send_all(b"".join(chunks))
     return True
 
 
@@ -40,8 +40,8 @@
         client.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         with suppress(trio.BrokenResourceError):
             async with client, await trio.open_tcp_stream("127.0.0.1", target) as server:
-                while await carry(client, server, httptools.HttpRequestParser):
-                    await carry(server, client, httptools.HttpResponseParser)
+                while await relay_message(client, server, httptools.HttpRequestParser):
+                    await relay_message(server, client, httptools.HttpResponseParser)
 
     await trio.serve_tcp(serve, port, host="127.0.0.1")
 
--- a/benchmarks/restart.py
+++ b/benchmarks/restart.py
@@ -1,10 +1,10 @@
-"""How soon the control plane serves again after all its processes were killed: three real processes on loopback.
+"""Recovery time of the control plane after all its processes were killed: three real processes on loopback.
 
     python benchmarks/restart.py --routes 3 3000 --rounds 8
 
-Started as the deploy file says, with what its build put into ``target/deps``. Each line tells medians, in seconds from
-the start of all: until the first says ``event=started``, until one says ``event=primary``, and until a reading
-of the configuration is answered; and the processor time of one process until then.
+The processes are started as in the deploy file, with the dependencies that its build installed in ``target/deps``. Each
+row has medians, in seconds from the start of all processes: until the first logs ``event=started``, until one logs
+``event=primary``, and until a read of the configuration is answered; and the processor time of one process until then.
 """
 
 import argparse
@@ -29,11 +29,11 @@
 
 ROOT = Path(__file__).parents[1]
 MACHINES = 3
-CONTROL, INTERNAL = 8500, (7400, 7401)  # ports
-LOOK = 0.005  # seconds between looks
-WITHIN = 30.0  # seconds for anything that is waited for
-SETTLES = 4.0  # seconds until the primary is settled
-SAID = re.compile(r"event=(started|primary) ")
+CONTROL_PORT, INTERNAL_PORTS = 8500, (7400, 7401)
+POLL_SECONDS = 0.005
+TIMEOUT_SECONDS = 30.0  # of each wait
+SETTLE_SECONDS = 4.0  # until the primary is stable
+EVENT_PATTERN = re.compile(r"event=(started|primary) ")
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,7 +47,7 @@
 
 
 def configuration(routes: int) -> dict:
-    """A configuration with so many routes."""
+    """Returns a configuration with the given number of routes."""
     route = {
         "hostname": "shop.example",
         "routeType": "streaming",
@@ -65,20 +65,20 @@
 
 
 class Core:
-    """Three control plane processes at addresses of their own."""
+    """Three control plane processes, each at its own loopback address."""
 
     def __init__(self, folder: Path, python: str) -> None:
         self.folder, self.python = folder, python
-        self.net = f"127.{random.randrange(16, 250)}.{random.randrange(1, 250)}."
-        self.ips = [f"{self.net}{n}" for n in range(1, MACHINES + 1)]
+        self.network_prefix = f"127.{random.randrange(16, 250)}.{random.randrange(1, 250)}."
+        self.ips = [f"{self.network_prefix}{n}" for n in range(1, MACHINES + 1)]
         self.processes: list[subprocess.Popen] = []
         self.logs: list[Path] = []
 
-    def start(self, bootstrap: bool, life: int) -> None:
-        """All at once."""
+    def start(self, bootstrap: bool, generation: int) -> None:
+        """Starts all processes at once."""
         self.logs = []
         for ip in self.ips:
-            settings, log = self.folder / f"{ip}.json", self.folder / f"{ip}.{life}.log"
+            settings, log = self.folder / f"{ip}.json", self.folder / f"{ip}.{generation}.log"
             settings.write_bytes(orjson.dumps(self._settings(ip, bootstrap)))
             self.logs.append(log)
             environment = {"PATH": os.environ["PATH"], "HOME": os.environ["HOME"]}
@@ -92,20 +92,20 @@
             "machineClass": "core",
             "ip": ip,
             "zone": "z",
-            "listenAddresses": {"controlPlane": f"{ip}:{CONTROL}"},
-            "internalPorts": INTERNAL,
-            "seedNodes": [f"{seed}:{CONTROL}" for seed in self.ips],
+            "listenAddresses": {"controlPlane": f"{ip}:{CONTROL_PORT}"},
+            "internalPorts": INTERNAL_PORTS,
+            "seedNodes": [f"{seed}:{CONTROL_PORT}" for seed in self.ips],
             "bootstrap": bootstrap,
             "dataDir": str(self.folder / f"data-{ip}"),
             "faultTolerance": {"machines": 1},
         }
 
-    def said(self) -> set[str]:
-        """Which of the events any process has logged."""
-        return {event for log in self.logs for event in SAID.findall(log.read_text())}
+    def logged_events(self) -> set[str]:
+        """Returns the events that any process has logged."""
+        return {event for log in self.logs for event in EVENT_PATTERN.findall(log.read_text())}
 
     def kill(self) -> float:
-        """End all at once; the processor seconds that one used."""
+        """Kills all processes at once; returns the mean processor seconds of one."""
         for process in self.processes:
             process.send_signal(signal.SIGKILL)
         before = resource.getrusage(resource.RUSAGE_CHILDREN)
@@ -117,10 +117,12 @@
         return used / MACHINES
 
     def call(self, method: str, body: bytes | None = None) -> int:
-        """Ask all machines in turn, once; the first 200, else the last status, 0 if none was reached."""
+        """Calls the machines in turn until one answers 200; else returns the last status, or 0 if none was reached."""
         status = 0
         for ip in self.ips:
-            request = urllib.request.Request(f"http://{ip}:{CONTROL}/config", body, {"If-Match": "0"}, method=method)
+            request = urllib.request.Request(
+                f"http://{ip}:{CONTROL_PORT}/config", body, {"If-Match": "0"}, method=method
+            )
             try:
                 with urllib.request.urlopen(request, timeout=1.0) as answer:
                     answer.read()
@@ -132,40 +134,40 @@
         return status
 
 
-def until(so, began: float) -> float:
-    """Seconds since then until it is so."""
-    while not so():
-        if time.monotonic() > began + WITHIN:
-            raise TimeoutError("it did not come to that in time")
-        time.sleep(LOOK)
-    return time.monotonic() - began
+def seconds_until(condition, start_time: float) -> float:
+    """Polls until the condition holds; returns the seconds since ``start_time``."""
+    while not condition():
+        if time.monotonic() > start_time + TIMEOUT_SECONDS:
+            raise TimeoutError("the awaited condition did not hold in time")
+        time.sleep(POLL_SECONDS)
+    return time.monotonic() - start_time
 
 
-def restarts(routes: int, rounds: int, python: str) -> list[Restart]:
-    """So many restarts of a core that holds a configuration."""
+def measure_restarts(routes: int, rounds: int, python: str) -> list[Restart]:
+    """Restarts a core that holds a configuration, ``rounds`` times."""
     folder = Path(tempfile.mkdtemp())
-    core, found = Core(folder, python), []
+    core, results = Core(folder, python), []
     try:
         core.start(True, 0)
         body = orjson.dumps(configuration(routes))
-        until(lambda: core.call("PUT", body) == 200, time.monotonic())
-        for life in range(1, rounds + 1):
-            time.sleep(SETTLES)
+        seconds_until(lambda: core.call("PUT", body) == 200, time.monotonic())
+        for generation in range(1, rounds + 1):
+            time.sleep(SETTLE_SECONDS)
             core.kill()
-            began = time.monotonic()
-            core.start(False, life)
-            started = until(lambda: "started" in core.said(), began)
-            primary = until(lambda: "primary" in core.said(), began)
-            read = until(lambda: core.call("GET") == 200, began)
-            found.append(Restart(started, primary, read, _cpu(core)))
-        return found
+            start_time = time.monotonic()
+            core.start(False, generation)
+            started = seconds_until(lambda: "started" in core.logged_events(), start_time)
+            primary = seconds_until(lambda: "primary" in core.logged_events(), start_time)
+            read = seconds_until(lambda: core.call("GET") == 200, start_time)
+            results.append(Restart(started, primary, read, _mean_cpu_seconds(core)))
+        return results
     finally:
         core.kill()
         shutil.rmtree(folder)
 
 
-def _cpu(core: Core) -> float:
-    """Processor seconds of one of the processes so far, as the kernel tells them."""
+def _mean_cpu_seconds(core: Core) -> float:
+    """Returns the mean processor seconds of a process so far, from /proc."""
     ticks = os.sysconf("SC_CLK_TCK")
     used = [
         Path(f"/proc/{process.pid}/stat").read_text().rsplit(")", 1)[1].split()[11:13] for process in core.processes
@@ -174,22 +176,23 @@
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Measure and print; the exit code."""
+    """Measures, prints the table and returns the exit status."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--routes", type=int, nargs="+", default=[3, 3000])
     parser.add_argument("--rounds", type=int, default=8)
     parser.add_argument("--python", default="python3")
-    given = parser.parse_args(arguments)
+    options = parser.parse_args(arguments)
     print("| routes | started | primary | first reading, median and worst | processor time of one |")
     print("| --- | --- | --- | --- | --- |")
-    for routes in given.routes:
-        found = restarts(routes, given.rounds, given.python)
-        middle = [
-            statistics.median(getattr(one, name) for one in found) for name in ("started", "primary", "read", "cpu")
+    for routes in options.routes:
+        results = measure_restarts(routes, options.rounds, options.python)
+        medians = [
+            statistics.median(getattr(result, name) for result in results)
+            for name in ("started", "primary", "read", "cpu")
         ]
-        worst = max(one.read for one in found)
+        worst = max(result.read for result in results)
         print(
-            f"| {routes} | {middle[0]:.2f} | {middle[1]:.2f} | {middle[2]:.2f}, {worst:.2f} | {middle[3]:.2f} |",
+            f"| {routes} | {medians[0]:.2f} | {medians[1]:.2f} | {medians[2]:.2f}, {worst:.2f} | {medians[3]:.2f} |",
             flush=True,
         )
     return 0
--- a/tests/benchmarks/test_benchmarks.py
+++ b/tests/benchmarks/test_benchmarks.py
@@ -1,4 +1,4 @@
-"""The benchmarks run and tell what they measured; no verdict on times here."""
+"""The benchmarks run and report what they measured; no test asserts a time of the machine."""
 
 import importlib.util
 import io
@@ -22,22 +22,22 @@
 SHORT = ["--rounds", "1", "--requests", "256", "--connections", "64", "--json"]
 
 
-def loaded(name: str = "proxy"):
+def load_module(name: str = "proxy"):
     spec = importlib.util.spec_from_file_location(f"{name}_benchmark", PROXY.with_name(f"{name}.py"))
     module = importlib.util.module_from_spec(spec)
     sys.modules[spec.name] = module
-    with mock.patch.object(sys, "path", [str(PROXY.parent), *sys.path]):  # as it is where the file is run
+    with mock.patch.object(sys, "path", [str(PROXY.parent), *sys.path]):  # as when the file is run as a script
         spec.loader.exec_module(module)
     return module
 
 
 def silent(port: int, rows: list[dict]) -> None:
-    """Discovery that takes calls and answers none."""
+    """A discovery server that accepts connections and never answers."""
     trio.run(trio.serve_tcp, lambda stream: trio.sleep_forever(), port)
 
 
 class Proxy(unittest.TestCase):
-    def test_a_short_run_tells_figures(self) -> None:
+    def test_a_short_run_reports_figures(self) -> None:
         done = subprocess.run([sys.executable, PROXY, *SHORT], capture_output=True, text=True, timeout=60)
         self.assertEqual((done.returncode, done.stderr), (0, ""))
         result = json.loads(done.stdout)
@@ -46,37 +46,39 @@
         self.assertTrue(all(value > 0 for value in result["64"].values()), result)
 
     def test_a_run_that_measures_nothing_fails(self) -> None:
-        proxy = loaded()
-        said, told = io.StringIO(), io.StringIO()
+        proxy = load_module()
+        stderr, stdout = io.StringIO(), io.StringIO()
         with (
-            mock.patch.object(proxy, "discovery", silent),
-            redirect_stderr(said),
-            redirect_stdout(told),
+            mock.patch.object(proxy, "serve_discovery", silent),
+            redirect_stderr(stderr),
+            redirect_stdout(stdout),
             self.assertRaises(SystemExit) as end,
         ):
             proxy.main(SHORT)
-        self.assertEqual((end.exception.code, told.getvalue()), (1, ""))
+        self.assertEqual((end.exception.code, stdout.getvalue()), (1, ""))
         self.assertEqual(
-            said.getvalue(),
+            stderr.getvalue(),
             "benchmarks/proxy.py: this tree: only 0 of 256 served at 64 connections; nothing is measured\n",
         )
 
-    def test_options_that_can_not_be_used(self) -> None:
+    def test_invalid_options_are_refused(self) -> None:
         for options in (["--requests", "255"], ["--rounds", "0"], ["--connections", "0"], ["--rounds", "x"]):
             with self.subTest(options), redirect_stderr(io.StringIO()), self.assertRaises(SystemExit) as end:
-                loaded().main(options)
+                load_module().main(options)
             self.assertEqual(end.exception.code, 2)
 
 
 class Changes(unittest.TestCase):
     def test_a_short_run_keeps_up_and_costs_what_it_changes(self) -> None:
-        changes = loaded("changes")
-        measured = changes.measure(40, 200, 300, whole=False)
-        self.assertEqual((measured.acknowledged + measured.unclear, measured.behind), (40, []))
-        self.assertEqual(set(measured.until_full), set(changes.TROUBLES))
-        self.assertLess(max(measured.until_full.values()), 3.0)
-        self.assertLess(measured.bytes_sent["StoreDelta"], 0.1 * measured.acknowledged * measured.state_bytes)
-        self.assertGreater(measured.bytes_sent["StoreDelta"], 0)
+        changes = load_module("changes")
+        measurements = changes.measure(40, 200, 300, whole=False)
+        self.assertEqual((measurements.acknowledged + measurements.unclear, measurements.behind), (40, []))
+        self.assertEqual(set(measurements.until_full), set(changes.FAULTS))
+        self.assertLess(max(measurements.until_full.values()), 3.0)
+        self.assertLess(
+            measurements.bytes_sent["StoreDelta"], 0.1 * measurements.acknowledged * measurements.state_bytes
+        )
+        self.assertGreater(measurements.bytes_sent["StoreDelta"], 0)
 
 
 class MixedVersions(unittest.TestCase):
@@ -102,7 +104,7 @@
         self.assertIn("benchmarks/mixed_versions.py: no-such-revision: ", done.stderr)
 
     def test_a_stream_with_a_missing_or_repeated_event_is_not_complete(self) -> None:
-        system = loaded("loopback_system")
+        system = load_module("loopback_system")
 
         def stream(*bounds: tuple[int, int], final: bool = True) -> Try:
             pieces = [Piece(0.0, "r", first, last, "of", "run", last == 8 and final) for first, last in bounds]
@@ -135,7 +137,7 @@
         exceeded = [f"benchmarks/cost.py: {name}: over 0.01 times the cost" for name in names[:6]]
         self.assertEqual((done.returncode, done.stderr.splitlines()), (1, exceeded))
 
-    def test_what_can_not_be_measured(self) -> None:
+    def test_unknown_revisions_and_invalid_options_are_refused(self) -> None:
         for options in (
             ("--revision", "no-such-revision"),
             ("--requests", "3"),
@@ -149,7 +151,7 @@
                 self.assertIn("cost.py: ", done.stderr)
 
     def test_a_ratio_is_the_median_over_the_rounds(self) -> None:
-        cost = loaded("cost")
+        cost = load_module("cost")
         by_time, by_instructions = cost.cost("request", "us", "thousand"), cost.cost("request", "us", "thousand")
         for first, other in ((100, 103), (200, 190), (50, 52)):
             for side, used in enumerate((first, other)):
@@ -161,4 +163,4 @@
         self.assertEqual((by_instructions.exceeds(1.02), by_instructions.exceeds(1.04)), (True, False))
 
     def test_each_side_goes_first_in_every_second_round(self) -> None:
-        self.assertEqual([loaded("cost").sides(number) for number in range(4)], [(0, 1), (1, 0)] * 2)
+        self.assertEqual([load_module("cost").sides(number) for number in range(4)], [(0, 1), (1, 0)] * 2)
