--- a/benchmarks/loopback_system.py
+++ b/benchmarks/loopback_system.py
@@ -1,7 +1,7 @@
-"""Real processes of given source trees on loopback, between emulated model servers and an emulated platform list.
+"""Real processes of given source trees on loopback, with emulated model servers and an emulated platform list.
 
-The processes are started as the deploy file says, ``python rowanshift.py ROLE --boot FILE`` at the root of their tree,
-and known by their settings, HTTP calls, logs and exit codes alone: nothing is imported from the trees. The model
+The processes are started as in the deploy file, ``python rowanshift.py ROLE --boot FILE`` at the root of their tree.
+The only interfaces to them are settings, HTTP calls, logs and exit codes: nothing is imported from the trees. The model
 servers, the platform list, the operator and the clients are those of this checkout and run in this process.
 """
 
@@ -31,38 +31,38 @@
 from rowanshift.emulation.system_clients import Operator, Patron, Try, Work
 
 ROOT = Path(__file__).resolve().parents[1]
-WORKING_TREE = "."  # in place of a revision: the files of this checkout as they are
-DEPENDENCIES = Path("target") / "deps"  # within a tree
+WORKING_TREE = "."  # stands for the current files of this checkout
+DEPENDENCIES = Path("target") / "deps"  # relative to a tree
 CONTROL_PORT, INTERNAL_PORTS, FRONTEND_PORT, READINESS_PORT = 8500, (7400, 7401), 8080, 8081
 SERVER_PORT, PLATFORM_PORT = 8082, 8083
-FIRST_CORE, FIRST_ROUTER, FIRST_SERVER, PLATFORM = 1, 11, 21, 31  # last numbers of the addresses
+FIRST_CORE, FIRST_ROUTER, FIRST_SERVER, PLATFORM = 1, 11, 21, 31  # last octets of the addresses
 LIST_CALLS_PER_SECOND, LIST_LAG_MS = 4.0, 100.0
 GRACE_SECONDS = 3
 POLL_SECONDS = 0.01
-START_TIMEOUT_SECONDS = 60.0  # of a system, until each router is ready: its processes compile what they import
+START_TIMEOUT_SECONDS = 60.0  # until each router is ready; includes compiling the imported modules
 READINESS_TIMEOUT_SECONDS = 1.0
-KEPT_EVENTS = 1000  # of what the emulation records
+MAX_RECORDED_EVENTS = 1000  # recorded by the emulation
 MODEL, HOSTNAME, PATH_PREFIX, API_KEY = "bench-model", "bench.example", "/chat/", "bench-key"
 PROMPT = (("a1", 40), ("b2", 10))  # prefix blocks and their tokens
 REQUEST_TIMEOUT_SECONDS = 20.0
 
 
 class RevisionError(Exception):
-    """A revision that can't be checked out; the text says why."""
+    """A revision cannot be checked out; the message is that of git."""
 
 
 @dataclass(frozen=True, slots=True)
 class SourceTree:
-    """The files of one revision. ``name`` is the revision as it was given."""
+    """The files of one revision. ``name`` is the revision as given by the user."""
 
     name: str
     path: Path
 
 
-def checked_out(revision: str, folder: Path) -> SourceTree:
-    """The files of a git revision in a new folder, with this checkout's dependencies.
+def check_out(revision: str, folder: Path) -> SourceTree:
+    """Extracts a git revision into a new directory and links this checkout's dependencies.
 
-    ``WORKING_TREE`` is used where it is. Raises ``RevisionError``.
+    ``WORKING_TREE`` is used in place. Raises ``RevisionError``.
     """
     if revision == WORKING_TREE:
         return SourceTree(revision, ROOT)
@@ -78,13 +78,13 @@
     return SourceTree(revision, path)
 
 
-def unused_network() -> str:
-    """The first three numbers of loopback addresses, with their dots, that hardly any other run uses."""
+def random_network_prefix() -> str:
+    """Returns a random loopback prefix of three octets, unlikely to be used by another run."""
     return f"127.{random.randrange(16, 250)}.{random.randrange(1, 250)}."
 
 
 def configuration(revision: int, path_prefixes: Sequence[str] = (PATH_PREFIX,)) -> dict[str, Any]:
-    """A configuration with one streamed route a prefix."""
+    """Returns a configuration with one streaming route per prefix."""
     return {
         "revision": revision,
         "routes": [route(prefix) for prefix in path_prefixes],
@@ -102,7 +102,7 @@
 
 
 def route(path_prefix: str) -> dict[str, Any]:
-    """A streamed route of the configuration."""
+    """Returns a streaming route of the configuration."""
     return {
         "name": path_prefix.strip("/"),
         "hostname": HOSTNAME,
@@ -120,13 +120,13 @@
 
 
 def streamed_request(tokens_out: int, path_prefix: str = PATH_PREFIX) -> Work:
-    """What a client asks for: so many tokens, as a stream of events."""
+    """Returns a client request for a number of tokens, as a stream of events."""
     target = f"{path_prefix}completions"
     return Work(HOSTNAME, target, MODEL, PROMPT, out=tokens_out, key=API_KEY, within=REQUEST_TIMEOUT_SECONDS)
 
 
 def is_complete(attempt: Try, tokens_out: int) -> bool:
-    """Whether the answer was 200 with each token's event once, in order, up to the final one."""
+    """Returns whether the answer was 200 and its events cover each token once, in order, up to the final one."""
     if attempt.status != 200 or not attempt.done() or not attempt.pieces:
         return False
     ends = [0, *(piece.last for piece in attempt.pieces)]
@@ -136,15 +136,15 @@
 
 @dataclass(slots=True)
 class RequestCounts:
-    """What became of the requests through one router."""
+    """Outcomes of the requests through one router."""
 
     sent: int = 0
     answered_200: int = 0
-    complete: int = 0  # streams with each event
-    others: dict[str, int] = field(default_factory=dict)  # answers other than complete ones, as text
+    complete: int = 0  # complete streams
+    others: dict[str, int] = field(default_factory=dict)  # outcomes of all other requests
 
     def add(self, attempt: Try, tokens_out: int) -> None:
-        """Count a request that has ended."""
+        """Counts a finished request."""
         self.sent += 1
         self.answered_200 += attempt.status == 200
         if is_complete(attempt, tokens_out):
@@ -155,7 +155,7 @@
 
 
 class Machine:
-    """A machine of the system: its settings file, and the process that is started with it."""
+    """A machine of the system: its settings file and its process."""
 
     def __init__(self, tree: SourceTree, role: str, ip: str, folder: Path, settings: dict[str, Any]) -> None:
         self.tree, self.role, self.ip = tree, role, ip
@@ -165,11 +165,11 @@
         self.usage: ProcessUsage | None = None
 
     def environment(self) -> dict[str, str]:
-        """The environment of its processes, which keep what they compile, as they do where they are deployed."""
+        """Returns the environment of the process. As in a deployment, Python may write compiled modules."""
         return {name: os.environ[name] for name in ("PATH", "HOME", "LANG") if name in os.environ}
 
     def start(self) -> None:
-        """Start the process."""
+        """Starts the process."""
         command = [sys.executable, "rowanshift.py", self.role, "--boot", str(self.settings_file)]
         with self.log_file.open("ab") as log:
             self.process = subprocess.Popen(command, cwd=self.tree.path, env=self.environment(), stdout=log, stderr=log)
@@ -177,34 +177,34 @@
 
     @property
     def running(self) -> bool:
-        """Whether the process was started and has not ended."""
+        """Whether the process was started and has not exited."""
         return self.process is not None and self.process.poll() is None
 
     def terminate(self) -> None:
-        """Send SIGTERM."""
+        """Sends SIGTERM."""
         if self.running:
             self.process.send_signal(signal.SIGTERM)
 
     async def exit_code(self) -> int:
-        """Wait for the end of the process; its exit code."""
+        """Waits until the process exits and returns its exit code."""
         while self.running:
             await trio.sleep(POLL_SECONDS)
         return self.process.returncode
 
     def kill(self) -> None:
-        """End the process at once, if it runs."""
+        """Kills the process if it runs."""
         if self.process is not None:
             self.process.kill()
             self.process.wait()
             self.usage.close()
 
     def log(self) -> str:
-        """What the process has logged."""
+        """Returns the log of the process."""
         return self.log_file.read_text(errors="replace") if self.log_file.exists() else ""
 
 
 class LoopbackSystem:
-    """Core machines and routers of source trees, one machine for each tree given, and the emulation around them."""
+    """Core machines and routers, one for each given tree, with the emulated servers, platform and operator."""
 
     def __init__(
         self,
@@ -214,21 +214,23 @@
         servers: int = 3,
         traits: Traits | None = None,
     ) -> None:
-        self.folder, self.net = folder, unused_network()
+        self.folder, self.network_prefix = folder, random_network_prefix()
         folder.mkdir(parents=True)
         self.host = EmulationHost()
-        self.events: deque[Any] = deque(maxlen=KEPT_EVENTS)
+        self.events: deque[Any] = deque(maxlen=MAX_RECORDED_EVENTS)
         self.random_source = random.Random()
-        self.core_ips = [f"{self.net}{FIRST_CORE + n}" for n in range(len(core_trees))]
+        self.core_ips = [f"{self.network_prefix}{FIRST_CORE + n}" for n in range(len(core_trees))]
         self._add_emulation(servers, traits)
         self.core = [self._core_machine(tree, ip) for tree, ip in zip(core_trees, self.core_ips, strict=True)]
-        self.routers = [self._router(tree, f"{self.net}{FIRST_ROUTER + n}") for n, tree in enumerate(router_trees)]
+        self.routers = [
+            self._router(tree, f"{self.network_prefix}{FIRST_ROUTER + n}") for n, tree in enumerate(router_trees)
+        ]
 
     def _add_emulation(self, servers: int, traits: Traits | None) -> None:
         common, registry = (trio.current_time, self.events), Registry()
-        platform_address = (f"{self.net}{PLATFORM}", PLATFORM_PORT)
+        platform_address = (f"{self.network_prefix}{PLATFORM}", PLATFORM_PORT)
         self.platform = PlatformList(self.host, platform_address, LIST_CALLS_PER_SECOND, LIST_LAG_MS, *common)
-        addresses = [(f"{self.net}{FIRST_SERVER + n}", SERVER_PORT) for n in range(servers)]
+        addresses = [(f"{self.network_prefix}{FIRST_SERVER + n}", SERVER_PORT) for n in range(servers)]
         self.servers = [
             ModelServer(self.host, address, f"server-{n}", "llm", *common, registry, {MODEL: 1}, traits)
             for n, address in enumerate(addresses)
@@ -260,14 +262,14 @@
             "faultTolerance": {"machines": (len(self.core_ips) - 1) // 2},
             "bounds": {"graceS": GRACE_SECONDS},
             "cloudApi": {
-                "address": f"{self.net}{PLATFORM}:{PLATFORM_PORT}",
+                "address": f"{self.network_prefix}{PLATFORM}:{PLATFORM_PORT}",
                 "ratePerS": LIST_CALLS_PER_SECOND,
                 "maxLagMs": LIST_LAG_MS,
             },
         }
 
     async def serve_emulation(self) -> None:
-        """Serve the model servers and the platform's list until cancelled."""
+        """Runs the model servers and the platform's list until cancelled."""
         async with trio.open_nursery() as nursery:
             for emulated in (self.platform, *self.servers):
                 nursery.start_soon(emulated.run)
@@ -275,36 +277,36 @@
                 self.platform.add(server)
 
     def close(self) -> None:
-        """End all processes at once, and close what the emulation has open."""
+        """Kills all processes and closes the sockets of the emulation."""
         for machine in (*self.core, *self.routers):
             machine.kill()
         self.host.close()
 
     async def start_serving(self, config: dict[str, Any]) -> None:
-        """Start all processes, put a first configuration in force and wait until each router is ready."""
+        """Starts all processes, puts a first configuration and waits until each router is ready."""
         for machine in (*self.core, *self.routers):
             machine.start()
         status = await self.operator.put_config(config, 0, within=START_TIMEOUT_SECONDS)
         if status != 200:
-            raise RuntimeError(f"the first configuration was answered {status}")
+            raise RuntimeError(f"put of the first configuration returned status {status}, expected 200")
         for router in self.routers:
-            await self.until_ready(router)
+            await self.wait_until_ready(router)
 
-    async def until_ready(self, router: Machine) -> None:
-        """Wait until a router says that it is ready."""
+    async def wait_until_ready(self, router: Machine) -> None:
+        """Waits until a router reports that it is ready."""
         while not await trio.to_thread.run_sync(answers_200, f"http://{router.ip}:{READINESS_PORT}/readiness"):
             await trio.sleep(POLL_SECONDS)
 
     async def statuses(self) -> dict[str, dict[str, Any]]:
-        """The ``/status`` of each core machine that answers, by its address."""
+        """Returns the ``/status`` of each core machine that answers, by address."""
         found = {}
         for machine in self.core:
-            if machine.running and (body := await trio.to_thread.run_sync(fetched_status, machine.ip)) is not None:
+            if machine.running and (body := await trio.to_thread.run_sync(fetch_status, machine.ip)) is not None:
                 found[machine.ip] = body
         return found
 
     async def primary(self) -> Machine:
-        """The core machine that is the primary, once there is one."""
+        """Waits for a primary and returns its machine."""
         while True:
             for ip, status in (await self.statuses()).items():
                 if status["primary"]:
@@ -312,21 +314,21 @@
             await trio.sleep(POLL_SECONDS)
 
     def client(self, name: str, router: Machine) -> Patron:
-        """A client that calls one router, on a connection that it keeps."""
+        """Returns a client of one router with a persistent connection."""
         fronts = [(router.ip, FRONTEND_PORT)]
         return Patron(self.host, name, trio.current_time, self.events, fronts, self.random_source, keeps=True)
 
 
 async def send_requests(client: Patron, work: Work, count: int, counts: RequestCounts) -> None:
-    """Send so many requests, one after the other, and count what became of them."""
+    """Sends ``count`` requests one after another and counts their outcomes."""
     for _ in range(count):
         attempt = await client.ask(work)
         counts.add(attempt, work.out)
-        client.tries.clear()  # a long run would keep each event of each stream
+        client.tries.clear()  # bounds the memory of a long run
 
 
 def answers_200(url: str) -> bool:
-    """Whether a GET is answered 200 soon."""
+    """Returns whether a GET is answered 200 within the time-out."""
     try:
         with urllib.request.urlopen(url, timeout=READINESS_TIMEOUT_SECONDS) as answer:
             return answer.status == 200
@@ -334,8 +336,8 @@
         return False
 
 
-def fetched_status(ip: str) -> dict[str, Any] | None:
-    """What a core machine says of itself; ``None`` if it does not answer."""
+def fetch_status(ip: str) -> dict[str, Any] | None:
+    """Returns the status of a core machine, or ``None`` if it does not answer."""
     try:
         with urllib.request.urlopen(f"http://{ip}:{CONTROL_PORT}/status", timeout=READINESS_TIMEOUT_SECONDS) as answer:
             return orjson.loads(answer.read())
--- a/benchmarks/mixed_versions.py
+++ b/benchmarks/mixed_versions.py
@@ -1,4 +1,4 @@
-"""Whether processes of two revisions work together: real routers and core machines on loopback, in each combination.
+"""Compatibility of two revisions: real routers and core machines on loopback, in each combination.
 
     python benchmarks/mixed_versions.py --revision 34514ad                    # and this checkout's files
     python benchmarks/mixed_versions.py --revision 34514ad --other 34514ad    # a revision with itself
@@ -28,7 +28,7 @@
     RequestCounts,
     RevisionError,
     SourceTree,
-    checked_out,
+    check_out,
     configuration,
     route,
     send_requests,
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Combination:
-    """Which tree each core machine and each router is of."""
+    """The tree of each core machine and each router."""
 
     name: str
     core: tuple[SourceTree, ...]
@@ -76,27 +76,31 @@
     failures: list[str] = field(default_factory=list)
 
 
-def combinations(one: SourceTree, two: SourceTree) -> dict[str, Combination]:
-    """All combinations of two trees, by their names on the command line."""
+def combinations(first: SourceTree, second: SourceTree) -> dict[str, Combination]:
+    """Returns all combinations of two trees, by their command-line names."""
     return {
-        "old-routers": Combination(f"routers {one.name}, core {two.name}", (two,) * 3, (one,) * 2),
-        "old-core": Combination(f"routers {two.name}, core {one.name}", (one,) * 3, (two,) * 2),
-        "mostly-old": Combination(f"core 2 of {one.name}, 1 of {two.name}", (one, two, one), (one, two)),
-        "mostly-new": Combination(f"core 1 of {one.name}, 2 of {two.name}", (two, one, two), (one, two)),
+        "old-routers": Combination(f"routers {first.name}, core {second.name}", (second,) * 3, (first,) * 2),
+        "old-core": Combination(f"routers {second.name}, core {first.name}", (first,) * 3, (second,) * 2),
+        "mostly-old": Combination(
+            f"core 2 of {first.name}, 1 of {second.name}", (first, second, first), (first, second)
+        ),
+        "mostly-new": Combination(
+            f"core 1 of {first.name}, 2 of {second.name}", (second, first, second), (first, second)
+        ),
     }
 
 
-class Play:
-    """One combination, played step by step."""
+class CombinationRun:
+    """Runs the steps of one combination."""
 
     def __init__(self, combination: Combination, folder: Path, requests: int) -> None:
         self.system = LoopbackSystem(folder, combination.core, combination.routers)
         self.result = CombinationResult(combination, [RouterResult(router) for router in self.system.routers])
-        self.requests = requests  # at each router, at least
-        self.load_may_end = trio.Event()
+        self.requests = requests  # minimum at each router
+        self.changes_done = trio.Event()
 
     async def run(self) -> CombinationResult:
-        """Play all steps; what was measured."""
+        """Runs all steps and returns the measurements."""
         try:
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self.system.serve_emulation)
@@ -104,26 +108,26 @@
                 nursery.cancel_scope.cancel()
         finally:
             self.system.close()
-        self._judge()
+        self._check_result()
         return self.result
 
     async def _run_steps(self) -> None:
-        """Start the system, change it under load and end it."""
-        if not await self.in_time(self.start, START_TIMEOUT_SECONDS):
+        """Starts the system, changes it under load and stops it."""
+        if not await self.run_step(self.start, START_TIMEOUT_SECONDS):
             return
         async with trio.open_nursery() as nursery:
             for result in self.result.routers:
                 for number in range(CLIENTS_PER_ROUTER):
                     nursery.start_soon(self.keep_sending, result, f"client-{result.router.ip}-{number}")
             for step in (self.patch, self.name_version, self.end_primary, self.put_later):
-                if not await self.in_time(step):
+                if not await self.run_step(step):
                     break
-            self.load_may_end.set()
-        await self.in_time(self.end_routers)
-        await self.in_time(self.end_core)
+            self.changes_done.set()
+        await self.run_step(self.end_routers)
+        await self.run_step(self.end_core)
 
-    async def in_time(self, step: Callable[[], Awaitable[None]], seconds: float = STEP_TIMEOUT_SECONDS) -> bool:
-        """Run a step for so many seconds at most, and note what went wrong as a failure; whether it went well."""
+    async def run_step(self, step: Callable[[], Awaitable[None]], seconds: float = STEP_TIMEOUT_SECONDS) -> bool:
+        """Runs a step with a time limit and records an error as a failure; returns whether it succeeded."""
         try:
             with trio.fail_after(seconds):
                 await step()
@@ -133,20 +137,20 @@
         return True
 
     async def start(self) -> None:
-        """Start the processes and wait until each router serves."""
+        """Starts the processes and waits until each router is ready and the core redundant."""
         await self.system.start_serving(configuration(1))
-        await self.until_redundant(len(self.system.core))
+        await self.wait_until_redundant(len(self.system.core))
 
     async def keep_sending(self, result: RouterResult, name: str) -> None:
-        """Send requests through a router until all changes were made and enough were sent."""
+        """Sends requests through a router until all changes are made and the minimum is sent."""
         client, work = self.system.client(name, result.router), streamed_request(TOKENS_OUT)
-        while not self.load_may_end.is_set() or result.requests.sent < self.requests:
+        while not self.changes_done.is_set() or result.requests.sent < self.requests:
             await send_requests(client, work, 1, result.requests)
             await trio.sleep(CLIENT_PAUSE_SECONDS)
         client.close()
 
     async def patch(self) -> None:
-        """Add a route by a patch, and measure when each router serves it."""
+        """Adds a route by a patch and measures when each router serves it."""
         patch = {"revision": 2, "upsert": {"routes": [route(PATCHED_PREFIX)]}}
         patched = configuration(2, (PATH_PREFIX, PATCHED_PREFIX))
         self._expect_200(
@@ -159,7 +163,7 @@
         await self._at_each_router(measure)
 
     async def name_version(self) -> None:
-        """Name a version, and measure when each router answers from it and when all servers have loaded it."""
+        """Sets a model version and measures when each router answers from it and all servers have loaded it."""
         self._expect_200(
             "the version", await self.system.operator.name_version(MODEL, NEW_VERSION, STEP_TIMEOUT_SECONDS)
         )
@@ -174,14 +178,14 @@
         self.result.loaded_seconds = trio.current_time() - acknowledged_at
 
     async def end_primary(self) -> None:
-        """End the primary by SIGTERM: another core machine, maybe of the other revision, takes over."""
+        """Stops the primary by SIGTERM; another core machine, possibly of the other revision, takes over."""
         primary = await self.system.primary()
         primary.terminate()
         self.result.exit_codes[primary.ip] = await primary.exit_code()
-        await self.until_redundant(len(self.system.core) - 1)
+        await self.wait_until_redundant(len(self.system.core) - 1)
 
     async def put_later(self) -> None:
-        """Put a whole configuration at the new primary, and measure when each router serves its new route."""
+        """Puts a full configuration at the new primary and measures when each router serves its new route."""
         later = configuration(3, (PATH_PREFIX, LATER_PREFIX))
         self._expect_200(
             "the later configuration", await self.system.operator.put_config(later, 2, STEP_TIMEOUT_SECONDS)
@@ -193,11 +197,11 @@
         await self._at_each_router(measure)
 
     async def end_routers(self) -> None:
-        """End the routers by SIGTERM."""
+        """Stops the routers by SIGTERM."""
         await self._end(self.system.routers)
 
     async def end_core(self) -> None:
-        """End what is left of the core by SIGTERM."""
+        """Stops the remaining core machines by SIGTERM."""
         await self._end(self.system.core)
 
     async def _end(self, machines: Sequence[Machine]) -> None:
@@ -207,35 +211,35 @@
         for machine in running:
             self.result.exit_codes[machine.ip] = await machine.exit_code()
 
-    async def until_redundant(self, machines: int) -> None:
-        """Wait until a primary has its copies and witnesses among so many machines, and all know of the same epoch."""
+    async def wait_until_redundant(self, machines: int) -> None:
+        """Waits until a primary has all copies and witnesses of ``machines`` machines and all report the same epoch."""
         copies = machines // 2 + 1
         while True:
             statuses = [*(await self.system.statuses()).values()]
-            views = {(one["epoch"], *one["inSync"], "|", *one["witnesses"]) for one in statuses}
-            redundancy = next((one["redundancy"] for one in statuses if one["primary"]), None)
+            views = {(status["epoch"], *status["inSync"], "|", *status["witnesses"]) for status in statuses}
+            redundancy = next((status["redundancy"] for status in statuses if status["primary"]), None)
             agreed = len(statuses) == machines and len(views) == 1
             if agreed and redundancy and redundancy["copies"] >= copies and redundancy["witnesses"] >= machines:
                 return
             await trio.sleep(PROBE_SECONDS)
 
     async def seconds_until_served(self, router: Machine, path_prefix: str) -> float:
-        """Seconds until a request to a new route is answered 200."""
-        began = trio.current_time()
+        """Returns the seconds until a request to a new route is answered 200."""
+        started = trio.current_time()
         client, work = self.system.client(f"probe-{router.ip}", router), streamed_request(1, path_prefix)
         while (await client.ask(work)).status != 200:
             await trio.sleep(PROBE_SECONDS)
         client.close()
-        return trio.current_time() - began
+        return trio.current_time() - started
 
     async def seconds_until_version(self, router: Machine) -> float:
-        """Seconds until an answer is of the version named."""
-        began = trio.current_time()
+        """Returns the seconds until an answer is from the new version."""
+        started = trio.current_time()
         client, work = self.system.client(f"versions-{router.ip}", router), streamed_request(1)
         while NEW_VERSION not in (await client.ask(work)).versions:
             await trio.sleep(PROBE_SECONDS)
         client.close()
-        return trio.current_time() - began
+        return trio.current_time() - started
 
     async def _at_each_router(self, measure: Callable[[RouterResult], Awaitable[None]]) -> None:
         async with trio.open_nursery() as nursery:
@@ -244,10 +248,10 @@
 
     def _expect_200(self, change: str, status: int) -> None:
         if status != 200:
-            raise RuntimeError(f"{change} was answered {status}")
+            raise RuntimeError(f"{change} was answered {status}, expected 200")
 
-    def _judge(self) -> None:
-        """Note what went wrong in a play that has ended."""
+    def _check_result(self) -> None:
+        """Records failures of a finished run: incomplete requests, exit codes and logged errors."""
         failures = self.result.failures
         for result in self.result.routers:
             if not result.requests.sent == result.requests.complete > 0:
@@ -260,13 +264,13 @@
                 failures.append(f"{machine.ip}: {len(errors)} errors logged, the first {errors[0]!r}")
 
 
-async def played(combination: Combination, folder: Path, requests: int) -> CombinationResult:
-    """Play one combination; what was measured."""
-    return await Play(combination, folder, requests).run()
+async def run_combination(combination: Combination, folder: Path, requests: int) -> CombinationResult:
+    """Runs one combination and returns its measurements."""
+    return await CombinationRun(combination, folder, requests).run()
 
 
-def printed(result: CombinationResult) -> None:
-    """Print the rows of one combination, and what failed."""
+def print_result(result: CombinationResult) -> None:
+    """Prints the rows and the failures of one combination."""
     codes = " ".join(str(code) for code in result.exit_codes.values())
     for row in result.routers:
         counts = row.requests
@@ -280,29 +284,35 @@
         print(f"{result.combination.name}: {failure}", file=sys.stderr, flush=True)
 
 
-def parsed(arguments: Sequence[str]) -> argparse.Namespace:
-    """The options of the command line."""
+def parse_arguments(arguments: Sequence[str]) -> argparse.Namespace:
+    """Parses the command line."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter, allow_abbrev=False
     )
-    parser.add_argument("--revision", default="HEAD", help="a git revision, %(default)s if not given")
-    parser.add_argument("--other", default=WORKING_TREE, help="another one; this checkout's files if not given")
-    parser.add_argument("--requests", type=int, default=100, help="through each router, at least; %(default)s")
+    parser.add_argument("--revision", default="HEAD", help="a git revision (default: %(default)s)")
+    parser.add_argument(
+        "--other", default=WORKING_TREE, help="the other revision (default: the files of this checkout)"
+    )
+    parser.add_argument(
+        "--requests", type=int, default=100, help="minimum number of requests per router (default: %(default)s)"
+    )
     names = [*combinations(SourceTree("", Path()), SourceTree("", Path()))]
-    parser.add_argument("--combinations", nargs="+", choices=names, default=names, help="all if not given")
+    parser.add_argument(
+        "--combinations", nargs="+", choices=names, default=names, help="combinations to run (default: all)"
+    )
     return parser.parse_args(arguments)
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Play the combinations and print what was measured; the exit status."""
-    given = parsed(arguments)
+    """Runs the combinations, prints the measurements and returns the exit status."""
+    options = parse_arguments(arguments)
     failed = False
     with tempfile.TemporaryDirectory(prefix="rowanshift-mixed-") as temporary:
         folder = Path(temporary)
         try:
             trees = [
-                checked_out(revision, folder / side)
-                for side, revision in (("one", given.revision), ("two", given.other))
+                check_out(revision, folder / side)
+                for side, revision in (("one", options.revision), ("two", options.other))
             ]
         except RevisionError as error:
             print(f"benchmarks/mixed_versions.py: {error}", file=sys.stderr)
@@ -312,10 +322,10 @@
             "| version at the router, at all servers after s | later configuration after s | exit codes | |"
         )
         print("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |", flush=True)
-        known = combinations(*trees)
-        for name in given.combinations:
-            result = trio.run(played, known[name], folder / name, given.requests)
-            printed(result)
+        by_name = combinations(*trees)
+        for name in options.combinations:
+            result = trio.run(run_combination, by_name[name], folder / name, options.requests)
+            print_result(result)
             failed |= bool(result.failures)
     return 1 if failed else 0
 
--- a/tests/benchmarks/test_benchmarks.py
+++ b/tests/benchmarks/test_benchmarks.py
@@ -163,4 +163,4 @@
         self.assertEqual((by_instructions.exceeds(1.02), by_instructions.exceeds(1.04)), (True, False))
 
     def test_each_side_goes_first_in_every_second_round(self) -> None:
-        self.assertEqual([load_module("cost").sides(number) for number in range(4)], [(0, 1), (1, 0)] * 2)
+        self.assertEqual([load_module("cost").measurement_order(number) for number in range(4)], [(0, 1), (1, 0)] * 2)
