--- a/tests/support/cache_proxy_faults.py
+++ b/tests/support/cache_proxy_faults.py
@@ -85,7 +85,7 @@
 
 def leaks_a_descriptor(patch):
     def close(self, original=Connection.close):
-        if not self.requests and self.error is not None:
+        if not self.reads_requests and self.error is not None:
             self.release()
         else:
             original(self)
@@ -122,7 +122,7 @@
 
 def forgets_to_give_memory_back(patch):
     def release(self, original=Connection.release):
-        if not self.requests:
+        if not self.reads_requests:
             original(self)
 
     patch.setattr(Connection, "release", release)
