--- a/rowanshift/emulation/clients.py
+++ b/rowanshift/emulation/clients.py
@@ -15,7 +15,7 @@
 import trio
 
 from rowanshift.emulation.http import field_of, sent_at
-from rowanshift.invariants.events import Events
+from rowanshift.invariants.events import EventStream
 from rowanshift.transport.http_connection import Connection, MalformedMessage, Message
 from rowanshift.transport.memory_budget import MemoryBudget
 from rowanshift.transport.runtime import Nursery, Runtime
@@ -89,7 +89,7 @@
         name: str,
         site: int,
         now: Callable[[], float],
-        events: Events,
+        events: EventStream,
         random_source: random.Random,
         doors: list[Door],
         categories: list[Asked],
@@ -214,13 +214,13 @@
                     return "half", 0.0
                 await send_all(connection.stream, request)
                 sent = True
-                self.events.tell("asked", txn, door.name, category.name, key, left)
+                self.events.publish("asked", txn, door.name, category.name, key, left)
                 message = await self._read_response(connection)
                 if message is None:
                     return self._disconnect_outcome(connection, txn, kept, fresh)
                 at = sent_at(connection.stream, self.now())
                 matches = message.body.startswith(f"{txn} ".encode())
-                self.events.tell("answered", txn, message.status, at, matches)
+                self.events.publish("answered", txn, message.status, at, matches)
                 self._report_extra_response(connection, txn)
                 if message.keep and connection.clean() and self.random_source.random() >= self.habits.one_off:
                     door.idle.append((self.now(), connection, txn))
@@ -228,7 +228,7 @@
                 retry_after = field_of(message, b"retry-after")
                 return str(message.status), float(retry_after) if retry_after else 0.0
             if sent:
-                self.events.tell("ended", txn, "left")
+                self.events.publish("ended", txn, "left")
             return "left", 0.0
         except (OSError, MalformedMessage):
             if not sent:
@@ -246,9 +246,9 @@
         unread = not taken() if taken is not None else kept
         begun = connection.partial or connection.inbound.size
         if unread and not begun and not fresh:
-            self.events.tell("ended", txn, "crossed")
+            self.events.publish("ended", txn, "crossed")
             return "crossed", 0.0
-        self.events.tell("ended", txn, "lost")
+        self.events.publish("ended", txn, "lost")
         return "lost", 0.0
 
     async def _read_response(self, connection: Connection) -> Message | None:
@@ -264,7 +264,7 @@
         try:
             connection.receive()
             if (message := connection.next()) is not None:
-                self.events.tell("answered", txn, message.status, self.now(), True)
+                self.events.publish("answered", txn, message.status, self.now(), True)
         except (OSError, MalformedMessage):
             pass  # malformed data is covered by the parser's tests
 
--- a/rowanshift/emulation/demo.py
+++ b/rowanshift/emulation/demo.py
@@ -15,7 +15,7 @@
 from rowanshift.emulation.discovery import Agent, row_of
 from rowanshift.emulation.http import Ledger, field_of
 from rowanshift.emulation.servers import Cache, Kind, Origin
-from rowanshift.invariants.events import Events
+from rowanshift.invariants.events import EventStream
 from rowanshift.process.error_groups import first_of
 from rowanshift.transport.http_connection import Connection, Message
 from rowanshift.transport.memory_budget import MemoryBudget
@@ -36,7 +36,7 @@
     def __init__(
         self, discovery: Address, works: dict[str, float], origin_seconds: float = 0.2, host: str = "127.0.0.1"
     ) -> None:
-        self.events, ledger = Events(time.monotonic), Ledger()
+        self.events, ledger = EventStream(time.monotonic), Ledger()
         caches = {f"cache-{port}": (host, port) for port in CACHE_PORTS}
         rows = [row_of(name, address, "here", "cache") for name, address in caches.items()]
         rows.append(row_of("origin", (host, ORIGIN_PORT), "here", "origin"))
--- a/rowanshift/emulation/discovery.py
+++ b/rowanshift/emulation/discovery.py
@@ -8,7 +8,7 @@
 import trio
 
 from rowanshift.emulation.http import HttpServer, deserted
-from rowanshift.invariants.events import Events
+from rowanshift.invariants.events import EventStream
 from rowanshift.transport.http_connection import Connection, Message
 from rowanshift.transport.runtime import Runtime
 from rowanshift.transport.streams import Address
@@ -52,7 +52,13 @@
     """The discovery agent of one router. ``rows`` is the list of servers as the agent knows it."""
 
     def __init__(
-        self, host: Runtime, address: Address, now: Callable[[], float], events: Events, router: str, rows: list[Row]
+        self,
+        host: Runtime,
+        address: Address,
+        now: Callable[[], float],
+        events: EventStream,
+        router: str,
+        rows: list[Row],
     ) -> None:
         super().__init__(host, address, now, events)
         self.router = router
@@ -94,7 +100,7 @@
 
     def _record_rows(self, connection: Connection, rows: list[Row]) -> None:
         for row in rows if not deserted(connection.stream) else ():
-            self.events.tell("told", self.router, row["instanceId"], HEALTH_BY_LIFECYCLE[row["lifecycle"]])
+            self.events.publish("told", self.router, row["instanceId"], HEALTH_BY_LIFECYCLE[row["lifecycle"]])
 
     async def handle(self, connection: Connection, message: Message, first_at: float, fresh: bool) -> bool:
         path, _, query = message.target.decode("latin-1").partition("?")
--- a/rowanshift/emulation/http.py
+++ b/rowanshift/emulation/http.py
@@ -7,7 +7,7 @@
 import httptools
 import trio
 
-from rowanshift.invariants.events import Events
+from rowanshift.invariants.events import EventStream
 from rowanshift.transport.http_connection import Connection, MalformedMessage, Message
 from rowanshift.transport.memory_budget import MemoryBudget
 from rowanshift.transport.runtime import Runtime
@@ -85,7 +85,7 @@
     idle_for = 60.0
     max_connections = 10_000
 
-    def __init__(self, host: Runtime, address: Address, now: Callable[[], float], events: Events) -> None:
+    def __init__(self, host: Runtime, address: Address, now: Callable[[], float], events: EventStream) -> None:
         self.host, self.address, self.now, self.events = host, address, now, events
         self.memory = MemoryBudget(4096)
         self.connections = 0
--- a/rowanshift/emulation/model_server.py
+++ b/rowanshift/emulation/model_server.py
@@ -16,7 +16,7 @@
 import trio
 
 from rowanshift.emulation.http import HttpServer, answer, field_of, other
-from rowanshift.invariants.events import Events
+from rowanshift.invariants.events import EventStream
 from rowanshift.invariants.system import (
     Began,
     CacheHit,
@@ -252,7 +252,7 @@
         zone: str = "z1",
         region: str = "r1",
     ) -> None:
-        super().__init__(host, address, clock, Events(clock))
+        super().__init__(host, address, clock, EventStream(clock))
         self.facts, self.registry, self.traits = facts, registry, traits or Traits()
         self.zone, self.region, self.name = zone, region, "{}:{}".format(*address)
         self.idle_for = self.traits.idle_for
--- a/rowanshift/emulation/platform.py
+++ b/rowanshift/emulation/platform.py
@@ -8,7 +8,7 @@
 
 from rowanshift.emulation.http import HttpServer, other
 from rowanshift.emulation.model_server import ModelServer, parse_target
-from rowanshift.invariants.events import Events
+from rowanshift.invariants.events import EventStream
 from rowanshift.invariants.system import Fact, Listed, Listing
 from rowanshift.transport.http_connection import Connection, Message
 from rowanshift.transport.runtime import Runtime
@@ -32,7 +32,7 @@
         facts: list[Fact],
         page: int = 50,
     ) -> None:
-        super().__init__(host, address, clock, Events(clock))
+        super().__init__(host, address, clock, EventStream(clock))
         self.rate, self.lag, self.facts, self.page = rate_per_s, lag_ms / 1000, facts, page
         # visible from, instance id, server (None: removed), state
         self.changes: list[tuple[float, str, ModelServer | None, str]] = []
--- a/rowanshift/emulation/servers.py
+++ b/rowanshift/emulation/servers.py
@@ -9,7 +9,7 @@
 import trio
 
 from rowanshift.emulation.http import HttpServer, Ledger, answer, body_of, deserted, field_of, other
-from rowanshift.invariants.events import Events
+from rowanshift.invariants.events import EventStream
 from rowanshift.transport.http_connection import Connection, Message
 from rowanshift.transport.runtime import Runtime
 from rowanshift.transport.streams import Address
@@ -107,7 +107,7 @@
         host: Runtime,
         address: Address,
         now: Callable[[], float],
-        events: Events,
+        events: EventStream,
         name: str,
         kind: Kind,
         ledger: Ledger,
@@ -140,12 +140,12 @@
             return True
         out = self.ledger.out.setdefault(txn, [])
         for earlier in [row for row in out if deserted(row[1])]:
-            self.events.tell("withdrawn", txn, earlier[0])
+            self.events.publish("withdrawn", txn, earlier[0])
             out.remove(earlier)
         out.append((self.name, stream))
-        self.events.tell("reached", txn, self.name, other(stream), first_at, self.zone)
+        self.events.publish("reached", txn, self.name, other(stream), first_at, self.zone)
         if (given_up_at := getattr(stream, "given_up_at", lambda: inf)()) < inf:
-            self.events.tell("given_up", txn, self.name, given_up_at)
+            self.events.publish("given_up", txn, self.name, given_up_at)
         work = self.kind.works[category] * (1 - WORK_VARIATION + 2 * WORK_VARIATION * self.random_source.random())
         work += self.kind.handshake if fresh else 0.0
         if self.add_load(txn, work):
@@ -192,7 +192,7 @@
     def _record_reply(self, connection: Connection, txn: str, outcome: str) -> None:
         out = self.ledger.out.get(txn, [])
         out[:] = [row for row in out if row[1] is not connection.stream]
-        self.events.tell("replied", txn, self.name, outcome, self.now())
+        self.events.publish("replied", txn, self.name, outcome, self.now())
 
     async def _reject(self, connection: Connection, txn: str) -> bool:
         self._record_reply(connection, txn, "away")
@@ -262,7 +262,7 @@
         nominal_capacity = self.kind.cores * self.kind.speed * warmth  # without an injected slowdown
         if warmth >= 1 or not self.meter.add(self.now(), work, nominal_capacity):
             return False
-        self.events.tell("fell", self.name, round(warmth, 3))
+        self.events.publish("fell", self.name, round(warmth, 3))
         self.fall(self)
         return True
 
@@ -298,7 +298,7 @@
         self.cold_misses += any(cold for _, cold in self.ledger.missed.get(txn, ()))
         if self.meter.add(now, work, self.capacity()) and now >= self.stopped_until:
             self.stopped_until, self.meter.streak = now + self.stops_for, 0
-            self.events.tell("stopped", self.name, round(self.cold_misses / self.requests, 3))
+            self.events.publish("stopped", self.name, round(self.cold_misses / self.requests, 3))
         return False
 
     async def do_work(self, work: float) -> None:
--- a/rowanshift/invariants/breaches.py
+++ b/rowanshift/invariants/breaches.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Breach:
+class Violation:
     """A violation of a rule, with its time, the requests, servers or calls involved, and a description.
 
     ``bounded``: the rule has a time bound, so it applies only to machines that are connected to the others.
@@ -58,7 +58,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class KnownTroubles:
+class KnownFaults:
     """The faults of a run as known to its driver, for the checks that are evaluated per machine.
 
     Each query takes the address that clients or operators use, and the start and end of a time span.
@@ -68,7 +68,7 @@
     unplanned: FaultQuery = _no_fault
 
 
-NO_TROUBLES = KnownTroubles()
+NO_FAULTS = KnownFaults()
 
 
 def of_kind(facts: Iterable[Fact], kind: type[F]) -> list[F]:
--- a/rowanshift/invariants/checks.py
+++ b/rowanshift/invariants/checks.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Terms:
+class RuleSettings:
     """The settings on which the rules depend."""
 
     categories: dict[str, Category]
@@ -30,7 +30,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Broken:
+class RuleViolation:
     """A violation of a rule, with the time of the event that violated it."""
 
     rule: int  # 1 to 4; 5: resources were not released
@@ -69,12 +69,12 @@
     hand_offs: list[HandOff] = field(default_factory=list)
 
 
-class Rules:
+class CacheProxyRules:
     """The rules of the cache proxy, checked event by event."""
 
-    def __init__(self, terms: Terms) -> None:
-        self.terms = terms
-        self.broken: list[Broken] = []
+    def __init__(self, settings: RuleSettings) -> None:
+        self.settings = settings
+        self.broken: list[RuleViolation] = []
         self.items: dict[str, WorkItem] = {}
         self.finished: deque[str] = deque()
         self.due: list[tuple[float, str]] = []
@@ -87,7 +87,7 @@
         self.counts: dict[str, int] = {}
         self.now = 0.0
 
-    def see(self, fact: Fact) -> None:
+    def process_event(self, fact: Fact) -> None:
         """Process one event. The handler of each kind is the method named after it with a leading underscore."""
         at, kind, *rest = fact
         self.now = at
@@ -104,12 +104,12 @@
             self._check_expiry(heappop(self.due)[1])
 
     def _add_violation(self, rule: int, who: str, why: str) -> None:
-        self.broken.append(Broken(rule, self.now, why, who))
+        self.broken.append(RuleViolation(rule, self.now, why, who))
 
     def _find_or_add_item(self, txn: str, category: str | None = None) -> WorkItem | None:
         item = self.items.get(txn)
         if item is None and category is not None:
-            item = self.items[txn] = WorkItem(self.terms.categories[category])
+            item = self.items[txn] = WorkItem(self.settings.categories[category])
         return item
 
     # 1: one final answer ------------------------------------
@@ -191,7 +191,7 @@
             return
         if first_at > item.final_at + 0.001:
             self._add_violation(1, txn, f"handed to {server} after its final answer was sent")
-        out = [s.first_at for s in item.hand_offs if s.open and not self.terms.second_copies]
+        out = [s.first_at for s in item.hand_offs if s.open and not self.settings.second_copies]
         if out and first_at >= min(out):
             self._add_violation(2, txn, f"handed to {server} while another hand-off was open")
         ran = [s for s in item.hand_offs if s.may_have_run]
@@ -251,7 +251,7 @@
         since = self.unavailable_since.get(router, {}).get(server)
         if since is not None:
             since = max(since, self.resumed_at.get(router, 0.0))
-            if first_at > since + self.terms.grace + SLACK_SECONDS:
+            if first_at > since + self.settings.grace + SLACK_SECONDS:
                 self._add_violation(
                     3, txn, f"{router} handed it to {server} {first_at - since:.3f} s after its drain was announced"
                 )
--- a/rowanshift/invariants/configuration_rules.py
+++ b/rowanshift/invariants/configuration_rules.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from rowanshift.invariants.breaches import Breach, Facts, by, by_id, of_kind
+from rowanshift.invariants.breaches import Facts, Violation, by, by_id, of_kind
 from rowanshift.invariants.facts import Answered, Asked, Began, ConfigAnswered, ConfigRead, ConfigSent, digest_of
 
 DENIALS = frozenset([401, 403, 404])
@@ -39,7 +39,7 @@
 
 
 @dataclass(slots=True)
-class Configs:
+class SentConfigurations:
     """The configurations that were sent, and their answers."""
 
     sent: list[ConfigSent] = field(default_factory=list)
@@ -47,7 +47,7 @@
     refused: frozenset[str] = frozenset()  # ids of calls
 
     @classmethod
-    def among(cls, facts: Facts) -> "Configs":
+    def among(cls, facts: Facts) -> "SentConfigurations":
         """Collect the configurations from recorded events."""
         answers = of_kind(facts, ConfigAnswered)
         return cls(
@@ -71,9 +71,9 @@
         ]
 
 
-def route(facts: Facts) -> list[Breach]:
+def route(facts: Facts) -> list[Violation]:
     """ROUTE: a service runs a request that no configuration sent so far allows it to run with that key."""
-    configs, asked, broken = Configs.among(facts), by_id(facts, Asked), []
+    configs, asked, broken = SentConfigurations.among(facts), by_id(facts, Asked), []
     for run in of_kind(facts, Began) if configs.sent else ():
         key = asked[run.id][0].key if run.id in asked else ""
         if not any(
@@ -82,7 +82,7 @@
             if sent.at <= run.at
         ):
             broken.append(
-                Breach(
+                Violation(
                     "ROUTE",
                     run.at,
                     (run.id, run.instance),
@@ -92,10 +92,10 @@
     return broken
 
 
-def config(facts: Facts, apply: float) -> list[Breach]:
+def config(facts: Facts, apply: float) -> list[Violation]:
     """CONFIG: two configurations are acknowledged on one base, an invalid one is acknowledged, a read returns an old
     or altered one, or an old one is in force over ``apply`` seconds after a newer one was acknowledged."""
-    configs, asked, broken = Configs.among(facts), by_id(facts, Asked), []
+    configs, asked, broken = SentConfigurations.among(facts), by_id(facts, Asked), []
     sent = {sent_config.call: sent_config for sent_config in configs.sent}
     for base, answers in by(configs.acknowledged, lambda answer: answer.base).items():
         if (
@@ -103,7 +103,7 @@
             or len({digest_of(repr(sent[a.call].config)) for a in answers if a.call in sent}) > 1
         ):
             broken.append(
-                Breach(
+                Violation(
                     "CONFIG",
                     answers[-1].at,
                     tuple(answer.call for answer in answers),
@@ -111,17 +111,17 @@
                 )
             )
     broken += [
-        Breach("CONFIG", answer.at, (answer.call,), "an invalid configuration was acknowledged")
+        Violation("CONFIG", answer.at, (answer.call,), "an invalid configuration was acknowledged")
         for answer in configs.acknowledged
         if answer.call in sent and not sent[answer.call].valid
     ]
     for read in of_kind(facts, ConfigRead):
         newest = configs.newest_acked(read.since)
         if read.config is None:
-            broken.append(Breach("CONFIG", read.at, (), "a read of the configuration was not answered"))
+            broken.append(Violation("CONFIG", read.at, (), "a read of the configuration was not answered"))
         elif (read_revision := read.config.get("revision", 0)) < newest:
             broken.append(
-                Breach(
+                Violation(
                     "CONFIG",
                     read.at,
                     (str(read_revision),),
@@ -134,7 +134,7 @@
             if sent_config.revision == read_revision
         ]:
             broken.append(
-                Breach(
+                Violation(
                     "CONFIG",
                     read.at,
                     (str(read_revision),),
@@ -144,12 +144,12 @@
     return broken + _check_in_force(facts, configs, asked, apply)
 
 
-def revoked(facts: Facts, within: float | None) -> list[Breach]:
+def revoked(facts: Facts, within: float | None) -> list[Violation]:
     """CONFIG: a request runs with a revoked key although it was sent over ``within`` seconds after the revocation was
     acknowledged. The rule applies to every machine, connected or not; None disables it."""
     if within is None:
         return []
-    configs, asked, broken = Configs.among(facts), by_id(facts, Asked), []
+    configs, asked, broken = SentConfigurations.among(facts), by_id(facts, Asked), []
     for run in of_kind(facts, Began):
         if (request := asked.get(run.id, [None])[0]) is None:
             continue
@@ -158,7 +158,7 @@
             _denies_key(sent_config.config, run.host, run.target, request.key) for sent_config in in_force
         ):
             why = f"its key was revoked over {within:g} s before the request was sent at {request.at:.3f} s"
-            broken.append(Breach("CONFIG", run.at, (run.id, run.instance), why))
+            broken.append(Violation("CONFIG", run.at, (run.id, run.instance), why))
     return broken
 
 
@@ -167,8 +167,10 @@
     return not (route and route.get("public")) and tenant_of(config, key) is None
 
 
-def _check_in_force(facts: Facts, configs: Configs, asked: dict[str, list[Asked]], apply: float) -> list[Breach]:
-    broken: list[Breach] = []
+def _check_in_force(
+    facts: Facts, configs: SentConfigurations, asked: dict[str, list[Asked]], apply: float
+) -> list[Violation]:
+    broken: list[Violation] = []
     for run in of_kind(facts, Began) if configs.sent else ():
         if (request := asked.get(run.id, [None])[0]) is None:
             continue
@@ -178,7 +180,7 @@
             for sent_config in in_force
         ):
             broken.append(
-                Breach(
+                Violation(
                     "CONFIG",
                     run.at,
                     (run.id, run.instance),
@@ -194,7 +196,7 @@
             services_of(sent_config.config, request.host, request.target, request.key) for sent_config in in_force
         ):
             broken.append(
-                Breach(
+                Violation(
                     "CONFIG", end.at, (end.id,), f"answered {end.status} although its route and key exist", bounded=True
                 )
             )
--- a/rowanshift/invariants/coordination_rules.py
+++ b/rowanshift/invariants/coordination_rules.py
@@ -32,7 +32,7 @@
     TakeLock,
     group_of,
 )
-from rowanshift.invariants.breaches import Breach, Facts, of_kind
+from rowanshift.invariants.breaches import Facts, Violation, of_kind
 from rowanshift.invariants.coordination_facts import CoordinationAnswered, CoordinationAsked
 
 NEVER = float("inf")
@@ -50,9 +50,9 @@
     status: int = 0
     answer: Answer | None = None
 
-    def breach(self, rule: str, why: str) -> Breach:
+    def violation(self, rule: str, why: str) -> Violation:
         """Create the violation of a rule that this call proves."""
-        return Breach(rule, min(self.answered_at, self.asked_at if self.status == 0 else NEVER), (self.id,), why)
+        return Violation(rule, min(self.answered_at, self.asked_at if self.status == 0 else NEVER), (self.id,), why)
 
 
 def call_records(facts: Facts) -> list[CallRecord]:
@@ -68,7 +68,7 @@
     return sorted(records, key=lambda record: record.asked_at)
 
 
-def coordination(facts: Facts, history_seconds: float) -> list[Breach]:
+def check_coordination(facts: Facts, history_seconds: float) -> list[Violation]:
     """All violations of the coordination rules, sorted by time."""
     records = call_records(facts)
     if not records:
@@ -87,7 +87,7 @@
         *returned_though_rejected(records, puts),
         *watches_dropped_too_early(records, history_seconds),
     ]
-    return sorted(found, key=lambda breach: breach.at)
+    return sorted(found, key=lambda violation: violation.at)
 
 
 # ONE
@@ -143,7 +143,7 @@
         yield at, record, is_answer
 
 
-def held_by_two(records: list[CallRecord]) -> list[Breach]:
+def held_by_two(records: list[CallRecord]) -> list[Violation]:
     """ONE: two callers regard themselves as the holder of a lock at the same time."""
     by_lock: dict[str, list[Hold]] = defaultdict(list)
     for hold in holds_of(records):
@@ -155,13 +155,13 @@
         for hold in of_lock:
             if last is not None and hold.holder != last.holder and hold.since < last.until:
                 why = f"{hold.holder} and {last.holder} both hold {lock}, the latter until {last.until:.3f} s"
-                found.append(Breach("ONE", hold.since, (hold.id, last.id), why))
+                found.append(Violation("ONE", hold.since, (hold.id, last.id), why))
             if last is None or hold.until > last.until:
                 last = hold
     return found
 
 
-def tokens_out_of_order(records: list[CallRecord]) -> list[Breach]:
+def tokens_out_of_order(records: list[CallRecord]) -> list[Violation]:
     """ONE: two holders get the same token, or a token is not above one given to another holder before the call."""
     by_lock: dict[str, list[tuple[CallRecord, TakeLock, int]]] = defaultdict(list)
     for record in records:
@@ -172,43 +172,43 @@
         holders: dict[int, str] = {}
         for record, call, token in taken:
             if holders.setdefault(token, call.holder) != call.holder:
-                found.append(record.breach("ONE", f"token {token} of {lock} was given to two holders"))
+                found.append(record.violation("ONE", f"token {token} of {lock} was given to two holders"))
             before = [
                 other_token
                 for other, other_call, other_token in taken
                 if other_call.holder != call.holder and other.answered_at < record.asked_at
             ]
             if before and token <= max(before):
-                found.append(record.breach("ONE", f"token {token} of {lock} was given after {max(before)}"))
+                found.append(record.violation("ONE", f"token {token} of {lock} was given after {max(before)}"))
     return found
 
 
 # ORDER
 
 
-def _not_increasing(rows: list[tuple[CallRecord, int]], what: str) -> Iterator[Breach]:
+def _not_increasing(rows: list[tuple[CallRecord, int]], what: str) -> Iterator[Violation]:
     """Numbers that were given twice, or are not above one given before the call was sent."""
     records_by_number: dict[int, CallRecord] = {}
     answered = sorted(rows, key=lambda row: row[0].answered_at)
     highest, next_answered = -1, 0
     for record, number in sorted(rows, key=lambda row: row[0].asked_at):
         if number in records_by_number:
-            yield record.breach("ORDER", f"{what}: {number} was given twice")
+            yield record.violation("ORDER", f"{what}: {number} was given twice")
         records_by_number[number] = record
         while answered[next_answered][0].answered_at < record.asked_at:
             highest = max(highest, answered[next_answered][1])
             next_answered += 1
         if number <= highest:
-            yield record.breach("ORDER", f"{what}: {number} was given after {highest}")
+            yield record.violation("ORDER", f"{what}: {number} was given after {highest}")
 
 
-def numbers_out_of_order(records: list[CallRecord]) -> list[Breach]:
+def numbers_out_of_order(records: list[CallRecord]) -> list[Violation]:
     """ORDER: a number of a sequence is given twice, or is not above one given before the call."""
     by_name: dict[str, list[tuple[CallRecord, int]]] = defaultdict(list)
     for record in records:
         if isinstance(record.call, NextNumber) and isinstance(record.answer, NumberGiven):
             by_name[record.call.name].append((record, record.answer.value))
-    return [breach for name, rows in by_name.items() for breach in _not_increasing(rows, f"numbers of {name}")]
+    return [violation for name, rows in by_name.items() for violation in _not_increasing(rows, f"numbers of {name}")]
 
 
 @dataclass(slots=True)
@@ -229,7 +229,7 @@
     """All puts that were sent, with their known revisions."""
 
     by_value: dict[tuple[str, str], Put] = field(default_factory=dict)
-    conflicts: list[Breach] = field(default_factory=list)  # two revisions for one put
+    conflicts: list[Violation] = field(default_factory=list)  # two revisions for one put
 
     @classmethod
     def among(cls, records: list[CallRecord]) -> Puts:
@@ -261,7 +261,7 @@
             return
         if put.revision is not None and put.revision != revision:
             why = f"{key}={value} was returned with both revisions {put.revision} and {revision}"
-            self.conflicts.append(record.breach("MIXED", why))
+            self.conflicts.append(record.violation("MIXED", why))
         put.revision = revision
 
     def acknowledged(self) -> Iterator[tuple[Put, CallRecord, int]]:
@@ -286,7 +286,7 @@
     return []
 
 
-def revisions_out_of_order(puts: Puts) -> list[Breach]:
+def revisions_out_of_order(puts: Puts) -> list[Violation]:
     """ORDER: a revision of a group is given twice, or is not above one given before the put was first sent."""
     by_group: dict[str, list[tuple[CallRecord, int]]] = defaultdict(list)
     for put, acknowledged, revision in puts.acknowledged():
@@ -294,10 +294,12 @@
             acknowledged.id, put.first_asked.call, put.first_asked.asked_at, acknowledged.answered_at, 200
         )
         by_group[group_of(put.key)].append((record, revision))
-    return [breach for group, rows in by_group.items() for breach in _not_increasing(rows, f"revisions of {group}")]
+    return [
+        violation for group, rows in by_group.items() for violation in _not_increasing(rows, f"revisions of {group}")
+    ]
 
 
-def puts_over_later_revisions(puts: Puts) -> list[Breach]:
+def puts_over_later_revisions(puts: Puts) -> list[Violation]:
     """ORDER: a put with an expected revision succeeds although the key had a later revision."""
     by_key: dict[str, list[int]] = defaultdict(list)
     for put, revision in puts.with_revision():
@@ -309,11 +311,11 @@
         between = [other for other in by_key[put.key] if put.expected < other < revision]
         if between or revision <= put.expected:
             why = f"{put.key}: {revision} was put over {between or revision}, although {put.expected} was expected"
-            found.append(acknowledged.breach("ORDER", why))
+            found.append(acknowledged.violation("ORDER", why))
     return found
 
 
-def conflicts_with_own_put(records: list[CallRecord], puts: Puts) -> list[Breach]:
+def conflicts_with_own_put(records: list[CallRecord], puts: Puts) -> list[Violation]:
     """ORDER: a retry of a put that has taken effect is answered 412 instead of with its revision."""
     found = []
     for record in records:
@@ -322,11 +324,11 @@
         put = puts.by_value[record.call.key, record.call.value]
         if put.revision is not None and put.revision <= record.answer.revision:
             why = f"{put.key}={put.value} has revision {put.revision}, but conflicts with {record.answer.revision}"
-            found.append(record.breach("ORDER", why))
+            found.append(record.violation("ORDER", why))
     return found
 
 
-def events_out_of_order(records: list[CallRecord], puts: Puts) -> list[Breach]:
+def events_out_of_order(records: list[CallRecord], puts: Puts) -> list[Violation]:
     """ORDER: the revisions of a watch's events don't increase, are outside its range, or omit a put in the range."""
     by_group: dict[str, set[int]] = defaultdict(set)
     for put, revision in puts.with_revision():
@@ -339,7 +341,7 @@
         revisions = [event.revision for event in answer.events]
         if any(later <= earlier for earlier, later in pairwise([call.after, *revisions])):
             found.append(
-                record.breach(
+                record.violation(
                     "ORDER", f"a watch of {call.group} after {call.after} returned {revisions}: not increasing"
                 )
             )
@@ -347,10 +349,10 @@
             continue
         span = {revision for revision in by_group[call.group] if call.after < revision <= answer.revision}
         if missing := sorted(span - set(revisions)):
-            found.append(record.breach("ORDER", f"a watch of {call.group} omitted revisions {missing}"))
+            found.append(record.violation("ORDER", f"a watch of {call.group} omitted revisions {missing}"))
         if any(revision > answer.revision for revision in revisions):
             found.append(
-                record.breach("ORDER", f"a watch of {call.group} up to {answer.revision} returned a later revision")
+                record.violation("ORDER", f"a watch of {call.group} up to {answer.revision} returned a later revision")
             )
     return found
 
@@ -358,7 +360,7 @@
 # STALE, MIXED, REFUSED, LOST
 
 
-def stale_reads(records: list[CallRecord], puts: Puts) -> list[Breach]:
+def stale_reads(records: list[CallRecord], puts: Puts) -> list[Violation]:
     """STALE: a read returns a revision below that of a put acknowledged before it; LOST: a watch does so."""
     by_key: dict[str, list[tuple[float, int]]] = defaultdict(list)
     by_group: dict[str, list[tuple[float, int]]] = defaultdict(list)
@@ -381,12 +383,12 @@
         ]
         if before and max(before) > revision:
             found.append(
-                record.breach(rule, f"{record.call} returned {revision}, but {max(before)} was acknowledged before")
+                record.violation(rule, f"{record.call} returned {revision}, but {max(before)} was acknowledged before")
             )
     return found
 
 
-def mixed_values(records: list[CallRecord], puts: Puts) -> list[Breach]:
+def mixed_values(records: list[CallRecord], puts: Puts) -> list[Violation]:
     """MIXED: a key has a value that was never put to it, a put has two revisions, or a 412 names another key's one."""
     found = list(puts.conflicts)
     keys_by_revision = {(group_of(put.key), revision): put.key for put, revision in puts.with_revision()}
@@ -394,30 +396,30 @@
         for key, value, _ in returned_values(record):
             put = puts.by_value.get((key, value))
             if put is None or put.first_asked.asked_at > record.answered_at:
-                found.append(record.breach("MIXED", f"{key}={value} was returned, but no such put was sent before"))
+                found.append(record.violation("MIXED", f"{key}={value} was returned, but no such put was sent before"))
         if isinstance(record.call, PutKey) and isinstance(record.answer, RevisionConflict):
             key, revision = record.call.key, record.answer.revision
             if revision and keys_by_revision.get((group_of(key), revision), key) != key:
                 found.append(
-                    record.breach(
+                    record.violation(
                         "MIXED", f"a conflict at {key} names revision {revision}, which belongs to another key"
                     )
                 )
     return found
 
 
-def returned_though_rejected(records: list[CallRecord], puts: Puts) -> list[Breach]:
+def returned_though_rejected(records: list[CallRecord], puts: Puts) -> list[Violation]:
     """REFUSED: a value is returned although every call that put it was rejected."""
     found = []
     for record in records:
         for key, value, _ in returned_values(record):
             put = puts.by_value.get((key, value))
             if put is not None and put.is_rejected:
-                found.append(record.breach("REFUSED", f"{key}={value} was returned although its put was rejected"))
+                found.append(record.violation("REFUSED", f"{key}={value} was returned although its put was rejected"))
     return found
 
 
-def watches_dropped_too_early(records: list[CallRecord], history_seconds: float) -> list[Breach]:
+def watches_dropped_too_early(records: list[CallRecord], history_seconds: float) -> list[Violation]:
     """LOST: a watch is answered 410 for a revision that a watch returned less than ``history_seconds`` earlier."""
     returned_at: dict[tuple[str, int], float] = {}
     found = []
@@ -430,7 +432,7 @@
             since = returned_at.get((record.call.group, record.call.after))
             if since is not None and record.asked_at - since < history_seconds:
                 found.append(
-                    record.breach(
+                    record.violation(
                         "LOST",
                         f"the history of {record.call.group} after revision {record.call.after} was dropped too early",
                     )
--- a/rowanshift/invariants/ending_rules.py
+++ b/rowanshift/invariants/ending_rules.py
@@ -1,14 +1,14 @@
 """The check that every request and call which a process has read ends properly: ENDING."""
 
-from rowanshift.invariants.breaches import NO_TROUBLES, Breach, Facts, KnownTroubles, of_kind
+from rowanshift.invariants.breaches import NO_FAULTS, Facts, KnownFaults, Violation, of_kind
 from rowanshift.invariants.facts import CallCut, RequestCut
 
 
-def ended(facts: Facts, troubles: KnownTroubles = NO_TROUBLES) -> list[Breach]:
+def ended(facts: Facts, troubles: KnownFaults = NO_FAULTS) -> list[Violation]:
     """ENDING: by its own records, a router cut a request that it had read or closed it never or twice, or a core
     machine did not answer a call. Cuts that the router's records excuse, and unplanned faults, are exempt."""
     broken = [
-        Breach(
+        Violation(
             "ENDING",
             cut.at,
             (cut.id,),
@@ -18,7 +18,7 @@
         if not cut.excused and not troubles.unplanned(cut.front, cut.came_at, cut.at)
     ]
     broken += [
-        Breach("ENDING", cut.at, (cut.target,), f"{cut.machine}: a call was read and not answered")
+        Violation("ENDING", cut.at, (cut.target,), f"{cut.machine}: a call was read and not answered")
         for cut in of_kind(facts, CallCut)
         if not troubles.unplanned(cut.control, cut.came_at, cut.at)
     ]
--- a/rowanshift/invariants/events.py
+++ b/rowanshift/invariants/events.py
@@ -34,14 +34,14 @@
 }
 
 
-class Events:
+class EventStream:
     """An event stream with any number of readers."""
 
     def __init__(self, now: Callable[[], float]) -> None:
         self.now = now
         self.readers: list[Reader] = []
 
-    def tell(self, kind: str, *fields: Any) -> None:
+    def publish(self, kind: str, *fields: Any) -> None:
         """Publish an event of a kind with these fields to all readers."""
         if self.readers:
             fact = (self.now(), kind, *fields)
@@ -49,7 +49,7 @@
                 reader(fact)
 
 
-def named(fact: Fact) -> dict[str, Any]:
+def event_as_dict(fact: Fact) -> dict[str, Any]:
     """Convert a fact to a dictionary with field names, for display and serialization."""
     at, kind, *rest = fact
     return {"at": round(at, 6), "kind": kind, **dict(zip(KINDS[kind], rest, strict=True))}
--- a/rowanshift/invariants/planned_work_rules.py
+++ b/rowanshift/invariants/planned_work_rules.py
@@ -3,8 +3,8 @@
 from collections import defaultdict
 from dataclasses import dataclass, field
 
-from rowanshift.invariants.breaches import NO_TROUBLES, Bounds, Breach, Facts, KnownTroubles, by_id, of_kind
-from rowanshift.invariants.configuration_rules import Configs, route_of
+from rowanshift.invariants.breaches import NO_FAULTS, Bounds, Facts, KnownFaults, Violation, by_id, of_kind
+from rowanshift.invariants.configuration_rules import SentConfigurations, route_of
 from rowanshift.invariants.facts import (
     Answered,
     Asked,
@@ -56,7 +56,7 @@
     ends: list[tuple[float, CutRequest | None]] = field(default_factory=list)  # time and, if it was cut, the request
 
 
-def time_limit(configs: Configs, asked: Asked) -> float:
+def time_limit(configs: SentConfigurations, asked: Asked) -> float:
     """The time limit of a request in seconds: the lesser of its client's deadline and its route's timeout."""
     limits = [asked.within]
     for sent in configs.possibly_in_force(asked.at, asked.at):
@@ -66,7 +66,7 @@
     return min(limits)
 
 
-def router_histories(facts: Facts, configs: Configs, slack: float) -> dict[str, RouterHistory]:
+def router_histories(facts: Facts, configs: SentConfigurations, slack: float) -> dict[str, RouterHistory]:
     """Collect the routers by the address at which they serve clients, with the ends of all their requests."""
     routers: dict[str, RouterHistory] = defaultdict(RouterHistory)
     for fact in of_kind(facts, Signalled):
@@ -106,16 +106,16 @@
     return CutRequest(end.at, asked, processing, accepted or bool(runs), isinstance(end, Answered))
 
 
-def lost(facts: Facts, bounds: Bounds) -> list[Breach]:
+def lost(facts: Facts, bounds: Bounds) -> list[Violation]:
     """LOST: during planned maintenance a router closes the connection of a request that it has read, without a complete
     answer. A request counts as read once it was passed on to a server, or ``loss_slack`` seconds after it was sent.
     The caller must exclude requests affected by unplanned faults."""
-    configs = Configs.among(facts)
-    broken: list[Breach] = []
+    configs = SentConfigurations.among(facts)
+    broken: list[Violation] = []
     for front, router in router_histories(facts, configs, bounds.loss_slack).items():
         cuts = [cut for _, cut in router.ends if cut is not None]
         broken += [
-            Breach("LOST", cut.at, (cut.asked.id,), f"{front} cut it, {why}")
+            Violation("LOST", cut.at, (cut.asked.id,), f"{front} cut it, {why}")
             for cut in cuts
             if (why := _signal_cause(cut, router, bounds))
         ]
@@ -123,11 +123,11 @@
     return broken
 
 
-def lost_on_kept_connections(facts: Facts, bounds: Bounds, troubles: KnownTroubles = NO_TROUBLES) -> list[Breach]:
+def lost_on_kept_connections(facts: Facts, bounds: Bounds, troubles: KnownFaults = NO_FAULTS) -> list[Violation]:
     """LOST: a connected machine closes more than ``MAX_KEPT_CONNECTION_CUTS`` reused connections without an answer
     after a healthy server accepted the request. Each further one is a violation."""
-    broken: list[Breach] = []
-    for front, router in router_histories(facts, Configs.among(facts), bounds.loss_slack).items():
+    broken: list[Violation] = []
+    for front, router in router_histories(facts, SentConfigurations.among(facts), bounds.loss_slack).items():
         cuts = [
             cut
             for _, cut in sorted(router.ends, key=lambda end: end[0])
@@ -138,7 +138,7 @@
             and not troubles.out_of_touch(front, cut.asked.at, cut.at)
         ]
         broken += [
-            Breach(
+            Violation(
                 "LOST", cut.at, (cut.asked.id,), f"{front} closed its kept connection without an answer, cut number {n}"
             )
             for n, cut in enumerate(cuts, 1)
@@ -161,8 +161,8 @@
 
 
 def _around_configurations(
-    front: str, router: RouterHistory, configs: Configs, facts: Facts, bounds: Bounds
-) -> list[Breach]:
+    front: str, router: RouterHistory, configs: SentConfigurations, facts: Facts, bounds: Bounds
+) -> list[Violation]:
     """Cuts around configurations, if their rate is over ``MAX_CUT_RATE_RATIO`` times the rate at other times."""
     spans = configuration_spans(configs, facts, bounds.config_apply)
     counts = {True: [0, 0], False: [0, 0]}  # numbers of ends and cuts, by whether in such a span
@@ -180,12 +180,12 @@
     if share[True] <= MAX_CUT_RATE_RATIO * share[False]:
         return []
     return [
-        Breach("LOST", cut.at, (cut.asked.id,), f"{front} cut it while a configuration was being applied")
+        Violation("LOST", cut.at, (cut.asked.id,), f"{front} cut it while a configuration was being applied")
         for cut in cuts
     ]
 
 
-def configuration_spans(configs: Configs, facts: Facts, apply: float) -> list[Span]:
+def configuration_spans(configs: SentConfigurations, facts: Facts, apply: float) -> list[Span]:
     """Time spans from the sending of each accepted configuration until it must have been applied."""
     answered = {end.call: end.at for end in of_kind(facts, ConfigAnswered)}
     return [
--- a/rowanshift/invariants/regression_rules.py
+++ b/rowanshift/invariants/regression_rules.py
@@ -4,8 +4,8 @@
 from collections import defaultdict
 from dataclasses import dataclass
 
-from rowanshift.invariants.breaches import Breach, Facts, by_id, of_kind
-from rowanshift.invariants.configuration_rules import DENIALS, Configs, services_of
+from rowanshift.invariants.breaches import Facts, Violation, by_id, of_kind
+from rowanshift.invariants.configuration_rules import DENIALS, SentConfigurations, services_of
 from rowanshift.invariants.facts import Answered, Asked, Began, RouterStarted
 
 
@@ -19,7 +19,7 @@
     instance: str
 
 
-def revisions_for(configs: Configs, handling: Handling) -> list[int]:
+def revisions_for(configs: SentConfigurations, handling: Handling) -> list[int]:
     """The revisions of the configurations sent by then and not refused that allow a request to be handled like this."""
     asked = handling.asked
     found: list[int] = []
@@ -59,14 +59,14 @@
     return grouped
 
 
-def regressed(facts: Facts, slack: float) -> list[Breach]:
+def regressed(facts: Facts, slack: float) -> list[Violation]:
     """CONFIG: a router process handles a request as only older configurations allow, although the request was sent over
     ``slack`` seconds after a server saw the effect of a newer one.
 
     The version of an effect is the oldest one that allows it and is not older than the effects seen before. At most
     one violation is reported per process.
     """
-    configs, broken = Configs.among(facts), []
+    configs, broken = SentConfigurations.among(facts), []
     for handlings in handlings_by_process(facts).values() if configs.sent else ():
         seen: list[tuple[float, int]] = []  # time of an effect, and the highest version known from then on
         for row in handlings:
@@ -77,7 +77,7 @@
             if revisions and effect is None:
                 ids = (row.asked.id, row.instance) if row.instance else (row.asked.id,)
                 why = f"handled as only up to {revisions[-1]}; {lowest} was seen at {seen[known_count - 1][0]:.3f} s"
-                broken.append(Breach("CONFIG", row.at, ids, why))
+                broken.append(Violation("CONFIG", row.at, ids, why))
                 break
             if row.service and effect is not None and (not seen or effect > seen[-1][1]):
                 seen.append((row.at, effect))
--- a/rowanshift/invariants/server_rules.py
+++ b/rowanshift/invariants/server_rules.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Collection, Sequence
 from dataclasses import dataclass
 
-from rowanshift.invariants.breaches import Breach, Facts, by, of_kind
+from rowanshift.invariants.breaches import Facts, Violation, by, of_kind
 from rowanshift.invariants.facts import (
     Began,
     CacheHit,
@@ -20,10 +20,10 @@
 MIN_PERIOD_SECONDS = 2.0  # ``version_sums`` ignores shorter fault-free periods
 
 
-def stale(facts: Facts) -> list[Breach]:
+def stale(facts: Facts) -> list[Violation]:
     """STALE: a run used cache contents that were produced under another version."""
     return [
-        Breach(
+        Violation(
             "STALE",
             hit.at,
             (hit.id, hit.instance),
@@ -34,7 +34,7 @@
     ]
 
 
-def wall(facts: Facts, isolated: Collection[str] | None = None) -> list[Breach]:
+def wall(facts: Facts, isolated: Collection[str] | None = None) -> list[Violation]:
     """WALL: a run used cache contents of another tenant although one of the two is isolated."""
     if isolated is None:
         isolated = {
@@ -44,18 +44,20 @@
             if tenant.get("isolated")
         }
     return [
-        Breach("WALL", hit.at, (hit.id, hit.instance), f"part {hit.part} of {hit.made_tenant!r} used by {hit.tenant!r}")
+        Violation(
+            "WALL", hit.at, (hit.id, hit.instance), f"part {hit.part} of {hit.made_tenant!r} used by {hit.tenant!r}"
+        )
         for hit in of_kind(facts, CacheHit)
         if hit.made_tenant != hit.tenant and (hit.tenant in isolated or hit.made_tenant in isolated)
     ]
 
 
-def version(facts: Facts, within: float) -> list[Breach]:
+def version(facts: Facts, within: float) -> list[Violation]:
     """VERSION: a run's first token came from an older version over ``within`` seconds after a newer one was named."""
     return _runs_on_older_version(facts, lambda named_at, at: at - named_at > within)
 
 
-def version_sums(facts: Facts, total: float, calm: Sequence[tuple[float, float]]) -> list[Breach]:
+def version_sums(facts: Facts, total: float, calm: Sequence[tuple[float, float]]) -> list[Violation]:
     """VERSION: the same once the fault-free periods since then, ``calm``, add up to over ``total`` seconds.
 
     Periods shorter than ``MIN_PERIOD_SECONDS`` don't count. A ``total`` of 0 disables the rule.
@@ -68,7 +70,7 @@
     return _runs_on_older_version(facts, is_overdue) if total else []
 
 
-def version_in_one_stretch(facts: Facts, within: float, calm: Sequence[tuple[float, float]]) -> list[Breach]:
+def version_in_one_period(facts: Facts, within: float, calm: Sequence[tuple[float, float]]) -> list[Violation]:
     """VERSION: the same once one of the fault-free periods, ``calm``, has lasted over ``within`` seconds since then."""
 
     def is_overdue(named_at: float, at: float) -> bool:
@@ -77,7 +79,7 @@
     return _runs_on_older_version(facts, is_overdue)
 
 
-def _runs_on_older_version(facts: Facts, is_overdue: Callable[[float, float], bool]) -> list[Breach]:
+def _runs_on_older_version(facts: Facts, is_overdue: Callable[[float, float], bool]) -> list[Violation]:
     """The runs on weights older than the newest that had to be in use.
 
     ``is_overdue`` decides that from the times of the acknowledgement and of the run's first token, or of its start if
@@ -102,7 +104,7 @@
         )
         if newest is not None and revision < newest.revision:
             broken.append(
-                Breach(
+                Violation(
                     "VERSION",
                     at,
                     (id, run),
@@ -113,7 +115,7 @@
     return broken
 
 
-def one(facts: Facts, lease: float, everywhere: bool = False, thaw: float = 0.0) -> list[Breach]:
+def one(facts: Facts, lease: float, everywhere: bool = False, thaw: float = 0.0) -> list[Violation]:
     """ONE: at one server (or across all servers, ``everywhere``) two holders use the same fencing token, a lower token
     passes after a higher one, or holders alternate within ``lease`` seconds.
 
@@ -126,7 +128,7 @@
         for fact in of_kind(facts, Ordered)
         if fact.status != 400 and not any(one.at <= fact.at <= one.at + thaw for one in resumed.get(fact.holder, ()))
     ]
-    broken: list[Breach] = []
+    broken: list[Violation] = []
     for where, received_orders in by(orders, lambda fact: "all" if everywhere else fact.instance).items():
         broken += _shared_fences(where, received_orders)
         not_fenced_off = [fact for fact in received_orders if fact.status != 412]
@@ -135,21 +137,23 @@
     return broken
 
 
-def _shared_fences(where: str, orders: list[Ordered]) -> list[Breach]:
+def _shared_fences(where: str, orders: list[Ordered]) -> list[Violation]:
     holders: dict[int, str] = {}
     return [
-        Breach("ONE", fact.at, (where, holders[fact.fence], fact.holder), f"two holders use fencing token {fact.fence}")
+        Violation(
+            "ONE", fact.at, (where, holders[fact.fence], fact.holder), f"two holders use fencing token {fact.fence}"
+        )
         for fact in orders
         if holders.setdefault(fact.fence, fact.holder) != fact.holder
     ]
 
 
-def _falling_fences(where: str, orders: list[Ordered]) -> list[Breach]:
+def _falling_fences(where: str, orders: list[Ordered]) -> list[Violation]:
     broken, highest = [], -1
     for fact in orders:
         if fact.fence < highest:
             broken.append(
-                Breach("ONE", fact.at, (where, fact.holder), f"fencing token {fact.fence} passed after {highest}")
+                Violation("ONE", fact.at, (where, fact.holder), f"fencing token {fact.fence} passed after {highest}")
             )
         highest = max(highest, fact.fence)
     return broken
@@ -164,29 +168,29 @@
     until: float
 
 
-def _turns(where: str, orders: list[Ordered], lease: float) -> list[Breach]:
+def _turns(where: str, orders: list[Ordered], lease: float) -> list[Violation]:
     turns: list[Turn] = []
     for fact in orders:
         if not turns or turns[-1].holder != fact.holder:
             turns.append(Turn(fact.holder, fact.at, fact.at))
         turns[-1].until = fact.at
-    broken: list[Breach] = []
+    broken: list[Violation] = []
     for n, again in enumerate(turns):
         mine = [turn for turn in turns[:n] if turn.holder == again.holder]
         if mine and again.since - mine[-1].until < lease:
             between = turns[n - 1].holder
-            broken.append(Breach("ONE", again.since, (where, again.holder, between), "holders take turns"))
+            broken.append(Violation("ONE", again.since, (where, again.holder, between), "holders take turns"))
     return broken
 
 
-def drain(facts: Facts, within: float) -> list[Breach]:
+def drain(facts: Facts, within: float) -> list[Violation]:
     """DRAIN: a request reaches a server over ``within`` seconds after the platform's list showed it as leaving."""
     leaving_since: dict[str, float] = {}
     for listed in of_kind(facts, Listed):
         if listed.state != "up":
             leaving_since.setdefault(listed.instance, listed.at)
     return [
-        Breach(
+        Violation(
             "DRAIN",
             fact.at,
             (fact.id, fact.instance),
--- a/rowanshift/invariants/system.py
+++ b/rowanshift/invariants/system.py
@@ -9,19 +9,19 @@
 
 from rowanshift.invariants.breaches import (
     DEFAULT_BOUNDS,
-    NO_TROUBLES,
+    NO_FAULTS,
     Bounds,
-    Breach,
     F,
     Facts,
-    KnownTroubles,
+    KnownFaults,
+    Violation,
     by,
     by_id,
     of_kind,
 )
 from rowanshift.invariants.configuration_rules import (
     DENIALS,
-    Configs,
+    SentConfigurations,
     config,
     revoked,
     route,
@@ -65,7 +65,7 @@
 from rowanshift.invariants.regression_rules import regressed
 from rowanshift.invariants.request_rules import PROMISES, mixed, order, refused, twice, unasked
 from rowanshift.invariants.retry_rules import budget
-from rowanshift.invariants.server_rules import drain, one, stale, version, version_in_one_stretch, version_sums, wall
+from rowanshift.invariants.server_rules import drain, one, stale, version, version_in_one_period, version_sums, wall
 
 __all__ = [
     "DEFAULT_BOUNDS",
@@ -75,18 +75,16 @@
     "Asked",
     "Began",
     "Bounds",
-    "Breach",
     "CacheHit",
     "CallCut",
     "ConfigAnswered",
     "ConfigRead",
     "ConfigSent",
-    "Configs",
     "F",
     "Fact",
     "Facts",
     "Finished",
-    "KnownTroubles",
+    "KnownFaults",
     "Listed",
     "Listing",
     "Loaded",
@@ -101,9 +99,11 @@
     "RequestCut",
     "Resumed",
     "RouterStarted",
+    "SentConfigurations",
     "Signalled",
     "Surplus",
     "VersionNamed",
+    "Violation",
     "acknowledged_by_deposed",
     "budget",
     "by",
@@ -131,13 +131,13 @@
     "twice",
     "unasked",
     "version",
-    "version_in_one_stretch",
+    "version_in_one_period",
     "version_sums",
     "wall",
 ]
 
 
-def check(facts: Facts, bounds: Bounds = DEFAULT_BOUNDS, troubles: KnownTroubles = NO_TROUBLES) -> list[Breach]:
+def check(facts: Facts, bounds: Bounds = DEFAULT_BOUNDS, troubles: KnownFaults = NO_FAULTS) -> list[Violation]:
     """Run all checks. Returns the violations sorted by time; ``troubles`` are the faults known to the caller."""
     found = [
         *twice(facts),
@@ -161,4 +161,4 @@
         *refused_again(facts),
         *acknowledged_by_deposed(facts, bounds.thaw),
     ]
-    return sorted(found, key=lambda breach: breach.at)
+    return sorted(found, key=lambda violation: violation.at)
--- a/rowanshift/simulation/command.py
+++ b/rowanshift/simulation/command.py
@@ -14,8 +14,8 @@
 import orjson
 from rich.progress import Progress
 
-from rowanshift.invariants.checks import Broken
-from rowanshift.invariants.events import Fact, named
+from rowanshift.invariants.checks import RuleViolation
+from rowanshift.invariants.events import Fact, event_as_dict
 from rowanshift.simulation.core_command import run_many, run_one
 from rowanshift.simulation.core_draw import draw_core_scenario
 from rowanshift.simulation.core_scenario import is_core, load_core
@@ -46,7 +46,7 @@
     seconds: float = 0.0
     finished: float = 0.0
     p99: float = 0.0
-    broken: list[Broken] = field(default_factory=list)
+    broken: list[RuleViolation] = field(default_factory=list)
     error: str = ""
     wall: float = 0.0
 
@@ -173,7 +173,7 @@
         return 2
 
     def write(fact: Fact) -> None:
-        out.write(orjson.dumps(named(fact)).decode() + "\n")
+        out.write(orjson.dumps(event_as_dict(fact)).decode() + "\n")
 
     try:
         run = run_scenario(scenario, *([write] if out else []))
--- a/rowanshift/simulation/core_command.py
+++ b/rowanshift/simulation/core_command.py
@@ -118,7 +118,8 @@
         "error": run.error,
         "unmet": run.unmet,
         "broken": [
-            {"rule": breach.rule, "at": breach.at, "ids": breach.ids, "why": breach.why} for breach in run.breaches
+            {"rule": violation.rule, "at": violation.at, "ids": violation.ids, "why": violation.why}
+            for violation in run.breaches
         ],
     }
 
--- a/rowanshift/simulation/core_play.py
+++ b/rowanshift/simulation/core_play.py
@@ -14,7 +14,7 @@
 import trio
 
 from rowanshift.emulation.applications import Applications
-from rowanshift.invariants.breaches import Breach
+from rowanshift.invariants.breaches import Violation
 from rowanshift.invariants.facts import ConfigAnswered, ConfigSent, Fact, PrimaryBecame, VersionNamed
 from rowanshift.simulation.core_scenario import TRIGGER_TIMEOUT_S, CoreFault, CoreScenario, target_names
 from rowanshift.simulation.fleet import Fleet, config_of, play, routes_of
@@ -37,7 +37,7 @@
 
     name: str
     seed: int
-    breaches: list[Breach] = field(default_factory=list)
+    breaches: list[Violation] = field(default_factory=list)
     unmet: list[str] = field(default_factory=list)  # unmet expectations, and programs that ended unexpectedly
     error: str = ""  # traceback of a crash of the run itself
     seconds: float = 0.0  # simulated
@@ -376,7 +376,7 @@
             main,
             f"core/{scenario.seed}",
             MAX_VIRTUAL_SECONDS,
-            strict=False,  # the breaches are collected below
+            strict=False,  # the violations are collected below
             routers=fleet_size.routers,
             cores=fleet_size.cores,
             servers=fleet_size.servers,
--- a/rowanshift/simulation/fleet.py
+++ b/rowanshift/simulation/fleet.py
@@ -5,7 +5,7 @@
 in seconds of the virtual clock.
 
 A run is a coroutine that takes a ``Fleet``: ``play`` builds a fleet, runs the coroutine, and returns its result and
-the fleet. The same seed gives the same recorded events. Settings, machines, faults, load, and which breaches the
+the fleet. The same seed gives the same recorded events. Settings, machines, faults, load, and which violations the
 faults allow are in the other ``fleet_*`` modules.
 """
 
@@ -20,8 +20,8 @@
 from rowanshift.emulation.platform import PlatformList
 from rowanshift.emulation.system_clients import Operator, Patron
 from rowanshift.invariants import system as rules
-from rowanshift.invariants.breaches import Breach
-from rowanshift.invariants.coordination_rules import coordination
+from rowanshift.invariants.breaches import Violation
+from rowanshift.invariants.coordination_rules import check_coordination
 from rowanshift.invariants.facts import Fact
 from rowanshift.process.node_settings import COORDINATION_CONTRACT
 from rowanshift.simulation.clock import Determined, VirtualClock
@@ -250,14 +250,14 @@
             elif failures >= MAX_FAILED_PROBES and front in self.ready and len(self.ready) > 1:
                 self.ready.remove(front)
 
-    def breaches(self) -> list[Breach]:
-        """Return the rule breaches that the faults do not allow. No fault allows a breach of a coordination rule."""
+    def breaches(self) -> list[Violation]:
+        """Return the rule violations that the faults do not allow. No fault allows one of a coordination rule."""
         found = find_breaches(
             self.facts, self._names_by_address(), FaultHistory(self.fault_records, self.f), self.rules
         )
-        return [*found, *coordination(self.facts, HISTORY)]
+        return [*found, *check_coordination(self.facts, HISTORY)]
 
-    def violations(self) -> list[Breach]:
+    def violations(self) -> list[Violation]:
         """Return the requests and calls that did not end as they must, by the records of the machines that read them.
 
         Those that an unplanned fault allows are left out.
@@ -283,7 +283,7 @@
     """Run ``main(fleet)`` to its end, for ``within`` virtual seconds at most; return its result and the fleet.
 
     Raises ``ViolatedOutcomes`` if requests or calls did not end as they must. Without ``strict``, the caller finds
-    them among the breaches instead.
+    them among the violations instead.
     """
     clock = VirtualClock()
 
--- a/rowanshift/simulation/fleet_excuses.py
+++ b/rowanshift/simulation/fleet_excuses.py
@@ -1,4 +1,4 @@
-"""Which rule breaches the injected faults of a run allow.
+"""Which rule violations the injected faults of a run allow.
 
 The rules speak of routers in contact with the core, of a stable core, and of unplanned faults; this module derives
 these from the recorded faults. Times are in seconds of the virtual clock.
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 
 from rowanshift.invariants import system as rules
-from rowanshift.invariants.breaches import Bounds, Breach
+from rowanshift.invariants.breaches import Bounds, Violation
 from rowanshift.invariants.facts import Asked, Fact
 from rowanshift.simulation.fleet_machines import FaultRecord
 from rowanshift.simulation.fleet_settings import (
@@ -76,12 +76,12 @@
         return (record for record in self.records if record.since <= until and record.until >= since - CONTACT)
 
 
-def known_faults(names_by_address: dict[str, str], faults: FaultHistory) -> rules.KnownTroubles:
+def known_faults(names_by_address: dict[str, str], faults: FaultHistory) -> rules.KnownFaults:
     """The faults of a run, in the form that the rules take.
 
     ``names_by_address`` maps the addresses for clients and operators to machine names.
     """
-    return rules.KnownTroubles(
+    return rules.KnownFaults(
         lambda address, since, until: faults.contact_disturbed(names_by_address[address], since, until),
         lambda address, since, until: faults.had_unplanned_fault(names_by_address[address], since, until),
     )
@@ -89,49 +89,49 @@
 
 def find_breaches(
     facts: list[Fact], names_by_address: dict[str, str], faults: FaultHistory, bounds: Bounds = RULES
-) -> list[Breach]:
-    """The rule breaches that no fault allows, ordered by time.
+) -> list[Violation]:
+    """The rule violations that no fault allows, ordered by time.
 
     ``names_by_address`` maps the addresses for clients and operators to machine names. Rules with a time bound apply
     only to routers in contact with the core. While the core is unstable but a majority of it runs, the bound of a
-    configuration is ``UNSTABLE_CORE_SLACK_SECONDS`` longer. A lost request is a breach only if its router had no
+    configuration is ``UNSTABLE_CORE_SLACK_SECONDS`` longer. A lost request is a violation only if its router had no
     unplanned fault.
     """
     asked = {fact.id: fact for fact in facts if type(fact) is Asked}
 
-    def router_of(breach: Breach) -> str | None:
-        return next((names_by_address[asked[id].front] for id in breach.ids if id in asked), None)
+    def router_of(violation: Violation) -> str | None:
+        return next((names_by_address[asked[id].front] for id in violation.ids if id in asked), None)
 
-    def is_exempt(breach: Breach, exempts: ExemptionCheck, extra_seconds: float = 0.0) -> bool:
-        router = router_of(breach)
-        if not breach.bounded or router is None:
+    def is_exempt(violation: Violation, exempts: ExemptionCheck, extra_seconds: float = 0.0) -> bool:
+        router = router_of(violation)
+        if not violation.bounded or router is None:
             return False
-        return exempts(router, breach.at - RULE_SECONDS[breach.rule] - extra_seconds, breach.at)
+        return exempts(router, violation.at - RULE_SECONDS[violation.rule] - extra_seconds, violation.at)
 
-    def lost_to_fault(breach: Breach) -> bool:
-        return breach.rule == "LOST" and faults.had_unplanned_fault(
-            router_of(breach), asked[breach.ids[0]].at, breach.at
+    def lost_to_fault(violation: Violation) -> bool:
+        return violation.rule == "LOST" and faults.had_unplanned_fault(
+            router_of(violation), asked[violation.ids[0]].at, violation.at
         )
 
     found = [
-        breach
-        for breach in rules.check(facts, bounds, known_faults(names_by_address, faults))
-        if not is_exempt(breach, faults.contact_disturbed) and not lost_to_fault(breach)
+        violation
+        for violation in rules.check(facts, bounds, known_faults(names_by_address, faults))
+        if not is_exempt(violation, faults.contact_disturbed) and not lost_to_fault(violation)
     ]
     found += [
-        breach
-        for breach in rules.config(facts, APPLY_SECONDS + UNSTABLE_CORE_SLACK_SECONDS)
-        if not is_exempt(breach, faults.majority_disturbed, UNSTABLE_CORE_SLACK_SECONDS) and breach not in found
+        violation
+        for violation in rules.config(facts, APPLY_SECONDS + UNSTABLE_CORE_SLACK_SECONDS)
+        if not is_exempt(violation, faults.majority_disturbed, UNSTABLE_CORE_SLACK_SECONDS) and violation not in found
     ]
     stable_periods = faults.stable_periods(max((fact.at for fact in facts), default=0.0))
     found += [
-        breach
-        for breach in rules.version_in_one_stretch(facts, bounds.version, stable_periods)
-        if not is_exempt(breach, faults.contact_disturbed, -RULE_SECONDS[breach.rule]) and breach not in found
+        violation
+        for violation in rules.version_in_one_period(facts, bounds.version, stable_periods)
+        if not is_exempt(violation, faults.contact_disturbed, -RULE_SECONDS[violation.rule]) and violation not in found
     ]
     found += [
-        breach
-        for breach in rules.version_sums(facts, bounds.version_all, stable_periods)
-        if not is_exempt(breach, faults.contact_disturbed, -RULE_SECONDS[breach.rule])
+        violation
+        for violation in rules.version_sums(facts, bounds.version_all, stable_periods)
+        if not is_exempt(violation, faults.contact_disturbed, -RULE_SECONDS[violation.rule])
     ]
-    return sorted(found, key=lambda breach: breach.at)
+    return sorted(found, key=lambda violation: violation.at)
--- a/rowanshift/simulation/world.py
+++ b/rowanshift/simulation/world.py
@@ -22,8 +22,8 @@
 from rowanshift.emulation.discovery import Agent, row_of
 from rowanshift.emulation.http import Ledger
 from rowanshift.emulation.servers import Cache, Kind, Origin, Server, Spoiling
-from rowanshift.invariants.checks import Broken, Rules, Terms
-from rowanshift.invariants.events import Events, Fact
+from rowanshift.invariants.checks import CacheProxyRules, RuleSettings, RuleViolation
+from rowanshift.invariants.events import EventStream, Fact
 from rowanshift.placement.hash_ring import stable_hash
 from rowanshift.simulation.clock import Determined, VirtualClock
 from rowanshift.simulation.machine import Machine
@@ -42,7 +42,7 @@
 class SimulationResult:
     """The result of a run."""
 
-    broken: list[Broken]
+    broken: list[RuleViolation]
     facts: int
     items: int  # work items, without retries
     seconds: float  # simulated
@@ -127,17 +127,17 @@
                 links.late,
             ),
         )
-        self.events = Events(self.clock.current_time)
+        self.events = EventStream(self.clock.current_time)
         fleet = scenario.fleet
         raw = self._router_settings(0)
         self.categories = settings_of(raw).categories
-        self.rules = Rules(
-            Terms(
+        self.rules = CacheProxyRules(
+            RuleSettings(
                 dict(zip((category.name for category in scenario.category), self.categories, strict=True)),
                 fleet.grace_s,
             )
         )
-        self.events.readers = [self.rules.see, *(readers or [])]
+        self.events.readers = [self.rules.process_event, *(readers or [])]
         self.network.on_undeliverable = self._record_undeliverable
         self.ledger = Ledger()
         self.caches: dict[str, CacheHost] = {}
@@ -362,21 +362,21 @@
         while True:
             host.file.data["known"] = self._listed_instances(host.agent)
             host.service = self.make_service(config_of(host.file.data), host.file, machine)
-            self.events.tell("started", machine.name, machine.process_count + 1)
+            self.events.publish("started", machine.name, machine.process_count + 1)
             for row in host.agent.rows.values():
                 if row["lifecycle"] == "leaving":
-                    self.events.tell("told", machine.name, row["instanceId"], "quiescing")
+                    self.events.publish("told", machine.name, row["instanceId"], "quiescing")
             if machine.process_count:
                 self.nursery.start_soon(self._accept_when_ready, host)
             try:
                 left_open = await machine.run(host.service.run)
             except Exception as error:
                 self.errors.append(error)
-                self.events.tell("down", machine.name, "crashed")
+                self.events.publish("down", machine.name, "crashed")
             else:
                 if left_open is not None:
-                    self.events.tell("left_over", machine.name, "descriptors", left_open)
-                    self.events.tell("down", machine.name, "ended")
+                    self.events.publish("left_over", machine.name, "descriptors", left_open)
+                    self.events.publish("down", machine.name, "ended")
             if self.stopping.is_set():
                 return
             if host.restart_after is None:
@@ -401,7 +401,7 @@
 
     def _record_undeliverable(self, machine: str, address: str) -> None:
         if machine.startswith("r"):
-            self.events.tell("no_way", machine, address)
+            self.events.publish("no_way", machine, address)
 
     def _stop_new_connections(self, host: RouterHost) -> None:
         for door in self._doors_of(host):
@@ -454,7 +454,7 @@
         self.stopping.set()
         for host in self.routers:
             host.machine.go_on()
-            self.events.tell("went_on", host.machine.name)
+            self.events.publish("went_on", host.machine.name)
         for crowd in self.crowds:
             crowd.close()
         await trio.sleep(QUIET_SECONDS + max(category.expiry_s for category in self.scenario.category))
@@ -462,11 +462,11 @@
             service = host.service
             if host.machine.running and service is not None and service.phase is Phase.SERVING:
                 for resource, count in open_resources(service).items():
-                    self.events.tell("left_over", host.machine.name, resource, count)
+                    self.events.publish("left_over", host.machine.name, resource, count)
                 host.machine.signal(signal.SIGTERM)
         await trio.sleep(2.0)
         for host in self.routers:
-            self.events.tell("left_over", host.machine.name, "process", int(host.machine.running))
+            self.events.publish("left_over", host.machine.name, "process", int(host.machine.running))
         self.rules.end(self.clock.time)
 
     def _result(self) -> SimulationResult:
@@ -512,7 +512,7 @@
 
     def _inject(self, fault: Fault) -> None:
         targets = fault.who if isinstance(fault.who, list) else [fault.who] if fault.who else []
-        self.events.tell("trouble", fault.what, ",".join(targets))
+        self.events.publish("trouble", fault.what, ",".join(targets))
         getattr(self, f"_do_{fault.what}")(fault, targets)
 
     def _active_caches(self) -> list[CacheHost]:
@@ -586,14 +586,14 @@
     def _do_stall(self, fault: Fault, targets: list[str], seconds: float = 0.0) -> None:
         for machine in self._select_machines(targets, 0.4):
             if machine.running and not machine.frozen:
-                self.events.tell("stalled", machine.name)
+                self.events.publish("stalled", machine.name)
                 machine.stand_still()
                 self.after(seconds or fault.for_s, self._resume, machine)
 
     def _resume(self, machine: Machine) -> None:
         if machine.frozen:
             machine.go_on()
-            self.events.tell("went_on", machine.name)
+            self.events.publish("went_on", machine.name)
 
     def _do_stutter(self, fault: Fault, targets: list[str]) -> None:
         names = [host.name for host in self._select_caches(targets, 0.47)]
@@ -733,7 +733,7 @@
             if host.machine.running and host.restart_after is None:
                 host.restart_after = max(0.1, fault.for_s)
                 host.machine.kill()
-                self.events.tell("down", host.machine.name, "killed")
+                self.events.publish("down", host.machine.name, "killed")
                 self.after(
                     min(self.random_source.uniform(*CRASH_NOTICE_SECONDS), host.restart_after),
                     self._stop_new_connections,
@@ -745,7 +745,7 @@
             if host.machine.running and host.restart_after is None:
                 host.restart_after = max(0.1, fault.for_s)
                 host.machine.signal(signal.SIGTERM)
-                self.events.tell("signalled", host.machine.name, "SIGTERM")
+                self.events.publish("signalled", host.machine.name, "SIGTERM")
                 self.after(self.random_source.uniform(*SIGTERM_NOTICE_SECONDS), self._stop_new_connections, host)
 
     def _do_reload(self, fault: Fault, targets: list[str]) -> None:
@@ -767,7 +767,7 @@
             host.file.data["discovery"] = f"{agent_machine.address}:{AGENT_PORT}"
             self.nursery.start_soon(self._run_process, agent_machine, agent.run)
             host.machine.signal(signal.SIGHUP)
-            self.events.tell("signalled", host.machine.name, "SIGHUP")
+            self.events.publish("signalled", host.machine.name, "SIGHUP")
 
     def _do_list_late(self, fault: Fault, targets: list[str]) -> None:
         for host in self._select_routers_or_all(targets):
--- a/rowanshift/soak/checker.py
+++ b/rowanshift/soak/checker.py
@@ -12,9 +12,9 @@
 from pathlib import Path
 
 from rowanshift.invariants import system as rules
-from rowanshift.invariants.breaches import Breach, Facts, by_id, of_kind
-from rowanshift.invariants.configuration_rules import Configs
-from rowanshift.invariants.coordination_rules import coordination
+from rowanshift.invariants.breaches import Facts, Violation, by_id, of_kind
+from rowanshift.invariants.configuration_rules import SentConfigurations
+from rowanshift.invariants.coordination_rules import check_coordination
 from rowanshift.invariants.facts import Answered, Asked, Began, ConfigSent, Finished, Lost, Reached
 from rowanshift.invariants.planned_work_rules import SERVER_ENDED, time_limit
 from rowanshift.simulation.fleet_settings import CONTACT, HISTORY, RULES
@@ -125,20 +125,22 @@
 # processes --------------------------------------------------
 
 
-def exit_violations(events: Facts) -> list[Breach]:
+def exit_violations(events: Facts) -> list[Violation]:
     """EXIT: a process does not exit with code 0 within the grace after SIGTERM. If it was killed or paused before the
     end of the grace, the time limit does not apply, and the exit code of SIGKILL is accepted.
 
     OWN END: a process exits without having been sent SIGTERM or SIGKILL."""
-    violations: list[Breach] = []
+    violations: list[Violation] = []
     for life in process_lives(events):
         name = f"{life.started.machine}.{life.started.life}"
         sigterm_at, killed = life.first_signal_at("SIGTERM"), life.first_signal_at("SIGKILL")
         if sigterm_at is not None:
             why = _bad_exit(life, sigterm_at)
-            violations += [Breach(EXIT, sigterm_at, (name,), why)] if why else []
+            violations += [Violation(EXIT, sigterm_at, (name,), why)] if why else []
         elif life.ended is not None and not (killed is not None and life.ended.code == SIGKILL_EXIT_CODE):
-            violations.append(Breach(OWN_END, life.ended.at, (name,), f"exited unprompted with code {life.ended.code}"))
+            violations.append(
+                Violation(OWN_END, life.ended.at, (name,), f"exited unprompted with code {life.ended.code}")
+            )
     return violations
 
 
@@ -162,7 +164,7 @@
     return ""
 
 
-def log_violations(events: Facts, folder: Path) -> list[Breach]:
+def log_violations(events: Facts, folder: Path) -> list[Violation]:
     """LOG: a log holds a traceback, or a process that no unplanned fault affected logs a violation of its own."""
     faults, violations = UnplannedFaults(events), []
     for life in process_lives(events):
@@ -174,28 +176,32 @@
         ]
         if found:
             why = f"{len(found)} matching lines, the first: {found[0].strip()[:MAX_LINE_CHARACTERS]}"
-            violations.append(Breach(LOG, life.started.at, (life.started.log,), why))
+            violations.append(Violation(LOG, life.started.at, (life.started.log,), why))
     return violations
 
 
 # configuration ----------------------------------------------
 
 
-def configuration_violations(events: Facts) -> list[Breach]:
+def configuration_violations(events: Facts) -> list[Violation]:
     """LOST CONFIGURATION: at the end of the run the configuration is older than the newest acknowledged one, can not be
     read, or differs from what was sent under its revision."""
-    configs, reads = Configs.among(events), of_kind(events, ReadBack)
+    configs, reads = SentConfigurations.among(events), of_kind(events, ReadBack)
     if not reads:
         return []  # the run ended before the configuration was read back, which is a violation of its own
     read = reads[-1]
     newest = configs.newest_acked(read.at)
     if read.config is None:
-        return [Breach(LOST_CONFIGURATION, read.at, (), f"not readable, although revision {newest} was acknowledged")]
+        return [
+            Violation(LOST_CONFIGURATION, read.at, (), f"not readable, although revision {newest} was acknowledged")
+        ]
     revision = read.config.get("revision", 0)
     if revision < newest:
-        return [Breach(LOST_CONFIGURATION, read.at, (str(revision),), f"older than the acknowledged revision {newest}")]
+        return [
+            Violation(LOST_CONFIGURATION, read.at, (str(revision),), f"older than the acknowledged revision {newest}")
+        ]
     if read.config not in [one.config for one in of_kind(events, ConfigSent) if one.revision == revision]:
-        return [Breach(LOST_CONFIGURATION, read.at, (str(revision),), "differs from what was sent as this revision")]
+        return [Violation(LOST_CONFIGURATION, read.at, (str(revision),), "differs from what was sent as this revision")]
     return []
 
 
@@ -215,7 +221,7 @@
 
     def __init__(self, events: Facts, read: set[str] | None = None) -> None:
         self.read = read
-        self.events, self.configs, self.faults = events, Configs.among(events), UnplannedFaults(events)
+        self.events, self.configs, self.faults = events, SentConfigurations.among(events), UnplannedFaults(events)
         self.asked, self.reached = by_id(events, Asked), by_id(events, Reached)
         self.began, self.finished = by_id(events, Began), by_id(events, Finished)
         self.routers = {one.front: one.machine for one in of_kind(events, ProcessStarted) if one.front}
@@ -228,7 +234,7 @@
             if (sigterm_at := life.first_signal_at("SIGTERM")) is not None:
                 self.sigterms[life.started.machine].append(sigterm_at)
 
-    def cut_violations(self) -> list[Breach]:
+    def cut_violations(self) -> list[Violation]:
         """CUT: a router that no unplanned fault affected closes the connection of a request that it has read before the
         answer is complete, and neither the server nor the request's deadline is the cause."""
         violations = []
@@ -238,7 +244,7 @@
             router = self.routers[request.front]
             if self._is_allowed(end, request, router):
                 continue
-            violations.append(Breach(CUT, end.at, (end.id,), self._describe(end, request, router)))
+            violations.append(Violation(CUT, end.at, (end.id,), self._describe(end, request, router)))
         return violations
 
     def _ended_early(self, end: Lost | Answered, request: Asked) -> bool:
@@ -300,12 +306,12 @@
 # the whole run ---------------------------------------------
 
 
-def stall_violations(events: Facts) -> list[Breach]:
+def stall_violations(events: Facts) -> list[Violation]:
     """STALLED: the system did not reach a required state in time, for example ready after its start or after faults."""
-    return [Breach(STALLED, one.at, (), one.what) for one in of_kind(events, Stalled)]
+    return [Violation(STALLED, one.at, (), one.what) for one in of_kind(events, Stalled)]
 
 
-def recovery_violations(events: Facts) -> list[Breach]:
+def recovery_violations(events: Facts) -> list[Violation]:
     """RECOVER: in the last stretch of load less than ``MIN_SERVED_FRACTION`` of the requests are served. After all
     routers are ready again, that is the first stretch which reaches this fraction, or the one in which the recovery
     timeout expires."""
@@ -315,7 +321,7 @@
     served = served_fraction(events, ready[0].at, read_back[0].at)
     if served >= MIN_SERVED_FRACTION:
         return []
-    return [Breach(RECOVER, read_back[0].at, (), f"{served:.2f} of the requests were served")]
+    return [Violation(RECOVER, read_back[0].at, (), f"{served:.2f} of the requests were served")]
 
 
 def served_fraction(events: Facts, since: float, until: float) -> float:
@@ -326,12 +332,12 @@
     return len(complete_ids & sent) / len(sent) if sent else 0.0
 
 
-def shared_rule_violations(events: Facts) -> list[Breach]:
+def shared_rule_violations(events: Facts) -> list[Violation]:
     """Violations of the rules of ``rowanshift.invariants`` that apply whether or not a machine was reachable."""
     return [found for found in rules.check(events, RULES) if not found.bounded and found.rule != "LOST"]
 
 
-def check(events: Facts, log_folder: Path) -> list[Breach]:
+def check(events: Facts, log_folder: Path) -> list[Violation]:
     """Runs every check over a run's recorded events and logs; the violations in order of time."""
     found = [
         *exit_violations(events),
@@ -341,7 +347,7 @@
         *stall_violations(events),
         *recovery_violations(events),
         *version_violations(events),
-        *coordination(events, HISTORY),
+        *check_coordination(events, HISTORY),
         *shared_rule_violations(events),
     ]
     return sorted(found, key=lambda violation: violation.at)
--- a/rowanshift/soak/command.py
+++ b/rowanshift/soak/command.py
@@ -14,7 +14,7 @@
 
 import trio
 
-from rowanshift.invariants.breaches import Breach, Facts, of_kind
+from rowanshift.invariants.breaches import Facts, Violation, of_kind
 from rowanshift.invariants.coordination_facts import CoordinationAnswered, CoordinationAsked
 from rowanshift.invariants.facts import Answered, Asked, ConfigAnswered, ConfigSent
 from rowanshift.process.error_groups import first_of
@@ -41,7 +41,7 @@
     plan: Plan
     seconds: float  # of wall time
     events: Facts
-    violations: list[Breach]
+    violations: list[Violation]
 
     def summary_line(self) -> str:
         """The run as one line of key=value pairs."""
--- a/rowanshift/soak/versions.py
+++ b/rowanshift/soak/versions.py
@@ -7,9 +7,9 @@
 
 from collections import defaultdict
 
-from rowanshift.invariants.breaches import Breach, Facts, by_id, of_kind
+from rowanshift.invariants.breaches import Facts, Violation, by_id, of_kind
 from rowanshift.invariants.facts import Asked
-from rowanshift.invariants.server_rules import version_in_one_stretch, version_sums
+from rowanshift.invariants.server_rules import version_in_one_period, version_sums
 from rowanshift.simulation.fleet_settings import CONTACT, VERSION, VERSION_ALL
 from rowanshift.soak.plan import CORE_NAME_PREFIX, FaultKind
 from rowanshift.soak.records import Lagged, LoadEnded, ProcessStarted, TroubleMet
@@ -41,15 +41,15 @@
     return bool(fault.links) or fault.trouble is FaultKind.WIPE or any(map(_is_core, fault.machines))
 
 
-def version_violations(events: Facts) -> list[Breach]:
+def version_violations(events: Facts) -> list[Violation]:
     """VERSION: a request forwarded by a reachable router began on an older version although a newer one had been
     acknowledged for the bound within one undisturbed interval, or for the bound of their sum over several."""
     undisturbed = undisturbed_intervals(events)
-    found = [*version_in_one_stretch(events, VERSION, undisturbed), *version_sums(events, VERSION_ALL, undisturbed)]
+    found = [*version_in_one_period(events, VERSION, undisturbed), *version_sums(events, VERSION_ALL, undisturbed)]
     asked = by_id(events, Asked)
     routers = {one.front: one.machine for one in of_kind(events, ProcessStarted) if one.front}
     unreachable = _unreachable_intervals(events)
-    violations: dict[tuple[str, ...], Breach] = {}
+    violations: dict[tuple[str, ...], Violation] = {}
     for violation in sorted(found, key=lambda violation: violation.at):
         router = routers.get(asked[violation.ids[0]][0].front) if violation.ids[0] in asked else None
         if not any(since <= violation.at <= until for since, until in unreachable.get(router, ())):
--- a/tests/cacheproxy/test_network.py
+++ b/tests/cacheproxy/test_network.py
@@ -26,7 +26,7 @@
 from rowanshift.cacheproxy.servers import Servers, verdict_of
 from rowanshift.cacheproxy.service import Phase, Service
 from rowanshift.emulation.discovery import Agent, row_of
-from rowanshift.invariants.events import Events
+from rowanshift.invariants.events import EventStream
 from rowanshift.process.log_rate_limit import LogRateLimit
 from rowanshift.transport.buffer import RingBuffer
 from rowanshift.transport.descriptor_budget import MAX_CLIENT_FRACTION, RESERVED_DESCRIPTORS, DescriptorBudget
@@ -1183,7 +1183,7 @@
         async with trio.open_nursery() as nursery:
             (agent, listen) = free_addresses(2)
             rows = {name: row_of(name, ("127.0.0.1", 9), "here", "cache") for name in ("old", "new")}
-            stub_agent = Agent(SYSTEM_RUNTIME, agent, time.monotonic, Events(time.monotonic), "n", [rows["new"]])
+            stub_agent = Agent(SYSTEM_RUNTIME, agent, time.monotonic, EventStream(time.monotonic), "n", [rows["new"]])
             stub_agent.silent = silent
             nursery.start_soon(stub_agent.run)
             await trio.sleep(0.02)
--- a/tests/controlplane/test_configuration_patch.py
+++ b/tests/controlplane/test_configuration_patch.py
@@ -339,7 +339,7 @@
 
         with mock.patch.dict(configuration_change.CHANGES, {b"PATCH": patch_without_history}):
             _, fleet = play(lambda fleet: self.patch_under(fleet, 8.0), "forgets")
-        self.assertIn("CONFIG", {breach.rule for breach in fleet.breaches()})
+        self.assertIn("CONFIG", {violation.rule for violation in fleet.breaches()})
 
     def test_a_patch_that_loses_items_is_detected(self) -> None:
         def patch_that_loses_items(state: ControlState, if_match: str | None, body: bytes) -> Any:
@@ -352,7 +352,7 @@
 
         with mock.patch.dict(configuration_change.CHANGES, {b"PATCH": patch_that_loses_items}):
             _, fleet = play(lambda fleet: self.patch_under(fleet, 4.0), "loses")
-        self.assertIn("CONFIG", {breach.rule for breach in fleet.breaches()})
+        self.assertIn("CONFIG", {violation.rule for violation in fleet.breaches()})
 
 
 if __name__ == "__main__":
--- a/tests/dataplane/test_exchange_signals.py
+++ b/tests/dataplane/test_exchange_signals.py
@@ -67,7 +67,7 @@
                     cut = [attempt for attempt in tries if not attempt.done()]
                     self.assertEqual([(attempt.id, attempt.status, attempt.how) for attempt in cut], [])
                     self.assertGreater(len(tries), 60)
-                    self.assertEqual([str(breach) for breach in fleet.breaches()], [])
+                    self.assertEqual([str(violation) for violation in fleet.breaches()], [])
 
     def test_the_router_keeps_serving_after_sighup(self) -> None:
         tries, fleet, running = self.tries(signal.SIGHUP, True, 4.0)
--- a/tests/dataplane/test_request_outcomes.py
+++ b/tests/dataplane/test_request_outcomes.py
@@ -304,11 +304,11 @@
         await trio.sleep(7.5)
 
     def assert_found(self, text: str) -> None:
-        """A strict run fails with this text; one that is not strict reports it as a breach."""
+        """A strict run fails with this text; one that is not strict reports it as a violation."""
         with self.assertRaisesRegex(ViolatedOutcomes, f"ENDING .*{text}"):
             play(self.scenario)
         breaches = play(self.scenario, strict=False)[1].breaches()
-        self.assertIn("ENDING", {breach.rule for breach in breaches if text in breach.why})
+        self.assertIn("ENDING", {violation.rule for violation in breaches if text in violation.why})
 
     def test_nothing_is_found_without_a_fault(self) -> None:
         play(self.scenario)
@@ -341,7 +341,7 @@
                 await trio.sleep(0.05)
 
         _, fleet = play(main, strict=False)
-        self.assertEqual([str(breach) for breach in fleet.breaches()], [])
+        self.assertEqual([str(violation) for violation in fleet.breaches()], [])
 
     def test_a_request_that_is_never_closed(self) -> None:
         original = RequestOutcomes.close
--- a/tests/dataplane/test_revocation.py
+++ b/tests/dataplane/test_revocation.py
@@ -195,7 +195,7 @@
     def test_a_router_that_admits_revoked_keys_is_detected(self) -> None:
         with mock.patch.object(Freshness, "may_admit_key", lambda freshness, arrived_at: True):
             for fault, victims in (("cut", 1), ("cut with the primary", 1)):
-                rules = {breach.rule for breach in self.simulated(fault, victims).breaches()}
+                rules = {violation.rule for violation in self.simulated(fault, victims).breaches()}
                 self.assertIn("CONFIG", rules, fault)
 
 
--- a/tests/dataplane/test_version_deadlines.py
+++ b/tests/dataplane/test_version_deadlines.py
@@ -99,7 +99,7 @@
                 deadlines.announcements.record(VersionAnnouncement(model, version, asked_at + VERSION_LEAD_SECONDS))
 
         with mock.patch.object(VersionDeadlines, "record_announcements", record_without_age):
-            self.assertIn("VERSION", {breach.rule for breach in self.breaches_with_restarts("adds up")})
+            self.assertIn("VERSION", {violation.rule for violation in self.breaches_with_restarts("adds up")})
 
 
 if __name__ == "__main__":
--- a/tests/emulation/test_emulation_system.py
+++ b/tests/emulation/test_emulation_system.py
@@ -14,7 +14,7 @@
 from rowanshift.emulation.platform import PlatformList
 from rowanshift.emulation.system_clients import Operator, Patron, Work
 from rowanshift.invariants import system as rules
-from rowanshift.invariants.events import Events
+from rowanshift.invariants.events import EventStream
 from rowanshift.invariants.system import (
     Began,
     CacheHit,
@@ -444,7 +444,7 @@
             return rules.stale(world.facts), rules.wall(world.facts, {"t2"})
 
         stale, wall = self.play(main)
-        self.assertEqual([breach.ids for breach in stale], [("p.2", "i-2")] * 2)
+        self.assertEqual([violation.ids for violation in stale], [("p.2", "i-2")] * 2)
         self.assertEqual(len(wall), 2)
 
 
@@ -604,7 +604,7 @@
             server.answer_lost(1.0)
             seen.append((await client.ask(make_work())).how)
             ran = len(world.facts_of(Began))
-            return seen, ran, [(breach.rule, breach.ids) for breach in rules.check(world.facts)]
+            return seen, ran, [(violation.rule, violation.ids) for violation in rules.check(world.facts)]
 
         seen, ran, broken = self.play(main)
         self.assertEqual((seen, ran), (["broken", "whole", "garbled", "closed"], 4))
@@ -670,7 +670,7 @@
     """A control API that answers each call with the next scripted status, and repeats the last one."""
 
     def __init__(self, host, address, now, replies, other=None):
-        super().__init__(host, address, now, Events(now))
+        super().__init__(host, address, now, EventStream(now))
         self.replies, self.redirect_target, self.seen = [*replies], other, []
 
     async def handle(self, connection, message, first_at, fresh):
--- a/tests/invariants/test_coordination_rules.py
+++ b/tests/invariants/test_coordination_rules.py
@@ -26,7 +26,7 @@
     TakeLock,
 )
 from rowanshift.invariants.coordination_facts import CoordinationAnswered, CoordinationAsked
-from rowanshift.invariants.coordination_rules import coordination
+from rowanshift.invariants.coordination_rules import check_coordination
 from rowanshift.invariants.facts import Fact
 
 HISTORY_SECONDS = 20.0
@@ -50,7 +50,7 @@
         self.facts += CoordinationAsked(asked_at, id, call), CoordinationAnswered(answered_at, id, status)
 
     def rules(self) -> list[str]:
-        return [breach.rule for breach in coordination(self.facts, HISTORY_SECONDS)]
+        return [violation.rule for violation in check_coordination(self.facts, HISTORY_SECONDS)]
 
     def put(self, at: float, key: str, value: str, revision: int, expected: int | None = None) -> None:
         self.call(at, PutKey(key, value, expected), at + 0.1, KeyPut(revision))
--- a/tests/invariants/test_invariants_control.py
+++ b/tests/invariants/test_invariants_control.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 
 from rowanshift.invariants import system as rules
-from rowanshift.invariants.breaches import NO_TROUBLES, KnownTroubles
+from rowanshift.invariants.breaches import NO_FAULTS, KnownFaults
 from rowanshift.invariants.system import (
     Answered,
     Asked,
@@ -50,7 +50,7 @@
 
 
 def descriptions(breaches):
-    return [breach.why for breach in breaches]
+    return [violation.why for violation in breaches]
 
 
 class Budget(unittest.TestCase):
@@ -65,8 +65,8 @@
 
     def test_the_slack_alone(self):
         self.assertEqual(self.found([], [11.0, 12.0]), [])
-        [breach] = self.found([], [11.0, 12.0, 20.9])
-        self.assertEqual((breach.rule, breach.ids, breach.at), ("BUDGET", ("s1",), 20.9))
+        [violation] = self.found([], [11.0, 12.0, 20.9])
+        self.assertEqual((violation.rule, violation.ids, violation.at), ("BUDGET", ("s1",), 20.9))
         self.assertEqual(self.found([], [11.0, 12.0, 21.0]), [])  # never three within 10 s
 
     def test_requests_of_the_window_or_one_before_allow_more(self):
@@ -75,10 +75,10 @@
         for at in (30.0, 25.0, 20.0):
             self.assertEqual(self.found([at] * 5, repeats), [], at)
             self.assertEqual(len(self.found([at] * 4, repeats)), 1, at)
-        [breach] = self.found([19.9] * 5, repeats)  # allows the retries no longer, before they are past
-        self.assertEqual(breach.at, 39.9)
-        [breach] = self.found([9.0] * 5, repeats)
-        self.assertEqual(breach.at, 30.2)
+        [violation] = self.found([19.9] * 5, repeats)  # allows the retries no longer, before they are past
+        self.assertEqual(violation.at, 39.9)
+        [violation] = self.found([9.0] * 5, repeats)
+        self.assertEqual(violation.at, 30.2)
 
     def test_the_window_half_a_window_before(self):
         """The five requests in it are split between the other two windows that are counted."""
@@ -89,7 +89,7 @@
     def test_requests_for_another_service_allow_nothing(self):
         facts = [sent(0.0, 1, "s2"), acknowledged(0.1, 1), *[asked(9.0, f"q{n}") for n in range(50)]]
         facts += [Reached(10.0 + n, "r", "i1", "s1") for n in range(4)]
-        self.assertEqual([breach.ids for breach in rules.budget(facts, BOUNDS)], [("s1",)])
+        self.assertEqual([violation.ids for violation in rules.budget(facts, BOUNDS)], [("s1",)])
         self.assertEqual(rules.budget(facts[:-1], BOUNDS), [])
 
 
@@ -105,8 +105,8 @@
         return [asked(since, "r", front, **more), Reached(since + 0.1, "r", "i1", "s1"), Lost(at, "r", "closed")]
 
     def test_a_cut_after_sigterm(self):
-        [breach] = self.found(self.TERM, *self.cut(10.5))
-        self.assertEqual((breach.rule, breach.ids), ("LOST", ("r",)))
+        [violation] = self.found(self.TERM, *self.cut(10.5))
+        self.assertEqual((violation.rule, violation.ids), ("LOST", ("r",)))
         for allowed in (
             self.cut(9.9),  # before it
             self.cut(19.1, 18.0),  # after the whole period
@@ -180,7 +180,7 @@
         facts = [replace(asked(at, id, front), kept=kept), Reached(at + 0.1, id, "i1", "s1", "", refused)]
         return [*facts, end or Lost(at + 0.5, id, "closed")]
 
-    def found(self, facts, troubles=NO_TROUBLES):
+    def found(self, facts, troubles=NO_FAULTS):
         return rules.lost_on_kept_connections(facts, BOUNDS, troubles)
 
     def of_cuts(self, count, **more):
@@ -188,10 +188,10 @@
 
     def test_more_than_three(self):
         self.assertEqual(self.found(self.of_cuts(3)), [])
-        [breach] = self.found(self.of_cuts(4))
-        self.assertEqual((breach.rule, breach.ids, breach.at), ("LOST", ("r3",), 13.5))
-        self.assertEqual([breach.ids for breach in self.found(self.of_cuts(5))], [("r3",), ("r4",)])
-        self.assertIn(breach, rules.check(self.of_cuts(4), BOUNDS))
+        [violation] = self.found(self.of_cuts(4))
+        self.assertEqual((violation.rule, violation.ids, violation.at), ("LOST", ("r3",), 13.5))
+        self.assertEqual([violation.ids for violation in self.found(self.of_cuts(5))], [("r3",), ("r4",)])
+        self.assertIn(violation, rules.check(self.of_cuts(4), BOUNDS))
 
     def test_each_machine_is_counted_separately(self):
         self.assertEqual(self.found(self.of_cuts(3) + self.cut(3, front=OTHER_FRONT)), [])
@@ -214,7 +214,7 @@
 
     def test_a_disconnected_machine(self):
         for until, breaches in ((9.0, 1), (10.0, 0)):
-            troubles = KnownTroubles(out_of_touch=lambda front, since, _, until=until: since <= until)
+            troubles = KnownFaults(out_of_touch=lambda front, since, _, until=until: since <= until)
             self.assertEqual(len(self.found(self.of_cuts(4), troubles)), breaches, until)
 
 
@@ -229,9 +229,9 @@
         return rules.regressed([self.LIFE, *self.VERSIONS, *self.SEEN, *facts], 0.25)
 
     def test_a_request_that_only_an_older_version_allows(self):
-        [breach] = self.found(asked(3.4, "old"), began(3.5, "old"))
-        self.assertEqual((breach.rule, breach.ids), ("CONFIG", ("old", "i1")))
-        self.assertIn("only up to 1; 2 was seen", breach.why)
+        [violation] = self.found(asked(3.4, "old"), began(3.5, "old"))
+        self.assertEqual((violation.rule, violation.ids), ("CONFIG", ("old", "i1")))
+        self.assertIn("only up to 1; 2 was seen", violation.why)
 
     def test_handling_that_is_no_regression(self):
         self.assertEqual(self.found(asked(3.3, "soon"), began(3.5, "soon")), [])  # within the slack
@@ -290,7 +290,7 @@
         self.assertEqual(found(1.5, CONTROL), [])
         self.assertEqual(found(2.5, OTHER_CONTROL), [])
         self.assertEqual(found(2.04, CONTROL), [])  # in transit
-        self.assertEqual([breach.rule for breach in found(2.1, CONTROL)], ["CONFIG"])
+        self.assertEqual([violation.rule for violation in found(2.1, CONTROL)], ["CONFIG"])
         self.assertEqual(found(2.1, CONTROL, Resumed(1.9, "core-0", CONTROL)), [])
         self.assertEqual(len(found(2.3, CONTROL, Resumed(1.9, "core-0", CONTROL))), 1)
 
--- a/tests/invariants/test_invariants_system.py
+++ b/tests/invariants/test_invariants_system.py
@@ -50,7 +50,7 @@
     def assert_violation(self, rule, check, *facts):
         """Assert that the check finds exactly one violation in these events, and return it."""
         found = check(list(facts))
-        self.assertEqual([breach.rule for breach in found], [rule], [str(breach) for breach in found])
+        self.assertEqual([violation.rule for violation in found], [rule], [str(violation) for violation in found])
         return found[0]
 
     def test_a_valid_history_has_no_violations(self):
@@ -154,7 +154,7 @@
     ACKED2 = ConfigAnswered(2.5, "c2", 1, 2, 200)
 
     def check(self, *facts):
-        return [breach.why for breach in rules.config([SENT, ACKED, *facts], 2.0)]
+        return [violation.why for violation in rules.config([SENT, ACKED, *facts], 2.0)]
 
     def test_two_acknowledged_on_one_base(self):
         rival = ConfigSent(2.1, "c3", 1, 3, config_of(3, "s3"))
@@ -229,7 +229,7 @@
             [(1, "i1", "a", 2, 202), (2, "i1", "a", 1, 202)],
             [(1, "i1", "a", 1, 202), (2, "i1", "b", 2, 202), (3, "i1", "a", 3, 202)],
         ):
-            self.assertEqual([breach.rule for breach in orders(*violating)], ["ONE"], violating)
+            self.assertEqual([violation.rule for violation in orders(*violating)], ["ONE"], violating)
         self.assertEqual(orders((1, "i1", "a", 2, 202), (2, "i1", "b", 1, 412), (9, "i1", "b", 3, 202)), [])
         self.assertEqual(orders((1, "i1", "a", 1, 202), (2, "i1", "b", 2, 202), (4.5, "i1", "a", 3, 202)), [])
         apart = [Ordered(1, "i1", "a", 1, 202), Ordered(2, "i2", "b", 1, 202)]
@@ -249,7 +249,7 @@
     def test_violations_of_all_checks_are_sorted_by_time(self):
         shown = Listed(6.0, "i1", "draining")
         found = rules.check([*VALID_HISTORY, SECOND, shown, VersionNamed(1.5, "m", 2)], Bounds(version=8.0, drain=3.0))
-        self.assertEqual([breach.rule for breach in found], ["DRAIN", "VERSION", "TWICE", "VERSION"])
+        self.assertEqual([violation.rule for violation in found], ["DRAIN", "VERSION", "TWICE", "VERSION"])
 
 
 if __name__ == "__main__":
--- a/tests/simulation/test_coordination.py
+++ b/tests/simulation/test_coordination.py
@@ -32,7 +32,7 @@
     for seed in FAULT_SEEDS:
         run = run_applications(faults, seconds, seed)
         assert not run.error, run.error
-        if found := {breach.rule for breach in run.breaches} & {*rules}:
+        if found := {violation.rule for violation in run.breaches} & {*rules}:
             return found
     return set()
 
--- a/tests/simulation/test_core_scenarios.py
+++ b/tests/simulation/test_core_scenarios.py
@@ -47,7 +47,7 @@
         scenario = load_core(SCENARIO_FILES[name])
         self.assertEqual(scenario.name, name)
         run = run_core_scenario(scenario)
-        self.assertEqual(([str(breach) for breach in run.breaches], run.unmet, run.error), ([], [], ""))
+        self.assertEqual(([str(violation) for violation in run.breaches], run.unmet, run.error), ([], [], ""))
 
     def test_each_file_has_a_test(self):
         tests = {name.removeprefix("test_").replace("_", "-") for name in dir(self) if name.startswith("test_core_")}
--- a/tests/simulation/test_fleet_faults.py
+++ b/tests/simulation/test_fleet_faults.py
@@ -46,13 +46,15 @@
             await scenario(fleet)
 
         for seed in seeds:
-            self.assertEqual([str(breach) for breach in play(main, seed, **options)[1].breaches()], [])
+            self.assertEqual([str(violation) for violation in play(main, seed, **options)[1].breaches()], [])
         for patch in patches:
             patch.start()
             self.addCleanup(patch.stop)
-        breaches = [breach for seed in seeds for breach in play(main, seed, strict=False, **options)[1].breaches()]
-        matching = [breach for breach in breaches if breach.rule == rule and reason in breach.why]
-        self.assertTrue(matching, [str(breach) for breach in breaches])
+        breaches = [
+            violation for seed in seeds for violation in play(main, seed, strict=False, **options)[1].breaches()
+        ]
+        matching = [violation for violation in breaches if violation.rule == rule and reason in violation.why]
+        self.assertTrue(matching, [str(violation) for violation in breaches])
 
     def test_retry_budget_never_refuses(self):
         async def scenario(fleet):
--- a/tests/simulation/test_simulation.py
+++ b/tests/simulation/test_simulation.py
@@ -20,8 +20,8 @@
 
 from rowanshift.cacheproxy.model import Category, Semantics
 from rowanshift.emulation.servers import PARTS, Meter
-from rowanshift.invariants.checks import Rules, Terms
-from rowanshift.invariants.events import KINDS, Events, named
+from rowanshift.invariants.checks import CacheProxyRules, RuleSettings
+from rowanshift.invariants.events import KINDS, EventStream, event_as_dict
 from rowanshift.simulation.clock import MAX_IDLE_TURNS, Deadlock, Determined, VirtualClock
 from rowanshift.simulation.command import _simulate_one, run_scenario
 from rowanshift.simulation.draw import FAULT_DISTRIBUTIONS as DRAWN_FAULTS
@@ -266,7 +266,7 @@
 
 # rules ------------------------------------------------------
 
-TERMS = Terms(
+RULE_SETTINGS = RuleSettings(
     {
         "read": Category(1, 0.5, Semantics.RERUNNABLE, "", 0.0),
         "save": Category(1, 0.5, Semantics.TICKETED, "zone", 2.0),
@@ -330,15 +330,15 @@
     ],
 )
 def test_each_rule_is_broken_by_the_expected_events_only(facts, rule):
-    rules = Rules(TERMS)
+    rules = CacheProxyRules(RULE_SETTINGS)
     for fact in facts:
-        assert len(named(fact)) == 2 + len(KINDS[fact[1]])
-        rules.see(fact)
-    assert [breach.rule for breach in rules.broken] == ([] if rule is None else [rule])
+        assert len(event_as_dict(fact)) == 2 + len(KINDS[fact[1]])
+        rules.process_event(fact)
+    assert [violation.rule for violation in rules.broken] == ([] if rule is None else [rule])
 
 
 def test_events_are_not_built_without_readers():
-    Events(lambda: 1 / 0).tell("down", "r0", "killed")
+    EventStream(lambda: 1 / 0).publish("down", "r0", "killed")
 
 
 @pytest.mark.parametrize(("rate", "over"), [(0.9, False), (1.3, True)])
@@ -481,7 +481,7 @@
 
 def failures_of_seed(seed):
     run = run_scenario(draw_scenario(seed))
-    return run.seed, [str(breach) for breach in run.broken], run.error
+    return run.seed, [str(violation) for violation in run.broken], run.error
 
 
 def test_fixed_seeds_keep_the_rules():
@@ -494,7 +494,7 @@
     with pytest.MonkeyPatch.context() as patch:
         FAULTS[name](patch)
         run = run_scenario(draw_scenario(seed))
-    return name, sorted({breach.rule for breach in run.broken}), run.error
+    return name, sorted({violation.rule for violation in run.broken}), run.error
 
 
 def test_planted_bugs_are_found():
--- a/tests/simulation/test_system_simulation.py
+++ b/tests/simulation/test_system_simulation.py
@@ -56,7 +56,7 @@
 
 
 def as_text(breaches):
-    return [str(breach) for breach in breaches]
+    return [str(violation) for violation in breaches]
 
 
 async def start_with_load(fleet, clients=5):
@@ -602,7 +602,7 @@
         self.assertEqual(as_text(play(main, **options)[1].breaches()), [])
         with patch:
             breaches = play(main, strict=False, **options)[1].breaches()
-        self.assertIn(rule, {breach.rule for breach in breaches})
+        self.assertIn(rule, {violation.rule for violation in breaches})
 
     def test_change_acknowledged_before_the_backup_has_stored_it(self):
         original = Replica._on_store_reply
--- a/tests/simulation/test_versions_in_series.py
+++ b/tests/simulation/test_versions_in_series.py
@@ -47,7 +47,7 @@
 
         with mock.patch.object(VersionRollout, "_may_order", lambda rollout: False):
             fleet = play(main, seed, routers=1)[1]
-        return {breach.rule for breach in fleet.breaches()}
+        return {violation.rule for violation in fleet.breaches()}
 
     def test_each_version_has_its_own_deadline(self) -> None:
         async def scenario(fleet: Fleet) -> None:
--- a/tests/support/cache_proxy_rig.py
+++ b/tests/support/cache_proxy_rig.py
@@ -12,7 +12,7 @@
 from rowanshift.emulation.discovery import Agent, row_of
 from rowanshift.emulation.http import Ledger
 from rowanshift.emulation.servers import Cache, Kind, Origin
-from rowanshift.invariants.events import Events
+from rowanshift.invariants.events import EventStream
 from rowanshift.transport.runtime import SYSTEM_RUNTIME
 from tests.support.helpers import ORIGIN
 
@@ -63,7 +63,7 @@
     def __init__(self, nursery: trio.Nursery, ready: int = 3, **changes) -> None:
         self.nursery, self.min_ready_caches = nursery, ready  # a router counts as started with so many caches
         listen, control, agent, *addresses = free_addresses(7)
-        common = time.monotonic, Events(time.monotonic)
+        common = time.monotonic, EventStream(time.monotonic)
         ledger, works = Ledger(), {"read": 0.001, "write": 0.001}
         self.rows = [row_of(f"cache:{n}", addresses[n], "here", "cache") for n in range(3)]
         self.rows.append(row_of(ORIGIN, addresses[3], "here", "origin"))
