--- a/rowanshift/cli/tools.py
+++ b/rowanshift/cli/tools.py
@@ -60,11 +60,11 @@
 def soak(arguments: argparse.Namespace) -> int:
     """Run real processes of the whole system on loopback under random faults, and check the recorded events."""
     from rowanshift.soak import command
-    from rowanshift.soak.plan import BadPlan
+    from rowanshift.soak.plan import InvalidPlan
 
     try:
         return command.soak(command.plans(arguments), arguments.net or command.own_net(), arguments.found)
-    except BadPlan as error:
+    except InvalidPlan as error:
         fail(error, EXIT_UNUSABLE_INPUT)
 
 
--- a/rowanshift/soak/command.py
+++ b/rowanshift/soak/command.py
@@ -19,7 +19,7 @@
 from rowanshift.invariants.facts import Answered, Asked, ConfigAnswered, ConfigSent
 from rowanshift.process.error_groups import first_of
 from rowanshift.soak import checker, plan, records
-from rowanshift.soak.plan import BadPlan, Plan
+from rowanshift.soak.plan import InvalidPlan, Plan
 from rowanshift.soak.processes import LogTooLarge
 from rowanshift.soak.records import Lagged, Stalled, TroubleMet
 from rowanshift.soak.run import Run, TooManyEvents
@@ -141,20 +141,20 @@
 
 
 def plans(arguments: argparse.Namespace) -> list[Plan]:
-    """The plans that the command line requests; raises ``BadPlan`` if the file or the seeds are not usable."""
+    """The plans that the command line requests; raises ``InvalidPlan`` if the file or the seeds are not usable."""
     file, seeds = arguments.plan, arguments.seeds
     if file is not None:
         try:
             return [plan.from_json(file.read_bytes())]
         except OSError as error:
-            raise BadPlan(f"{file}: {error.strerror}") from error
+            raise InvalidPlan(f"{file}: {error.strerror}") from error
     first, colon, last = seeds.partition(":")
     try:
         numbers = range(int(first), int(last)) if colon else range(int(first))
     except ValueError:
-        raise BadPlan(f"--seeds: expected N or FIRST:LAST, got {seeds!r}") from None
+        raise InvalidPlan(f"--seeds: expected N or FIRST:LAST, got {seeds!r}") from None
     if not 0 < len(numbers) <= MAX_SEEDS or numbers[0] < 0:
-        raise BadPlan(f"--seeds: expected 1 to {MAX_SEEDS} seeds, none below 0, got {seeds!r}")
+        raise InvalidPlan(f"--seeds: expected 1 to {MAX_SEEDS} seeds, none below 0, got {seeds!r}")
     if arguments.short:
         return [plan.draw_short(seed) for seed in numbers]
     return [plan.draw(seed, arguments.seconds, arguments.routers) for seed in numbers]
--- a/rowanshift/soak/plan.py
+++ b/rowanshift/soak/plan.py
@@ -109,7 +109,7 @@
         return (fault.at for fault in self.troubles)
 
 
-class BadPlan(ValueError):
+class InvalidPlan(ValueError):
     """A plan that can not be run; the text says why."""
 
 
@@ -315,62 +315,64 @@
 
 
 def check(plan: Plan) -> None:
-    """Raises ``BadPlan`` if a value is out of bounds, a machine or link does not exist, or too many disks are lost."""
+    """Raises ``InvalidPlan`` if a value is out of bounds, a machine or link is unknown, or too many disks are lost."""
     _check_sizes(plan.seconds, plan.routers)
     if plan.cores != CORE_COUNT or plan.servers != SERVER_COUNT:
-        raise BadPlan(
+        raise InvalidPlan(
             f"cores and servers: expected {CORE_COUNT} and {SERVER_COUNT}, got {plan.cores} and {plan.servers}"
         )
     if not 1 <= plan.clients <= MAX_CLIENTS:
-        raise BadPlan(f"clients: expected 1 to {MAX_CLIENTS}, got {plan.clients}")
+        raise InvalidPlan(f"clients: expected 1 to {MAX_CLIENTS}, got {plan.clients}")
     if not NAMES_APART_RANGE_S[0] <= plan.names_apart <= NAMES_APART_RANGE_S[1]:
-        raise BadPlan(
+        raise InvalidPlan(
             f"names_apart: expected {NAMES_APART_RANGE_S[0]} to {NAMES_APART_RANGE_S[1]}, got {plan.names_apart}"
         )
     if not 0 < plan.changes_per_second <= MAX_CHANGES_PER_SECOND:
-        raise BadPlan(
+        raise InvalidPlan(
             f"changes_per_second: expected over 0 up to {MAX_CHANGES_PER_SECOND}, got {plan.changes_per_second}"
         )
     if not 0 <= plan.applications <= MAX_APPLICATIONS_PER_KIND:
-        raise BadPlan(f"applications: expected 0 to {MAX_APPLICATIONS_PER_KIND}, got {plan.applications}")
+        raise InvalidPlan(f"applications: expected 0 to {MAX_APPLICATIONS_PER_KIND}, got {plan.applications}")
     if len(plan.troubles) > MAX_FAULTS:
-        raise BadPlan(f"troubles: expected at most {MAX_FAULTS} faults, got {len(plan.troubles)}")
+        raise InvalidPlan(f"troubles: expected at most {MAX_FAULTS} faults, got {len(plan.troubles)}")
     for number, fault in enumerate(plan.troubles):
         _check_fault(plan, fault, f"troubles[{number}]")
     wipe_count = plan.kinds().get(FaultKind.WIPE, 0)
     if wipe_count > MAX_DISKS_LOST:
-        raise BadPlan(f"troubles: expected at most {MAX_DISKS_LOST} disks lost in a run, got {wipe_count}")
+        raise InvalidPlan(f"troubles: expected at most {MAX_DISKS_LOST} disks lost in a run, got {wipe_count}")
 
 
 def _check_sizes(seconds: float, routers: int) -> None:
     if not MIN_SECONDS <= seconds <= MAX_SECONDS:
-        raise BadPlan(f"seconds: expected {MIN_SECONDS} to {MAX_SECONDS}, got {seconds}")
+        raise InvalidPlan(f"seconds: expected {MIN_SECONDS} to {MAX_SECONDS}, got {seconds}")
     if not MIN_ROUTERS <= routers <= MAX_ROUTERS:
-        raise BadPlan(f"routers: expected {MIN_ROUTERS} to {MAX_ROUTERS}, got {routers}")
+        raise InvalidPlan(f"routers: expected {MIN_ROUTERS} to {MAX_ROUTERS}, got {routers}")
 
 
 def _check_fault(plan: Plan, fault: Fault, location: str) -> None:
     if not (0 <= fault.at <= plan.seconds and 0 <= fault.lasts <= plan.seconds):
-        raise BadPlan(f"{location}: at {fault.at} s for {fault.lasts} s is not within the run's {plan.seconds} s")
+        raise InvalidPlan(f"{location}: at {fault.at} s for {fault.lasts} s is not within the run's {plan.seconds} s")
     is_roll = fault.kind is FaultKind.ROLL
     if not (0 <= fault.gap <= MAX_GAP_S and 1 <= fault.rounds <= MAX_ROUNDS) or (fault.gap and not is_roll):
-        raise BadPlan(
+        raise InvalidPlan(
             f"{location}: expected a gap of 0, or up to {MAX_GAP_S:g} s for a roll, and 1 to {MAX_ROUNDS} rounds"
         )
     acts_on_links = fault.kind in (FaultKind.CUT, FaultKind.LOSE_ANSWERS)
     if bool(fault.links) != acts_on_links or bool(fault.machines) == acts_on_links:
-        raise BadPlan(
+        raise InvalidPlan(
             f"{location}: {fault.kind} needs {'links and no machines' if acts_on_links else 'machines and no links'}"
         )
     cores, machines = numbered_names(core_name, plan.cores), known_machines(plan)
     allowed = cores if fault.kind is FaultKind.WIPE else machines
     if unknown := set(fault.machines) - set(allowed):
-        raise BadPlan(f"{location}: no such machine for {fault.kind}: {', '.join(sorted(unknown))}")
+        raise InvalidPlan(f"{location}: no such machine for {fault.kind}: {', '.join(sorted(unknown))}")
     if fault.kind is FaultKind.WIPE and len(fault.machines) > MAX_DISKS_LOST:
-        raise BadPlan(f"{location}: expected at most {MAX_DISKS_LOST} disks lost in a wipe, got {len(fault.machines)}")
+        raise InvalidPlan(
+            f"{location}: expected at most {MAX_DISKS_LOST} disks lost in a wipe, got {len(fault.machines)}"
+        )
     for link in fault.links:
         if link not in known_links(plan):
-            raise BadPlan(f"{location}: no such link: {link.caller} to {link.target}")
+            raise InvalidPlan(f"{location}: no such link: {link.caller} to {link.target}")
 
 
 def known_machines(plan: Plan) -> list[str]:
@@ -400,10 +402,10 @@
 
 
 def from_json(data: bytes) -> Plan:
-    """Decodes a plan from its file; raises ``BadPlan`` if the data is not a plan or the plan can not be run."""
+    """Decodes a plan from its file; raises ``InvalidPlan`` if the data is not a plan or the plan can not be run."""
     try:
         plan = msgspec.json.decode(data, type=Plan)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
-        raise BadPlan(str(error)) from error
+        raise InvalidPlan(str(error)) from error
     check(plan)
     return plan
--- a/rowanshift/soak/processes.py
+++ b/rowanshift/soak/processes.py
@@ -46,7 +46,7 @@
         os._exit(1)
 
 
-def heeds(pid: int, number: signal.Signals) -> bool:
+def handles_signal(pid: int, number: signal.Signals) -> bool:
     """Whether a process has a handler for a signal, or has ended."""
     try:
         status = Path(f"/proc/{pid}/status").read_text()
@@ -112,7 +112,7 @@
         """Waits until the operating system reports a SIGTERM handler for this life, until it has exited, or until
         ``HANDLER_TIMEOUT_S`` after its start."""
         while self.popen is not None and self.now() < self.started_at + HANDLER_TIMEOUT_S:
-            if heeds(self.popen.pid, signal.SIGTERM):
+            if handles_signal(self.popen.pid, signal.SIGTERM):
                 return
             await trio.sleep(POLL_INTERVAL_S)
             self.poll()
--- a/tests/process/test_process_end.py
+++ b/tests/process/test_process_end.py
@@ -21,7 +21,7 @@
 
 from rowanshift.emulation import cluster
 from rowanshift.emulation.system_clients import Patron, Work
-from rowanshift.soak.processes import heeds
+from rowanshift.soak.processes import handles_signal
 from rowanshift.transport.streams import Address
 
 ROOT = Path(__file__).parents[2]
@@ -54,7 +54,7 @@
 
     def handles_sigterm(self) -> bool:
         """Whether the process has installed a handler for SIGTERM."""
-        return heeds(self.popen.pid, signal.SIGTERM)
+        return handles_signal(self.popen.pid, signal.SIGTERM)
 
     def wait_until(self, condition: Callable[[], bool]) -> None:
         deadline = time.monotonic() + TIMEOUT_SECONDS
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -35,8 +35,8 @@
 )
 from rowanshift.soak import checker, command, plan, records
 from rowanshift.soak.layout import GRACE_S, Layout
-from rowanshift.soak.plan import BadPlan, Direction, Fault, FaultKind, Link
-from rowanshift.soak.processes import HANDLER_TIMEOUT_S, Process, heeds
+from rowanshift.soak.plan import Direction, Fault, FaultKind, InvalidPlan, Link
+from rowanshift.soak.processes import HANDLER_TIMEOUT_S, Process, handles_signal
 from rowanshift.soak.records import (
     BadRecords,
     Lagged,
@@ -113,13 +113,13 @@
             (dict(troubles=(Fault(FaultKind.CUT, 1.0, 1.0, links=(Link("a", "b"),)),)), "no such link"),
             (dict(troubles=(Fault(FaultKind.RELOAD, 1.0, 0.0, ("core-1",)),) * 3000), "at most"),
         ):
-            with self.subTest(changes=changes), self.assertRaisesRegex(BadPlan, why):
+            with self.subTest(changes=changes), self.assertRaisesRegex(InvalidPlan, why):
                 plan.check(replace_fields(drawn, **changes))
         for data in (b"", b"[]", b'{"seed": 1}', b"\xff", plan.to_json(drawn).replace(b'"seed"', b'"sead"')):
-            with self.subTest(data=data), self.assertRaises(BadPlan):
+            with self.subTest(data=data), self.assertRaises(InvalidPlan):
                 plan.from_json(data)
         for seconds in (float("inf"), -1.0):
-            with self.assertRaises(BadPlan):
+            with self.assertRaises(InvalidPlan):
                 plan.draw(1, seconds)
 
 
@@ -158,9 +158,9 @@
             began = trio.current_time()
             process = Process("router-1", layout, lambda: age + trio.current_time() - began, [])
             process.popen = child
-            before = heeds(child.pid, signal.SIGTERM)
+            before = handles_signal(child.pid, signal.SIGTERM)
             await process.wait_for_handler()
-            return before, heeds(child.pid, signal.SIGTERM)
+            return before, handles_signal(child.pid, signal.SIGTERM)
 
         with subprocess.Popen([sys.executable, "-c", code]) as child:
             try:
