--- a/rowanshift/emulation/clients.py
+++ b/rowanshift/emulation/clients.py
@@ -1,6 +1,6 @@
 """Open-loop clients: requests start at random times that do not depend on earlier requests.
 
-A ``Crowd`` emulates the clients of one site. It spreads its requests over the routers it considers up, those of
+A ``ClientGroup`` emulates the clients of one site. It spreads its requests over the routers it considers up, those of
 its own site first, reuses connections, and retries a few times, at once or after a wait, each time under a new
 X-Txn.
 """
@@ -23,12 +23,12 @@
 
 READINESS_REQUEST = b"GET /-/ready HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"
 CONNECT_TIMEOUT_SECONDS = 1.0
-MAX_OPEN_REQUESTS = 2000  # concurrent requests of one crowd; further ones are dropped and counted
+MAX_OPEN_REQUESTS = 2000  # concurrent requests of one group; further ones are dropped and counted
 IDLE_REUSE_SECONDS = 1.5  # an idle connection is not reused later than this after its last response
 
 
 @dataclass(slots=True, frozen=True)
-class Asked:
+class RequestCategory:
     """A category of requests as clients send them. Times are in seconds.
 
     ``due`` is the response time up to which a request earns its ``credit``."""
@@ -42,7 +42,7 @@
 
 
 @dataclass(slots=True)
-class Habits:
+class ClientBehavior:
     """Retry, connection and key behaviour of the clients."""
 
     retries: int = 2
@@ -55,8 +55,8 @@
 
 
 @dataclass(slots=True, eq=False)
-class Door:
-    """A router as seen by a crowd."""
+class RouterEndpoint:
+    """A router as seen by a group."""
 
     name: str
     address: Address
@@ -80,7 +80,7 @@
         return f"k{(min(n, self.count - 1) + self.shifted) % self.count}"
 
 
-class Crowd:
+class ClientGroup:
     """The clients of one site."""
 
     def __init__(
@@ -91,11 +91,11 @@
         now: Callable[[], float],
         events: EventStream,
         random_source: random.Random,
-        doors: list[Door],
-        categories: list[Asked],
+        endpoints: list[RouterEndpoint],
+        categories: list[RequestCategory],
         customers: dict[str, float],
         rate: float,
-        habits: Habits,
+        behavior: ClientBehavior,
     ) -> None:
         self.host, self.name, self.site, self.now, self.events, self.random_source = (
             host,
@@ -105,9 +105,9 @@
             events,
             random_source,
         )
-        self.doors, self.categories, self.customers, self.habits = doors, categories, customers, habits
+        self.endpoints, self.categories, self.customers, self.behavior = endpoints, categories, customers, behavior
         self.rate = rate  # requests per second, without retries
-        self.keys = ZipfKeys(habits.keys, habits.zipf)
+        self.keys = ZipfKeys(behavior.keys, behavior.zipf)
         self.share_sums = list(accumulate(a.share for a in categories))
         self.customer_sums = list(accumulate(customers.values()))
         self.memory = MemoryBudget(4096)
@@ -115,8 +115,9 @@
         self.over = False  # no new requests or retries
         self.lean: str | None = None  # the router that receives all requests while it is up
         self.tries: dict[str, int] = {}  # attempts by outcome
-        self.first = self.credit = self.earned = 0.0  # requests, their total credit, and the credit earned in time
-        self.times: list[float] = []  # response times of requests answered in time, from their scheduled start
+        # requests, their total credit, and the credit earned in time
+        self.first = self.credit = self.earned_credit = 0.0
+        self.response_times: list[float] = []  # response times of requests answered in time, from their scheduled start
         self.dropped = 0
 
     async def run(self) -> None:
@@ -144,54 +145,65 @@
             ]
         nursery.start_soon(self._request_with_retries, category, customer, self.keys.draw(self.random_source), due)
 
-    async def _request_with_retries(self, category: Asked, customer: str, key: str, due: float) -> None:
+    async def _request_with_retries(self, category: RequestCategory, customer: str, key: str, due: float) -> None:
         """Send one request, with its retries."""
         self.open += 1
         self.first += 1
         self.credit += category.credit
         try:
-            for tries in range(self.habits.retries + 1):
+            for tries in range(self.behavior.retries + 1):
                 outcome, retry_after = await self._attempt(category, customer, key, due if not tries else self.now())
                 self.tries[outcome] = self.tries.get(outcome, 0) + 1
                 if outcome == "200":
                     took = self.now() - due
                     if took <= category.due:
-                        self.earned += category.credit
-                        self.times.append(took)
+                        self.earned_credit += category.credit
+                        self.response_times.append(took)
                     return
                 if self.over:
                     return
-                await self.host.pause(max(retry_after, self.habits.wait * (0.5 + self.random_source.random())))
+                await self.host.pause(max(retry_after, self.behavior.wait * (0.5 + self.random_source.random())))
         finally:
             self.open -= 1
 
-    def _choose_router(self) -> Door | None:
-        up = [door for door in self.doors if door.up]
-        if self.lean is not None and any(door.name == self.lean for door in up):
-            return next(door for door in up if door.name == self.lean)
-        near = [door for door in up if door.site == self.site]
+    def _choose_router(self) -> RouterEndpoint | None:
+        up = [endpoint for endpoint in self.endpoints if endpoint.up]
+        if self.lean is not None and any(endpoint.name == self.lean for endpoint in up):
+            return next(endpoint for endpoint in up if endpoint.name == self.lean)
+        near = [endpoint for endpoint in up if endpoint.site == self.site]
         return self.random_source.choice(near or up) if up else None
 
-    async def _attempt(self, category: Asked, customer: str, key: str, since: float) -> tuple[str, float]:
+    async def _attempt(self, category: RequestCategory, customer: str, key: str, since: float) -> tuple[str, float]:
         """One attempt: its outcome, and the seconds to wait before a retry.
 
         A request that crossed the closing of a reused connection is sent once more on a new connection."""
         self.last_id += 1
         txn = f"{self.name}-{self.last_id}"
-        if (door := self._choose_router()) is None:
+        if (endpoint := self._choose_router()) is None:
             return "nobody", 0.1
         left = category.expiry - (self.now() - since)
         for attempt in range(2):
-            outcome, retry_after = await self._send_on_connection(door, txn, category, customer, key, left, attempt > 0)
+            outcome, retry_after = await self._send_on_connection(
+                endpoint, txn, category, customer, key, left, attempt > 0
+            )
             if outcome != "crossed":
                 break
         return outcome, retry_after
 
     async def _send_on_connection(
-        self, door: Door, txn: str, category: Asked, customer: str, key: str, left: float, fresh: bool
+        self,
+        endpoint: RouterEndpoint,
+        txn: str,
+        category: RequestCategory,
+        customer: str,
+        key: str,
+        left: float,
+        fresh: bool,
     ) -> tuple[str, float]:
         connection = (
-            None if fresh or self.random_source.random() < self.habits.one_off else self._reusable_connection(door)
+            None
+            if fresh or self.random_source.random() < self.behavior.one_off
+            else self._reusable_connection(endpoint)
         )
         kept = connection is not None
         if connection is None:
@@ -201,20 +213,20 @@
                 return "no descriptor", 0.1
         sent = False
         try:
-            with trio.move_on_after(min(left, category.expiry * self.habits.patience)):
+            with trio.move_on_after(min(left, category.expiry * self.behavior.patience)):
                 if not kept:
                     with trio.move_on_after(CONNECT_TIMEOUT_SECONDS) as connecting:
-                        await connect(connection.stream, door.address)
+                        await connect(connection.stream, endpoint.address)
                     if connecting.cancelled_caught:
                         return "no way", 0.0
                 request = self._encode_request(txn, category, customer, key, left)
-                if self.habits.halves and self.random_source.random() < self.habits.halves:
+                if self.behavior.halves and self.random_source.random() < self.behavior.halves:
                     await send_all(connection.stream, request[: len(request) // 2])
                     await self.host.pause(self.random_source.random() * 3)
                     return "half", 0.0
                 await send_all(connection.stream, request)
                 sent = True
-                self.events.publish("asked", txn, door.name, category.name, key, left)
+                self.events.publish("asked", txn, endpoint.name, category.name, key, left)
                 message = await self._read_response(connection)
                 if message is None:
                     return self._disconnect_outcome(connection, txn, kept, fresh)
@@ -222,8 +234,8 @@
                 matches = message.body.startswith(f"{txn} ".encode())
                 self.events.publish("answered", txn, message.status, at, matches)
                 self._report_extra_response(connection, txn)
-                if message.keep and connection.clean() and self.random_source.random() >= self.habits.one_off:
-                    door.idle.append((self.now(), connection, txn))
+                if message.keep and connection.clean() and self.random_source.random() >= self.behavior.one_off:
+                    endpoint.idle.append((self.now(), connection, txn))
                     connection = None
                 retry_after = field_of(message, b"retry-after")
                 return str(message.status), float(retry_after) if retry_after else 0.0
@@ -268,9 +280,9 @@
         except (OSError, MalformedMessage):
             pass  # malformed data is covered by the parser's tests
 
-    def _reusable_connection(self, door: Door) -> Connection | None:
-        while door.idle:
-            since, connection, txn = door.idle.pop()
+    def _reusable_connection(self, endpoint: RouterEndpoint) -> Connection | None:
+        while endpoint.idle:
+            since, connection, txn = endpoint.idle.pop()
             if connection.stream.readable():
                 self._report_extra_response(connection, txn)
             elif self.now() - since < IDLE_REUSE_SECONDS:
@@ -278,7 +290,7 @@
             connection.close()
         return None
 
-    def _encode_request(self, txn: str, category: Asked, customer: str, key: str, left: float) -> bytes:
+    def _encode_request(self, txn: str, category: RequestCategory, customer: str, key: str, left: float) -> bytes:
         method = "PUT" if category.write else "GET"
         lines = [
             f"{method} /{category.name}/{key} HTTP/1.1",
@@ -296,13 +308,13 @@
 
     # readiness and idle connections ---------------------------
 
-    async def ready(self, door: Door, within: float = 0.5) -> bool:
+    async def ready(self, endpoint: RouterEndpoint, within: float = 0.5) -> bool:
         """Whether a router answers its readiness check with 200."""
         with trio.move_on_after(within):
             connection = None
             try:
                 connection = Connection(self.host.stream(), httptools.HttpResponseParser, self.memory)
-                await connect(connection.stream, door.address)
+                await connect(connection.stream, endpoint.address)
                 await send_all(connection.stream, READINESS_REQUEST)
                 message = await self._read_response(connection)
                 return message is not None and message.status == 200
@@ -313,20 +325,20 @@
                     connection.close()
         return False
 
-    async def flood(self, door: Door, count: int, hold_for: float) -> None:
+    async def open_idle_connections(self, endpoint: RouterEndpoint, count: int, hold_for: float) -> None:
         """Open ``count`` idle connections and close them after ``hold_for`` seconds."""
         async with self.host.nursery() as nursery:
             for _ in range(count):
-                nursery.start_soon(self._hold_idle_connection, door, hold_for)
+                nursery.start_soon(self._hold_idle_connection, endpoint, hold_for)
 
-    async def _hold_idle_connection(self, door: Door, hold_for: float) -> None:
+    async def _hold_idle_connection(self, endpoint: RouterEndpoint, hold_for: float) -> None:
         try:
             stream = self.host.stream()
         except OSError:
             return
         try:
             with trio.move_on_after(hold_for):
-                await connect(stream, door.address)
+                await connect(stream, endpoint.address)
                 await stream.wait_readable()
         except OSError:
             pass
@@ -334,6 +346,6 @@
             stream.close()
 
     def close(self) -> None:
-        for door in self.doors:
-            while door.idle:
-                door.idle.pop()[1].close()
+        for endpoint in self.endpoints:
+            while endpoint.idle:
+                endpoint.idle.pop()[1].close()
--- a/rowanshift/emulation/demo.py
+++ b/rowanshift/emulation/demo.py
@@ -12,9 +12,9 @@
 
 from rowanshift.cacheproxy.config import ConfigError, load
 from rowanshift.cacheproxy.service import Phase, Service
-from rowanshift.emulation.discovery import Agent, row_of
-from rowanshift.emulation.http import Ledger, field_of
-from rowanshift.emulation.servers import Cache, Kind, Origin
+from rowanshift.emulation.discovery import DiscoveryAgent, server_row
+from rowanshift.emulation.http import SharedState, field_of
+from rowanshift.emulation.servers import Cache, CacheServerTraits, Origin
 from rowanshift.invariants.events import EventStream
 from rowanshift.process.error_groups import first_of
 from rowanshift.transport.http_connection import Connection, Message
@@ -36,13 +36,13 @@
     def __init__(
         self, discovery: Address, works: dict[str, float], origin_seconds: float = 0.2, host: str = "127.0.0.1"
     ) -> None:
-        self.events, ledger = EventStream(time.monotonic), Ledger()
+        self.events, shared_state = EventStream(time.monotonic), SharedState()
         caches = {f"cache-{port}": (host, port) for port in CACHE_PORTS}
-        rows = [row_of(name, address, "here", "cache") for name, address in caches.items()]
-        rows.append(row_of("origin", (host, ORIGIN_PORT), "here", "origin"))
+        rows = [server_row(name, address, "here", "cache") for name, address in caches.items()]
+        rows.append(server_row("origin", (host, ORIGIN_PORT), "here", "origin"))
         common = time.monotonic, self.events
         self.servers = [
-            Cache(SYSTEM_RUNTIME, address, *common, name, Kind(works), ledger, random.Random(name))
+            Cache(SYSTEM_RUNTIME, address, *common, name, CacheServerTraits(works), shared_state, random.Random(name))
             for name, address in caches.items()
         ]
         self.servers.append(
@@ -51,12 +51,12 @@
                 (host, ORIGIN_PORT),
                 *common,
                 "origin",
-                Kind(dict.fromkeys(works, origin_seconds)),
-                ledger,
+                CacheServerTraits(dict.fromkeys(works, origin_seconds)),
+                shared_state,
                 random.Random(0),
             )
         )
-        self.agent = Agent(SYSTEM_RUNTIME, discovery, *common, "demo", rows)
+        self.agent = DiscoveryAgent(SYSTEM_RUNTIME, discovery, *common, "demo", rows)
 
     async def run(self) -> None:
         async with trio.open_nursery() as nursery:
--- a/rowanshift/emulation/discovery.py
+++ b/rowanshift/emulation/discovery.py
@@ -21,7 +21,7 @@
 Row = dict[str, Any]
 
 
-def row_of(
+def server_row(
     server: str,
     address: Address,
     zone: str,
@@ -48,7 +48,7 @@
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
-class Agent(HttpServer):
+class DiscoveryAgent(HttpServer):
     """The discovery agent of one router. ``rows`` is the list of servers as the agent knows it."""
 
     def __init__(
@@ -83,7 +83,7 @@
             self.first = self.changes[0][0]
         self.wake()
 
-    def start_over(self) -> None:
+    def lose_state(self) -> None:
         """Restart the generations at 1, as an agent that has lost its state does."""
         self.generation, self.first, self.changes = 1, 1, []
         self.wake()
--- a/rowanshift/emulation/http.py
+++ b/rowanshift/emulation/http.py
@@ -58,7 +58,7 @@
             self.popitem(last=False)
 
 
-class Ledger:
+class SharedState:
     """State that the emulated servers share: versions of keys, misses and unanswered requests."""
 
     def __init__(self) -> None:
--- a/rowanshift/emulation/servers.py
+++ b/rowanshift/emulation/servers.py
@@ -8,24 +8,24 @@
 
 import trio
 
-from rowanshift.emulation.http import HttpServer, Ledger, answer, body_of, deserted, field_of, other
+from rowanshift.emulation.http import HttpServer, SharedState, answer, body_of, deserted, field_of, other
 from rowanshift.invariants.events import EventStream
 from rowanshift.transport.http_connection import Connection, Message
 from rowanshift.transport.runtime import Runtime
 from rowanshift.transport.streams import Address
 
-PARTS = 5  # number of consecutive intervals of an overload period that must all exceed the limit
+INTERVALS_PER_SPAN = 5  # number of consecutive intervals of an overload period that must all exceed the limit
 MISS_COST_RATIO = 0.25  # work of a cache miss relative to a hit
 WORK_VARIATION = 0.4  # work varies by up to this fraction of its mean
 
 
 @dataclass(slots=True)
-class Meter:
+class OverloadDetector:
     """Detects an overload: incoming work above ``factor`` times the capacity for ``span`` seconds without a break."""
 
     factor: float
     span: float
-    interval: int = -1  # number of the current interval; a span has ``PARTS`` of them
+    interval: int = -1  # number of the current interval; a span has ``INTERVALS_PER_SPAN`` of them
     work: float = 0.0  # of the current interval
     limit: float = 0.0  # of work per interval
     streak: int = 0  # consecutive intervals above the limit
@@ -34,7 +34,7 @@
         """Add incoming work and return whether the server is overloaded.
 
         ``work`` is in seconds of one core at speed 1, ``capacity`` is the work that can be done per second."""
-        step = self.span / PARTS
+        step = self.span / INTERVALS_PER_SPAN
         interval = int(now / step)
         if interval != self.interval:
             over = self.work > self.limit > 0
@@ -42,11 +42,11 @@
             self.interval, self.work = interval, 0.0
         self.work += work
         self.limit = self.factor * capacity * step
-        return self.streak >= PARTS
+        return self.streak >= INTERVALS_PER_SPAN
 
 
 @dataclass(slots=True)
-class Kind:
+class CacheServerTraits:
     """Capacity and limits of a server. Work is in seconds of one core at speed 1."""
 
     works: dict[str, float]  # mean work by category
@@ -63,7 +63,7 @@
 
 
 @dataclass(slots=True)
-class Spoiling:
+class FaultyResponses:
     """The share of successful responses that are replaced by a fault, drawn evenly from ``ways``."""
 
     share: float = 0.0
@@ -109,19 +109,25 @@
         now: Callable[[], float],
         events: EventStream,
         name: str,
-        kind: Kind,
-        ledger: Ledger,
+        kind: CacheServerTraits,
+        shared_state: SharedState,
         random_source: random.Random,
         zone: int = 0,
     ) -> None:
         super().__init__(host, address, now, events)
-        self.name, self.kind, self.ledger, self.random_source, self.zone = name, kind, ledger, random_source, zone
+        self.name, self.kind, self.shared_state, self.random_source, self.zone = (
+            name,
+            kind,
+            shared_state,
+            random_source,
+            zone,
+        )
         self.idle_for = kind.idle_for
         self.core_pool = CorePool(kind.cores)
         self.slowed = 1.0  # factor of the speed; below 1 the server is slow
         self.draining = False
-        self.spoiling = Spoiling()
-        self.meter = Meter(kind.overload_factor, kind.overload_for)
+        self.spoiling = FaultyResponses()
+        self.meter = OverloadDetector(kind.overload_factor, kind.overload_for)
         self.served = 0
 
     def capacity(self) -> float:
@@ -138,7 +144,7 @@
         if category not in self.kind.works or not txn:
             await self.reply(connection, 404 if not txn else 400)
             return True
-        out = self.ledger.out.setdefault(txn, [])
+        out = self.shared_state.out.setdefault(txn, [])
         for earlier in [row for row in out if deserted(row[1])]:
             self.events.publish("withdrawn", txn, earlier[0])
             out.remove(earlier)
@@ -190,7 +196,7 @@
         return b""
 
     def _record_reply(self, connection: Connection, txn: str, outcome: str) -> None:
-        out = self.ledger.out.get(txn, [])
+        out = self.shared_state.out.get(txn, [])
         out[:] = [row for row in out if row[1] is not connection.stream]
         self.events.publish("replied", txn, self.name, outcome, self.now())
 
@@ -242,7 +248,7 @@
         self.came_up, self.start_share, self.warm_within = came_up, start_share, warm_within
         self.fall, self.max_keys = fall, max_keys
         self.store: dict[str, int] = {}
-        self.ledger.stores.append(self.store)
+        self.shared_state.stores.append(self.store)
 
     def warmth(self) -> float:
         """The share of its capacity that is available; ``came_up`` is by the server's clock, 0 for long ago."""
@@ -277,7 +283,7 @@
         version = self.store.get(key)
         if version is not None:
             return 200, body_of(txn, self.name, key, version, self.kind.size), (b"X-Found: hit",)
-        self.ledger.missed.setdefault(txn, []).append((self, self.warmth() < 1))
+        self.shared_state.missed.setdefault(txn, []).append((self, self.warmth() < 1))
         return 404, b"", (b"X-Found: miss",)
 
 
@@ -295,7 +301,7 @@
         if interval != self.interval:
             self.interval, self.cold_misses, self.requests = interval, 0, 0
         self.requests += 1
-        self.cold_misses += any(cold for _, cold in self.ledger.missed.get(txn, ()))
+        self.cold_misses += any(cold for _, cold in self.shared_state.missed.get(txn, ()))
         if self.meter.add(now, work, self.capacity()) and now >= self.stopped_until:
             self.stopped_until, self.meter.streak = now + self.stops_for, 0
             self.events.publish("stopped", self.name, round(self.cold_misses / self.requests, 3))
@@ -307,14 +313,14 @@
             await self.host.pause(left)
 
     def find_response(self, message: Message, txn: str, key: str) -> tuple[int, bytes, tuple[bytes, ...]]:
-        version = self.ledger.versions.get(key, 0)
+        version = self.shared_state.versions.get(key, 0)
         return 200, body_of(txn, self.name, key, version, self.kind.size), ()
 
     def finish(self, message: Message, txn: str, key: str) -> bytes:
         if message.method == b"PUT":
-            self.ledger.void(key)
-            return body_of(txn, self.name, key, self.ledger.versions[key])
-        version = self.ledger.versions.get(key, 0)
-        for cache, _ in self.ledger.missed.pop(txn, ()):
+            self.shared_state.void(key)
+            return body_of(txn, self.name, key, self.shared_state.versions[key])
+        version = self.shared_state.versions.get(key, 0)
+        for cache, _ in self.shared_state.missed.pop(txn, ()):
             cache.fill(key, version)
         return b""
--- a/rowanshift/simulation/clock.py
+++ b/rowanshift/simulation/clock.py
@@ -68,7 +68,7 @@
         return 0.001
 
 
-class Determined:
+class DeterministicScheduling:
     """Context manager that makes trio's scheduling depend on a seed only, and restores the former settings on exit.
 
     trio shuffles the runnable tasks of a turn. A private flag, meant for test tools, sorts them by age first, and the
--- a/rowanshift/simulation/fleet.py
+++ b/rowanshift/simulation/fleet.py
@@ -24,7 +24,7 @@
 from rowanshift.invariants.coordination_rules import check_coordination
 from rowanshift.invariants.facts import Fact
 from rowanshift.process.node_settings import COORDINATION_CONTRACT
-from rowanshift.simulation.clock import Determined, VirtualClock
+from rowanshift.simulation.clock import DeterministicScheduling, VirtualClock
 from rowanshift.simulation.fleet_excuses import FaultHistory, find_breaches, known_faults
 from rowanshift.simulation.fleet_load import FleetLoad
 from rowanshift.simulation.fleet_machines import FaultRecord, Unit
@@ -297,7 +297,7 @@
         fleet.facts[:] = facts_of_run
         return result, fleet
 
-    with Determined(seed):
+    with DeterministicScheduling(seed):
         result, fleet = trio.run(run_fleet, clock=clock)
     if strict and (violations := fleet.violations()):
         raise ViolatedOutcomes("; ".join(map(str, violations)))
--- a/rowanshift/simulation/fleet_machines.py
+++ b/rowanshift/simulation/fleet_machines.py
@@ -41,15 +41,15 @@
 
 @dataclass(slots=True, eq=False)
 class Unit:
-    """A machine of the system, and its program, which is started again whenever it ends while ``wanted`` is set."""
+    """A machine of the system, and its program, which is started again whenever it ends while ``should_run`` is set."""
 
     machine: Machine
     zone: int
     core: bool
     boot: dict[str, Any]
     program: Any = None
-    wanted: bool = True
-    lives: int = 0
+    should_run: bool = True
+    process_count: int = 0
     start_requested: trio.Event = field(default_factory=trio.Event)
 
     @property
@@ -115,13 +115,13 @@
     async def _keep_running(self, unit: Unit, delay: float) -> None:
         await trio.sleep(delay)
         while True:
-            while not unit.wanted:
+            while not unit.should_run:
                 unit.start_requested = trio.Event()
                 await unit.start_requested.wait()
-            unit.lives += 1
+            unit.process_count += 1
             boot = node_settings_of(orjson.dumps(unit.boot))
             boot.path = None
-            seed = random.Random(f"{self.seed}/{unit.name}/{unit.lives}").getrandbits(32)
+            seed = random.Random(f"{self.seed}/{unit.name}/{unit.process_count}").getrandbits(32)
             unit.program = self._create_program(unit, boot, seed)
             reason = "the program returned"
             try:
@@ -129,7 +129,7 @@
             except Exception as error:
                 was_killed, reason = False, repr(error)
                 logger.exception("event=program_ended name={}", unit.name)
-            if not was_killed and unit.wanted:
+            if not was_killed and unit.should_run:
                 self.ended.append((self.now(), unit.name, reason))
             await trio.sleep(RESTART_SECONDS)
 
--- a/rowanshift/simulation/fleet_troubles.py
+++ b/rowanshift/simulation/fleet_troubles.py
@@ -39,7 +39,7 @@
                 fault.until = self.now()
 
     def _take_down(self, unit: Unit, stop: Callable[[], None]) -> None:
-        unit.wanted = False
+        unit.should_run = False
         self._record_moment("stopped", unit)
         self._begin_fault("down", unit)
         stop()
@@ -63,7 +63,7 @@
     def back(self, *units: Unit) -> None:
         """Start machines again that were stopped."""
         for unit in units:
-            unit.wanted = True
+            unit.should_run = True
             unit.start_requested.set()
             self._end_fault("down", unit)
             self._end_fault("shutting down", unit)
@@ -74,7 +74,7 @@
         for unit in units:
             self._record_moment("frozen", unit)
             self._begin_fault("suspended", unit)
-            unit.machine.stand_still(handlers_run)
+            unit.machine.freeze(handlers_run)
 
     def thaw(self, *units: Unit) -> None:
         """Resume frozen processes."""
@@ -82,7 +82,7 @@
             self._record_resumed(unit)
             self._end_fault("suspended", unit)
             self._record_moment("thawed", unit)
-            unit.machine.go_on()
+            unit.machine.resume()
 
     def cut(self, one: Unit, others: Iterable[Unit] | None = None, ways: str = "both") -> None:
         """Block the paths between a machine and ``others``, or all others.
@@ -161,7 +161,7 @@
 
     def terminate(self, unit: Unit) -> None:
         """Send SIGTERM. The process ends by itself within its grace period, and ``back`` starts it again."""
-        unit.wanted = False
+        unit.should_run = False
         self._record_moment("SIGTERM", unit)
         self._begin_fault("shutting down", unit)
         self._send_signal(unit, signal.SIGTERM)
--- a/rowanshift/simulation/machine.py
+++ b/rowanshift/simulation/machine.py
@@ -194,7 +194,7 @@
         self.held.clear()
         self.network.clock.task_woken = True
         if self.frozen:
-            self.go_on()
+            self.resume()
         self.scope.cancel()
 
     def signal(self, number: int) -> None:
@@ -219,11 +219,11 @@
 
         return guarded
 
-    def stand_still(self, handlers_run: bool = False) -> None:
-        """Freeze the process until ``go_on``. With ``handlers_run``, its signal handlers still run."""
+    def freeze(self, handlers_run: bool = False) -> None:
+        """Freeze the process until ``resume``. With ``handlers_run``, its signal handlers still run."""
         self.frozen, self.handlers_run = True, handlers_run
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         """Resume the process, and deliver what was deferred: signals, then wakes, then cancellations."""
         if not self.frozen:
             return
--- a/rowanshift/simulation/world.py
+++ b/rowanshift/simulation/world.py
@@ -18,14 +18,14 @@
 from rowanshift.cacheproxy.decision.router import Router
 from rowanshift.cacheproxy.service import Phase, Service
 from rowanshift.cacheproxy.settings import settings_of
-from rowanshift.emulation.clients import Asked, Crowd, Door, Habits
-from rowanshift.emulation.discovery import Agent, row_of
-from rowanshift.emulation.http import Ledger
-from rowanshift.emulation.servers import Cache, Kind, Origin, Server, Spoiling
+from rowanshift.emulation.clients import ClientBehavior, ClientGroup, RequestCategory, RouterEndpoint
+from rowanshift.emulation.discovery import DiscoveryAgent, server_row
+from rowanshift.emulation.http import SharedState
+from rowanshift.emulation.servers import Cache, CacheServerTraits, FaultyResponses, Origin, Server
 from rowanshift.invariants.checks import CacheProxyRules, RuleSettings, RuleViolation
 from rowanshift.invariants.events import EventStream, Fact
 from rowanshift.placement.hash_ring import stable_hash
-from rowanshift.simulation.clock import Determined, VirtualClock
+from rowanshift.simulation.clock import DeterministicScheduling, VirtualClock
 from rowanshift.simulation.machine import Machine
 from rowanshift.simulation.network import START_UNIX_SECONDS, Network, Paths
 from rowanshift.simulation.scenario import Fault, Scenario
@@ -70,8 +70,8 @@
 
     n: int
     machine: Machine
-    agent: Agent
-    door: Door
+    agent: DiscoveryAgent
+    endpoint: RouterEndpoint
     file: ConfigFile
     service: Service | None = None
     restart_after: float | None = None  # seconds from the end of the process until it is restarted
@@ -86,7 +86,7 @@
 
     name: str
     machine: Machine
-    kind: Kind
+    kind: CacheServerTraits
     zone: int
     server: Server | None = None
     weight: float = 1.0
@@ -139,10 +139,10 @@
         )
         self.events.readers = [self.rules.process_event, *(readers or [])]
         self.network.on_undeliverable = self._record_undeliverable
-        self.ledger = Ledger()
+        self.shared_state = SharedState()
         self.caches: dict[str, CacheHost] = {}
         self.routers: list[RouterHost] = []
-        self.crowds: list[Crowd] = []
+        self.client_groups: list[ClientGroup] = []
         self.next_cache_number = 0
         self.stopping = trio.Event()
         self.errors: list[Exception] = []  # with which a router crashed
@@ -192,13 +192,13 @@
             },
         }
 
-    def _server_kind(self, origin: bool = False) -> Kind:
+    def _server_kind(self, origin: bool = False) -> CacheServerTraits:
         scenario, fleet = self.scenario, self.scenario.fleet
         works = {
             category.name: scenario.work.origin_fetch_s if origin else category.work_s for category in scenario.category
         }
         speed = 1.0 if origin else self.random_source.uniform(fleet.slowest, fleet.fastest)
-        return Kind(
+        return CacheServerTraits(
             works,
             fleet.origin_cores if origin else fleet.cores,
             speed,
@@ -227,7 +227,7 @@
         peers = [f"{machine.address}:{PEER_PORT}" for machine in machines]
         for n, machine in enumerate(machines):
             agent_machine = self.network.machine(f"agent-r{n}", machine.site)
-            agent = Agent(
+            agent = DiscoveryAgent(
                 agent_machine,
                 (agent_machine.address, AGENT_PORT),
                 self.clock.current_time,
@@ -245,13 +245,15 @@
             }
             if fleet.peers:
                 config |= {"peer_listen": f"{machine.address}:{PEER_PORT}", "peers": peers}
-            door = Door(f"r{n}", (machine.address, HTTP_PORT), machine.site)
-            self.routers.append(RouterHost(n, machine, agent, door, ConfigFile(config)))
+            endpoint = RouterEndpoint(f"r{n}", (machine.address, HTTP_PORT), machine.site)
+            self.routers.append(RouterHost(n, machine, agent, endpoint, ConfigFile(config)))
         asked = [
-            Asked(category.name, category.share, category.expiry_s, category.due_s, category.write, category.credit)
+            RequestCategory(
+                category.name, category.share, category.expiry_s, category.due_s, category.write, category.credit
+            )
             for category in scenario.category
         ]
-        habits = Habits(
+        behavior = ClientBehavior(
             scenario.work.retries,
             scenario.work.wait_s,
             scenario.work.patience,
@@ -261,20 +263,22 @@
             scenario.work.keys,
         )
         for site in range(min(fleet.sites, fleet.routers)):
-            doors = [Door(host.door.name, host.door.address, host.door.site) for host in self.routers]
-            self.crowds.append(
-                Crowd(
+            endpoints = [
+                RouterEndpoint(host.endpoint.name, host.endpoint.address, host.endpoint.site) for host in self.routers
+            ]
+            self.client_groups.append(
+                ClientGroup(
                     self.network.machine(f"crowd{site}", site, 50_000),
                     f"q{site}",
                     site,
                     self.clock.current_time,
                     self.events,
                     random.Random(f"{scenario.seed}/crowd{site}"),
-                    doors,
+                    endpoints,
                     asked,
                     scenario.work.customers,
                     scenario.work.rate / min(fleet.sites, fleet.routers),
-                    habits,
+                    behavior,
                 )
             )
         if scenario.work.warm:
@@ -299,7 +303,7 @@
 
     def _list_entry(self, host: CacheHost, lifecycle: str = "active") -> dict[str, Any]:
         started = START_UNIX_SECONDS + host.came_up if host.came_up else 0.0
-        return row_of(
+        return server_row(
             host.name,
             (host.machine.address, HTTP_PORT),
             f"z{host.zone}",
@@ -310,7 +314,7 @@
         )
 
     @staticmethod
-    def _listed_instances(agent: Agent) -> dict[str, Any]:
+    def _listed_instances(agent: DiscoveryAgent) -> dict[str, Any]:
         return {"generation": agent.generation, "instances": [*agent.rows.values()]}
 
     # running ----------------------------------------------
@@ -318,7 +322,7 @@
     def run(self) -> SimulationResult:
         logger.disable("rowanshift")
         try:
-            with Determined(f"{self.scenario.seed}/trio"):
+            with DeterministicScheduling(f"{self.scenario.seed}/trio"):
                 trio.run(self._main, clock=self.clock)
         finally:
             logger.enable("rowanshift")
@@ -333,8 +337,8 @@
                 self.nursery.start_soon(self._run_process, host.agent.host, host.agent.run)
                 self.nursery.start_soon(self._run_router, host)
             await trio.sleep(0.5)
-            for crowd in self.crowds:
-                self.nursery.start_soon(self._run_process, crowd.host, crowd.run)
+            for group in self.client_groups:
+                self.nursery.start_soon(self._run_process, group.host, group.run)
             for fault in self.scenario.trouble:
                 self.at(fault.at_s, self._inject, fault)
             await trio.sleep(max(0.0, self.scenario.seconds - self.clock.time))
@@ -388,24 +392,29 @@
 
     async def _accept_when_ready(self, host: RouterHost) -> None:
         """Let clients open connections again once the router reports readiness."""
-        crowd, doors = self.crowds[0], self._doors_of(host)
+        group, endpoints = self.client_groups[0], self._endpoints_of(host)
         for _ in range(200):
             await trio.sleep(0.1)
-            if host.machine.running and await crowd.ready(host.door):
-                for door in doors:
-                    door.up = True
+            if host.machine.running and await group.ready(host.endpoint):
+                for endpoint in endpoints:
+                    endpoint.up = True
                 return
 
-    def _doors_of(self, host: RouterHost) -> list[Door]:
-        return [door for crowd in self.crowds for door in crowd.doors if door.name == host.door.name]
+    def _endpoints_of(self, host: RouterHost) -> list[RouterEndpoint]:
+        return [
+            endpoint
+            for group in self.client_groups
+            for endpoint in group.endpoints
+            if endpoint.name == host.endpoint.name
+        ]
 
     def _record_undeliverable(self, machine: str, address: str) -> None:
         if machine.startswith("r"):
             self.events.publish("no_way", machine, address)
 
     def _stop_new_connections(self, host: RouterHost) -> None:
-        for door in self._doors_of(host):
-            door.up = False
+        for endpoint in self._endpoints_of(host):
+            endpoint.up = False
 
     def _start_cache(self, host: CacheHost) -> None:
         fleet, name = self.scenario.fleet, host.name
@@ -416,7 +425,7 @@
             self.events,
             name,
             host.kind,
-            self.ledger,
+            self.shared_state,
             random.Random(f"{self.scenario.seed}/{name}/{host.came_up}"),
             host.zone,
         )
@@ -446,17 +455,17 @@
 
     async def _shut_down(self) -> None:
         """Stop the clients, and check that idle routers hold no resources and end at SIGTERM."""
-        for crowd in self.crowds:
-            crowd.over = True
+        for group in self.client_groups:
+            group.over = True
         with trio.move_on_after(30):
-            while any(crowd.open for crowd in self.crowds):
+            while any(group.open for group in self.client_groups):
                 await trio.sleep(0.1)
         self.stopping.set()
         for host in self.routers:
-            host.machine.go_on()
+            host.machine.resume()
             self.events.publish("went_on", host.machine.name)
-        for crowd in self.crowds:
-            crowd.close()
+        for group in self.client_groups:
+            group.close()
         await trio.sleep(QUIET_SECONDS + max(category.expiry_s for category in self.scenario.category))
         for host in self.routers:
             service = host.service
@@ -470,12 +479,12 @@
         self.rules.end(self.clock.time)
 
     def _result(self) -> SimulationResult:
-        first_tries = sum(crowd.first for crowd in self.crowds)
-        credit = sum(crowd.credit for crowd in self.crowds)
-        times = sorted(seconds for crowd in self.crowds for seconds in crowd.times)
+        first_tries = sum(group.first for group in self.client_groups)
+        credit = sum(group.credit for group in self.client_groups)
+        times = sorted(seconds for group in self.client_groups for seconds in group.response_times)
         tries: dict[str, int] = {}
-        for crowd in self.crowds:
-            for result, count in crowd.tries.items():
+        for group in self.client_groups:
+            for result, count in group.tries.items():
                 tries[result] = tries.get(result, 0) + count
         counts = self.rules.counts
         origin = self.caches["origin"].server
@@ -485,7 +494,7 @@
             int(first_tries),
             self.clock.time,
             len(times) / max(1, first_tries),
-            sum(crowd.earned for crowd in self.crowds) / max(1e-9, credit),
+            sum(group.earned_credit for group in self.client_groups) / max(1e-9, credit),
             times[int(0.99 * len(times))] if times else 0.0,
             counts,
             dict(sorted(tries.items())),
@@ -587,12 +596,12 @@
         for machine in self._select_machines(targets, 0.4):
             if machine.running and not machine.frozen:
                 self.events.publish("stalled", machine.name)
-                machine.stand_still()
+                machine.freeze()
                 self.after(seconds or fault.for_s, self._resume, machine)
 
     def _resume(self, machine: Machine) -> None:
         if machine.frozen:
-            machine.go_on()
+            machine.resume()
             self.events.publish("went_on", machine.name)
 
     def _do_stutter(self, fault: Fault, targets: list[str]) -> None:
@@ -678,50 +687,50 @@
 
     def _do_lean(self, fault: Fault, targets: list[str]) -> None:
         name = self._select_routers(targets)[0].machine.name
-        for crowd in self.crowds:
-            crowd.lean = name
-            self.after(fault.for_s, setattr, crowd, "lean", None)
+        for group in self.client_groups:
+            group.lean = name
+            self.after(fault.for_s, setattr, group, "lean", None)
 
     def _do_rate(self, fault: Fault, targets: list[str]) -> None:
-        for crowd in self.crowds:
-            crowd.rate *= fault.value or 2.0
-            self.after(fault.for_s, self._reduce_rate, crowd, fault.value or 2.0)
+        for group in self.client_groups:
+            group.rate *= fault.value or 2.0
+            self.after(fault.for_s, self._reduce_rate, group, fault.value or 2.0)
 
     @staticmethod
-    def _reduce_rate(crowd: Crowd, factor: float) -> None:
-        crowd.rate /= factor
+    def _reduce_rate(group: ClientGroup, factor: float) -> None:
+        group.rate /= factor
 
     def _do_hot(self, fault: Fault, targets: list[str]) -> None:
         key = f"k{self.random_source.randrange(self.scenario.work.keys)}"
-        for crowd in self.crowds:
-            crowd.keys.hot = key, fault.value or 0.3
-            self.after(fault.for_s, setattr, crowd.keys, "hot", None)
+        for group in self.client_groups:
+            group.keys.hot = key, fault.value or 0.3
+            self.after(fault.for_s, setattr, group.keys, "hot", None)
 
     def _do_shift(self, fault: Fault, targets: list[str]) -> None:
         offset = self.random_source.randrange(self.scenario.work.keys)
-        for crowd in self.crowds:
-            crowd.keys.shifted += offset
+        for group in self.client_groups:
+            group.keys.shifted += offset
 
     def _do_spoil(self, fault: Fault, targets: list[str]) -> None:
         for host in [*self._select_caches(targets)]:
             server = host.server
-            server.spoiling = Spoiling(fault.value or 0.3)
-            self.after(fault.for_s, setattr, server, "spoiling", Spoiling())
+            server.spoiling = FaultyResponses(fault.value or 0.3)
+            self.after(fault.for_s, setattr, server, "spoiling", FaultyResponses())
 
     def _do_flood(self, fault: Fault, targets: list[str]) -> None:
-        crowd = self.crowds[0]
+        group = self.client_groups[0]
         for host in self._select_routers(targets):
-            self.nursery.start_soon(self._flood, crowd, host.door, int(fault.value or 200), fault.for_s)
+            self.nursery.start_soon(self._flood, group, host.endpoint, int(fault.value or 200), fault.for_s)
 
     @staticmethod
-    async def _flood(crowd: Crowd, door: Door, count: int, hold_for: float) -> None:
-        await crowd.flood(door, count, hold_for)
+    async def _flood(group: ClientGroup, endpoint: RouterEndpoint, count: int, hold_for: float) -> None:
+        await group.open_idle_connections(endpoint, count, hold_for)
 
     def _do_halves(self, fault: Fault, targets: list[str], setting: str = "halves") -> None:
-        for crowd in self.crowds:
-            previous = getattr(crowd.habits, setting)
-            setattr(crowd.habits, setting, fault.value or 0.1)
-            self.after(fault.for_s, setattr, crowd.habits, setting, previous)
+        for group in self.client_groups:
+            previous = getattr(group.behavior, setting)
+            setattr(group.behavior, setting, fault.value or 0.1)
+            self.after(fault.for_s, setattr, group.behavior, setting, previous)
 
     def _do_one_off(self, fault: Fault, targets: list[str]) -> None:
         self._do_halves(fault, targets, "one_off")
@@ -754,7 +763,7 @@
             old = host.agent
             name = f"agent-{host.machine.name}-{self.clock.time:.3f}"
             agent_machine = self.network.machine(name, host.machine.site)
-            agent = Agent(
+            agent = DiscoveryAgent(
                 agent_machine,
                 (agent_machine.address, AGENT_PORT),
                 self.clock.current_time,
@@ -791,7 +800,7 @@
 
     def _do_list_over(self, fault: Fault, targets: list[str]) -> None:
         for host in self._select_routers_or_all(targets):
-            host.agent.start_over()
+            host.agent.lose_state()
 
     def _do_lose(self, fault: Fault, targets: list[str]) -> None:
         for host in self._select_routers_or_all(targets):
--- a/tests/cacheproxy/test_network.py
+++ b/tests/cacheproxy/test_network.py
@@ -25,7 +25,7 @@
 from rowanshift.cacheproxy.peers import Peers
 from rowanshift.cacheproxy.servers import Servers, verdict_of
 from rowanshift.cacheproxy.service import Phase, Service
-from rowanshift.emulation.discovery import Agent, row_of
+from rowanshift.emulation.discovery import DiscoveryAgent, server_row
 from rowanshift.invariants.events import EventStream
 from rowanshift.process.log_rate_limit import LogRateLimit
 from rowanshift.transport.buffer import RingBuffer
@@ -1182,8 +1182,10 @@
     async def main():
         async with trio.open_nursery() as nursery:
             (agent, listen) = free_addresses(2)
-            rows = {name: row_of(name, ("127.0.0.1", 9), "here", "cache") for name in ("old", "new")}
-            stub_agent = Agent(SYSTEM_RUNTIME, agent, time.monotonic, EventStream(time.monotonic), "n", [rows["new"]])
+            rows = {name: server_row(name, ("127.0.0.1", 9), "here", "cache") for name in ("old", "new")}
+            stub_agent = DiscoveryAgent(
+                SYSTEM_RUNTIME, agent, time.monotonic, EventStream(time.monotonic), "n", [rows["new"]]
+            )
             stub_agent.silent = silent
             nursery.start_soon(stub_agent.run)
             await trio.sleep(0.02)
--- a/tests/controlplane/test_inherited_versions.py
+++ b/tests/controlplane/test_inherited_versions.py
@@ -127,7 +127,10 @@
             former_primary = fleet.primary()
             await inject_fault(fleet, former_primary)
             await fleet.until(
-                lambda: fleet.primary() not in (None, former_primary) or (former_primary.lives > 1 and fleet.primary())
+                lambda: (
+                    fleet.primary() not in (None, former_primary)
+                    or (former_primary.process_count > 1 and fleet.primary())
+                )
             )
             await trio.sleep(2.0)
             return abs(known_announcement_time(fleet.primary()) - announced_at(fleet))
@@ -174,7 +177,9 @@
             fleet.kill(restarted_router)
             fleet.back(restarted_router)
             await fleet.until(
-                lambda: restarted_router.lives > 1 and restarted_router.program and restarted_router.program.ready()
+                lambda: (
+                    restarted_router.process_count > 1 and restarted_router.program and restarted_router.program.ready()
+                )
             )
             await trio.sleep(1.0)
             return abs(known_announcement_time(restarted_router) - announced_at(fleet))
--- a/tests/dataplane/test_load_index.py
+++ b/tests/dataplane/test_load_index.py
@@ -18,7 +18,7 @@
 from rowanshift.dataplane.server_health import COUNT_HALF_LIFE_SECONDS
 from rowanshift.dataplane.server_loads import AVOIDED_SERVER_TOKENS, PENDING_REQUEST_TTL_SECONDS
 from rowanshift.placement.hash_ring import stable_hash
-from rowanshift.simulation.clock import Determined, VirtualClock
+from rowanshift.simulation.clock import DeterministicScheduling, VirtualClock
 from rowanshift.simulation.network import Network, Paths
 from rowanshift.wire.machine_ids import ip_from_machine_id, machine_id_from_ip
 
@@ -55,7 +55,7 @@
                 nursery.cancel_scope.cancel()
             return result
 
-        with Determined("t"):
+        with DeterministicScheduling("t"):
             return trio.run(run_routers, clock=clock)
 
     def owned_by(self, one, loads):
--- a/tests/dataplane/test_request_outcomes.py
+++ b/tests/dataplane/test_request_outcomes.py
@@ -397,7 +397,7 @@
 
     def end_program(self, fleet: Fleet, unit: Unit) -> None:
         """End the unit's program immediately."""
-        unit.wanted = False
+        unit.should_run = False
         unit.machine.scope.cancel()
 
     def test_a_call_that_is_cut(self) -> None:
--- a/tests/emulation/test_emulation_system.py
+++ b/tests/emulation/test_emulation_system.py
@@ -29,7 +29,7 @@
     by_id,
     of_kind,
 )
-from rowanshift.simulation.clock import Determined, VirtualClock
+from rowanshift.simulation.clock import DeterministicScheduling, VirtualClock
 from rowanshift.simulation.network import Network, Paths
 from rowanshift.transport.http_connection import Connection
 from rowanshift.transport.memory_budget import MemoryBudget
@@ -151,7 +151,7 @@
             nursery.cancel_scope.cancel()
         return result, world.facts
 
-    with Determined(seed):
+    with DeterministicScheduling(seed):
         return trio.run(run_world, clock=clock)
 
 
--- a/tests/simulation/test_simulation.py
+++ b/tests/simulation/test_simulation.py
@@ -19,10 +19,10 @@
 from trio._core import _run
 
 from rowanshift.cacheproxy.model import Category, Semantics
-from rowanshift.emulation.servers import PARTS, Meter
+from rowanshift.emulation.servers import INTERVALS_PER_SPAN, OverloadDetector
 from rowanshift.invariants.checks import CacheProxyRules, RuleSettings
 from rowanshift.invariants.events import KINDS, EventStream, event_as_dict
-from rowanshift.simulation.clock import MAX_IDLE_TURNS, Deadlock, Determined, VirtualClock
+from rowanshift.simulation.clock import MAX_IDLE_TURNS, Deadlock, DeterministicScheduling, VirtualClock
 from rowanshift.simulation.command import _simulate_one, run_scenario
 from rowanshift.simulation.draw import FAULT_DISTRIBUTIONS as DRAWN_FAULTS
 from rowanshift.simulation.draw import draw_scenario
@@ -76,7 +76,7 @@
     network = Network(clock, "t", Paths(**DEFAULT_PATHS | {"across": 0.01} | paths))
     one, other = network.machine("one", 0, 8), network.machine("other", 1, 8)
     one.running = other.running = True
-    with Determined("t"):
+    with DeterministicScheduling("t"):
         return trio.run(main, network, one, other, *args, clock=clock)
 
 
@@ -228,8 +228,8 @@
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(other.run, run_both, other, read_until_deadline, sleep_until_deadline)
-            network.clock.at(0.5, other.stand_still)
-            network.clock.at(3.0, other.go_on)
+            network.clock.at(0.5, other.freeze)
+            network.clock.at(3.0, other.resume)
             await trio.sleep(2)
             await send_all(ours, b"x")
         return sorted(seen)
@@ -343,11 +343,11 @@
 
 @pytest.mark.parametrize(("rate", "over"), [(0.9, False), (1.3, True)])
 def test_only_lasting_overload_is_reported(rate, over):
-    meter, reports = Meter(2.0, 1.0), []
-    for n in range(int(1.5 * PARTS)):
+    meter, reports = OverloadDetector(2.0, 1.0), []
+    for n in range(int(1.5 * INTERVALS_PER_SPAN)):
         for _ in range(10):
-            reports.append(meter.add((n + 0.5) / PARTS, 2.0 * rate * 3 / PARTS / 10, 3.0))
-    assert any(reports) == over and not any(reports[: 10 * PARTS])
+            reports.append(meter.add((n + 0.5) / INTERVALS_PER_SPAN, 2.0 * rate * 3 / INTERVALS_PER_SPAN / 10, 3.0))
+    assert any(reports) == over and not any(reports[: 10 * INTERVALS_PER_SPAN])
 
 
 # scenarios --------------------------------------------------
@@ -442,7 +442,7 @@
         order.append(n)
 
     def run(seed):
-        with Determined(seed):
+        with DeterministicScheduling(seed):
             return trio.run(main, clock=VirtualClock())
 
     before = _run._ALLOW_DETERMINISTIC_SCHEDULING, _run._r
--- a/tests/simulation/test_system_simulation.py
+++ b/tests/simulation/test_system_simulation.py
@@ -28,7 +28,7 @@
 from rowanshift.invariants import system as rules
 from rowanshift.invariants.system import Answered, Began, Loaded, Ordered, VersionNamed
 from rowanshift.process.node_settings import load_node_settings
-from rowanshift.simulation.clock import Determined, VirtualClock
+from rowanshift.simulation.clock import DeterministicScheduling, VirtualClock
 from rowanshift.simulation.disk import VirtualDisk
 from rowanshift.simulation.fleet import (
     APPLY_SECONDS,
@@ -742,7 +742,7 @@
             machine.running = True
             return await main(machine)
 
-        with Determined("t"):
+        with DeterministicScheduling("t"):
             return trio.run(run, clock=clock)
 
     def test_write_takes_time_and_survives_a_power_loss(self):
@@ -837,7 +837,7 @@
             return seen, scope.cancelled_caught, accepted.readable()
 
         clock = VirtualClock()
-        with Determined("t"):
+        with DeterministicScheduling("t"):
             self.assertEqual(trio.run(main, clock, clock=clock), ((True, False), True, True))
 
 
--- a/tests/support/cache_proxy_rig.py
+++ b/tests/support/cache_proxy_rig.py
@@ -9,9 +9,9 @@
 from rowanshift.cacheproxy.config import config_of
 from rowanshift.cacheproxy.service import Phase, Service
 from rowanshift.emulation.demo import ask
-from rowanshift.emulation.discovery import Agent, row_of
-from rowanshift.emulation.http import Ledger
-from rowanshift.emulation.servers import Cache, Kind, Origin
+from rowanshift.emulation.discovery import DiscoveryAgent, server_row
+from rowanshift.emulation.http import SharedState
+from rowanshift.emulation.servers import Cache, CacheServerTraits, Origin
 from rowanshift.invariants.events import EventStream
 from rowanshift.transport.runtime import SYSTEM_RUNTIME
 from tests.support.helpers import ORIGIN
@@ -64,17 +64,31 @@
         self.nursery, self.min_ready_caches = nursery, ready  # a router counts as started with so many caches
         listen, control, agent, *addresses = free_addresses(7)
         common = time.monotonic, EventStream(time.monotonic)
-        ledger, works = Ledger(), {"read": 0.001, "write": 0.001}
-        self.rows = [row_of(f"cache:{n}", addresses[n], "here", "cache") for n in range(3)]
-        self.rows.append(row_of(ORIGIN, addresses[3], "here", "origin"))
+        shared_state, works = SharedState(), {"read": 0.001, "write": 0.001}
+        self.rows = [server_row(f"cache:{n}", addresses[n], "here", "cache") for n in range(3)]
+        self.rows.append(server_row(ORIGIN, addresses[3], "here", "origin"))
         self.caches = {
             f"cache:{n}": Cache(
-                SYSTEM_RUNTIME, addresses[n], *common, f"cache:{n}", Kind(dict(works)), ledger, random.Random(n)
+                SYSTEM_RUNTIME,
+                addresses[n],
+                *common,
+                f"cache:{n}",
+                CacheServerTraits(dict(works)),
+                shared_state,
+                random.Random(n),
             )
             for n in range(3)
         }
-        self.origin = Origin(SYSTEM_RUNTIME, addresses[3], *common, ORIGIN, Kind(dict(works)), ledger, random.Random(9))
-        self.agent = Agent(SYSTEM_RUNTIME, agent, *common, "n", self.rows)
+        self.origin = Origin(
+            SYSTEM_RUNTIME,
+            addresses[3],
+            *common,
+            ORIGIN,
+            CacheServerTraits(dict(works)),
+            shared_state,
+            random.Random(9),
+        )
+        self.agent = DiscoveryAgent(SYSTEM_RUNTIME, agent, *common, "n", self.rows)
         self.data = {
             "name": "n",
             "listen": "{}:{}".format(*listen),
--- a/tests/support/exchange_rig.py
+++ b/tests/support/exchange_rig.py
@@ -22,7 +22,7 @@
 from rowanshift.dataplane.load_index import ReportedRequest
 from rowanshift.dataplane.routing_table import RoutingTable, parse_routing_table
 from rowanshift.dataplane.upstream import UpstreamPool
-from rowanshift.simulation.clock import Determined, VirtualClock
+from rowanshift.simulation.clock import DeterministicScheduling, VirtualClock
 from rowanshift.simulation.machine import Machine
 from rowanshift.simulation.network import End, Network, Paths
 from rowanshift.transport.descriptor_budget import DescriptorBudget
@@ -521,5 +521,5 @@
             nursery.cancel_scope.cancel()
         return got
 
-    with Determined("exchange"):
+    with DeterministicScheduling("exchange"):
         return trio.run(run, clock=clock)
--- a/tests/transport/test_call_exchanges.py
+++ b/tests/transport/test_call_exchanges.py
@@ -10,7 +10,7 @@
 import trio
 from loguru import logger
 
-from rowanshift.simulation.clock import Determined, VirtualClock
+from rowanshift.simulation.clock import DeterministicScheduling, VirtualClock
 from rowanshift.simulation.network import End, Network, Paths
 from rowanshift.transport.call_client import CallFailed, PersistentCaller, call
 from rowanshift.transport.http_connection import Connection
@@ -121,7 +121,7 @@
             nursery.cancel_scope.cancel()
         return got
 
-    with Determined("calls"):
+    with DeterministicScheduling("calls"):
         return trio.run(run, clock=clock)
 
 
--- a/tests/transport/test_call_server_shutdown.py
+++ b/tests/transport/test_call_server_shutdown.py
@@ -131,11 +131,11 @@
             results: list[int | str] = []
             for _ in range(3):
                 self.fleet.nursery.start_soon(self.ask, results)
-            self.machine.stand_still()
+            self.machine.freeze()
             await trio.sleep(0.2)
             self.server.accept_scope.cancel()
             self.server.shutting_down = True
-            self.machine.go_on()
+            self.machine.resume()
             await trio.sleep(1.0)
             self.assertEqual(results, [503] * 3)
             self.assertTrue(self.ended.is_set())
