--- a/rowanshift/cacheproxy/adapter/wire.py
+++ b/rowanshift/cacheproxy/adapter/wire.py
@@ -74,7 +74,7 @@
         self.router.answered(now, work_item, number, server, verdict, spent_us / 1e6, bool(final), remark)
 
     def timer(self, now: float, *_: Any) -> None:
-        self.router.woken(now)
+        self.router.timer_expired(now)
 
     def directory_update(self, now: float, bank: int | None, scope: str, *_: Any) -> None:
         if scope != "failed" and bank not in self.banks:
@@ -82,13 +82,13 @@
         self.router.list_changed(now, scope, [] if scope == "failed" else self.banks[bank])
 
     def heard(self, now: float, author: int, payload: str, *_: Any) -> None:
-        self.router.heard(now, author, b64decode(payload))
+        self.router.tally_received(now, author, b64decode(payload))
 
     def streaming(self, now: float, work_item: int, *_: Any) -> None:
         self.router.streaming(now, work_item)
 
     def cancelled_by_client(self, now: float, work_item: int, *_: Any) -> None:
-        self.router.abandoned(now, work_item)
+        self.router.client_left(now, work_item)
 
     def probe_done(self, now: float, *_: Any) -> None:
         """Ignored: the router sends no probes."""
--- a/rowanshift/cacheproxy/decision/router.py
+++ b/rowanshift/cacheproxy/decision/router.py
@@ -89,24 +89,24 @@
         if (item := self.items.get(id)) is not None:
             item.is_streaming, item.version = True, item.version + 1
 
-    def spent(self, now: float, id: int) -> None:
+    def body_consumed(self, now: float, id: int) -> None:
         """The work item's body can't be sent again in full: its open hand-off is the last."""
         self.now = now
         if (item := self.items.get(id)) is not None:
             item.is_last = True
 
-    def abandoned(self, now: float, id: int) -> None:
+    def client_left(self, now: float, id: int) -> None:
         self.now = now
         if (item := self.items.get(id)) is not None:
             self._end(item, False)
 
-    def overtaken(self, now: float, id: int, number: int) -> None:
+    def connection_stuck(self, now: float, id: int, number: int) -> None:
         """Withdraw a hand-off that many later ones at its cache overtook: its connection is stuck."""
         self.now, item = now, self.items.get(id)
         if self.settings.cancelling and item and item.category.semantics is Semantics.RERUNNABLE:
             self.results.withdrawals.append((id, number))
 
-    def heard(self, now: float, author: int, payload: bytes) -> None:
+    def tally_received(self, now: float, author: int, payload: bytes) -> None:
         self.now, tally = now, Tally.unpack(payload, len(self.asked))
         if tally is not None and tally.total:
             self._apply_tally(tally)
@@ -146,7 +146,7 @@
         for cache in gone[: max(0, len(gone) - len(self.caches) // 2)]:  # keep some, as they may return
             del self.caches[cache.entry.server]
 
-    def seen(self, now: float) -> tuple[int, int]:
+    def server_counts(self, now: float) -> tuple[int, int]:
         """The number of listed caches, and how many of them get no requests now: drained or silent."""
         listed = [c for c in self.caches.values() if c.entry.health != "dead"]
         return len(listed), sum(c.entry.health != "live" or c.silent_until > now for c in listed)
@@ -161,7 +161,7 @@
         keys = {key: (hot.score, hot.streak, hot.lease, hot.shadows) for key, hot in self.scores.items()}
         return Learned(live, times(self.fleet), self.asked, self.warm_rate, self.extra, self.samples, keys)
 
-    def take_up(self, now: float, learned: Learned) -> None:
+    def restore(self, now: float, learned: Learned) -> None:
         """Start from another process's learned state, at half its limits, as both may run for a while."""
         self.now = now
         for cache in (self.fleet, *self.caches.values()):
@@ -176,7 +176,7 @@
         for key, (score, streak, lease, shadows) in list(learned.keys.items())[:MAX_SCORED_KEYS]:
             self.scores[key] = HotKey(score, streak, min(lease, now + SHADOW_LEASE_SECONDS), max(0, shadows))
 
-    def woken(self, now: float) -> None:
+    def timer_expired(self, now: float) -> None:
         self.now = now
         while self.timers and self.timers[0][0] <= now:
             _, _, event, item, version = heappop(self.timers)
--- a/rowanshift/cacheproxy/driver.py
+++ b/rowanshift/cacheproxy/driver.py
@@ -56,7 +56,7 @@
         """Ends an exchange whose client no longer waits for the reply."""
         if exchange.end(None):
             del self.exchanges[exchange.id]
-            self._call(self.router.abandoned, self.clock.now(), exchange.id)
+            self._call(self.router.client_left, self.clock.now(), exchange.id)
 
     def on_result(self, hand_off: HandOff, verdict: Verdict, remark: int | None, reply: Reply | None) -> None:
         """A hand-off has ended."""
@@ -77,7 +77,7 @@
 
     def on_overtaken(self, hand_off: HandOff) -> None:
         """The server has answered many later hand-offs, but not this one."""
-        self._call(self.router.overtaken, self.clock.now(), hand_off.exchange.id, hand_off.number)
+        self._call(self.router.connection_stuck, self.clock.now(), hand_off.exchange.id, hand_off.number)
 
     def list_changed(self, scope: str, entries: list[Entry]) -> None:
         """The list of servers has changed, as a whole or in part."""
@@ -85,15 +85,15 @@
 
     def on_body_consumed(self, hand_off: HandOff) -> None:
         """Part of a streamed request body was sent and dropped: the request can't be sent again in full."""
-        self._call(self.router.spent, self.clock.now(), hand_off.exchange.id)
+        self._call(self.router.body_consumed, self.clock.now(), hand_off.exchange.id)
 
     def restore_learned(self, learned: Learned) -> None:
         """Applies the state that the previous process of this router has learned."""
-        self._call(self.router.take_up, self.clock.now(), learned)
+        self._call(self.router.restore, self.clock.now(), learned)
 
     def on_peer_message(self, ordinal: int, payload: bytes) -> None:
         """A message from another router has arrived."""
-        self._call(self.router.heard, self.clock.now(), ordinal, payload)
+        self._call(self.router.tally_received, self.clock.now(), ordinal, payload)
 
     async def run_wake_timer(self) -> None:
         """Wakes the router whenever ``wake_at`` has come."""
@@ -102,7 +102,7 @@
                 await trio.sleep_forever()
             if self.clock.now() >= self.wake_at:  # The scope may also end early, or because the timer was moved.
                 self.wake_at = float("inf")
-                self._call(self.router.woken, self.clock.now())
+                self._call(self.router.timer_expired, self.clock.now())
 
     # results of the router
 
--- a/rowanshift/cacheproxy/model.py
+++ b/rowanshift/cacheproxy/model.py
@@ -92,7 +92,7 @@
     probes: list[str] = field(default_factory=list)
     log: list[str] = field(default_factory=list)
     subscribe: bool = False
-    wake: float | None = None  # delay until the next call of ``woken``
+    wake: float | None = None  # delay until the next call of ``timer_expired``
 
     def __bool__(self) -> bool:
         return bool(
--- a/rowanshift/cacheproxy/service.py
+++ b/rowanshift/cacheproxy/service.py
@@ -168,7 +168,7 @@
                 )
                 self.servers, self.driver, self.clients, self.discovery = servers, driver, clients, discovery
                 driver.subscribe = discovery.subscribe
-                metrics.server_counts = lambda: driver.router.seen(clock.now())
+                metrics.server_counts = lambda: driver.router.server_counts(clock.now())
                 servers.on_written = metrics.count_attempt
                 discovery.apply_update(config.known, "cached")
                 if config.control:  # The control port opens first and closes last.
--- a/tests/cacheproxy/test_network.py
+++ b/tests/cacheproxy/test_network.py
@@ -957,10 +957,10 @@
     def drain(self) -> Results:
         return Results(wake=self.wake_delays.pop(0) if self.wake_delays else None)
 
-    def heard(self, *_) -> None:
+    def tally_received(self, *_) -> None:
         pass
 
-    def woken(self, now: float) -> None:
+    def timer_expired(self, now: float) -> None:
         self.woken_at.append(now)
 
 
@@ -1036,7 +1036,7 @@
     def drain(self) -> Results:
         return self.results.pop() if self.results else Results()
 
-    def heard(self, *_) -> None:
+    def tally_received(self, *_) -> None:
         raise ValueError("a call that fails")
 
 
--- a/tests/cacheproxy/test_operation.py
+++ b/tests/cacheproxy/test_operation.py
@@ -384,7 +384,7 @@
     other = "cache:0" if first == "cache:1" else "cache:1"
     members.disable(other)
     assert other not in [server for *_, server in come_back(decisions, 1, first, Verdict.RESET).hand_offs]
-    assert decisions.seen(decisions.now)[1] == 2  # the disabled one, and the one that failed
+    assert decisions.server_counts(decisions.now)[1] == 2  # the disabled one, and the one that failed
 
 
 # limits
--- a/tests/cacheproxy/test_router_decisions.py
+++ b/tests/cacheproxy/test_router_decisions.py
@@ -77,7 +77,7 @@
 def test_a_late_outcome_after_the_final_answer_changes_nothing():
     r = router()
     server = take(r, 1).hand_offs[0][2]
-    r.abandoned(r.now, 1)
+    r.client_left(r.now, 1)
     assert not come_back(r, 1, server, Verdict.ERROR).hand_offs and r.caches[server].inflight == 0
 
 
@@ -185,7 +185,7 @@
     home = take(r, 1).hand_offs[0][2]
     r.origin.limit, r.origin.limit_updated_at = 1e-9, r.now + 10
     assert not come_back(r, 1, home, Verdict.MISS).hand_offs
-    r.woken(r.now + 0.08)
+    r.timer_expired(r.now + 0.08)
     assert [h[2] for h in r.drain().hand_offs] == [home]
 
 
@@ -206,7 +206,7 @@
 def test_a_work_item_has_at_most_one_open_hand_off():
     r = router()
     home = take(r, 1).hand_offs[0][2]
-    r.woken(r.now + 0.45)
+    r.timer_expired(r.now + 0.45)
     assert not r.drain().hand_offs
     come_back(r, 1, home, Verdict.MISS)
     results = come_back(r, 1, ORIGIN, Verdict.ERROR, number=1)
@@ -251,7 +251,7 @@
         r = router(peers=True, routers=routers, ordinal=ordinal)
         r.now += 1.0
         r._exchange_tallies()
-        r.woken(r.now + 1.0)
+        r.timer_expired(r.now + 1.0)
         sent += sum(routers - 1 if peer is None else 1 for peer, _ in r.drain().messages)
     assert sent == receivers
 
@@ -259,7 +259,7 @@
 @pytest.mark.parametrize("payload", [b"", b"\x00", b"\x40" * 9, b"\x99" * 40, b"\x40" + b"\xff" * 255])
 def test_a_message_of_another_version_is_ignored(payload):
     r = router(peers=True)
-    r.heard(r.now, 1, payload)
+    r.tally_received(r.now, 1, payload)
     assert r.tally == Tally([0, 0]) and not r.drain().messages
 
 
@@ -293,7 +293,7 @@
     r = router()
     home = take(r, 1, category=category).hand_offs[0][2]
     r.origin.limit, r.origin.limit_updated_at = limit, r.now + 10
-    r.woken(r.now + 0.26)  # of a due time of 0.5
+    r.timer_expired(r.now + 0.26)  # of a due time of 0.5
     assert r.drain().withdrawals == ([(1, 0)] if taken else [])
     if taken:
         assert [h[2] for h in come_back(r, 1, home, Verdict.WITHDRAWN, 0.26).hand_offs] == [ORIGIN]
@@ -451,8 +451,8 @@
 def test_a_hand_off_on_a_stuck_connection_is_withdrawn_if_it_may_be_repeated(category, taken_back):
     r = router()
     take(r, 1, category=category)
-    r.overtaken(r.now + 0.3, 1, 0)
-    r.overtaken(r.now, 2, 0)
+    r.connection_stuck(r.now + 0.3, 1, 0)
+    r.connection_stuck(r.now, 2, 0)
     assert r.drain().withdrawals == taken_back
 
 
@@ -464,17 +464,17 @@
     r.origin.limit = 1.0
     take(r, 1, "a", write=True)
     assert not take(r, 2, "b", write=True).answers
-    r.woken(r.now + held_for - 0.001)
+    r.timer_expired(r.now + held_for - 0.001)
     assert not r.drain().answers
-    r.woken(r.now + 0.002)
+    r.timer_expired(r.now + 0.002)
     assert [(id, answer) for id, answer, _ in r.drain().answers] == [(2, Answer.DEFERRED)]
 
 
 def test_nothing_is_withdrawn_if_cancelling_is_disabled():
     r = router(cancelling=False)
     take(r, 1)
-    r.overtaken(r.now + 0.3, 1, 0)
-    r.woken(r.now)
+    r.connection_stuck(r.now + 0.3, 1, 0)
+    r.timer_expired(r.now)
     assert not r.drain().withdrawals
 
 
