--- a/tests/cacheproxy/test_operation.py
+++ b/tests/cacheproxy/test_operation.py
@@ -17,7 +17,7 @@
 from rowanshift.cacheproxy.service import Phase
 from tests.cacheproxy.test_network import GOOD
 from tests.support.cache_proxy_rig import free_addresses, run_with_rig
-from tests.support.helpers import RERUNNABLE, come_back, entry, invoke, router, take
+from tests.support.helpers import RERUNNABLE, entry, invoke, report_response, router, take
 
 # the control port
 
@@ -383,7 +383,7 @@
     ((_, _, first),) = take(decisions, 1, "k", RERUNNABLE).hand_offs
     other = "cache:0" if first == "cache:1" else "cache:1"
     members.disable(other)
-    assert other not in [server for *_, server in come_back(decisions, 1, first, Verdict.RESET).hand_offs]
+    assert other not in [server for *_, server in report_response(decisions, 1, first, Verdict.RESET).hand_offs]
     assert decisions.server_counts(decisions.now)[1] == 2  # the disabled one, and the one that failed
 
 
--- a/tests/cacheproxy/test_router_decisions.py
+++ b/tests/cacheproxy/test_router_decisions.py
@@ -12,8 +12,8 @@
     RERUNNABLE,
     TICKETED,
     ZONAL,
-    come_back,
     entry,
+    report_response,
     router,
     take,
 )
@@ -40,7 +40,7 @@
 def test_a_work_item_is_retried_only_if_its_effect_can_not_happen_twice(category, verdict, again):
     r = router(aside=False)
     first = take(r, 1, category=category, write=True).hand_offs[0][2]
-    results = come_back(r, 1, first, verdict)
+    results = report_response(r, 1, first, verdict)
     assert bool(results.hand_offs) == again
     assert again or [a for _, a, _ in results.answers] == [Answer.WRITTEN_OFF]
 
@@ -78,7 +78,7 @@
     r = router()
     server = take(r, 1).hand_offs[0][2]
     r.client_left(r.now, 1)
-    assert not come_back(r, 1, server, Verdict.ERROR).hand_offs and r.caches[server].inflight == 0
+    assert not report_response(r, 1, server, Verdict.ERROR).hand_offs and r.caches[server].inflight == 0
 
 
 @pytest.mark.parametrize("caches", [0, 1])
@@ -184,7 +184,7 @@
     r = router()
     home = take(r, 1).hand_offs[0][2]
     r.origin.limit, r.origin.limit_updated_at = 1e-9, r.now + 10
-    assert not come_back(r, 1, home, Verdict.MISS).hand_offs
+    assert not report_response(r, 1, home, Verdict.MISS).hand_offs
     r.timer_expired(r.now + 0.08)
     assert [h[2] for h in r.drain().hand_offs] == [home]
 
@@ -193,7 +193,7 @@
     r = router()
     r.origin.limit = 1.0
     assert take(r, 1, "a", write=True).hand_offs and not take(r, 2, "b", write=True).hand_offs
-    assert come_back(r, 1, ORIGIN, Verdict.FINISHED).hand_offs[0][0] == 2
+    assert report_response(r, 1, ORIGIN, Verdict.FINISHED).hand_offs[0][0] == 2
 
 
 @pytest.mark.parametrize(("extra", "admitted"), [(1.0, True), (0.0, False)])
@@ -208,8 +208,8 @@
     home = take(r, 1).hand_offs[0][2]
     r.timer_expired(r.now + 0.45)
     assert not r.drain().hand_offs
-    come_back(r, 1, home, Verdict.MISS)
-    results = come_back(r, 1, ORIGIN, Verdict.ERROR, number=1)
+    report_response(r, 1, home, Verdict.MISS)
+    results = report_response(r, 1, ORIGIN, Verdict.ERROR, number=1)
     assert not results.answers and r.items[1].open_attempts == 1
 
 
@@ -296,7 +296,7 @@
     r.timer_expired(r.now + 0.26)  # of a due time of 0.5
     assert r.drain().withdrawals == ([(1, 0)] if taken else [])
     if taken:
-        assert [h[2] for h in come_back(r, 1, home, Verdict.WITHDRAWN, 0.26).hand_offs] == [ORIGIN]
+        assert [h[2] for h in report_response(r, 1, home, Verdict.WITHDRAWN, 0.26).hand_offs] == [ORIGIN]
 
 
 @pytest.mark.parametrize(("limit", "where"), [(8.0, "origin"), (1e-9, "cache")])
@@ -305,14 +305,14 @@
     r = router()
     server = take(r, 1).hand_offs[0][2]
     r.origin.limit, r.origin.limit_updated_at = limit, r.now + 10
-    ((_, _, second),) = come_back(r, 1, server, Verdict.UNREACHABLE, 0.001).hand_offs
+    ((_, _, second),) = report_response(r, 1, server, Verdict.UNREACHABLE, 0.001).hand_offs
     assert second.startswith(where) and second != server
 
 
 def test_the_last_hand_off_of_a_read_goes_to_the_origin():
     r = router(max_hand_offs=2)
     server = take(r, 1).hand_offs[0][2]
-    assert [h[2] for h in come_back(r, 1, server, Verdict.FULL).hand_offs] == [ORIGIN]
+    assert [h[2] for h in report_response(r, 1, server, Verdict.FULL).hand_offs] == [ORIGIN]
 
 
 @pytest.mark.parametrize(("taken", "grows"), [(True, False), (False, True)])
@@ -421,7 +421,7 @@
     for n in range(95):
         r.list_changed(r.now, "delta", [entry(n, "dead"), entry(5 + n)])
     assert len(r.caches) <= 14 and server in r.caches
-    come_back(r, 1, server, Verdict.FINISHED)
+    report_response(r, 1, server, Verdict.FINISHED)
     r.list_changed(r.now, "delta", [])
     assert len(r.caches) <= 13 and server not in r.caches and len(r.ready) == 5
 
@@ -436,14 +436,14 @@
     r.fleet.base = 0.05
     ((_, _, server),) = take(r, 1).hand_offs
     take(r, 2)
-    come_back(r, 1, server, Verdict.FINISHED)
+    report_response(r, 1, server, Verdict.FINISHED)
     r.now += since
     take(r, 3)
-    come_back(r, 2, server, verdict, after=0.001)
+    report_response(r, 2, server, verdict, after=0.001)
     cache = r.caches[server]
     assert (cache.silent_until > r.now, cache.inflight) == (silent, 1)
     assert not r._accepts(cache, Item(9, CATEGORIES[0], "k", r.now + 1, False))
-    come_back(r, 3, server, Verdict.FINISHED)
+    report_response(r, 3, server, Verdict.FINISHED)
     assert not cache.strikes and not cache.silent_until
 
 
--- a/tests/dataplane/test_drain_order_of_events.py
+++ b/tests/dataplane/test_drain_order_of_events.py
@@ -16,13 +16,13 @@
 from rowanshift.dataplane.service import DataPlaneService
 from rowanshift.dataplane.upstream import UpstreamPool
 from tests.support.exchange_rig import (
-    Asked,
+    AfterCut,
     Behaviour,
     Client,
-    Got,
-    NoLoads,
+    EmptyLoadIndex,
+    ReceivedResponse,
     Rig,
-    Then,
+    ServerRequest,
     chunk,
     head,
     play,
@@ -69,9 +69,9 @@
 class Silence(unittest.TestCase):
     """A silent server does not make a draining router abandon a request early."""
 
-    def response(self, longest: float) -> Got:
+    def response(self, longest: float) -> ReceivedResponse:
         """The response to a repeatable request that a server answers late, but before the router exits."""
-        answers: list[Got] = []
+        answers: list[ReceivedResponse] = []
 
         async def clients(rig: Rig) -> None:
             await trio.sleep(1.5)
@@ -126,7 +126,7 @@
             UpstreamPool.close = close
 
         with mock.patch.object(UpstreamPool, "close", original_close):
-            outcomes = until_its_end(clients, *[Behaviour(cut=0, then=Then.SILENCE)] * requests)
+            outcomes = until_its_end(clients, *[Behaviour(cut=0, then=AfterCut.SILENCE)] * requests)
         self.assertEqual(outcomes.violation_count() + outcomes.excused, 0, outcomes.summary())
 
     def test_how_long_the_process_stays_for_last_responses(self) -> None:
@@ -145,7 +145,7 @@
         self.assertFalse(drain.must_keep_running(last, 0, last + 1.0))
 
 
-class SlowLoads(NoLoads):
+class SlowLoads(EmptyLoadIndex):
     """Reports each end as a router does: it yields to the event loop once and can't be cancelled."""
 
     async def report_end(self, request: ReportedRequest, end_kind: DatagramKind) -> None:
@@ -163,7 +163,7 @@
             await Client(rig).send(request_bytes("stream", "r1", within=within))
 
         async def main(rig: Rig) -> RequestOutcomes:
-            rig.behaviours += [Behaviour(cut=0, then=Then.SILENCE), Behaviour(answer=long_stream)]
+            rig.behaviours += [Behaviour(cut=0, then=AfterCut.SILENCE), Behaviour(answer=long_stream)]
             rig.nursery.start_soon(clients, rig)
             await shut_down(rig)
             return rig.front.outcomes
@@ -176,7 +176,7 @@
         self.assertIn("leaving_time_up=1", outcomes.summary())
 
 
-def long_stream(asked: Asked) -> bytes:
+def long_stream(asked: ServerRequest) -> bytes:
     events = b"".join(chunk(b"id: %d\ndata: %s\n\n" % (number, b"x" * 4000)) for number in range(1, 40))
     return head(asked, 200, b"Content-Type: text/event-stream", b"Transfer-Encoding: chunked") + events + chunk(b"")
 
--- a/tests/dataplane/test_exchange_attempts.py
+++ b/tests/dataplane/test_exchange_attempts.py
@@ -13,12 +13,12 @@
     CLIENT_DEADLINE_SECONDS,
     KINDS,
     REPEATABLE,
-    Asked,
+    AfterCut,
     Behaviour,
     Client,
-    Got,
+    ReceivedResponse,
     Rig,
-    Then,
+    ServerRequest,
     complete_response,
     play,
     rejection,
@@ -99,7 +99,7 @@
                     await trio.sleep(self.RECEIVE_INTERVAL_SECONDS)
 
             rig.nursery.start_soon(receive_bytes)
-            result = await exchange(rig, kind, Behaviour(then=Then.SILENCE, cut=0))
+            result = await exchange(rig, kind, Behaviour(then=AfterCut.SILENCE, cut=0))
             return outcome(kind, result.id, result.got), result.got.at
 
         return play(main, 2)
@@ -186,7 +186,7 @@
 
     def test_another_server_is_available(self) -> None:
         for kind in REPEATABLE:
-            got, at, runs = self.result(kind, 2, 1, Behaviour(then=Then.SILENCE, cut=0))
+            got, at, runs = self.result(kind, 2, 1, Behaviour(then=AfterCut.SILENCE, cut=0))
             self.assertEqual((got, runs), ("success", 2), f"{kind} after {at} s")
             self.assertLess(at, 2.5)
 
@@ -195,7 +195,7 @@
             for endpoint in rig.endpoints:
                 endpoint.backed_off_until = rig.now() + 2.6
             rig.endpoints[0].backed_off_until = 0.0
-            result = await exchange(rig, "idempotent", Behaviour(then=Then.SILENCE, cut=0))
+            result = await exchange(rig, "idempotent", Behaviour(then=AfterCut.SILENCE, cut=0))
             return outcome("idempotent", result.id, result.got), result.got.at
 
         got, at = play(main, 2)
@@ -208,14 +208,14 @@
             self.assertEqual((got, runs), ("success", 1), f"{kind} after {at} s")
 
     def test_a_pause_within_a_response_body(self) -> None:
-        size = len(complete_response(Asked("r1", {}, b"", "idempotent")))
+        size = len(complete_response(ServerRequest("r1", {}, b"", "idempotent")))
         for cut in range(size - 10, size):
             paused = Behaviour(cut=cut, pause=2.5)
             got, at, runs = self.result("idempotent", 3, None, paused)
             self.assertEqual((got, runs), ("success", 2 if cut == size - 10 else 1), f"{cut} of {size}, after {at} s")
 
     def test_a_pause_between_events_with_no_other_server(self) -> None:
-        size = len(complete_response(Asked("r1", {}, b"", "resumable")))
+        size = len(complete_response(ServerRequest("r1", {}, b"", "resumable")))
         for cut in range(0, size, 5):
             got, at, runs = self.result("resumable", 1, None, Behaviour(cut=cut, pause=2.5))
             self.assertEqual((got, runs), ("success", 1), f"{cut} of {size}, after {at} s")
@@ -223,7 +223,7 @@
     def test_the_other_server_cannot_be_reached(self) -> None:
         """The other server is listed but does not accept connections: the router waits for the silent one."""
 
-        async def main(rig: Rig, kind: str, pause: float) -> tuple[Got, int]:
+        async def main(rig: Rig, kind: str, pause: float) -> tuple[ReceivedResponse, int]:
             id, client = rig.next_id(), Client(rig)
             rig.behaviours[:] = [Behaviour(cut=0, pause=pause)]
             await client.send(request_bytes(kind, id))
@@ -253,7 +253,7 @@
 
     def test_one_attempt_is_withdrawn_from_the_budget_once(self) -> None:
         async def main(rig: Rig) -> int:
-            await exchange(rig, "idempotent", Behaviour(then=Then.SILENCE, cut=0))
+            await exchange(rig, "idempotent", Behaviour(then=AfterCut.SILENCE, cut=0))
             return rig.retry_budget.withdrawn
 
         self.assertEqual(play(main), 1)
@@ -274,7 +274,7 @@
     AT_CAPACITY = Behaviour(rejection(503, b"Not-Executed: 1"), runs=False)
     MISDIRECTED = Behaviour(rejection(421), runs=False)
     FAILED = Behaviour(rejection(500))
-    RESET = Behaviour(cut=0, then=Then.RESET)
+    RESET = Behaviour(cut=0, then=AfterCut.RESET)
 
     def test_all_reject_it(self) -> None:
         for kind in KINDS:
@@ -316,17 +316,17 @@
             "503": Behaviour(rejection(503)),
             "503, not executed": Behaviour(rejection(503, b"Not-Executed: 1"), runs=False),
             "421": Behaviour(rejection(421), runs=False),
-            "reset": Behaviour(cut=0, then=Then.RESET),
+            "reset": Behaviour(cut=0, then=AfterCut.RESET),
             "another id": Behaviour(lambda asked: complete_response(asked, "other")),
         }
-        size = len(complete_response(Asked("r1001", {}, b"", "resumable")))
+        size = len(complete_response(ServerRequest("r1001", {}, b"", "resumable")))
         for name, answer in answers.items():
             for tail, attempts, wanted in (((), 3, "success"), ((answer,), 3, "cut")):
 
                 async def main(rig: Rig, answer: Behaviour = answer, tail: tuple = tail) -> list:
                     rig.request_count, results = 1000, []
                     for cut in range(size - 60, size):
-                        first = Behaviour(cut=cut, then=Then.RESET)
+                        first = Behaviour(cut=cut, then=AfterCut.RESET)
                         results.append(await exchange(rig, "resumable", first, answer, *tail))
                         await trio.sleep(1.0)
                     return results
@@ -337,13 +337,13 @@
                         self.mismatches.append(f"{name}, {tail}: {got}: {result.got}")
 
     def test_a_stream_that_breaks_at_each_byte_of_two_servers(self) -> None:
-        size = len(complete_response(Asked("r1001", {}, b"", "resumable")))
+        size = len(complete_response(ServerRequest("r1001", {}, b"", "resumable")))
 
         async def main(rig: Rig) -> list:
             rig.request_count, results = 1000, []
             for first in range(0, size, 3):
                 for second in range(90, size, 37):
-                    breaks = [Behaviour(cut=first, then=Then.CLOSE), Behaviour(cut=second, then=Then.RESET)]
+                    breaks = [Behaviour(cut=first, then=AfterCut.CLOSE), Behaviour(cut=second, then=AfterCut.RESET)]
                     results.append(await exchange(rig, "resumable", *breaks))
             return results
 
--- a/tests/dataplane/test_exchange_clients.py
+++ b/tests/dataplane/test_exchange_clients.py
@@ -12,11 +12,11 @@
     CLIENT_DEADLINE_SECONDS,
     KINDS,
     REPEATABLE,
-    Asked,
+    AfterCut,
     Behaviour,
     Client,
     Rig,
-    Then,
+    ServerRequest,
     body_for,
     complete_body,
     complete_response,
@@ -132,10 +132,10 @@
 
         async def main(rig: Rig) -> list[str]:
             wrong = []
-            size = len(complete_response(Asked("r1", {}, b"", "stream")))
+            size = len(complete_response(ServerRequest("r1", {}, b"", "stream")))
             for cut in range(100, size + 1):
                 id, client = rig.next_id(), Client(rig)
-                rig.behaviours[:] = [Behaviour(cut=cut, then=Then.RESET)] if cut < size else []
+                rig.behaviours[:] = [Behaviour(cut=cut, then=AfterCut.RESET)] if cut < size else []
                 request = request_bytes("stream", id).replace(b" HTTP/1.1", b" HTTP/1.0", 1)
                 await client.send(request)
                 data, reset = bytearray(), False
--- a/tests/dataplane/test_exchanges.py
+++ b/tests/dataplane/test_exchanges.py
@@ -32,11 +32,11 @@
     KINDS,
     REPEATABLE,
     STREAM_KINDS,
-    Asked,
+    AfterCut,
     Behaviour,
     Client,
     Rig,
-    Then,
+    ServerRequest,
     body_for,
     complete_response,
     head,
@@ -57,15 +57,15 @@
 class AnswersBrokenOff(Case):
     """The response is truncated after each number of bytes in turn."""
 
-    def sweep(self, kind: str, then: Then) -> None:
-        length = len(complete_response(Asked("r1000", {}, b"", kind)))
+    def sweep(self, kind: str, then: AfterCut) -> None:
+        length = len(complete_response(ServerRequest("r1000", {}, b"", kind)))
 
         async def main(rig: Rig) -> list:
             rig.request_count = 1000  # so that all request ids have the same length
             return [(offset, await exchange(rig, kind, Behaviour(cut=offset, then=then))) for offset in range(length)]
 
         for offset, result in play(main):
-            answer = complete_response(Asked(result.id, {}, b"", kind))
+            answer = complete_response(ServerRequest(result.id, {}, b"", kind))
             exchange_outcome, response_started = expected_outcome_of_cut(kind, answer, offset, then)
             self.compare_with_table(
                 result, kind, exchange_outcome, f"{then} after {offset}", response_started=response_started
@@ -76,7 +76,7 @@
     for kind in KINDS:
         for then in CONNECTION_ENDINGS:
 
-            def test(self: AnswersBrokenOff, kind: str = kind, then: Then = then) -> None:
+            def test(self: AnswersBrokenOff, kind: str = kind, then: AfterCut = then) -> None:
                 self.sweep(kind, then)
 
             setattr(AnswersBrokenOff, f"test_{then.name.lower()}_within_the_response_to_{kind}", test)
@@ -88,7 +88,7 @@
 class RequestsReadInPart(Case):
     """A server reads each number of bytes of the request in turn, then ends the connection or stays silent."""
 
-    def sweep(self, kind: str, then: Then, window: int) -> set[bool]:
+    def sweep(self, kind: str, then: AfterCut, window: int) -> set[bool]:
         """Returns the set of answers to whether the router wrote the request's last byte to the socket."""
         size = 0
 
@@ -110,11 +110,11 @@
             written = wrote >= size
             seen.add(written)
             exchange_outcome = ExchangeOutcome.NO_RESPONSE if written else ExchangeOutcome.REQUEST_NOT_SENT
-            if then is Then.SILENCE and written:
+            if then is AfterCut.SILENCE and written:
                 exchange_outcome = ExchangeOutcome.SERVER_SILENT if kind in REPEATABLE else ExchangeOutcome.TIMED_OUT
             decision = decide(IDEMPOTENCY_BY_KIND[kind], exchange_outcome)
             wanted = expected(decision, False, decision.may_have_run)
-            if then is Then.SILENCE and not written:  # no time remains for another server
+            if then is AfterCut.SILENCE and not written:  # no time remains for another server
                 wanted = "own 503"
             got = outcome(kind, result.id, result.got)
             if (got, result.breaches) != (wanted, []):
@@ -126,17 +126,17 @@
 
     def test_the_request_was_written_completely(self) -> None:
         for kind in KINDS:
-            for then in (Then.RESET, Then.CLOSE):
+            for then in (AfterCut.RESET, AfterCut.CLOSE):
                 self.assertEqual(self.sweep(kind, then, 1 << 16), {True})
 
     def test_a_small_window_leaves_a_part_unwritten(self) -> None:
         for kind in KINDS:
-            for then in (Then.RESET, Then.CLOSE):
+            for then in (AfterCut.RESET, AfterCut.CLOSE):
                 self.assertEqual(self.sweep(kind, then, 40), {True, False})
 
     def test_silence(self) -> None:
         for kind in ("idempotent", "non_idempotent"):
-            self.assertEqual(self.sweep(kind, Then.SILENCE, 100), {True, False})
+            self.assertEqual(self.sweep(kind, AfterCut.SILENCE, 100), {True, False})
 
 
 async def written_size(rig: Rig, kind: str) -> int:
@@ -163,7 +163,7 @@
 
             async def main(rig: Rig, kind: str = kind) -> list:
                 rig.request_count = 1000
-                size = len(rejection(status, *more)(Asked("r1000", {}, b"", kind)))
+                size = len(rejection(status, *more)(ServerRequest("r1000", {}, b"", kind)))
                 results = []
                 for offset in range(0, size, step):
                     results.append(
@@ -199,19 +199,19 @@
 class StatusesBrokenOff(Case):
     """Truncated responses that are not a success, after each byte: their status must not be relied on."""
 
-    def sweep(self, then: Then, status: int, *more: bytes) -> None:
+    def sweep(self, then: AfterCut, status: int, *more: bytes) -> None:
         for kind in ("idempotent", "non_idempotent"):
 
             async def main(rig: Rig, kind: str = kind) -> list:
                 rig.request_count = 1000
-                size = len(rejection(status, *more)(Asked("r1000", {}, b"", kind)))
+                size = len(rejection(status, *more)(ServerRequest("r1000", {}, b"", kind)))
                 return [
                     (offset, await exchange(rig, kind, Behaviour(rejection(status, *more), cut=offset, then=then)))
                     for offset in range(size)
                 ]
 
             exchange_outcome = ExchangeOutcome.NO_RESPONSE
-            if then is Then.SILENCE:
+            if then is AfterCut.SILENCE:
                 exchange_outcome = ExchangeOutcome.SERVER_SILENT if kind in REPEATABLE else ExchangeOutcome.TIMED_OUT
             for offset, result in play(main):
                 self.compare_with_table(result, kind, exchange_outcome, f"{status} {more}, {then} after {offset}")
@@ -273,14 +273,14 @@
 
             async def main(rig: Rig, kind: str = kind) -> list:
                 rig.request_count = 1000
-                size = complete_response(Asked("r1000", {}, b"", kind)).index(b"\r\n\r\n")
+                size = complete_response(ServerRequest("r1000", {}, b"", kind)).index(b"\r\n\r\n")
                 results = []
                 for offset in range(size):
 
-                    def corrupted(asked: Asked, offset: int = offset) -> bytes:
+                    def corrupted(asked: ServerRequest, offset: int = offset) -> bytes:
                         return complete_response(asked)[:offset] + b"\x00\x01 \r\r\n\r\n"
 
-                    results.append((offset, await exchange(rig, kind, Behaviour(corrupted, then=Then.CLOSE))))
+                    results.append((offset, await exchange(rig, kind, Behaviour(corrupted, then=AfterCut.CLOSE))))
                 return results
 
             for offset, result in play(main):
@@ -292,7 +292,7 @@
 class Surplus(Case):
     """Surplus bytes after a response, at every boundary."""
 
-    def surplus_bytes(self, surplus_kind: str, asked: Asked) -> bytes:
+    def surplus_bytes(self, surplus_kind: str, asked: ServerRequest) -> bytes:
         return {
             "another's answer": plain(asked, id="other"),
             "the same answer": plain(asked),
@@ -309,11 +309,11 @@
 
                 async def main(rig: Rig, kind: str = kind, surplus_kind: str = surplus_kind) -> list:
                     rig.request_count, results = 1000, []
-                    size = len(self.surplus_bytes(surplus_kind, Asked("r1000", {}, b"", kind)))
+                    size = len(self.surplus_bytes(surplus_kind, ServerRequest("r1000", {}, b"", kind)))
                     for offset in range(1, size + 1):
-                        surplus = self.surplus_bytes(surplus_kind, Asked(f"r{rig.request_count + 1}", {}, b"", kind))[
-                            :offset
-                        ]
+                        surplus = self.surplus_bytes(
+                            surplus_kind, ServerRequest(f"r{rig.request_count + 1}", {}, b"", kind)
+                        )[:offset]
                         results.append(await exchange(rig, kind, Behaviour(surplus=surplus)))
                     return results
 
@@ -333,7 +333,7 @@
                 results = []
                 for step in range(1, 50):
                     id, after, client = rig.next_id(), rig.next_id(), Client(rig)
-                    surplus = self.surplus_bytes(surplus_kind, Asked(id, {}, b"", ""))
+                    surplus = self.surplus_bytes(surplus_kind, ServerRequest(id, {}, b"", ""))
                     rig.behaviours[:] = [
                         Behaviour(surplus=surplus, surplus_after=step * 0.0001),
                         Behaviour(wait=0.004),
@@ -361,7 +361,7 @@
 
             async def main(rig: Rig, kind: str = kind) -> list:
                 rig.request_count = 1000
-                size = len(complete_response(Asked("r1000", {}, b"", kind)))
+                size = len(complete_response(ServerRequest("r1000", {}, b"", kind)))
                 return [await exchange(rig, kind, Behaviour(cut=offset, pause=0.001)) for offset in range(size)]
 
             for offset, result in enumerate(play(main)):
@@ -372,19 +372,19 @@
     """A success without a length ends when its connection is closed, but not when it is reset."""
 
     def test_closed_or_reset_after_each_byte_of_its_body(self) -> None:
-        def answer(asked: Asked) -> bytes:
+        def answer(asked: ServerRequest) -> bytes:
             return head(asked) + body_for(asked.id)
 
         for kind in ("idempotent", "non_idempotent"):
-            size = len(answer(Asked("r1001", {}, b"", kind)))
-            top = answer(Asked("r1001", {}, b"", kind)).index(b"\r\n\r\n") + 4
+            size = len(answer(ServerRequest("r1001", {}, b"", kind)))
+            top = answer(ServerRequest("r1001", {}, b"", kind)).index(b"\r\n\r\n") + 4
 
             async def main(rig: Rig, kind: str = kind, top: int = top, size: int = size) -> list:
                 rig.request_count = 1000
                 closed = await exchange(
-                    rig, kind, Behaviour(lambda asked: answer(asked) + b" ", cut=size, then=Then.CLOSE)
+                    rig, kind, Behaviour(lambda asked: answer(asked) + b" ", cut=size, then=AfterCut.CLOSE)
                 )
-                cut = [Behaviour(answer, cut=offset, then=Then.RESET) for offset in range(top + 1, size)]
+                cut = [Behaviour(answer, cut=offset, then=AfterCut.RESET) for offset in range(top + 1, size)]
                 return [closed, *[await exchange(rig, kind, each) for each in cut]]
 
             closed, *reset = play(main)
@@ -407,7 +407,7 @@
             for garbage in (b"\x00\x01\x02\r\n", b"HTTP/1.1 200 OK\r\n\r\n", b"-1\r\n"):
                 for events in range(EVENT_COUNT + 1):
 
-                    def corrupted(asked: Asked, events: int = events, garbage: bytes = garbage) -> bytes:
+                    def corrupted(asked: ServerRequest, events: int = events, garbage: bytes = garbage) -> bytes:
                         answer = complete_response(asked)
                         at = answer.index(b"\r\n\r\n") + 4
                         for _ in range(events):
@@ -442,7 +442,7 @@
 
                 async def main(rig: Rig, kind: str = kind, id: str = id) -> list:
                     rig.request_count = 1000
-                    size = len(preceded_by_other(id)(Asked("r1001", {}, b"", kind)))
+                    size = len(preceded_by_other(id)(ServerRequest("r1001", {}, b"", kind)))
                     return [
                         await exchange(rig, kind, Behaviour(preceded_by_other(id), cut=offset))
                         for offset in range(0, size, 3)
@@ -463,10 +463,10 @@
 
             async def main(rig: Rig, kind: str = kind) -> list:
                 results = []
-                for offset in range(1, len(complete_response(Asked("other", {}, b"", kind)))):
+                for offset in range(1, len(complete_response(ServerRequest("other", {}, b"", kind)))):
 
-                    def concatenated(asked: Asked, offset: int = offset) -> bytes:
-                        surplus = complete_response(Asked("other", {}, b"", asked.kind))
+                    def concatenated(asked: ServerRequest, offset: int = offset) -> bytes:
+                        surplus = complete_response(ServerRequest("other", {}, b"", asked.kind))
                         return surplus[:offset] + rejection(503, b"Not-Executed: 1")(asked)
 
                     results.append((offset, await exchange(rig, kind, Behaviour(concatenated, runs=False))))
@@ -482,16 +482,18 @@
         for kind in KINDS:
             for other in ("idempotent", "stream"):
 
-                def concatenated(asked: Asked, offset: int, other: str = other) -> bytes:
-                    surplus = complete_response(Asked("other", {}, b"", other))
+                def concatenated(asked: ServerRequest, offset: int, other: str = other) -> bytes:
+                    surplus = complete_response(ServerRequest("other", {}, b"", other))
                     return surplus[:offset] + complete_response(asked)
 
                 async def main(
                     rig: Rig, kind: str = kind, other: str = other, concatenated: Any = concatenated
                 ) -> list:
                     results = []
-                    for offset in range(1, len(complete_response(Asked("other", {}, b"", other)))):
-                        behaviour = Behaviour(lambda asked, offset=offset: concatenated(asked, offset), then=Then.CLOSE)
+                    for offset in range(1, len(complete_response(ServerRequest("other", {}, b"", other)))):
+                        behaviour = Behaviour(
+                            lambda asked, offset=offset: concatenated(asked, offset), then=AfterCut.CLOSE
+                        )
                         results.append((offset, await exchange(rig, kind, behaviour)))
                     return results
 
--- a/tests/dataplane/test_frontend_shutdown.py
+++ b/tests/dataplane/test_frontend_shutdown.py
@@ -16,7 +16,7 @@
 from rowanshift.transport.descriptor_budget import MAX_CLIENT_FRACTION, RESERVED_DESCRIPTORS, DescriptorBudget
 from rowanshift.transport.streams import connect
 from tests.dataplane.test_drain_order_of_events import WITHIN, until_its_end
-from tests.support.exchange_rig import FRONTEND_PORT, Behaviour, Client, Got, Rig, request_bytes
+from tests.support.exchange_rig import FRONTEND_PORT, Behaviour, Client, ReceivedResponse, Rig, request_bytes
 
 CONNECT_AT_SECONDS = NOTICE_SECONDS + 0.2  # time at which the new connection is opened
 WAITING_CONNECTIONS = 20
@@ -33,9 +33,9 @@
 
 
 class NewConnections(unittest.TestCase):
-    def got(self, silent_for: float) -> Got:
+    def got(self, silent_for: float) -> ReceivedResponse:
         """The response to a client that connects late and sends its request ``silent_for`` seconds later."""
-        answers: list[Got] = []
+        answers: list[ReceivedResponse] = []
 
         async def clients(rig: Rig) -> None:
             await Client(rig).send(request_bytes("non_idempotent", "first", within=WITHIN))
@@ -47,7 +47,7 @@
             try:
                 answers.append(await client.ask("idempotent", "second", within=WITHIN))
             except OSError:
-                answers.append(Got(closed=True))
+                answers.append(ReceivedResponse(closed=True))
 
         outcomes = until_its_end(clients, Behaviour(wait=OPEN_UNTIL_SECONDS - 1.0))
         self.assertEqual(outcomes.violation_count(), 0, outcomes.summary())
--- a/tests/dataplane/test_request_outcomes.py
+++ b/tests/dataplane/test_request_outcomes.py
@@ -25,7 +25,7 @@
 from rowanshift.simulation.fleet_machines import Unit
 from rowanshift.transport.call_server import CallOutcome, CallOutcomes, CutCall
 from rowanshift.transport.streams import connect, send_all
-from tests.support.exchange_rig import FRONTEND_PORT, KINDS, Behaviour, Client, Rig, Then, rejection, request_bytes
+from tests.support.exchange_rig import FRONTEND_PORT, KINDS, AfterCut, Behaviour, Client, Rig, rejection, request_bytes
 from tests.support.exchange_rig import play as play_exchange
 
 GRACE = 6.0  # seconds
@@ -183,16 +183,16 @@
 
     def test_a_complete_response_from_a_second_server(self) -> None:
         self.assertEqual(
-            self.outcome_of_request("idempotent", Behaviour(cut=0, then=Then.RESET)), RequestOutcome.COMPLETED
+            self.outcome_of_request("idempotent", Behaviour(cut=0, then=AfterCut.RESET)), RequestOutcome.COMPLETED
         )
         self.assertEqual(
-            self.outcome_of_request("resumable", Behaviour(cut=MID_STREAM_BYTES, then=Then.RESET)),
+            self.outcome_of_request("resumable", Behaviour(cut=MID_STREAM_BYTES, then=AfterCut.RESET)),
             RequestOutcome.COMPLETED,
         )
 
     def test_a_refusal(self) -> None:
         self.assertEqual(
-            self.outcome_of_request("non_idempotent", Behaviour(cut=0, then=Then.RESET)), RequestOutcome.REFUSED
+            self.outcome_of_request("non_idempotent", Behaviour(cut=0, then=AfterCut.RESET)), RequestOutcome.REFUSED
         )
 
     def test_a_refusal_of_a_malformed_request(self) -> None:
@@ -203,14 +203,14 @@
         self.assertEqual(self.outcome_of(main), RequestOutcome.REFUSED)
 
     def test_a_server_that_ends_a_response_early(self) -> None:
-        for then in (Then.RESET, Then.CLOSE):
+        for then in (AfterCut.RESET, AfterCut.CLOSE):
             self.assertEqual(
                 self.outcome_of_request("stream", Behaviour(cut=MID_STREAM_BYTES, then=then)),
                 RequestOutcome.SERVER_BROKE_OFF,
             )
 
     def test_the_deadline_passes(self) -> None:
-        silent = Behaviour(cut=MID_STREAM_BYTES, then=Then.SILENCE)
+        silent = Behaviour(cut=MID_STREAM_BYTES, then=AfterCut.SILENCE)
         self.assertEqual(self.outcome_of_request("stream", silent), RequestOutcome.TIMED_OUT)
 
     def test_the_client_disconnects(self) -> None:
@@ -221,12 +221,12 @@
 
         for cut in (0, MID_STREAM_BYTES):
             self.assertEqual(
-                self.outcome_of(main, Behaviour(cut=cut, then=Then.SILENCE)), RequestOutcome.CLIENT_DISCONNECTED
+                self.outcome_of(main, Behaviour(cut=cut, then=AfterCut.SILENCE)), RequestOutcome.CLIENT_DISCONNECTED
             )
 
     def test_a_server_that_is_abandoned_after_its_response_started(self) -> None:
         """The server stays silent and no other server resumes the stream."""
-        silent = Behaviour(cut=MID_STREAM_BYTES, then=Then.SILENCE)
+        silent = Behaviour(cut=MID_STREAM_BYTES, then=AfterCut.SILENCE)
         refused = Behaviour(rejection(503, b"Not-Executed: 1"))
         self.assertEqual(self.outcome_of_request("resumable", silent, refused), RequestOutcome.CUT_BY_ROUTER)
 
@@ -235,7 +235,7 @@
         for cut in (0, MID_STREAM_BYTES):
 
             async def main(rig: Rig, cut: int = cut) -> RequestOutcomes:
-                rig.behaviours.append(Behaviour(cut=cut, then=Then.SILENCE))
+                rig.behaviours.append(Behaviour(cut=cut, then=AfterCut.SILENCE))
                 stream = rig.client_machine.stream()
                 await connect(stream, (rig.router.address, FRONTEND_PORT))
                 await send_all(stream, request_bytes("stream", "r1"))
--- a/tests/simulation/test_protocol_rules.py
+++ b/tests/simulation/test_protocol_rules.py
@@ -16,10 +16,10 @@
 from tests.support.exchange_rig import (
     KINDS,
     REPEATABLE,
+    AfterCut,
     Behaviour,
     Client,
     Rig,
-    Then,
     plain,
     play,
     rejection,
@@ -64,7 +64,7 @@
 
     def test_client_gets_504_at_the_route_timeout(self) -> None:
         async def main(rig: Rig, kind: str) -> tuple[str, float]:
-            rig.behaviours[:] = [Behaviour(cut=0, then=Then.SILENCE)]
+            rig.behaviours[:] = [Behaviour(cut=0, then=AfterCut.SILENCE)]
             id, client = rig.next_id(), Client(rig)
             await client.send(request_bytes(kind, id, within=60.0))
             response = await client.answer(2 * TIMEOUT_SECONDS)
--- a/tests/support/exchange_case.py
+++ b/tests/support/exchange_case.py
@@ -16,11 +16,11 @@
     NOT_EXECUTED_STATUSES,
     REPEATABLE,
     STREAM_KINDS,
+    AfterCut,
     Behaviour,
     Client,
-    Got,
+    ReceivedResponse,
     Rig,
-    Then,
     complete_body,
     event,
     response_seal,
@@ -32,10 +32,10 @@
     "resumable": RequestIdempotency.RESUMABLE_STREAM,
     "stream": RequestIdempotency.STREAM,
 }
-CONNECTION_ENDINGS = (Then.RESET, Then.CLOSE, Then.SILENCE)
+CONNECTION_ENDINGS = (AfterCut.RESET, AfterCut.CLOSE, AfterCut.SILENCE)
 
 
-def breaches(rig: Rig, kind: str, id: str, got: Got) -> list[str]:
+def breaches(rig: Rig, kind: str, id: str, got: ReceivedResponse) -> list[str]:
     """The rules that one exchange broke, independent of the expected decision."""
     found = []
     if kind not in REPEATABLE and rig.runs[id] > 1:
@@ -57,7 +57,7 @@
     return found
 
 
-def outcome(kind: str, id: str, got: Got) -> str:
+def outcome(kind: str, id: str, got: ReceivedResponse) -> str:
     """A summary of what the client received, in the same form as ``expected``."""
     if got.complete and 200 <= got.status < 300:
         return "success"
@@ -80,7 +80,7 @@
     """The result of a request with scripted attempts, and of a normal request after it on the same connections."""
 
     id: str
-    got: Got
+    got: ReceivedResponse
     runs: int
     attempts: int
     connection_kept: bool
@@ -149,14 +149,14 @@
             self.mismatches.append(f"{kind}, {where}: ended after {exchange_result.got.at} s")
 
 
-def expected_outcome_of_cut(kind: str, answer: bytes, cut: int, then: Then) -> tuple[ExchangeOutcome, bool]:
+def expected_outcome_of_cut(kind: str, answer: bytes, cut: int, then: AfterCut) -> tuple[ExchangeOutcome, bool]:
     """The outcome of an exchange whose successful response stops after ``cut`` bytes, and whether its relay began."""
     received, id = answer[:cut], answer.partition(b"Request-Id: ")[2].partition(b"\r\n")[0].decode()
     _, found, rest = received.partition(b"\r\n\r\n")
     if cut == len(answer):
         return ExchangeOutcome.SUCCESS, True
     response_started = bool(rest) if kind in ("idempotent", "non_idempotent") else event(id, 1) in rest
-    if then is Then.SILENCE:
+    if then is AfterCut.SILENCE:
         resumes = kind == "resumable" or (kind == "idempotent" and not response_started)
         return (ExchangeOutcome.SERVER_SILENT if resumes else ExchangeOutcome.TIMED_OUT), response_started
     if not found:
--- a/tests/support/exchange_rig.py
+++ b/tests/support/exchange_rig.py
@@ -44,7 +44,7 @@
 NOT_EXECUTED_STATUSES = (408, 421, 429, 503)
 
 
-class Then(Enum):
+class AfterCut(Enum):
     """What a server does after the part of its response that its behaviour names."""
 
     GO_ON = "sends the rest"
@@ -54,7 +54,7 @@
 
 
 @dataclass(slots=True)
-class Asked:
+class ServerRequest:
     """A request as received by a server."""
 
     id: str
@@ -71,9 +71,9 @@
 class Behaviour:
     """How a server handles one request."""
 
-    answer: Callable[[Asked], bytes] = lambda asked: complete_response(asked)
+    answer: Callable[[ServerRequest], bytes] = lambda asked: complete_response(asked)
     cut: int | None = None  # bytes of the response sent before ``then``; None: all
-    then: Then = Then.GO_ON
+    then: AfterCut = AfterCut.GO_ON
     read: int | None = None  # bytes of the request read before ``then``; None: all, and it is executed
     runs: bool = True  # whether the request counts as executed
     surplus: bytes = b""  # sent after the response
@@ -83,7 +83,7 @@
 
 
 @dataclass(slots=True)
-class Got:
+class ReceivedResponse:
     """What a client received for one request."""
 
     status: int = 0
@@ -100,7 +100,7 @@
     return f"seal-{id}-{status}".encode()
 
 
-def head(asked: Asked, status: int = 200, *more: bytes, id: str | None = None) -> bytes:
+def head(asked: ServerRequest, status: int = 200, *more: bytes, id: str | None = None) -> bytes:
     response_id = (asked.id if id is None else id).encode()
     lines = [b"HTTP/1.1 %d Told" % status, b"Response-Seal: " + response_seal(asked.id, status)]
     if response_id:
@@ -108,12 +108,12 @@
     return b"\r\n".join([*lines, *more, b"", b""])
 
 
-def plain(asked: Asked, status: int = 200, *more: bytes, id: str | None = None) -> bytes:
+def plain(asked: ServerRequest, status: int = 200, *more: bytes, id: str | None = None) -> bytes:
     body = body_for(asked.id if id is None else id)
     return head(asked, status, *more, b"Content-Length: %d" % len(body), id=id) + body
 
 
-def rejection(status: int, *more: bytes) -> Callable[[Asked], bytes]:
+def rejection(status: int, *more: bytes) -> Callable[[ServerRequest], bytes]:
     return lambda asked: plain(asked, status, *more)
 
 
@@ -129,7 +129,7 @@
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
-def stream_response(asked: Asked, id: str | None = None, last: bool = True) -> bytes:
+def stream_response(asked: ServerRequest, id: str | None = None, last: bool = True) -> bytes:
     response_id = asked.id if id is None else id
     events = b"".join(
         chunk(event(response_id, number)) for number in range(asked.last_event_number + 1, EVENT_COUNT + 1)
@@ -138,7 +138,7 @@
     return opening + events + (b"0\r\n\r\n" if last else b"")
 
 
-def complete_response(asked: Asked, id: str | None = None) -> bytes:
+def complete_response(asked: ServerRequest, id: str | None = None) -> bytes:
     return stream_response(asked, id) if asked.kind in STREAM_KINDS else plain(asked, id=id)
 
 
@@ -189,7 +189,7 @@
             if not stream.closed():
                 stream.close()
 
-    async def _answer(self, stream: End, asked: Asked, behaviour: Behaviour) -> bool:
+    async def _answer(self, stream: End, asked: ServerRequest, behaviour: Behaviour) -> bool:
         """Respond to a request; whether the connection stays open."""
         rig = self.rig
         rig.arrivals[asked.id].append(stream)
@@ -199,7 +199,7 @@
             rig.server_statuses[asked.id].add(int(answer[9:12]))
         await trio.sleep(behaviour.wait)
         cut = len(answer) if behaviour.cut is None else behaviour.cut
-        if behaviour.cut is not None and behaviour.then is not Then.GO_ON:
+        if behaviour.cut is not None and behaviour.then is not AfterCut.GO_ON:
             cut = min(cut, len(answer) - 1)  # a resumed stream is shorter
         sent = answer[:cut]
         if behaviour.surplus and not behaviour.surplus_after:
@@ -208,7 +208,7 @@
         if behaviour.surplus and behaviour.surplus_after:
             await trio.sleep(behaviour.surplus_after)
             await send_all(stream, behaviour.surplus)
-        if behaviour.then is Then.GO_ON:
+        if behaviour.then is AfterCut.GO_ON:
             if behaviour.cut is not None:
                 await trio.sleep(behaviour.pause)
                 await send_all(stream, answer[cut:])
@@ -217,10 +217,10 @@
         await self._end_connection(stream, behaviour.then)
         return False
 
-    async def _end_connection(self, stream: End, then: Then) -> None:
-        if then is Then.RESET:
+    async def _end_connection(self, stream: End, then: AfterCut) -> None:
+        if then is AfterCut.RESET:
             stream.drop(True)
-        elif then is Then.CLOSE:
+        elif then is AfterCut.CLOSE:
             stream.close()
         else:
             await self.rig.finished.wait()
@@ -241,7 +241,7 @@
     return count > 0
 
 
-async def read_request(stream: End, buffer: bytearray) -> Asked | None:
+async def read_request(stream: End, buffer: bytearray) -> ServerRequest | None:
     while b"\r\n\r\n" not in buffer:
         if not await read_more(stream, buffer):
             return None
@@ -254,7 +254,7 @@
         rest = bytes(buffer).partition(b"\r\n\r\n")[2]
     del buffer[: len(raw_head) + 4 + length]
     kind = raw_head.split(b" ")[1].strip(b"/").decode()
-    return Asked(fields[b"request-id"].decode(), fields, rest[:length], kind)
+    return ServerRequest(fields[b"request-id"].decode(), fields, rest[:length], kind)
 
 
 def parse_fields(raw_head: bytes) -> dict[bytes, bytes]:
@@ -296,14 +296,14 @@
         data = rest[size + 2 :]
 
 
-def parse_response(data: bytes, closed: bool = False) -> Got:
+def parse_response(data: bytes, closed: bool = False) -> ReceivedResponse:
     """Parse the bytes received for one request as a strict client does."""
     while data.startswith(b"HTTP/1.1 1") and b"\r\n\r\n" in data:
         data = data.partition(b"\r\n\r\n")[2]
     raw_head, found, rest = data.partition(b"\r\n\r\n")
     if not found:
-        return Got(trailing=b"" if b"HTTP/1.1 ".startswith(data[:9]) else data)
-    got = Got(int(raw_head[9:12]), parse_fields(raw_head), raw_head)
+        return ReceivedResponse(trailing=b"" if b"HTTP/1.1 ".startswith(data[:9]) else data)
+    got = ReceivedResponse(int(raw_head[9:12]), parse_fields(raw_head), raw_head)
     if got.status in (204, 304):
         got.complete, got.trailing = True, rest
     elif got.fields.get(b"transfer-encoding") == b"chunked":
@@ -328,7 +328,7 @@
             await connect(self.stream, (self.rig.router.address, FRONTEND_PORT))
         await send_all(self.stream, data)
 
-    async def answer(self, within: float = CLIENT_DEADLINE_SECONDS + 1.0) -> Got:
+    async def answer(self, within: float = CLIENT_DEADLINE_SECONDS + 1.0) -> ReceivedResponse:
         """The next response, or its part received before the router closed the connection or the timeout expired."""
         started_at, got, closed = self.rig.now(), parse_response(bytes(self.data)), False
         with trio.move_on_after(within):
@@ -343,7 +343,7 @@
         got.closed, got.at = closed, self.rig.now() - started_at
         return got
 
-    async def ask(self, kind: str, id: str, **more: Any) -> Got:
+    async def ask(self, kind: str, id: str, **more: Any) -> ReceivedResponse:
         await self.send(request_bytes(kind, id, **more))
         return await self.answer()
 
@@ -384,7 +384,7 @@
         return True
 
 
-class NoLoads:
+class EmptyLoadIndex:
     """A load index without any loads."""
 
     async def query(self, servers: list[str]) -> dict[str, int]:
@@ -482,7 +482,14 @@
         upstream = UpstreamPool(self.router, budget, memory)
         self.state = FixedState(endpoints, routing_table())
         front = Frontend(
-            self.state, upstream, budget, memory, lambda service: self.retry_budget, lambda: 0.5, NoLoads(), Drain(8.0)
+            self.state,
+            upstream,
+            budget,
+            memory,
+            lambda service: self.retry_budget,
+            lambda: 0.5,
+            EmptyLoadIndex(),
+            Drain(8.0),
         )
         return front, upstream
 
--- a/tests/support/helpers.py
+++ b/tests/support/helpers.py
@@ -58,7 +58,7 @@
     return r.drain()
 
 
-def come_back(r: Router, id: int, server: str, verdict: Verdict, after: float = 0.02, number: int = 0):
+def report_response(r: Router, id: int, server: str, verdict: Verdict, after: float = 0.02, number: int = 0):
     r.answered(r.now + after, id, number, server, verdict, after, verdict == Verdict.FINISHED, None)
     return r.drain()
 
