--- a/tests/simulation/test_system_simulation.py
+++ b/tests/simulation/test_system_simulation.py
@@ -28,7 +28,7 @@
 from rowanshift.invariants import system as rules
 from rowanshift.invariants.system import Answered, Began, Loaded, Ordered, VersionNamed
 from rowanshift.process.node_settings import load_node_settings
-from rowanshift.simulation.clock import Determined, VirtualClock
+from rowanshift.simulation.clock import DeterministicScheduling, VirtualClock
 from rowanshift.simulation.disk import VirtualDisk
 from rowanshift.simulation.fleet import (
     APPLY_SECONDS,
@@ -56,7 +56,7 @@
 
 
 def as_text(breaches):
-    return [str(breach) for breach in breaches]
+    return [str(violation) for violation in breaches]
 
 
 async def start_with_load(fleet, clients=5):
@@ -602,7 +602,7 @@
         self.assertEqual(as_text(play(main, **options)[1].breaches()), [])
         with patch:
             breaches = play(main, strict=False, **options)[1].breaches()
-        self.assertIn(rule, {breach.rule for breach in breaches})
+        self.assertIn(rule, {violation.rule for violation in breaches})
 
     def test_change_acknowledged_before_the_backup_has_stored_it(self):
         original = Replica._on_store_reply
@@ -742,7 +742,7 @@
             machine.running = True
             return await main(machine)
 
-        with Determined("t"):
+        with DeterministicScheduling("t"):
             return trio.run(run, clock=clock)
 
     def test_write_takes_time_and_survives_a_power_loss(self):
@@ -837,7 +837,7 @@
             return seen, scope.cancelled_caught, accepted.readable()
 
         clock = VirtualClock()
-        with Determined("t"):
+        with DeterministicScheduling("t"):
             self.assertEqual(trio.run(main, clock, clock=clock), ((True, False), True, True))
 
 
