--- a/tests/cacheproxy/test_network.py
+++ b/tests/cacheproxy/test_network.py
@@ -35,7 +35,7 @@
 from rowanshift.transport.runtime import SYSTEM_RUNTIME
 from rowanshift.transport.sockets import Socket
 from tests.support.cache_proxy_rig import free_addresses
-from tests.support.helpers import entry, settings
+from tests.support.helpers import make_entry, make_settings
 
 NAMES = NameIndex(
     {b"read": 0, b"write": 1}, {b"demo": 0, b"other": 1}, {"here": 0, "there": 1}, {"cache": 0, "origin": 1}
@@ -525,8 +525,8 @@
         budget.servers = 8
         async with trio.open_nursery() as nursery:
             servers = Servers(clock, 0.2, 60.0, 0.1, budget, MemoryBudget(64), nursery)
-            driver = Driver(settings(), 7, clock, servers)
-            driver.list_changed("cached", [entry(0), entry("origin")])
+            driver = Driver(make_settings(), 7, clock, servers)
+            driver.list_changed("cached", [make_entry(0), make_entry("origin")])
             submitted = new_exchange(clock.now() + 1)
             driver.submit(submitted)
             return submitted.reply.status, driver.exchanges
@@ -970,7 +970,7 @@
         clock = Clock()
         async with trio.open_nursery() as nursery:
             servers = Servers(clock, 0.2, 60.0, 0.1, DescriptorBudget(100), MemoryBudget(64), nursery)
-            driver = Driver(settings(), 7, clock, servers)
+            driver = Driver(make_settings(), 7, clock, servers)
             driver.router = StubRouter()
             nursery.start_soon(driver.run_wake_timer)
             await trio.sleep(0.01)
@@ -1045,7 +1045,7 @@
     async def main():
         async with trio.open_nursery() as nursery:
             servers = Servers(Clock(), 0.2, 60.0, 0.1, DescriptorBudget(100), MemoryBudget(64), nursery)
-            driver = Driver(settings(), 7, servers.clock, servers)
+            driver = Driver(make_settings(), 7, servers.clock, servers)
             driver.router, driver.exchanges[1] = FailingRouter(), new_exchange(servers.clock.now() + 1)
             submitted = driver.exchanges[1]
             driver.on_peer_message(0, b"")
--- a/tests/cacheproxy/test_operation.py
+++ b/tests/cacheproxy/test_operation.py
@@ -17,7 +17,7 @@
 from rowanshift.cacheproxy.service import Phase
 from tests.cacheproxy.test_network import GOOD
 from tests.support.cache_proxy_rig import free_addresses, run_with_rig
-from tests.support.helpers import RERUNNABLE, entry, invoke, report_response, router, take
+from tests.support.helpers import RERUNNABLE, invoke, make_entry, make_router, report_response, request_decision
 
 # the control port
 
@@ -290,18 +290,18 @@
 @pytest.mark.parametrize(
     "updates",
     [
-        [("full", [(entry(1), A), (entry(2), A)])],
-        [("delta", [(entry(1), A)])],
-        [("delta", [(entry(1), B)])],
-        [("delta", [(entry(1, "dead"), None)]), ("delta", [(entry(1, came_up=50.0), A)])],
-        [("full", [(entry(2), A)]), ("full", [(entry(1), A), (entry(2), A)])],
-        [("delta", [(entry(1, "quiescing"), A)]), ("delta", [(entry(1), A)])],
+        [("full", [(make_entry(1), A), (make_entry(2), A)])],
+        [("delta", [(make_entry(1), A)])],
+        [("delta", [(make_entry(1), B)])],
+        [("delta", [(make_entry(1, "dead"), None)]), ("delta", [(make_entry(1, came_up=50.0), A)])],
+        [("full", [(make_entry(2), A)]), ("full", [(make_entry(1), A), (make_entry(2), A)])],
+        [("delta", [(make_entry(1, "quiescing"), A)]), ("delta", [(make_entry(1), A)])],
     ],
 )
 def test_a_server_stays_disabled_whatever_the_list_says(updates):
     # Guards against sending requests to a disabled server because the list calls it active.
     recorder = UpdateRecorder()
-    recorder.members.update("cached", [(entry(1), A), (entry(2), A)])
+    recorder.members.update("cached", [(make_entry(1), A), (make_entry(2), A)])
     assert recorder.members.disable("cache:1") and not recorder.members.disable("cache:1")
     assert recorder.states["cache:1"] == "drained" and recorder.entries["cache:1"].health == "quiescing"
     for scope, rows in updates:
@@ -310,7 +310,7 @@
     assert recorder.entries["cache:2"].health == "live"
     assert recorder.members.enable("cache:1", 70.0) and not recorder.members.enable("cache:1", 80.0)
     assert (
-        recorder.entries["cache:1"]._replace(zone=0) == entry(1, came_up=70.0)
+        recorder.entries["cache:1"]._replace(zone=0) == make_entry(1, came_up=70.0)
         and recorder.states["cache:1"] == "undrained"
     )
 
@@ -319,16 +319,16 @@
 def test_an_enabled_server_counts_as_just_started_until_the_list_gives_a_later_start(came_up, expected):
     # Guards against full load on a restarted, cold cache while the list still gives its old start time.
     recorder = UpdateRecorder()
-    recorder.members.update("cached", [(entry(1), A)])
+    recorder.members.update("cached", [(make_entry(1), A)])
     recorder.members.disable("cache:1")
     recorder.members.enable("cache:1", 70.0)
-    recorder.members.update("full", [(entry(1, came_up=came_up), A)])
+    recorder.members.update("full", [(make_entry(1, came_up=came_up), A)])
     assert recorder.entries["cache:1"].came_up == expected
 
 
 def test_a_leaving_server_that_is_enabled_stays_drained():
     recorder = UpdateRecorder()
-    recorder.members.update("cached", [(entry(1, "quiescing"), A)])
+    recorder.members.update("cached", [(make_entry(1, "quiescing"), A)])
     recorder.members.disable("cache:1")
     recorder.members.enable("cache:1", 70.0)
     assert recorder.states["cache:1"] == "drained" and recorder.entries["cache:1"].health == "quiescing"
@@ -377,10 +377,10 @@
 
 def test_a_retry_does_not_go_to_a_disabled_server():
     # Guards against retries at a disabled server.
-    decisions = router(2)
+    decisions = make_router(2)
     members = Membership(UpdateRecorder(), lambda scope, entries: decisions.list_changed(decisions.now, scope, entries))
-    members.update("full", [(entry(0), A), (entry(1), A), (entry("origin"), A)])
-    ((_, _, first),) = take(decisions, 1, "k", RERUNNABLE).hand_offs
+    members.update("full", [(make_entry(0), A), (make_entry(1), A), (make_entry("origin"), A)])
+    ((_, _, first),) = request_decision(decisions, 1, "k", RERUNNABLE).hand_offs
     other = "cache:0" if first == "cache:1" else "cache:1"
     members.disable(other)
     assert other not in [server for *_, server in report_response(decisions, 1, first, Verdict.RESET).hand_offs]
--- a/tests/cacheproxy/test_router_decisions.py
+++ b/tests/cacheproxy/test_router_decisions.py
@@ -12,10 +12,10 @@
     RERUNNABLE,
     TICKETED,
     ZONAL,
-    entry,
+    make_entry,
+    make_router,
     report_response,
-    router,
-    take,
+    request_decision,
 )
 
 KEY_HASH = stable_hash("k") >> 32
@@ -38,8 +38,8 @@
     ],
 )
 def test_a_work_item_is_retried_only_if_its_effect_can_not_happen_twice(category, verdict, again):
-    r = router(aside=False)
-    first = take(r, 1, category=category, write=True).hand_offs[0][2]
+    r = make_router(aside=False)
+    first = request_decision(r, 1, category=category, write=True).hand_offs[0][2]
     results = report_response(r, 1, first, verdict)
     assert bool(results.hand_offs) == again
     assert again or [a for _, a, _ in results.answers] == [Answer.WRITTEN_OFF]
@@ -57,8 +57,8 @@
     ],
 )
 def test_a_work_item_is_deferred_only_if_a_retry_by_the_client_is_safe(category, ran, answer):
-    r = router()
-    take(r, 1, category=category, write=True)
+    r = make_router()
+    request_decision(r, 1, category=category, write=True)
     item = r.items[1]
     item.open_attempts, item.ran_since = 0, 99.0 if ran else None
     r.give_up(item)
@@ -67,56 +67,56 @@
 
 @pytest.mark.parametrize(("zone", "age", "goes"), [(0, 1.0, True), (1, 1.0, False), (0, 5.0, False)])
 def test_a_ticketed_retry_stays_in_the_deduplicating_group_and_window(zone, age, goes):
-    r = router(entries=[entry(0, zone=zone)])
-    take(r, 1, category=ZONAL, write=True)
+    r = make_router(entries=[make_entry(0, zone=zone)])
+    request_decision(r, 1, category=ZONAL, write=True)
     item = r.items[1]
     item.ran_since, item.ran_group = r.now - age, 0
     assert r._accepts(r.caches["cache:0"], item) == goes
 
 
 def test_a_late_outcome_after_the_final_answer_changes_nothing():
-    r = router()
-    server = take(r, 1).hand_offs[0][2]
+    r = make_router()
+    server = request_decision(r, 1).hand_offs[0][2]
     r.client_left(r.now, 1)
     assert not report_response(r, 1, server, Verdict.ERROR).hand_offs and r.caches[server].inflight == 0
 
 
 @pytest.mark.parametrize("caches", [0, 1])
 def test_an_expired_work_item_is_answered_at_once(caches):
-    assert len(take(router(caches), 1, left=0).answers) == 1
+    assert len(request_decision(make_router(caches), 1, left=0).answers) == 1
 
 
 def test_without_cache_and_origin_a_work_item_is_deferred():
-    r = router(0)
-    r.list_changed(r.now, "delta", [entry("origin", "dead")])
-    assert [a for _, a, _ in take(r, 1).answers] == [Answer.DEFERRED]
+    r = make_router(0)
+    r.list_changed(r.now, "delta", [make_entry("origin", "dead")])
+    assert [a for _, a, _ in request_decision(r, 1).answers] == [Answer.DEFERRED]
 
 
 @pytest.mark.parametrize("health", ["quiescing", "dead"])
 def test_a_drained_cache_gets_no_new_keys_and_other_caches_keep_theirs(health):
-    r = router()
+    r = make_router()
     before = {k: r._walk(stable_hash(k) >> 32)[0].entry.server for k in KEYS}
-    r.list_changed(r.now, "delta", [entry(2, health)])
+    r.list_changed(r.now, "delta", [make_entry(2, health)])
     after = {k: r._walk(stable_hash(k) >> 32)[0].entry.server for k in KEYS}
     assert "cache:2" not in after.values()
     assert all(after[k] == home for k, home in before.items() if home != "cache:2")
 
 
 def test_ring_points_are_proportional_to_heft():
-    r = router(entries=[entry(0, heft=3.0), entry(1), entry(2)])
+    r = make_router(entries=[make_entry(0, heft=3.0), make_entry(1), make_entry(2)])
     homes = [r._walk(stable_hash(k) >> 32)[0].entry.server for k in KEYS]
     assert homes.count("cache:0") > homes.count("cache:1") + homes.count("cache:2") * 0.5
 
 
 def test_a_server_absent_from_a_full_list_is_removed():
-    r = router()
-    r.list_changed(r.now, "full", [entry(0), entry("origin")])
+    r = make_router()
+    r.list_changed(r.now, "full", [make_entry(0), make_entry("origin")])
     assert [c.entry.server for c in r.ready] == ["cache:0"]
 
 
 @pytest.mark.parametrize(("age", "low", "high"), [(0.0, 0.19, 0.21), (10.0, 0.59, 0.61), (20.0, 1.0, 1.0)])
 def test_warmth_rises_linearly(age, low, high):
-    r = router(entries=[entry(0, came_up=50.0), entry(1)])
+    r = make_router(entries=[make_entry(0, came_up=50.0), make_entry(1)])
     r.now = 50.0 + age
     assert low <= r.warmth(r.caches["cache:0"]) <= high
 
@@ -125,7 +125,7 @@
 def test_the_rate_of_all_routers_to_a_cold_cache_is_limited(routers):
     sent = 0
     for seed in range(routers):
-        r = router(entries=[entry(0, came_up=100.0), entry(1)], routers=routers, seed=seed)
+        r = make_router(entries=[make_entry(0, came_up=100.0), make_entry(1)], routers=routers, seed=seed)
         r.warm_rate = 30.0 / routers  # over all routers 30 per second, of which a cache with a warmth of 0.2 gets 6
         for n in range(1, 1 + 3000 // routers):
             r.now = 100.0 + 3.0 * n * routers / 3000
@@ -134,15 +134,15 @@
 
 
 def test_the_state_of_a_restarted_cache_is_reset():
-    r = router()
+    r = make_router()
     r.caches["cache:0"].strikes = 3
-    r.list_changed(r.now, "delta", [entry(0, came_up=99.0)])
+    r.list_changed(r.now, "delta", [make_entry(0, came_up=99.0)])
     assert r.caches["cache:0"].strikes == 0 and r.warmth(r.caches["cache:0"]) < 1
 
 
 @pytest.mark.parametrize(("share", "epochs", "hot"), [(0.4, 3, False), (0.4, 4, True), (0.1, 8, False)])
 def test_a_key_is_hot_after_four_epochs_over_the_mean_of_a_server(share, epochs, hot):
-    r = router(5)
+    r = make_router(5)
     for _ in range(epochs):
         r.scores.setdefault(KEY_HASH, HotKey()).score += 100 * share
         r.samples += 100
@@ -152,7 +152,7 @@
 
 
 def test_the_lease_of_a_key_that_is_no_longer_hot_expires():
-    r = router()
+    r = make_router()
     hot = r.scores[KEY_HASH] = HotKey()
     hot.shadows, hot.lease = 2, r.now + SHADOW_LEASE_SECONDS
     r.now += SHADOW_LEASE_SECONDS + 0.1
@@ -163,14 +163,14 @@
 
 @pytest.mark.parametrize(("write", "score"), [(False, 1), (True, -1)])
 def test_reads_raise_and_writes_lower_the_score_of_a_key(write, score):
-    r = router()
+    r = make_router()
     r.scores[KEY_HASH] = HotKey()
-    take(r, 1, write=write)
+    request_decision(r, 1, write=write)
     assert r.scores[KEY_HASH].score == score
 
 
 def test_a_replica_is_kept_until_it_has_far_more_in_flight_than_the_mean():
-    r = router()
+    r = make_router()
     hot, replicas = HotKey(), r.ready[:2]
     kept = r._select_replica(hot, replicas)
     assert r._select_replica(hot, replicas) is kept
@@ -181,8 +181,8 @@
 def test_a_held_fetch_retries_its_home_before_the_origin():
     """After an invalidation many routers fetch the key at once; while the origin is saturated, another router's
     fetch may fill the cache."""
-    r = router()
-    home = take(r, 1).hand_offs[0][2]
+    r = make_router()
+    home = request_decision(r, 1).hand_offs[0][2]
     r.origin.limit, r.origin.limit_updated_at = 1e-9, r.now + 10
     assert not report_response(r, 1, home, Verdict.MISS).hand_offs
     r.timer_expired(r.now + 0.08)
@@ -190,22 +190,22 @@
 
 
 def test_work_items_over_the_limit_of_the_origin_are_held():
-    r = router()
+    r = make_router()
     r.origin.limit = 1.0
-    assert take(r, 1, "a", write=True).hand_offs and not take(r, 2, "b", write=True).hand_offs
+    assert request_decision(r, 1, "a", write=True).hand_offs and not request_decision(r, 2, "b", write=True).hand_offs
     assert report_response(r, 1, ORIGIN, Verdict.FINISHED).hand_offs[0][0] == 2
 
 
 @pytest.mark.parametrize(("extra", "admitted"), [(1.0, True), (0.0, False)])
 def test_work_over_quota_is_shed_only_under_overload(extra, admitted):
-    r = router()
+    r = make_router()
     r.extra, r.asked = extra, [1e9, 1e9]
-    assert bool(take(r, 1).hand_offs) == admitted
+    assert bool(request_decision(r, 1).hand_offs) == admitted
 
 
 def test_a_work_item_has_at_most_one_open_hand_off():
-    r = router()
-    home = take(r, 1).hand_offs[0][2]
+    r = make_router()
+    home = request_decision(r, 1).hand_offs[0][2]
     r.timer_expired(r.now + 0.45)
     assert not r.drain().hand_offs
     report_response(r, 1, home, Verdict.MISS)
@@ -215,10 +215,10 @@
 
 @pytest.mark.parametrize(("load", "kept"), [(0, True), (8, False)])
 def test_reads_skip_a_home_with_far_more_in_flight_than_the_mean(load, kept):
-    r = router()
+    r = make_router()
     home = r._walk(KEY_HASH)[0]
     home.inflight = load
-    assert (take(r, 1).hand_offs[0][2] == home.entry.server) == kept
+    assert (request_decision(r, 1).hand_offs[0][2] == home.entry.server) == kept
 
 
 @pytest.mark.parametrize(
@@ -232,7 +232,7 @@
 )
 def test_quotas_are_compared_with_the_rate_of_all_routers(peers, routers, over):
     """At twice a customer's quota half of its work is in excess, however little of it one router sees."""
-    r = router(peers=peers, routers=routers)
+    r = make_router(peers=peers, routers=routers)
     for _ in range(200):
         r.tally.asked, r.tally.span = [600, 600], 10.0 * routers  # quota: 30 a second
         r._apply_tally(r.tally)
@@ -248,7 +248,7 @@
 def test_messages_per_second_are_linear_in_the_number_of_routers(routers, receivers):
     sent = 0
     for ordinal in range(routers):
-        r = router(peers=True, routers=routers, ordinal=ordinal)
+        r = make_router(peers=True, routers=routers, ordinal=ordinal)
         r.now += 1.0
         r._exchange_tallies()
         r.timer_expired(r.now + 1.0)
@@ -258,14 +258,14 @@
 
 @pytest.mark.parametrize("payload", [b"", b"\x00", b"\x40" * 9, b"\x99" * 40, b"\x40" + b"\xff" * 255])
 def test_a_message_of_another_version_is_ignored(payload):
-    r = router(peers=True)
+    r = make_router(peers=True)
     r.tally_received(r.now, 1, payload)
     assert r.tally == Tally([0, 0]) and not r.drain().messages
 
 
 @pytest.mark.parametrize(("base", "grows"), [(0.05, False), (0.14, True)])
 def test_response_times_of_the_origin_are_judged_by_its_base(base, grows):
-    r = router()
+    r = make_router()
     r.origin.base, r.origin.limit, r.origin.inflight = base, 4.0, 4
     r._record_outcome(r.origin, Verdict.FINISHED, 0.35)  # over 0.6 of the due time
     assert (r.origin.limit > 4.0) == grows
@@ -276,11 +276,11 @@
 )
 def test_a_read_whose_home_is_full_goes_to_an_unloaded_origin_or_is_held(part, median, where):
     # if such reads went on to the next cache while all are loaded, most would miss there and add to its load
-    r = router()
+    r = make_router()
     home = r._walk(KEY_HASH)[0]
     home.limit, home.inflight, home.heard_at = 4.0, 4, r.now
     r.origin.base, r.origin.median, r.origin.limit = min(median, 0.05), median, 8.0 * part or 1e-9
-    results = take(r, 1)
+    results = request_decision(r, 1)
     assert [h[2] for h in results.hand_offs] == ([where] if where == ORIGIN else []) and not results.answers
 
 
@@ -290,8 +290,8 @@
 )
 def test_a_late_read_is_withdrawn_if_the_origin_has_capacity(category, limit, taken):
     # a router with few requests detects silent and jammed caches too late: without this, such reads time out
-    r = router()
-    home = take(r, 1, category=category).hand_offs[0][2]
+    r = make_router()
+    home = request_decision(r, 1, category=category).hand_offs[0][2]
     r.origin.limit, r.origin.limit_updated_at = limit, r.now + 10
     r.timer_expired(r.now + 0.26)  # of a due time of 0.5
     assert r.drain().withdrawals == ([(1, 0)] if taken else [])
@@ -302,23 +302,23 @@
 @pytest.mark.parametrize(("limit", "where"), [(8.0, "origin"), (1e-9, "cache")])
 def test_after_a_refused_connection_a_read_goes_to_an_origin_with_capacity_or_along_the_ring(limit, where):
     # four caches with full connection tables in a row would use up the hand-offs before the origin is tried
-    r = router()
-    server = take(r, 1).hand_offs[0][2]
+    r = make_router()
+    server = request_decision(r, 1).hand_offs[0][2]
     r.origin.limit, r.origin.limit_updated_at = limit, r.now + 10
     ((_, _, second),) = report_response(r, 1, server, Verdict.UNREACHABLE, 0.001).hand_offs
     assert second.startswith(where) and second != server
 
 
 def test_the_last_hand_off_of_a_read_goes_to_the_origin():
-    r = router(max_hand_offs=2)
-    server = take(r, 1).hand_offs[0][2]
+    r = make_router(max_hand_offs=2)
+    server = request_decision(r, 1).hand_offs[0][2]
     assert [h[2] for h in report_response(r, 1, server, Verdict.FULL).hand_offs] == [ORIGIN]
 
 
 @pytest.mark.parametrize(("taken", "grows"), [(True, False), (False, True)])
 def test_a_withdrawn_read_counts_as_late_for_the_limit_of_all_caches(taken, grows):
-    r = router()
-    take(r, 1)
+    r = make_router()
+    request_decision(r, 1)
     r.items[1].withdrawn, r.fleet.limit, r.fleet.inflight = taken, 8.0, 8
     r._end(r.items[1], True)
     assert (r.fleet.limit > 8.0) == grows
@@ -326,7 +326,7 @@
 
 @pytest.mark.parametrize(("over", "back"), [(True, 2.0), (False, 0.125)])
 def test_a_deferral_has_a_retry_delay(over, back):
-    r = router()
+    r = make_router()
     item = r.items[1] = Item(1, CATEGORIES[RERUNNABLE], "k", r.now + 2, False, excess=over)
     r.give_up(item)
     assert r.drain().answers == [(1, Answer.DEFERRED, back)]
@@ -334,9 +334,9 @@
 
 @pytest.mark.parametrize(("reads", "hot"), [(2, False), (8, True)])
 def test_one_or_two_reads_at_an_idle_router_are_no_hot_epoch(reads, hot):
-    r = router(50, routers=500, quotas=[])
+    r = make_router(50, routers=500, quotas=[])
     for n in range(26):  # at two a second
-        take(r, n, key="k" if n < reads else f"k:{n}")
+        request_decision(r, n, key="k" if n < reads else f"k:{n}")
         r.now += 0.5
     assert (KEY_HASH in r.scores and r.scores[KEY_HASH].streak > 0) == hot
 
@@ -346,7 +346,7 @@
     """After a flush every router has reads to fetch; hundreds that each send one at a time overload the origin."""
     sent = 0
     for seed in range(routers):
-        r = router(routers=routers, seed=seed)
+        r = make_router(routers=routers, seed=seed)
         r.origin.limit = 1.0
         for _ in range(3):
             r._record_outcome(r.origin, Verdict.FINISHED, 2.0)
@@ -356,7 +356,7 @@
 
 @pytest.mark.parametrize(("out", "named"), [((40, 4, 4), [0]), ((9, 9, 9), []), ((1, 0, 0), [])])
 def test_the_aggregator_reports_a_cache_far_over_the_mean_in_flight_but_no_evenly_busy_fleet(out, named):
-    r = router(3, peers=True)
+    r = make_router(3, peers=True)
     hashes = [c.server_hash for c in r.ready]
     over = r._overloaded_caches(Tally([0, 0], out=dict(zip(hashes, out, strict=True))))
     assert list(over) == [hashes[i] for i in named] and all(keep < 255 for keep in over.values())
@@ -365,7 +365,7 @@
 @pytest.mark.parametrize(("since", "most"), [(0.0, 0.1), (0.4, 0.108), (1000.0, 0.11)])
 def test_a_limit_that_was_cut_long_ago_grows_by_half_a_second_at_most(since, most):
     """A router with few requests uses a cache every ten seconds; growth over a whole minute would undo all cuts."""
-    r = router(now=1000.0)
+    r = make_router(now=1000.0)
     cache = r.ready[0]
     cache.limit, cache.limit_updated_at = 0.1, r.now - since
     r._recover_limit(cache)
@@ -374,7 +374,7 @@
 
 @pytest.mark.parametrize(("span", "moves"), [(4.0, True), (1.0, False)])
 def test_a_sum_over_one_side_of_a_partition_does_not_change_customers_rates(span, moves):
-    r = router(peers=True, routers=4)
+    r = make_router(peers=True, routers=4)
     r.asked = [10.0, 10.0]
     r._apply_tally(Tally([400, 400], span=span, total=True))
     assert (r.asked[0] > 10) == moves
@@ -395,7 +395,7 @@
 def test_a_limit_recovers_by_totals_that_report_no_overload_of_the_cache(limit, keep, heard, after):
     # guards against limits that stay low after a burst: one of hundreds of routers uses a cache every few
     # seconds, and each use recovers half a second's growth at most
-    r = router(peers=True, routers=200)
+    r = make_router(peers=True, routers=200)
     cache = r.ready[0]
     cache.limit, cache.limit_updated_at = limit, r.now
     r.now += 10
@@ -406,9 +406,9 @@
 
 @pytest.mark.parametrize(("routers", "caches", "quotas"), [(1, 1, []), (1000, 1, [0.0]), (1000, 3, [0.2])])
 def test_extreme_settings_leave_every_work_item_answered_held_or_handed_off(routers, caches, quotas):
-    r = router(caches, routers=routers, ordinal=routers - 1, quotas=quotas, peers=True)
+    r = make_router(caches, routers=routers, ordinal=routers - 1, quotas=quotas, peers=True)
     for n in range(50):
-        results = take(r, n, KEYS[n])
+        results = request_decision(r, n, KEYS[n])
         r.now += 0.1
         assert len(results.hand_offs) + len(results.answers) + len(r.held) >= 1
 
@@ -416,10 +416,10 @@
 def test_the_state_of_dead_caches_is_removed_once_nothing_is_in_flight_there():
     # guards against memory that grows as long as caches are replaced by new ones; as many dead caches are
     # kept as there are live ones, since some return
-    r = router()
-    ((_, _, server),) = take(r, 1).hand_offs
+    r = make_router()
+    ((_, _, server),) = request_decision(r, 1).hand_offs
     for n in range(95):
-        r.list_changed(r.now, "delta", [entry(n, "dead"), entry(5 + n)])
+        r.list_changed(r.now, "delta", [make_entry(n, "dead"), make_entry(5 + n)])
     assert len(r.caches) <= 14 and server in r.caches
     report_response(r, 1, server, Verdict.FINISHED)
     r.list_changed(r.now, "delta", [])
@@ -432,13 +432,13 @@
 )
 def test_a_reset_among_answers_excludes_a_cache_only_until_its_next_answer(since, verdict, silent):
     # guards against excluding a cache for half a second or more because one of many connections broke
-    r = router()
+    r = make_router()
     r.fleet.base = 0.05
-    ((_, _, server),) = take(r, 1).hand_offs
-    take(r, 2)
+    ((_, _, server),) = request_decision(r, 1).hand_offs
+    request_decision(r, 2)
     report_response(r, 1, server, Verdict.FINISHED)
     r.now += since
-    take(r, 3)
+    request_decision(r, 3)
     report_response(r, 2, server, verdict, after=0.001)
     cache = r.caches[server]
     assert (cache.silent_until > r.now, cache.inflight) == (silent, 1)
@@ -449,8 +449,8 @@
 
 @pytest.mark.parametrize(("category", "taken_back"), [(RERUNNABLE, [(1, 0)]), (TICKETED, []), (EXCLUSIVE, [])])
 def test_a_hand_off_on_a_stuck_connection_is_withdrawn_if_it_may_be_repeated(category, taken_back):
-    r = router()
-    take(r, 1, category=category)
+    r = make_router()
+    request_decision(r, 1, category=category)
     r.connection_stuck(r.now + 0.3, 1, 0)
     r.connection_stuck(r.now, 2, 0)
     assert r.drain().withdrawals == taken_back
@@ -460,10 +460,10 @@
     ("slow_end", "miss_share", "held_for"), [(0.0, 0.02, 0.1), (0.2, 0.02, 0.05), (0.2, 0.0, 0.0), (0.2, 0.5, 0.1)]
 )
 def test_the_longest_hold_decreases_with_the_fraction_that_may_miss(slow_end, miss_share, held_for):
-    r = router(slow_end=slow_end, miss_share=miss_share)
+    r = make_router(slow_end=slow_end, miss_share=miss_share)
     r.origin.limit = 1.0
-    take(r, 1, "a", write=True)
-    assert not take(r, 2, "b", write=True).answers
+    request_decision(r, 1, "a", write=True)
+    assert not request_decision(r, 2, "b", write=True).answers
     r.timer_expired(r.now + held_for - 0.001)
     assert not r.drain().answers
     r.timer_expired(r.now + 0.002)
@@ -471,8 +471,8 @@
 
 
 def test_nothing_is_withdrawn_if_cancelling_is_disabled():
-    r = router(cancelling=False)
-    take(r, 1)
+    r = make_router(cancelling=False)
+    request_decision(r, 1)
     r.connection_stuck(r.now + 0.3, 1, 0)
     r.timer_expired(r.now)
     assert not r.drain().withdrawals
@@ -481,17 +481,17 @@
 @pytest.mark.parametrize(("limit", "where"), [(8.0, ORIGIN), (1e-9, "cache")])
 def test_reads_over_the_rate_of_a_cold_home_go_to_an_origin_with_capacity_before_the_next_cache(limit, where):
     # guards against misses after a restart of all caches, when reads went on along the ring and missed there
-    r = router()
+    r = make_router()
     home = r._walk(KEY_HASH)[0]
     home.entry = home.entry._replace(came_up=r.now)
     r.origin.limit, r.origin.limit_updated_at = limit, r.now + 10
-    ((_, _, server),) = take(r, 1).hand_offs
+    ((_, _, server),) = request_decision(r, 1).hand_offs
     assert server.startswith(where) and server != home.entry.server
 
 
 def test_the_base_response_time_rises_little_during_congestion():
     # guards against a threshold for slow responses of the origin that rose by half in 30 s of congestion
-    r = router()
+    r = make_router()
     for n in range(16 + 16 * 20):
         r._record_outcome(r.origin, Verdict.FINISHED, 0.05 if n < 16 else 0.4)
     assert r.origin.median > 5 * 0.05 and r.origin.base < 1.6 * 0.064  # a growth of 2% would give a factor of 2.1
@@ -507,7 +507,7 @@
 )
 def test_work_held_for_one_slow_cache_is_no_overload_of_all_caches(slow_limit, fleet_limit, sheds):
     # guards against shedding work over quota at every cache because one of them hardly answers
-    r = router(1)
+    r = make_router(1)
     slow = r.ready[0]
     r.fleet.limit, slow.limit, slow.limit_updated_at, r.extra = fleet_limit, slow_limit, r.now, 1.0
     r.take(r.now, 1, RERUNNABLE, 0, "k", 2.0, False)
--- a/tests/support/helpers.py
+++ b/tests/support/helpers.py
@@ -18,7 +18,7 @@
 ]
 
 
-def settings(**changes) -> Settings:
+def make_settings(**changes) -> Settings:
     defaults = dict(
         categories=CATEGORIES,
         quotas=[30.0, 30.0],
@@ -40,20 +40,22 @@
     return Settings(**defaults | changes)
 
 
-def entry(n: int | str, health: str = "live", came_up=0.0, heft=1.0, zone=0) -> Entry:
+def make_entry(n: int | str, health: str = "live", came_up=0.0, heft=1.0, zone=0) -> Entry:
     server = ORIGIN if n == "origin" else f"cache:{n}"
     return Entry(server, 0, heft, zone, health, int(n == "origin"), came_up)
 
 
-def router(caches: int = 5, now: float = 100.0, entries: list[Entry] | None = None, seed: int = 7, **changes) -> Router:
-    new_router = Router(settings(**changes), seed, now)
-    entries_or_default = [entry(n) for n in range(caches)] if entries is None else entries
-    new_router.list_changed(now, "cached", [*entries_or_default, entry("origin")])
+def make_router(
+    caches: int = 5, now: float = 100.0, entries: list[Entry] | None = None, seed: int = 7, **changes
+) -> Router:
+    new_router = Router(make_settings(**changes), seed, now)
+    entries_or_default = [make_entry(n) for n in range(caches)] if entries is None else entries
+    new_router.list_changed(now, "cached", [*entries_or_default, make_entry("origin")])
     new_router.drain()
     return new_router
 
 
-def take(r: Router, id: int, key: str = "k", category: int = RERUNNABLE, write: bool = False, left=2.0):
+def request_decision(r: Router, id: int, key: str = "k", category: int = RERUNNABLE, write: bool = False, left=2.0):
     r.take(r.now, id, category, 0, key, left, write)
     return r.drain()
 
